--- /dev/null
+++ b/crates/control/tests/golden.rs
@@ -0,0 +1,219 @@
+//! Golden files of the control plane: one frame of each message, the snapshot file, and the keys of the configuration.
+
+use golden_files::{GoldenFiles, hex};
+use haventrack_control::codec::{backend_body, decode, encode};
+use haventrack_control::config::Config;
+use haventrack_control::message::{Have, Message, PROTOCOL};
+use haventrack_control::record::{Backend, Change, Cursor, Key, Kind, Record, Scope, State, Version};
+use haventrack_control::shell::snapshot::{Snapshot, lock, read};
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// Bytes of the length before each message.
+const LENGTH_PREFIX: usize = 4;
+
+fn golden() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn version(revision: u64) -> Version {
+    Version { epoch: 1_796_148_000_000, revision }
+}
+
+fn cursor(revision: u64) -> Cursor {
+    [version(revision), version(revision + 1), version(revision + 2)]
+}
+
+fn key(kind: Kind, name: &str) -> Key {
+    Key { service: 7_399, kind, name: name.into() }
+}
+
+fn backend() -> Backend {
+    Backend {
+        address: "10.1.0.18:3000".parse().expect("an address"),
+        locality: "a".into(),
+        flavor: "m2".into(),
+        cell: 3,
+        size: 1.5,
+        up_since_ms: 1_796_148_000_123,
+    }
+}
+
+/// A record of every kind and in every state.
+fn records() -> Vec<Record> {
+    let record = |kind, name, revision, state, body: &[u8]| Record {
+        key: key(kind, name),
+        version: version(revision),
+        state,
+        body: body.into(),
+    };
+    vec![
+        record(Kind::Backend, "s-5be2a07c", 41, State::Active, &backend_body(&backend())),
+        record(Kind::Configuration, "timeouts", 42, State::Active, b"{\"a\":1}"),
+        record(Kind::Route, "/checkout", 300, State::Draining, b"r"),
+        record(Kind::Tenant, "acme", 70_000, State::Gone, b""),
+    ]
+}
+
+fn positions() -> Vec<Have> {
+    vec![Have { source: 513, epoch: 1_796_148_000_000, cursor: cursor(9) }]
+}
+
+fn messages() -> Vec<(&'static str, Message)> {
+    let (source, epoch) = (513, 1_796_148_000_000);
+    let services = Scope::Services(BTreeSet::from([1, 128, 7_399]));
+    let change = Change { key: key(Kind::Tenant, "acme"), state: State::Active, body: (*b"x").into() };
+    vec![
+        (
+            "hello, scope by services",
+            Message::Hello { protocol: PROTOCOL, name: "proxy-1".into(), scope: services, have: positions() },
+        ),
+        (
+            "hello, everything in scope",
+            Message::Hello { protocol: PROTOCOL, name: "relay-1".into(), scope: Scope::All, have: vec![] },
+        ),
+        ("welcome", Message::Welcome { protocol: PROTOCOL, name: "region-1".into() }),
+        ("alive", Message::Alive),
+        (
+            "batch",
+            Message::Batch {
+                source,
+                epoch,
+                from: cursor(1),
+                to: cursor(70_000),
+                records: records(),
+                check: Some(0x0123_4567_89ab_cdef),
+            },
+        ),
+        (
+            "summary",
+            Message::Summary {
+                source,
+                epoch,
+                covers: (0, u32::MAX),
+                to: cursor(5),
+                digests: vec![(1, 2), (7_399, u64::MAX)],
+            },
+        ),
+        (
+            "service snapshot",
+            Message::Whole {
+                source,
+                epoch,
+                as_of: version(300),
+                service: 7_399,
+                after: Some((Kind::Backend, "s-1".into())),
+                upto: None,
+                records: records(),
+            },
+        ),
+        ("resume", Message::Resume { have: positions() }),
+        ("digest request", Message::Compare { source }),
+        ("snapshot request", Message::Want { source, services: vec![1, 7_399] }),
+        ("write", Message::Write { id: 99, changes: vec![change] }),
+        ("written", Message::Written { id: 99, result: Ok(version(301)) }),
+        ("written, rejected", Message::Written { id: 100, result: Err("no".into()) }),
+        ("goodbye", Message::Goodbye { why: "over".into() }),
+    ]
+}
+
+#[test]
+fn frames_of_all_messages_keep_their_bytes() {
+    let messages = messages();
+    let frame = |message: &Message| encode(message).expect("short enough");
+    let lines: Vec<String> =
+        messages.iter().map(|(name, message)| format!("{name}: {}", hex(&frame(message)))).collect();
+    golden().assert_lines("frames.txt", &lines);
+    for (name, message) in messages {
+        let read = decode(&frame(&message)[LENGTH_PREFIX..]).expect(name);
+        assert_eq!(read, message, "{name}");
+    }
+}
+
+/// An empty directory of one test, removed with it.
+struct Directory(PathBuf);
+
+impl Directory {
+    fn new(test: &str) -> Self {
+        let path =
+            PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-{test}-{}", std::process::id()));
+        fs::create_dir_all(&path).expect("a directory");
+        Self(path)
+    }
+
+    fn file_names(&self) -> Vec<String> {
+        let entries = fs::read_dir(&self.0).expect("the directory");
+        let mut names: Vec<String> =
+            entries.map(|e| e.expect("an entry").file_name().to_string_lossy().into_owned()).collect();
+        names.sort();
+        names
+    }
+}
+
+impl Drop for Directory {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+#[test]
+fn the_snapshot_file_keeps_its_bytes_and_names() {
+    let directory = Directory::new("snapshot");
+    let path = directory.0.join("source-1.snapshot");
+    let _locked = lock(&path).expect("nobody else holds it");
+    let snapshot = Snapshot { source: 513, epoch: 9, head: version(70_000), records: records() };
+    snapshot.write(&path).expect("written");
+    golden().assert_bytes("source.snapshot", &fs::read(&path).expect("the file"));
+    assert_eq!(read(&golden().path("source.snapshot"), 513).expect("readable"), Some(snapshot));
+    assert_eq!(directory.file_names(), ["source-1.snapshot", "source-1.snapshot.lock"]);
+}
+
+const EVERY_KEY: &str = r#"[source]
+id = 5
+name = "region-5"
+listen = "127.0.0.1:7101"
+snapshot = "source-5.snapshot"
+snapshot_every_ms = 20
+connections = 3
+
+[relay]
+name = "relay-5"
+listen = "127.0.0.1:7201"
+connections = 4
+
+[[relay.sources]]
+id = 5
+address = "127.0.0.1:7101"
+
+[agent]
+name = "proxy-5"
+listen = "127.0.0.1:7301"
+services = [1, 9]
+sources = [5]
+connections = 2
+
+[[agent.relays]]
+name = "relay-5"
+address = "127.0.0.1:7201"
+
+[pace]
+agent_bytes_per_s = 1001
+agent_burst = 1002
+relay_bytes_per_s = 1003
+relay_burst = 1004
+"#;
+
+/// Each section refuses a key that it does not know, and its error names all keys that it does.
+#[test]
+fn the_keys_of_the_configuration_keep_their_names() {
+    Config::parse(EVERY_KEY, Path::new("control.toml")).expect("good");
+    let sections = ["[source]", "[relay]", "[[relay.sources]]", "[agent]", "[[agent.relays]]", "[pace]"];
+    let mut lines: Vec<String> = Vec::new();
+    for text in std::iter::once(format!("unknown = 1\n{EVERY_KEY}"))
+        .chain(sections.iter().map(|section| EVERY_KEY.replace(section, &format!("{section}\nunknown = 1"))))
+    {
+        lines.push(Config::parse(&text, Path::new("control.toml")).expect_err("unknown").to_string());
+    }
+    golden().assert_lines("configuration-keys.txt", &lines);
+}
--- /dev/null
+++ b/crates/golden-files/src/lib.rs
@@ -0,0 +1,75 @@
+//! Test support: compares bytes with the golden files that a crate commits under `tests/golden`.
+//!
+//! A golden file is never overwritten. To record a new one, or to change a format on purpose, remove the file and run the
+//! test with `RECORD_GOLDEN=1`.
+
+use std::env;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// Variable of the environment that allows missing golden files to be written.
+const RECORD_VARIABLE: &str = "RECORD_GOLDEN";
+
+/// The golden files of one crate.
+#[derive(Clone, Debug)]
+pub struct GoldenFiles {
+    directory: PathBuf,
+}
+
+impl GoldenFiles {
+    /// The golden files of the crate whose manifest lies in `manifest_dir` (`env!("CARGO_MANIFEST_DIR")`).
+    #[must_use]
+    pub fn of_crate(manifest_dir: &str) -> Self {
+        Self { directory: Path::new(manifest_dir).join("tests").join("golden") }
+    }
+
+    /// Path of a golden file.
+    #[must_use]
+    pub fn path(&self, name: &str) -> PathBuf {
+        self.directory.join(name)
+    }
+
+    /// Bytes of a golden file.
+    ///
+    /// # Panics
+    /// When the file cannot be read.
+    #[must_use]
+    pub fn read(&self, name: &str) -> Vec<u8> {
+        let path = self.path(name);
+        fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+    }
+
+    /// Asserts that `actual` equals the golden file byte for byte.
+    ///
+    /// # Panics
+    /// When the bytes differ, or when there is no such file and recording is off.
+    pub fn assert_bytes(&self, name: &str, actual: &[u8]) {
+        let path = self.path(name);
+        if !path.exists() && env::var_os(RECORD_VARIABLE).is_some() {
+            fs::create_dir_all(&self.directory).expect("create the directory of golden files");
+            fs::write(&path, actual).expect("write the golden file");
+        }
+        let expected = self.read(name);
+        assert!(
+            expected == actual,
+            "{name} differs from the golden file\nexpected:\n{}\nactual:\n{}",
+            String::from_utf8_lossy(&expected),
+            String::from_utf8_lossy(actual)
+        );
+    }
+
+    /// Asserts that lines of text equal the golden file, each with a line feed at its end.
+    ///
+    /// # Panics
+    /// As [`GoldenFiles::assert_bytes`].
+    pub fn assert_lines(&self, name: &str, lines: &[String]) {
+        let text: String = lines.iter().map(|line| format!("{line}\n")).collect();
+        self.assert_bytes(name, text.as_bytes());
+    }
+}
+
+/// Lower-case hexadecimal digits of bytes.
+#[must_use]
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
--- /dev/null
+++ b/crates/operations/tests/golden.rs
@@ -0,0 +1,116 @@
+//! Golden files of what processes of one proxy store for each other, and of the console's calls.
+
+use golden_files::GoldenFiles;
+use haventrack_operations::call::{Answer, Call};
+use haventrack_operations::machine_time::MachineTime;
+use haventrack_operations::snapshot::{Learnt, Server, Snapshot, parse as parse_learned};
+use haventrack_operations::store::Store;
+use haventrack_operations::succession::Seat;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// When the golden snapshot was written, microseconds since the Unix epoch.
+const SNAPSHOT_TIME: u64 = 1_796_148_000_000_000;
+/// The configuration that the golden snapshot belongs to.
+const CONFIGURATION: u64 = 0x51ab_0000_0000_0007;
+
+fn golden() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn directory(test: &str) -> PathBuf {
+    let path =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-{test}-{}", std::process::id()));
+    let _ = fs::remove_dir_all(&path);
+    fs::create_dir_all(&path).expect("a directory");
+    path
+}
+
+fn file_names(directory: &Path) -> Vec<String> {
+    let entries = fs::read_dir(directory).expect("the directory");
+    let mut names: Vec<String> =
+        entries.map(|e| e.expect("an entry").file_name().to_string_lossy().into_owned()).collect();
+    names.sort();
+    names
+}
+
+#[tokio::test]
+async fn the_exclusions_file_keeps_its_bytes() {
+    let directory = directory("exclusions");
+    let store = Store::new(&directory, "n3", MachineTime::default());
+    let none = store.load().expect("no file");
+    let (excluded, _) = store.change(&none, |bans| bans.exclude("s-a", 7), |_| ()).await.expect("written");
+    let (excluded, _) =
+        store.change(&excluded, |bans| bans.exclude("s-b", 8), |_| ()).await.expect("written");
+    store.change(&excluded, |bans| Ok(bans.include("s-a", 9)), |_| ()).await.expect("written");
+    let written = fs::read(directory.join("haventrack-n3.bans.json")).expect("the file");
+    golden().assert_bytes("haventrack-n3.bans.json", &written);
+}
+
+#[test]
+fn an_exclusions_file_of_an_older_process_is_read() {
+    let directory = directory("older");
+    let path = directory.join("haventrack-n3.bans.json");
+    fs::write(path, golden().read("haventrack-n3.bans.json")).expect("written");
+    let bans = Store::new(&directory, "n3", MachineTime::default()).load().expect("readable");
+    assert_eq!(bans.out().collect::<Vec<_>>(), ["s-b"]);
+    assert_eq!(bans.called_back("s-a"), Some(9));
+}
+
+fn learned() -> Learnt {
+    Learnt {
+        servers: vec![
+            Server { backend: 7, started: None, limit: 1.25, common: true },
+            Server { backend: u32::MAX, started: Some(SNAPSHOT_TIME), limit: 0.8, common: false },
+        ],
+        kinds: vec![(2.5, false), (40.0, true)],
+        latencies: vec![(16, 31_000.5, Some(24_000.0)), (0, 135_000.0, None)],
+        peak: 210.5,
+        refused: 0.125,
+    }
+}
+
+#[tokio::test]
+async fn the_snapshot_of_learned_limits_keeps_its_bytes_and_is_read() {
+    let directory = directory("learned");
+    let snapshot = Snapshot::new(&directory, "n3");
+    snapshot.write(CONFIGURATION, SNAPSHOT_TIME, learned()).await.expect("written");
+    let written = fs::read(directory.join("haventrack-n3.learnt.json")).expect("the file");
+    golden().assert_bytes("haventrack-n3.learnt.json", &written);
+    let stored = golden().read("haventrack-n3.learnt.json");
+    assert_eq!(parse_learned(&stored, CONFIGURATION, SNAPSHOT_TIME).expect("readable"), learned());
+}
+
+/// Processes of two versions find one another by these names.
+#[tokio::test]
+async fn files_of_a_proxy_keep_their_names() {
+    let directory = directory("names");
+    for name in ["n3", "kw-proxy_7", "n.1", "", &"n".repeat(65)] {
+        let store = Store::new(&directory, name, MachineTime::default());
+        let none = store.load().expect("no file");
+        store.change(&none, |bans| bans.exclude("s-a", 7), |_| ()).await.expect("written");
+        Snapshot::new(&directory, name).write(1, 2, learned()).await.expect("written");
+        let _first = Seat::take(&directory, name).expect("free");
+        let _second = Seat::take(&directory, name).expect("free");
+    }
+    golden().assert_lines("file-names.txt", &file_names(&directory));
+}
+
+#[test]
+fn calls_of_the_console_keep_their_words() {
+    let calls = ["readyz", "exclude s-a", "include s-a"].map(|line| Call::parse(line.as_bytes()));
+    assert_eq!(calls, [Ok(Call::Ready), Ok(Call::Exclude("s-a".into())), Ok(Call::Include("s-a".into()))]);
+    let mut lines: Vec<String> =
+        ["", "reload", "exclude", "include", "exclude a b", "readyz now", "exclude \x01"]
+            .iter()
+            .map(|line| Answer::from(Call::parse(line.as_bytes()).expect_err("no call")).to_string())
+            .collect();
+    let long = [format!("exclude {}", "x".repeat(257)), "x".repeat(513)];
+    lines.extend(
+        long.iter().map(|line| Answer::from(Call::parse(line.as_bytes()).expect_err("long")).to_string()),
+    );
+    lines.push(Answer::from(Call::parse(b"\xff").expect_err("no text")).to_string());
+    lines.push(Answer::Success(String::new()).to_string());
+    lines.push(Answer::Success("a\nb".into()).to_string());
+    golden().assert_lines("console-answers.txt", &lines);
+}
--- /dev/null
+++ b/crates/program/tests/golden_process/main.rs
@@ -0,0 +1,154 @@
+//! Golden files of the running program: the console's answers, the files that it stores, what `check` prints, and the
+//! bytes that clients and backends see.
+
+#[path = "../proxy/rig.rs"]
+mod rig;
+
+use golden_files::GoldenFiles;
+use rig::{Backend, Client, Discovery, Proxy, call, config, entry, folder, ok, request};
+use serde_json::{Value, json};
+use std::fs;
+use std::path::Path;
+use std::process::Command;
+
+fn golden() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn with_console(discovery: &Discovery) -> Value {
+    let mut config = config("n7", discovery);
+    config["console"] = json!("127.0.0.1:0");
+    config
+}
+
+/// Each run of digits longer than a count becomes `N`: times and ports differ from run to run.
+fn without_times(text: &str) -> String {
+    let mut result = String::new();
+    let mut digits = String::new();
+    for character in text.chars().chain(['\n']) {
+        if character.is_ascii_digit() {
+            digits.push(character);
+            continue;
+        }
+        result.push_str(if digits.len() > 3 { "N" } else { &digits });
+        digits.clear();
+        result.push(character);
+    }
+    result.pop();
+    result
+}
+
+fn file_names(directory: &Path) -> Vec<String> {
+    let entries = fs::read_dir(directory).expect("the directory");
+    let mut names: Vec<String> =
+        entries.map(|e| e.expect("an entry").file_name().to_string_lossy().into_owned()).collect();
+    names.sort();
+    names
+}
+
+#[test]
+fn answers_of_the_console_and_stored_files_keep_their_form() {
+    let discovery = Discovery::start();
+    let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
+    let directory = folder("golden-console");
+    let (mut proxy, console) = Proxy::start_in(&directory, "golden-console", &with_console(&discovery));
+    let mut lines = Vec::new();
+    let mut ask =
+        |line: &str| lines.push(format!("{line}: {}", call(console, &format!("{line}\n")).trim_end()));
+    ask("readyz");
+    discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
+    for line in [
+        "readyz",
+        "exclude s-none",
+        "include s-none",
+        "exclude s-a",
+        "exclude s-a",
+        "include s-b",
+        "include s-a",
+        "include s-a",
+        "exclude s-b",
+        "reload",
+        "exclude",
+        "readyz now",
+    ] {
+        ask(line);
+    }
+    golden().assert_lines("console.txt", &lines);
+    let stored = fs::read_to_string(directory.join("haventrack-n7.bans.json")).expect("the file");
+    golden().assert_lines("stored-exclusions.txt", &[without_times(&stored)]);
+    proxy.terminate();
+    assert!(proxy.wait().success());
+    let names = file_names(&directory);
+    for name in ["haventrack-n7.bans.json", "haventrack-n7.bans.lock", "haventrack-n7.process-0.lock"] {
+        assert!(names.iter().any(|n| n == name), "{name} is missing in {names:?}");
+    }
+}
+
+/// The process that takes over finds what one of an older version stored, and the older one reads what it stores.
+#[test]
+fn exclusions_that_an_older_version_stored_bind_a_new_process() {
+    let discovery = Discovery::start();
+    let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
+    let directory = folder("golden-older");
+    let older = r#"{"version":1,"bans":{"out":{"s-a":7},"back":{}}}"#;
+    fs::write(directory.join("haventrack-n7.bans.json"), older).expect("written");
+    let (proxy, console) = Proxy::start_in(&directory, "golden-older", &with_console(&discovery));
+    discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
+    let mut client = proxy.client();
+    for n in 0..20 {
+        assert_eq!(client.ask(&request("read", &format!("golden-{n}"), "")).body, b"b");
+    }
+    assert!(call(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
+    let stored = fs::read_to_string(directory.join("haventrack-n7.bans.json")).expect("the file");
+    let stored: Value = serde_json::from_str(&stored).expect("JSON");
+    assert_eq!(stored["version"], 1);
+    assert_eq!(stored["bans"]["out"], json!({}));
+    assert!(stored["bans"]["back"]["s-a"].is_u64(), "{stored}");
+}
+
+/// The head of a message without its date, and its body.
+fn described(seen: &rig::Seen) -> String {
+    let is_dated = |line: &&str| line.starts_with("date: ");
+    let head: Vec<&str> = seen.head.split("\r\n").filter(|line| !is_dated(line)).collect();
+    format!("{}{}", head.join("\n"), String::from_utf8_lossy(&seen.body))
+}
+
+#[test]
+fn bytes_for_clients_and_backends_keep_their_form() {
+    let discovery = Discovery::start();
+    let mut texts = Vec::new();
+    let proxy = Proxy::start_bare("golden-bytes", &discovery);
+    let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    texts.push(described(&Client::connect(proxy.address).ask(&get("/up"))));
+    let backend = Backend::start(|_| ok("served"));
+    discovery.post(true, &[entry("s-a", backend.address, "active", 0)]);
+    texts.push(described(&Client::connect(proxy.address).ask(&get("/up"))));
+    texts.push(described(&Client::connect(proxy.address).ask(&request("submit", "golden", "body"))));
+    let seen = described(&backend.next());
+    let host_is_an_address = backend.address.to_string();
+    texts.push(without_times(&seen.replace(&host_is_an_address, "BACKEND")));
+    let no_time =
+        "GET /read HTTP/1.1\r\nX-Correlation-Id: i\r\nX-Service-Class: read\r\nX-Time-Left-Ms: x\r\n\r\n";
+    for bad in
+        [&get("/nothing"), "NOTHING\r\n\r\n", no_time, "GET /read HTTP/1.1\r\nX-Service-Class: none\r\n\r\n"]
+    {
+        texts.push(described(&Client::connect(proxy.address).ask(bad)));
+    }
+    discovery.post(true, &[]);
+    texts.push(described(&Client::connect(proxy.address).ask(&request("charge", "late", ""))));
+    golden().assert_lines("http.txt", &texts);
+}
+
+/// Exit codes by which scripts tell a good configuration from one that cannot be used.
+#[test]
+fn check_keeps_its_exit_codes() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let exit_code = |arguments: &[&str]| {
+        let program = env!("CARGO_BIN_EXE_haventrack-proxy");
+        let output = Command::new(program).current_dir(&root).args(arguments).output().expect("it runs");
+        output.status.code()
+    };
+    let good = ["check", "deploy/sample-config.json", "--extproc", "deploy/extproc.toml"];
+    assert_eq!(exit_code(&good), Some(0));
+    assert_eq!(exit_code(&["check", "deploy/none.json"]), Some(1));
+}
--- /dev/null
+++ b/crates/proxy/tests/golden.rs
@@ -0,0 +1,59 @@
+//! Golden file of the proxy's configuration in JSON: every key with a value of its own, and what each of them becomes.
+
+use golden_files::GoldenFiles;
+use haventrack_proxy::config::Config;
+use serde_json::Value;
+
+fn golden() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn parse(text: &[u8]) -> Config {
+    let environment = |name: &str| match name {
+        "EDGE_NAME" => Some("from-environment".to_owned()),
+        "EDGE_LISTEN" => Some("127.0.0.1:1".to_owned()),
+        "EDGE_DISCOVERY" => Some("127.0.0.1:2".to_owned()),
+        "EDGE_CONSOLE" => Some("127.0.0.1:3".to_owned()),
+        _ => None,
+    };
+    Config::parse(text, environment).expect("a good configuration")
+}
+
+fn describe(config: &Config) -> String {
+    let names = &config.names;
+    format!(
+        "{} {} {} {:?} {:#x} {} {:?} {:?} {:?} {:?} {:?} {} {} {} {}",
+        config.name,
+        config.listen,
+        config.discovery,
+        config.console,
+        config.seed,
+        config.known,
+        names.classes,
+        names.tenants,
+        names.zones,
+        names.kinds,
+        names.report,
+        config.dial_timeout,
+        config.client_sockets,
+        config.backend_sockets,
+        config.large_bodies
+    )
+}
+
+#[test]
+fn every_key_of_the_configuration_keeps_its_name_and_meaning() {
+    let text = golden().read("config.json");
+    golden().assert_lines("config.txt", &[describe(&parse(&text))]);
+}
+
+/// The environment fills in what the file leaves out.
+#[test]
+fn variables_of_the_environment_keep_their_names() {
+    let mut value: Value = serde_json::from_slice(&golden().read("config.json")).expect("JSON");
+    let object = value.as_object_mut().expect("an object");
+    for key in ["name", "listen", "discovery", "console", "limits", "known"] {
+        object.remove(key).expect("the key is there");
+    }
+    golden().assert_lines("environment.txt", &[describe(&parse(value.to_string().as_bytes()))]);
+}
