--- a/crates/admin/src/console.rs
+++ b/crates/admin/src/console.rs
@@ -4,7 +4,7 @@
 //! been at it longest gives way to the next: nobody keeps anybody out.
 
 use crate::call::{Answer, Call, LINE_CAP};
-use haventrack_sockets::Stream;
+use socket_io::Stream;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::future::Future;
--- a/crates/admin/tests/console.rs
+++ b/crates/admin/tests/console.rs
@@ -1,7 +1,7 @@
 //! The console on loopback sockets.
 
-use haventrack_operations::call::{Answer, Call, LINE_CAP};
-use haventrack_operations::console::{self, CALLERS};
+use admin::call::{Answer, Call, LINE_CAP};
+use admin::console::{self, CALLERS};
 use std::future::Future;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/admin/tests/files.rs
+++ b/crates/admin/tests/files.rs
@@ -1,9 +1,9 @@
 //! Bans and places in files, with the failures that a folder can have.
 
-use haventrack_operations::bans::{Bans, TooMany};
-use haventrack_operations::machine_time::MachineTime;
-use haventrack_operations::store::{Store, StoreError, parse};
-use haventrack_operations::succession::{MOST, Seat, steer};
+use admin::bans::{Bans, TooMany};
+use admin::machine_time::MachineTime;
+use admin::store::{Store, StoreError, parse};
+use admin::succession::{MOST, Seat, steer};
 use proptest::prelude::*;
 use std::fs;
 use std::net::TcpListener;
@@ -11,7 +11,7 @@
 
 /// A folder of its own for a test, empty.
 fn folder(name: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("haventrack-files-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("admin-files-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&path);
     fs::create_dir_all(&path).expect("a folder");
     path
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,11 +1,11 @@
 //! Golden files of what processes of one proxy store for each other, and of the console's calls.
 
+use admin::call::{Answer, Call};
+use admin::machine_time::MachineTime;
+use admin::snapshot::{Learnt, Server, Snapshot, parse as parse_learned};
+use admin::store::Store;
+use admin::succession::Seat;
 use golden_files::GoldenFiles;
-use haventrack_operations::call::{Answer, Call};
-use haventrack_operations::machine_time::MachineTime;
-use haventrack_operations::snapshot::{Learnt, Server, Snapshot, parse as parse_learned};
-use haventrack_operations::store::Store;
-use haventrack_operations::succession::Seat;
 use std::fs;
 use std::path::{Path, PathBuf};
 
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A stand-in for the embedding proxy: it keeps timers and attempts, and checks the four rules from outside.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use haventrack_decision::api::*;
-use haventrack_decision::balancer::Balancer;
+use balancer::api::*;
+use balancer::balancer::Balancer;
 use std::collections::BTreeMap;
 
 pub const MS: Micros = 1_000;
--- a/crates/balancer/tests/heavy.rs
+++ b/crates/balancer/tests/heavy.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::api::*;
 use common::*;
-use haventrack_decision::api::*;
 
 /// Seen at 200 proxies before 60 boxes, exponential work with a mean of 40 ms: a proxy that had met light requests first
 /// gave a heavy one up after a quarter of its aim, again and again, four times in all, and refused it on an idle fleet.
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::api::*;
 use common::*;
-use haventrack_decision::api::*;
 
 fn learnt() -> Proxy {
     let mut proxy = Proxy::new(settings(), (0..4).map(backend));
--- a/crates/balancer/tests/module.rs
+++ b/crates/balancer/tests/module.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::api::*;
 use common::*;
-use haventrack_decision::api::*;
 
 fn one_zone(n: u32) -> Vec<Backend> {
     (0..n).map(|id| Backend { zone: 0, cell: 0, ..backend(id) }).collect()
--- a/crates/balancer/tests/retune.rs
+++ b/crates/balancer/tests/retune.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::api::*;
 use common::*;
-use haventrack_decision::api::*;
 
 /// Fails every attempt of a request that may be sent once more; gives how many there were, and whether it was refused.
 fn attempts(proxy: &mut Proxy, id: RequestId, first: Vec<Action>) -> (usize, bool) {
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::api::*;
 use common::*;
-use haventrack_decision::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/balancer/tests/spread.rs
+++ b/crates/balancer/tests/spread.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::api::*;
 use common::*;
-use haventrack_decision::api::*;
 use std::collections::BTreeSet;
 
 /// The servers that requests go to, so many in each tick of 10 ms, served within so long.
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use haventrack_control::config::Config;
-use haventrack_control::shell::{agent, relay, source, writer};
+use control_plane::config::Config;
+use control_plane::shell::{agent, relay, source, writer};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,9 +17,9 @@
 /// Each reads its own section of the configuration (deploy/control.toml shows all keys). SIGTERM ends them with code 0; a
 /// source keeps its records first.
 #[derive(Parser)]
-#[command(name = "haventrack-control", version)]
+#[command(name = "control-plane", version)]
 struct Arguments {
-    /// What the log says, on standard error: `warn`, `info`, `debug`, or by module as in `info,haventrack_control::shell=debug`.
+    /// What the log says, on standard error: `warn`, `info`, `debug`, or by module as in `info,control_plane::shell=debug`.
     #[arg(
         long,
         global = true,
@@ -145,7 +145,7 @@
     let filter = match EnvFilter::try_new(&log) {
         Ok(filter) => filter,
         Err(error) => {
-            eprintln!("haventrack-control: `--log {log}`: {error}");
+            eprintln!("control-plane: `--log {log}`: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -153,7 +153,7 @@
     match serve(&command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("haventrack-control: {error}");
+            eprintln!("control-plane: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -2,11 +2,11 @@
 
 mod strategies;
 
-use haventrack_control::codec::{
+use control_plane::codec::{
     BodyError, CodecError, FrameReader, FrameWriter, backend_body, decode, encode, read_backend,
 };
-use haventrack_control::message::{MOST_BYTES, Message, PROTOCOL};
-use haventrack_control::record::{Backend, Scope};
+use control_plane::message::{MOST_BYTES, Message, PROTOCOL};
+use control_plane::record::{Backend, Scope};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::io;
--- a/crates/control-plane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -1,6 +1,6 @@
 //! What is wrong with settings is said by key.
 
-use haventrack_control::config::{Config, PaceConfig};
+use control_plane::config::{Config, PaceConfig};
 use std::path::Path;
 
 const SOURCE: &str = "[source]\nid = 1\nname = \"s\"\nlisten = \"127.0.0.1:0\"\nsnapshot = \"s.snapshot\"\n";
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -1,7 +1,7 @@
 //! Whom a party calls, and when.
 
-use haventrack_control::Millis;
-use haventrack_control::failover::{Act, Failover};
+use control_plane::Millis;
+use control_plane::failover::{Act, Failover};
 use proptest::prelude::*;
 
 fn names(what: &str, count: usize) -> Vec<String> {
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/feed.rs
@@ -1,13 +1,13 @@
 //! What upstream says to whom, in which order and at which pace.
 
-use haventrack_control::Millis;
-use haventrack_control::feed::{MOST_SCOPE, Next, Pace};
-use haventrack_control::ledger::{Ledger, MOST_BODY, MOST_NAME, WriteError};
-use haventrack_control::message::{Have, MOST_BYTES, Message, PROTOCOL};
-use haventrack_control::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
-use haventrack_control::relay::Relay;
-use haventrack_control::source::{Refusal, Source, Upstream};
-use haventrack_control::subscriber::Subscriber;
+use control_plane::Millis;
+use control_plane::feed::{MOST_SCOPE, Next, Pace};
+use control_plane::ledger::{Ledger, MOST_BODY, MOST_NAME, WriteError};
+use control_plane::message::{Have, MOST_BYTES, Message, PROTOCOL};
+use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
+use control_plane::relay::Relay;
+use control_plane::source::{Refusal, Source, Upstream};
+use control_plane::subscriber::Subscriber;
 use proptest::prelude::*;
 use std::sync::Arc;
 
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -1,11 +1,11 @@
 //! Golden files of the control plane: one frame of each message, the snapshot file, and the keys of the configuration.
 
+use control_plane::codec::{backend_body, decode, encode};
+use control_plane::config::Config;
+use control_plane::message::{Have, Message, PROTOCOL};
+use control_plane::record::{Backend, Change, Cursor, Key, Kind, Record, Scope, State, Version};
+use control_plane::shell::snapshot::{Snapshot, lock, read};
 use golden_files::{GoldenFiles, hex};
-use haventrack_control::codec::{backend_body, decode, encode};
-use haventrack_control::config::Config;
-use haventrack_control::message::{Have, Message, PROTOCOL};
-use haventrack_control::record::{Backend, Change, Cursor, Key, Kind, Record, Scope, State, Version};
-use haventrack_control::shell::snapshot::{Snapshot, lock, read};
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! What a ledger keeps and counts.
 
-use haventrack_control::ledger::Ledger;
-use haventrack_control::record::{Change, Key, Kind, Record, Scope, State, Version};
+use control_plane::ledger::Ledger;
+use control_plane::record::{Change, Key, Kind, Record, Scope, State, Version};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/control-plane/tests/link.rs
+++ b/crates/control-plane/tests/link.rs
@@ -1,17 +1,17 @@
 //! Many subscribers on one thread over real connections, in virtual time: it runs on where nobody has anything to do.
 
-use haventrack_control::Millis;
-use haventrack_control::codec::{FrameReader, FrameWriter};
-use haventrack_control::config::{PaceConfig, RelayConfig, SourceAddress, SourceConfig};
-use haventrack_control::failover::Failover;
-use haventrack_control::message::Message;
-use haventrack_control::record::{Change, Key, Kind, Scope, State};
-use haventrack_control::shell::Clock;
-use haventrack_control::shell::link::{LinkError, Party, follow};
-use haventrack_control::shell::writer::Writer;
-use haventrack_control::shell::{relay, source};
-use haventrack_control::source::Refusal;
-use haventrack_control::subscriber::Subscriber;
+use control_plane::Millis;
+use control_plane::codec::{FrameReader, FrameWriter};
+use control_plane::config::{PaceConfig, RelayConfig, SourceAddress, SourceConfig};
+use control_plane::failover::Failover;
+use control_plane::message::Message;
+use control_plane::record::{Change, Key, Kind, Scope, State};
+use control_plane::shell::Clock;
+use control_plane::shell::link::{LinkError, Party, follow};
+use control_plane::shell::writer::Writer;
+use control_plane::shell::{relay, source};
+use control_plane::source::Refusal;
+use control_plane::subscriber::Subscriber;
 use std::cell::{Cell, RefCell};
 use std::future::pending;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/crates/control-plane/tests/list.rs
+++ b/crates/control-plane/tests/list.rs
@@ -1,9 +1,9 @@
 //! The list that an agent serves: versions, changes since one, and a bounded log.
 
-use haventrack_control::codec::backend_body;
-use haventrack_control::record::{Backend, Key, Kind, Record, State, Version};
-use haventrack_control::replica::Applied;
-use haventrack_control::shell::list::{List, MOST_LEFT, Phase};
+use control_plane::codec::backend_body;
+use control_plane::record::{Backend, Key, Kind, Record, State, Version};
+use control_plane::replica::Applied;
+use control_plane::shell::list::{List, MOST_LEFT, Phase};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
--- a/crates/control-plane/tests/message.rs
+++ b/crates/control-plane/tests/message.rs
@@ -2,7 +2,7 @@
 
 mod strategies;
 
-use haventrack_control::message::Message;
+use control_plane::message::Message;
 use proptest::prelude::*;
 use strategies::message;
 
--- a/crates/control-plane/tests/processes/faults.rs
+++ b/crates/control-plane/tests/processes/faults.rs
@@ -1,7 +1,7 @@
 //! Relays that die or stand, sources that come back with less than they said.
 
 use super::rig::*;
-use haventrack_control::record::State::{Active, Draining, Gone};
+use control_plane::record::State::{Active, Draining, Gone};
 
 #[test]
 fn a_relay_that_dies_is_left_for_another_and_nothing_is_lost() {
--- a/crates/control-plane/tests/processes/hostile.rs
+++ b/crates/control-plane/tests/processes/hostile.rs
@@ -1,10 +1,10 @@
 //! Connections that say what is none of the protocol's: one clear error each, and nobody else notices.
 
 use super::rig::*;
-use haventrack_control::codec::encode;
-use haventrack_control::message::{MOST_BYTES, Message, PROTOCOL};
-use haventrack_control::record::Scope;
-use haventrack_control::record::State::{Active, Draining};
+use control_plane::codec::encode;
+use control_plane::message::{MOST_BYTES, Message, PROTOCOL};
+use control_plane::record::Scope;
+use control_plane::record::State::{Active, Draining};
 use std::io::{Read, Write};
 use std::sync::mpsc::channel;
 
@@ -133,7 +133,7 @@
     let prefers = |place: usize| {
         let found = (0..1000)
             .map(|n| format!("agent-{n}"))
-            .find(|name| haventrack_control::failover::Failover::new(name, &names, 0).order()[0] == place);
+            .find(|name| control_plane::failover::Failover::new(name, &names, 0).order()[0] == place);
         found.expect("one of a thousand")
     };
     let whys = ["is not spoken here", "is not understood"];
--- a/crates/control-plane/tests/processes/main.rs
+++ b/crates/control-plane/tests/processes/main.rs
@@ -6,7 +6,7 @@
 mod slow;
 mod tools;
 
-use haventrack_control::record::State::{Active, Draining, Gone};
+use control_plane::record::State::{Active, Draining, Gone};
 use rig::*;
 
 #[test]
--- a/crates/control-plane/tests/processes/rig.rs
+++ b/crates/control-plane/tests/processes/rig.rs
@@ -1,10 +1,10 @@
 //! Sources, relays and agents as processes, a stand-in for the proxy that watches an agent, and an operator who writes.
 //! Each process has an address of its own, so that it has it again after a restart, and ends with its test.
 
-use haventrack_control::codec::{FrameReader, FrameWriter, backend_body};
-use haventrack_control::message::Message;
-use haventrack_control::record::{Backend, Change, Key, Kind, State, Version};
-use haventrack_control::shell::writer::{Writer, WriterError};
+use control_plane::codec::{FrameReader, FrameWriter, backend_body};
+use control_plane::message::Message;
+use control_plane::record::{Backend, Change, Key, Kind, State, Version};
+use control_plane::shell::writer::{Writer, WriterError};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -21,7 +21,7 @@
 
 /// How long anything may take before the test fails. No verdict depends on a time below it.
 pub const PATIENCE: Duration = Duration::from_secs(60);
-const PROGRAM: &str = env!("CARGO_BIN_EXE_haventrack-control");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_control-plane");
 
 /// Waits for what is bound to come.
 pub fn wait_for<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
--- a/crates/control-plane/tests/processes/slow.rs
+++ b/crates/control-plane/tests/processes/slow.rs
@@ -1,10 +1,10 @@
 //! Subscribers that read slowly or not at all: they cost a relay no memory, hold nobody up, and get the newest.
 
 use super::rig::*;
-use haventrack_control::message::Message;
-use haventrack_control::record::Scope;
-use haventrack_control::record::State::Active;
-use haventrack_control::subscriber::Subscriber;
+use control_plane::message::Message;
+use control_plane::record::Scope;
+use control_plane::record::State::Active;
+use control_plane::subscriber::Subscriber;
 
 /// How many records are written over and over, how long they are, and how often.
 const NAMES: usize = 100;
--- a/crates/control-plane/tests/processes/tools.rs
+++ b/crates/control-plane/tests/processes/tools.rs
@@ -1,8 +1,8 @@
 //! Starts, ends, and the operator's tools.
 
 use super::rig::*;
-use haventrack_control::record::State::Active;
-use haventrack_control::shell::snapshot::read;
+use control_plane::record::State::Active;
+use control_plane::shell::snapshot::read;
 use std::fs;
 use std::path::Path;
 
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -1,15 +1,13 @@
 //! What downstream does with single messages, in orders that are rare: each by hand.
 
-use haventrack_control::Millis;
-use haventrack_control::feed::{Next, Pace};
-use haventrack_control::ledger::Ledger;
-use haventrack_control::message::{Have, Message, PROTOCOL};
-use haventrack_control::record::{
-    Cursor, Epoch, Key, Kind, Record, Scope, ServiceId, State, Urgency, Version,
-};
-use haventrack_control::relay::Relay;
-use haventrack_control::source::Upstream;
-use haventrack_control::subscriber::{Heard, Subscriber};
+use control_plane::Millis;
+use control_plane::feed::{Next, Pace};
+use control_plane::ledger::Ledger;
+use control_plane::message::{Have, Message, PROTOCOL};
+use control_plane::record::{Cursor, Epoch, Key, Kind, Record, Scope, ServiceId, State, Urgency, Version};
+use control_plane::relay::Relay;
+use control_plane::source::Upstream;
+use control_plane::subscriber::{Heard, Subscriber};
 
 const LINE: u64 = 1;
 
--- a/crates/control-plane/tests/snapshot.rs
+++ b/crates/control-plane/tests/snapshot.rs
@@ -1,7 +1,7 @@
 //! A source's file: whole or not at all, nothing guessed over, nothing overwritten that was not understood.
 
-use haventrack_control::record::{Key, Kind, Record, State, Version};
-use haventrack_control::shell::snapshot::{Keeper, Snapshot, SnapshotError, lock, read};
+use control_plane::record::{Key, Kind, Record, State, Version};
+use control_plane::shell::snapshot::{Keeper, Snapshot, SnapshotError, lock, read};
 use std::fs;
 use std::path::PathBuf;
 
--- a/crates/control-plane/tests/strategies/mod.rs
+++ b/crates/control-plane/tests/strategies/mod.rs
@@ -1,7 +1,7 @@
 //! Any message, for tests of what travels.
 
-use haventrack_control::message::{Have, Message, PROTOCOL};
-use haventrack_control::record::{Change, Key, Kind, Record, Scope, State, Version};
+use control_plane::message::{Have, Message, PROTOCOL};
+use control_plane::record::{Change, Key, Kind, Record, Scope, State, Version};
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
 
--- a/crates/control-plane/tests/world/convergence.rs
+++ b/crates/control-plane/tests/world/convergence.rs
@@ -2,8 +2,8 @@
 
 use crate::link::Noise;
 use crate::parties::{Op, Setting, World};
-use haventrack_control::feed::Pace;
-use haventrack_control::record::{Kind, Scope, State};
+use control_plane::feed::Pace;
+use control_plane::record::{Kind, Scope, State};
 use proptest::prelude::*;
 
 const SERVICES: u32 = 12;
--- a/crates/control-plane/tests/world/faults.rs
+++ b/crates/control-plane/tests/world/faults.rs
@@ -3,10 +3,10 @@
 use crate::link::Noise;
 use crate::parties::{Setting, World, services};
 use crate::watcher::epoch;
-use haventrack_control::feed::Pace;
-use haventrack_control::ledger::MOST_TOMBSTONES;
-use haventrack_control::message::Message;
-use haventrack_control::record::{Kind, Scope, State};
+use control_plane::feed::Pace;
+use control_plane::ledger::MOST_TOMBSTONES;
+use control_plane::message::Message;
+use control_plane::record::{Kind, Scope, State};
 use std::sync::Arc;
 
 const SETTING: Setting =
--- a/crates/control-plane/tests/world/link.rs
+++ b/crates/control-plane/tests/world/link.rs
@@ -1,7 +1,7 @@
 //! A connection between two parties, worse than TCP: it loses, repeats and reorders single messages.
 
-use haventrack_control::Millis;
-use haventrack_control::message::Message;
+use control_plane::Millis;
+use control_plane::message::Message;
 
 /// What a link does to messages.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/control-plane/tests/world/parties.rs
+++ b/crates/control-plane/tests/world/parties.rs
@@ -2,16 +2,16 @@
 
 use crate::link::{Link, Noise, Random};
 use crate::watcher::{self, Watcher};
-use haventrack_control::Millis;
-use haventrack_control::feed::{Next, Pace};
-use haventrack_control::ledger::Ledger;
-use haventrack_control::message::Message;
-use haventrack_control::record::{
+use control_plane::Millis;
+use control_plane::feed::{Next, Pace};
+use control_plane::ledger::Ledger;
+use control_plane::message::Message;
+use control_plane::record::{
     Change, Cursor, Epoch, Key, Kind, Record, Scope, ServiceId, SourceId, State, Version,
 };
-use haventrack_control::relay::Relay;
-use haventrack_control::source::{Source, Upstream};
-use haventrack_control::subscriber::Subscriber;
+use control_plane::relay::Relay;
+use control_plane::source::{Source, Upstream};
+use control_plane::subscriber::Subscriber;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/control-plane/tests/world/watcher.rs
+++ b/crates/control-plane/tests/world/watcher.rs
@@ -1,8 +1,8 @@
 //! Judges what a subscriber says came into force, with books of its own.
 
-use haventrack_control::message::Message;
-use haventrack_control::record::{Epoch, Key, Record, Scope, State, Version};
-use haventrack_control::replica::Applied;
+use control_plane::message::Message;
+use control_plane::record::{Epoch, Key, Record, Scope, State, Version};
+use control_plane::replica::Applied;
 use std::collections::BTreeMap;
 
 /// The life of the source that a message speaks of.
--- a/crates/external-processor/src/bridge.rs
+++ b/crates/external-processor/src/bridge.rs
@@ -4,13 +4,13 @@
 
 use crate::desk::{Asked, Bounds, CallerId, Counts, Desk, Port, Reply, Report, Request};
 use crate::question::Unusable;
-use haventrack_decision::api::{BackendId, Micros, Outcome, RequestId, Settings};
-use haventrack_engine::claims;
-use haventrack_engine::engine::{Ended, Exchange};
-use haventrack_engine::lease::{LeaseError, LeaseId};
-use haventrack_engine::outside::{Inbox, Ticket, Word};
-use haventrack_engine::shell::clock::Clock;
-use haventrack_engine::shell::{Handle, Transport};
+use balancer::api::{BackendId, Micros, Outcome, RequestId, Settings};
+use request_engine::claims;
+use request_engine::engine::{Ended, Exchange};
+use request_engine::lease::{LeaseError, LeaseId};
+use request_engine::outside::{Inbox, Ticket, Word};
+use request_engine::shell::clock::Clock;
+use request_engine::shell::{Handle, Transport};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/crates/external-processor/src/desk.rs
+++ b/crates/external-processor/src/desk.rs
@@ -2,16 +2,16 @@
 //! vanishes. No I/O and no clock; the engine is behind [`Port`].
 //!
 //! 1. Every question gets exactly one [`Reply`]; a caller that is gone gets none.
-//! 2. A request's id, and its key, belong to one caller at a time ([`haventrack_engine::claims`]). What may have run is
+//! 2. A request's id, and its key, belong to one caller at a time ([`request_engine::claims`]). What may have run is
 //!    never granted again here but by the engine's own decisions.
 //! 3. An attempt whose word can't have reached its caller counts as never sent; one that did and is not reported counts
 //!    as one that may have run.
 
-use haventrack_decision::api::{Effect, Micros, Outcome, RequestId, Settings};
-use haventrack_engine::claims::{self, ClaimError, ClaimId, Claimed, End, Front, Remembered};
-use haventrack_engine::engine::{Arrival, Conduct, Grant, Verdict};
-use haventrack_engine::lease::{LeaseError, LeaseId};
-use haventrack_engine::outside::{Ticket, Word};
+use balancer::api::{Effect, Micros, Outcome, RequestId, Settings};
+use request_engine::claims::{self, ClaimError, ClaimId, Claimed, End, Front, Remembered};
+use request_engine::engine::{Arrival, Conduct, Grant, Verdict};
+use request_engine::lease::{LeaseError, LeaseId};
+use request_engine::outside::{Ticket, Word};
 use rustc_hash::{FxHashMap, FxHashSet};
 use smallvec::SmallVec;
 use std::net::SocketAddr;
--- a/crates/external-processor/src/envoy.rs
+++ b/crates/external-processor/src/envoy.rs
@@ -7,6 +7,7 @@
 use crate::desk::{Fault, Reply, Request, Send};
 use crate::question::{Catalogue, Unusable};
 use crate::settings;
+use balancer::api::{Micros, Outcome};
 use envoy_types::pb::envoy::config::core::v3::header_value_option::HeaderAppendAction;
 use envoy_types::pb::envoy::config::core::v3::{HeaderMap, HeaderValue, HeaderValueOption};
 use envoy_types::pb::envoy::extensions::filters::http::ext_proc::v3::ProcessingMode;
@@ -22,9 +23,8 @@
 };
 use envoy_types::pb::envoy::r#type::v3::HttpStatus;
 use envoy_types::pb::google::protobuf::{Struct, Value, value};
-use haventrack_decision::api::{Micros, Outcome};
-use haventrack_engine::claims::End;
-use haventrack_engine::lease::LeaseId;
+use request_engine::claims::End;
+use request_engine::lease::LeaseId;
 use std::collections::HashMap;
 use thiserror::Error;
 
@@ -180,7 +180,7 @@
 
 fn rejected(fault: Fault) -> Box<ProcessingResponse> {
     match fault {
-        Fault::Claim(haventrack_engine::claims::ClaimError::Full(_))
+        Fault::Claim(request_engine::claims::ClaimError::Full(_))
         | Fault::Overload
         | Fault::TooMany(_)
         | Fault::Draining => immediate(503, Some(RETRY), &fault.to_string()),
--- a/crates/external-processor/src/plain.rs
+++ b/crates/external-processor/src/plain.rs
@@ -4,9 +4,9 @@
 use crate::generated as pb;
 use crate::question::{Catalogue, Fields, Unusable};
 use crate::settings::Headers;
-use haventrack_decision::api::{Micros, Outcome};
-use haventrack_engine::claims::{ClaimError, End};
-use haventrack_engine::lease::{LeaseError, LeaseId};
+use balancer::api::{Micros, Outcome};
+use request_engine::claims::{ClaimError, End};
+use request_engine::lease::{LeaseError, LeaseId};
 
 /// What the fields of a [`pb::DecideRequest`] are called, for messages about them.
 #[must_use]
@@ -25,7 +25,7 @@
 fn lease(field: &str, text: &str) -> Result<LeaseId, Unusable> {
     match text {
         "" => Err(Unusable::Missing(field.into())),
-        text => text.parse().map_err(|e: haventrack_engine::lease::ParseLeaseIdError| {
+        text => text.parse().map_err(|e: request_engine::lease::ParseLeaseIdError| {
             Unusable::Senseless(field.into(), e.to_string())
         }),
     }
--- a/crates/external-processor/src/question.rs
+++ b/crates/external-processor/src/question.rs
@@ -3,9 +3,9 @@
 
 use crate::desk::Request;
 use crate::settings::Headers;
-use haventrack_decision::api::{Effect, Micros, Settings};
-use haventrack_engine::claims::NAME_CAP;
-use haventrack_engine::subject::about;
+use balancer::api::{Effect, Micros, Settings};
+use request_engine::claims::NAME_CAP;
+use request_engine::subject::about;
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
@@ -79,7 +79,7 @@
     /// The names of these settings, in their order.
     #[must_use]
     pub fn new(settings: &Settings, classes: &[String], tenants: &[String]) -> Self {
-        let class = |(position, c): (u8, &haventrack_decision::api::Class)| Class {
+        let class = |(position, c): (u8, &balancer::api::Class)| Class {
             position,
             deadline: c.deadline,
             keyed: matches!(c.effect, Effect::Keyed { .. }),
--- a/crates/external-processor/src/server.rs
+++ b/crates/external-processor/src/server.rs
@@ -8,12 +8,12 @@
 use crate::question::{Catalogue, Unusable};
 use crate::settings::{Headers, Settings};
 use crate::{envoy, plain};
+use balancer::api::Outcome;
 use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_server::{
     ExternalProcessor, ExternalProcessorServer,
 };
 use envoy_types::pb::envoy::service::ext_proc::v3::{ProcessingRequest, ProcessingResponse};
-use haventrack_decision::api::Outcome;
-use haventrack_engine::shell::clock::Clock;
+use request_engine::shell::clock::Clock;
 use std::io;
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::pin::Pin;
@@ -298,7 +298,7 @@
 
 fn report(
     shared: &Shared,
-    lease: haventrack_engine::lease::LeaseId,
+    lease: request_engine::lease::LeaseId,
     outcome: Outcome,
     load: &str,
 ) -> crate::desk::Report {
@@ -335,13 +335,13 @@
 
 impl AsyncRead for Connection {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        haventrack_sockets::poll_read(&self.stream, cx, buf)
+        socket_io::poll_read(&self.stream, cx, buf)
     }
 }
 
 impl AsyncWrite for Connection {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        haventrack_sockets::poll_write(&self.stream, cx, buf)
+        socket_io::poll_write(&self.stream, cx, buf)
     }
 
     fn poll_write_vectored(
--- a/crates/external-processor/src/settings.rs
+++ b/crates/external-processor/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of this front: a TOML file, read once at the start.
 
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/external-processor/tests/counter/mod.rs
+++ b/crates/external-processor/tests/counter/mod.rs
@@ -1,12 +1,12 @@
 //! The desk and the real engine between scripted callers and boxes. It keeps a record of its own of what may have run
 //! and of what was answered, and believes neither.
 
-use haventrack_decision::api::*;
-use haventrack_engine::claims::Claims;
-use haventrack_engine::engine::{Bounds, Command, Ended, Engine, Exchange};
-use haventrack_engine::lease::{LeaseError, LeaseId};
-use haventrack_engine::outside::{Ticket, Word};
-use haventrack_extproc::desk::{self, Asked, CallerId, Desk, Port, Reply, Report};
+use balancer::api::*;
+use external_processor::desk::{self, Asked, CallerId, Desk, Port, Reply, Report};
+use request_engine::claims::Claims;
+use request_engine::engine::{Bounds, Command, Ended, Engine, Exchange};
+use request_engine::lease::{LeaseError, LeaseId};
+use request_engine::outside::{Ticket, Word};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/external-processor/tests/desk.rs
+++ b/crates/external-processor/tests/desk.rs
@@ -2,12 +2,12 @@
 
 mod counter;
 
+use balancer::api::Outcome;
 use counter::*;
-use haventrack_decision::api::Outcome;
-use haventrack_engine::claims::{ClaimError, End};
-use haventrack_engine::engine::REPORT_GRACE;
-use haventrack_engine::lease::{LeaseError, LeaseId};
-use haventrack_extproc::desk::{Fault, MOST_WAITING, Repeat, Reply};
+use external_processor::desk::{Fault, MOST_WAITING, Repeat, Reply};
+use request_engine::claims::{ClaimError, End};
+use request_engine::engine::REPORT_GRACE;
+use request_engine::lease::{LeaseError, LeaseId};
 
 const SAFE: u8 = 0;
 const UNSAFE: u8 = 1;
--- a/crates/external-processor/tests/generated.rs
+++ b/crates/external-processor/tests/generated.rs
@@ -1,4 +1,4 @@
-//! The generated code says what the protocol file says. `UPDATE_GENERATED=1 cargo test -p haventrack-extproc --test
+//! The generated code says what the protocol file says. `UPDATE_GENERATED=1 cargo test -p external-processor --test
 //! generated` writes both files anew.
 
 use protox::prost::Message;
@@ -10,7 +10,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let proto = root.join("proto");
     let files = protox::compile(["haventrack/decisions/v1/decisions.proto"], [&proto]).expect("a protocol");
-    let out = env::temp_dir().join(format!("haventrack-generated-{}", std::process::id()));
+    let out = env::temp_dir().join(format!("external-processor-generated-{}", std::process::id()));
     fs::create_dir_all(&out).expect("a folder");
     tonic_prost_build::configure().out_dir(&out).compile_fds(files.clone()).expect("code");
     let code = fs::read(out.join("haventrack.decisions.v1.rs")).expect("the code");
--- a/crates/external-processor/tests/golden.rs
+++ b/crates/external-processor/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden files of the external processor: the gRPC protocol's names and numbers, and the keys of its settings.
 
+use external_processor::settings::Settings;
 use golden_files::GoldenFiles;
-use haventrack_extproc::settings::Settings;
 use std::fs;
 use std::path::Path;
 
--- a/crates/http-proxy/src/backend_list.rs
+++ b/crates/http-proxy/src/backend_list.rs
@@ -5,8 +5,8 @@
 //! draining and for cold backends holds here, and the decisions know nothing of bans.
 
 use crate::backends::Listed;
-use haventrack_decision::api::{Micros, Readiness};
-use haventrack_operations::bans::Bans;
+use admin::bans::Bans;
+use balancer::api::{Micros, Readiness};
 use rustc_hash::FxHashMap;
 
 /// An entry of a list under its own name.
@@ -103,7 +103,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use haventrack_decision::api::Backend;
+    use balancer::api::Backend;
     use proptest::prelude::*;
     use std::net::SocketAddr;
 
--- a/crates/http-proxy/src/backends.rs
+++ b/crates/http-proxy/src/backends.rs
@@ -8,14 +8,14 @@
 use crate::exchange::{Answered, Broken, Call, Payload, Reply, Served, exchange, least_size, request};
 use crate::pace;
 use crate::wire::{Wire, WireIo};
+use balancer::api::{Backend, BackendId, Micros, Outcome, Readiness};
 use bytes::Bytes;
-use haventrack_decision::api::{Backend, BackendId, Micros, Outcome, Readiness};
-use haventrack_engine::shell::Times;
-use haventrack_engine::shell::recall::Recall;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName};
 use hyper::{Method, StatusCode, Uri};
 use hyper_util::rt::TokioIo;
+use request_engine::shell::Times;
+use request_engine::shell::recall::Recall;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -54,7 +54,7 @@
 }
 
 /// How an attempt or a probe ended.
-type Ended = haventrack_engine::engine::Ended<Served>;
+type Ended = request_engine::engine::Ended<Served>;
 
 /// Counts an open socket until it is dropped.
 struct Counted(Rc<Cell<usize>>);
--- a/crates/http-proxy/src/carrier.rs
+++ b/crates/http-proxy/src/carrier.rs
@@ -3,12 +3,12 @@
 use crate::backends::{Fleet, Listed};
 use crate::exchange::{Call, Payload, Served};
 use crate::log::log;
-use haventrack_decision::api::{Backend, BackendId, Membership, Outcome};
-use haventrack_engine::engine::{Ended, Exchange, Grant, Verdict};
-use haventrack_engine::lease::LeaseId;
-use haventrack_engine::outside::{Inbox, Ticket, Word};
-use haventrack_engine::shell::recall::Recall;
-use haventrack_engine::shell::{self, Times, Transport};
+use balancer::api::{Backend, BackendId, Membership, Outcome};
+use request_engine::engine::{Ended, Exchange, Grant, Verdict};
+use request_engine::lease::LeaseId;
+use request_engine::outside::{Inbox, Ticket, Word};
+use request_engine::shell::recall::Recall;
+use request_engine::shell::{self, Times, Transport};
 use rustc_hash::FxHashSet;
 use std::future::Future;
 use std::rc::Rc;
--- a/crates/http-proxy/src/claim.rs
+++ b/crates/http-proxy/src/claim.rs
@@ -1,10 +1,10 @@
 //! Rule 2 across fronts: a client's request that callers outside might ask for too is held in the table they share.
 
 use crate::exchange::Served;
-use haventrack_decision::api::{Class, Effect, Micros};
-use haventrack_engine::claims::{self, ClaimError, ClaimId, Claimed, End, Front, Remembered, Shared};
-use haventrack_engine::engine::Verdict;
-use haventrack_engine::shell::clock::Clock;
+use balancer::api::{Class, Effect, Micros};
+use request_engine::claims::{self, ClaimError, ClaimId, Claimed, End, Front, Remembered, Shared};
+use request_engine::engine::Verdict;
+use request_engine::shell::clock::Clock;
 
 /// When a client may ask again for what another holds, microseconds.
 const ASK_AGAIN: Micros = 1_000_000;
--- a/crates/http-proxy/src/classes.rs
+++ b/crates/http-proxy/src/classes.rs
@@ -1,7 +1,7 @@
 //! The classes that clients may name, and those that they could name until just now. Pure: no I/O, no clock.
 
 use crate::claim::Terms;
-use haventrack_decision::api::{Class as Decided, DedupGroup, Effect, Micros, Settings};
+use balancer::api::{Class as Decided, DedupGroup, Effect, Micros, Settings};
 use hyper::Method;
 use rustc_hash::FxHashMap;
 
@@ -134,7 +134,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use haventrack_settings::parse_settings;
+    use settings::parse_settings;
 
     fn settings(classes: &[Effect]) -> Settings {
         let text = r#"{"balancers": 1, "me": 0, "zone": 0, "membershipMode": "pushed", "classes": [{"aimUs": 1,
--- a/crates/http-proxy/src/clients/replies.rs
+++ b/crates/http-proxy/src/clients/replies.rs
@@ -1,8 +1,8 @@
 //! Answers that this side makes itself.
 
 use crate::body::Content;
+use balancer::api::Micros;
 use bytes::Bytes;
-use haventrack_decision::api::Micros;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
--- a/crates/http-proxy/src/config.rs
+++ b/crates/http-proxy/src/config.rs
@@ -2,12 +2,12 @@
 
 use crate::bounds::{ANSWER_HEAD_CAP, BODY_CAP, REQUEST_HEAD_CAP};
 use crate::names::Names;
-use haventrack_decision::api::{Micros, Settings, SettingsError};
-use haventrack_operations::console::CALLERS;
-use haventrack_settings::parse_settings;
-use haventrack_settings::renewal::{RenewalError, has_all_keys};
+use admin::console::CALLERS;
+use balancer::api::{Micros, Settings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
+use settings::parse_settings;
+use settings::renewal::{RenewalError, has_all_keys};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::{env, fmt, fs, io};
--- a/crates/http-proxy/src/connection.rs
+++ b/crates/http-proxy/src/connection.rs
@@ -388,7 +388,7 @@
                 came
             }
             None => {
-                ready!(haventrack_sockets::poll_read(&self.stream.borrow(), cx, buf))?;
+                ready!(socket_io::poll_read(&self.stream.borrow(), cx, buf))?;
                 self.connection.came(Instant::now())
             }
         };
@@ -402,7 +402,7 @@
 
 impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.write(|stream| haventrack_sockets::poll_write(stream, cx, buf))
+        self.write(|stream| socket_io::poll_write(stream, cx, buf))
     }
 
     fn poll_write_vectored(
@@ -410,7 +410,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.write(|stream| haventrack_sockets::poll_write_vectored(stream, cx, bufs))
+        self.write(|stream| socket_io::poll_write_vectored(stream, cx, bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/http-proxy/src/discovery/starts.rs
+++ b/crates/http-proxy/src/discovery/starts.rs
@@ -5,7 +5,7 @@
 //! heard of it: no earlier than some seconds before the first sight, and before it by no more than the youngest start in the
 //! same list. The seconds are bounded in turn, so that they can at most double the capacity that a cold backend is taken for.
 
-use haventrack_decision::api::{BackendId, Micros, Safety};
+use balancer::api::{BackendId, Micros, Safety};
 use rustc_hash::FxHashMap;
 
 /// How late a list may be believed to tell a start.
--- a/crates/http-proxy/src/discovery/starts/tests.rs
+++ b/crates/http-proxy/src/discovery/starts/tests.rs
@@ -17,7 +17,7 @@
         "worth": 1, "effect": "retryable"}}], "permissions": {{"maxAttempts": 1}},
         "safety": {{"coldFrom": {cold_from}, "coldUs": {cold_time}, "fallMultiple": 3, "fallUs": 1}}}}"#
     );
-    haventrack_settings::parse_settings(text.as_bytes()).expect("settings").safety
+    settings::parse_settings(text.as_bytes()).expect("settings").safety
 }
 
 #[test]
--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The proxy on real sockets. It carries out what the [engine](haventrack_engine::engine) decides and
+//! The proxy on real sockets. It carries out what the [engine](request_engine::engine) decides and
 //! reports what came of it; it never picks a backend, retries, holds or refuses by itself.
 
 pub mod backend_list;
--- a/crates/http-proxy/src/turns.rs
+++ b/crates/http-proxy/src/turns.rs
@@ -11,7 +11,7 @@
 //! the most) are over before the next turn comes, so that calls lie exactly a [round](ROUND) apart: what is left of the 6 s
 //! is for the answer.
 
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 
 /// The longest time between two calls of a proxy that has no watch: what 6 s leave when a second is kept for the answer.
 pub const ROUND: Micros = 5_000_000;
--- a/crates/http-proxy/src/wire.rs
+++ b/crates/http-proxy/src/wire.rs
@@ -13,7 +13,7 @@
 
 /// A connection's socket, with a count of the bytes that it took.
 ///
-/// The socket counts as empty only once the kernel says so (`haventrack_sockets`).
+/// The socket counts as empty only once the kernel says so (`socket_io`).
 pub struct Wire {
     stream: TcpStream,
     written: Cell<u64>,
@@ -54,13 +54,13 @@
 
 impl AsyncRead for WireIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        haventrack_sockets::poll_read(&self.0.stream, cx, buf)
+        socket_io::poll_read(&self.0.stream, cx, buf)
     }
 }
 
 impl AsyncWrite for WireIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.0.poll_counted(|stream| haventrack_sockets::poll_write(stream, cx, buf))
+        self.0.poll_counted(|stream| socket_io::poll_write(stream, cx, buf))
     }
 
     fn poll_write_vectored(
@@ -68,7 +68,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.0.poll_counted(|stream| haventrack_sockets::poll_write_vectored(stream, cx, bufs))
+        self.0.poll_counted(|stream| socket_io::poll_write_vectored(stream, cx, bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/http-proxy/tests/golden.rs
+++ b/crates/http-proxy/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden file of the proxy's configuration in JSON: every key with a value of its own, and what each of them becomes.
 
 use golden_files::GoldenFiles;
-use haventrack_proxy::config::Config;
+use http_proxy::config::Config;
 use serde_json::Value;
 
 fn golden() -> GoldenFiles {
--- a/crates/http-proxy/tests/outage.rs
+++ b/crates/http-proxy/tests/outage.rs
@@ -1,10 +1,10 @@
 //! A whole fleet, in virtual time, before a discovery service that was down: when is the first call of each proxy answered?
 //! The decisions and the turns are the proxy's own; the service has one queue.
 
-use haventrack_decision::api::{Action, Event, Membership, Micros, Settings};
-use haventrack_decision::balancer::Balancer;
-use haventrack_proxy::turns::{Failure, OPENING_LIMIT, Turns};
-use haventrack_settings::parse_settings;
+use balancer::api::{Action, Event, Membership, Micros, Settings};
+use balancer::balancer::Balancer;
+use http_proxy::turns::{Failure, OPENING_LIMIT, Turns};
+use settings::parse_settings;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/http-proxy/tests/turns.rs
+++ b/crates/http-proxy/tests/turns.rs
@@ -1,7 +1,7 @@
 //! Turns at a discovery service that a whole fleet asks.
 
-use haventrack_decision::api::Micros;
-use haventrack_proxy::turns::{Failure, ROUND, Turns};
+use balancer::api::Micros;
+use http_proxy::turns::{Failure, ROUND, Turns};
 use proptest::prelude::*;
 
 const ASK_WITHIN: Micros = 10_000_000;
--- a/crates/proxy-server/src/files.rs
+++ b/crates/proxy-server/src/files.rs
@@ -1,15 +1,15 @@
 //! What a process keeps in the temporary folder for the others of its proxy, and finds there: bans, its place among them, and
 //! what was learnt. A disk that refuses for a moment is asked again.
 
-use haventrack_decision::api::{LearntLimit, Memory, Micros};
-use haventrack_operations::bans::{Bans, TooMany};
-use haventrack_operations::machine_time::MachineTime;
-use haventrack_operations::pending::{Change, Pending};
-use haventrack_operations::snapshot::{Learnt, Server, Snapshot, SnapshotError};
-use haventrack_operations::store::{REMEMBERED, Stamp, Store, StoreError};
-use haventrack_operations::succession::Seat;
-use haventrack_proxy::log::{Failures, log};
-use haventrack_sockets::retry;
+use admin::bans::{Bans, TooMany};
+use admin::machine_time::MachineTime;
+use admin::pending::{Change, Pending};
+use admin::snapshot::{Learnt, Server, Snapshot, SnapshotError};
+use admin::store::{REMEMBERED, Stamp, Store, StoreError};
+use admin::succession::Seat;
+use balancer::api::{LearntLimit, Memory, Micros};
+use http_proxy::log::{Failures, log};
+use socket_io::retry;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::Path;
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -2,11 +2,11 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use haventrack_extproc::settings::Settings as Extproc;
-use haventrack_program::program::{self, Fronts};
-use haventrack_proxy::config::{Config, ConfigError};
-use haventrack_proxy::log::{self, log};
-use haventrack_sockets::retry;
+use external_processor::settings::Settings as Extproc;
+use http_proxy::config::{Config, ConfigError};
+use http_proxy::log::{self, log};
+use proxy_server::program::{self, Fronts};
+use socket_io::retry;
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -21,7 +21,7 @@
 /// EDGE_DISCOVERY fill in what the file leaves out. SIGHUP reads the file again, SIGTERM finishes what was taken and
 /// ends with code 0.
 #[derive(Parser)]
-#[command(name = "haventrack-proxy", version)]
+#[command(name = "load-balancing-proxy", version)]
 struct Arguments {
     /// Switch the external processor on, with these settings, TOML.
     #[arg(long, value_name = "FILE", env = "EDGE_EXTPROC")]
@@ -133,7 +133,7 @@
     let code = match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log(format_args!("haventrack-proxy: {error}"));
+            log(format_args!("load-balancing-proxy: {error}"));
             ExitCode::FAILURE
         }
     };
--- a/crates/proxy-server/src/operators.rs
+++ b/crates/proxy-server/src/operators.rs
@@ -1,18 +1,18 @@
 //! What the operators on call asks of this process, and what it has to know of the others of its proxy: bans kept and followed,
-//! new connections steered, limits shared. The decisions are in `haventrack_operations` and `haventrack_proxy::backend_list`.
+//! new connections steered, limits shared. The decisions are in `admin` and `http_proxy::backend_list`.
 
 use crate::files::Files;
-use haventrack_engine::shell::clock::Clock;
-use haventrack_operations::bans::{Bans, TooMany};
-use haventrack_operations::call::{Answer, Call};
-use haventrack_operations::pending::Change;
-use haventrack_operations::stand::Stand;
-use haventrack_operations::store::StoreError;
-use haventrack_operations::succession::steer;
-use haventrack_proxy::backend_list::BackendList;
-use haventrack_proxy::carrier::{Handle, Scope, tell_list};
-use haventrack_proxy::clients::Clients;
-use haventrack_proxy::log::{Failures, log};
+use admin::bans::{Bans, TooMany};
+use admin::call::{Answer, Call};
+use admin::pending::Change;
+use admin::stand::Stand;
+use admin::store::StoreError;
+use admin::succession::steer;
+use http_proxy::backend_list::BackendList;
+use http_proxy::carrier::{Handle, Scope, tell_list};
+use http_proxy::clients::Clients;
+use http_proxy::log::{Failures, log};
+use request_engine::shell::clock::Clock;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/proxy-server/src/renewal.rs
+++ b/crates/proxy-server/src/renewal.rs
@@ -1,15 +1,15 @@
 //! At SIGHUP the configuration is read again and takes the place of the present one as a whole, or not at all.
 
-use haventrack_decision::api::{Micros, Settings};
-use haventrack_operations::store::fingerprint;
-use haventrack_proxy::carrier::Handle;
-use haventrack_proxy::classes::Classes as ClientClasses;
-use haventrack_proxy::clients::Clients;
-use haventrack_proxy::config::{Config, ConfigError};
-use haventrack_proxy::log::log;
-use haventrack_proxy::names::Names;
-use haventrack_settings::renewal::{Classes, RenewalError, at_start_only};
+use admin::store::fingerprint;
+use balancer::api::{Micros, Settings};
+use http_proxy::carrier::Handle;
+use http_proxy::classes::Classes as ClientClasses;
+use http_proxy::clients::Clients;
+use http_proxy::config::{Config, ConfigError};
+use http_proxy::log::log;
+use http_proxy::names::Names;
 use serde_json::Value;
+use settings::renewal::{Classes, RenewalError, at_start_only};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/proxy-server/tests/extproc/main.rs
+++ b/crates/proxy-server/tests/extproc/main.rs
@@ -11,9 +11,9 @@
 use envoy_types::pb::envoy::service::ext_proc::v3::{
     HttpBody, HttpHeaders, ProcessingRequest, ProcessingResponse, ProtocolConfiguration, body_mutation,
 };
-use haventrack_extproc::generated as pb;
-use haventrack_extproc::generated::answer::Answer;
-use haventrack_extproc::generated::decisions_client::DecisionsClient;
+use external_processor::generated as pb;
+use external_processor::generated::answer::Answer;
+use external_processor::generated::decisions_client::DecisionsClient;
 use rig::*;
 use serde_json::Value;
 use std::future::Future;
--- a/crates/proxy-server/tests/faults/soak.rs
+++ b/crates/proxy-server/tests/faults/soak.rs
@@ -2,7 +2,7 @@
 //! signals in series, a crowd, and the kill at its earliest; two of these at least in each window. Clients use open
 //! connections until the kill.
 //!
-//! `SOAK_SEEDS=60 cargo test -p haventrack-program --test faults soak` plays more of them; `SOAK_FROM` begins elsewhere.
+//! `SOAK_SEEDS=60 cargo test -p proxy-server --test faults soak` plays more of them; `SOAK_FROM` begins elsewhere.
 
 use crate::inject::{Fault, Faults};
 use crate::rig::*;
--- a/crates/proxy-server/tests/golden_process/main.rs
+++ b/crates/proxy-server/tests/golden_process/main.rs
@@ -144,7 +144,7 @@
 fn check_keeps_its_exit_codes() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let exit_code = |arguments: &[&str]| {
-        let program = env!("CARGO_BIN_EXE_haventrack-proxy");
+        let program = env!("CARGO_BIN_EXE_load-balancing-proxy");
         let output = Command::new(program).current_dir(&root).args(arguments).output().expect("it runs");
         output.status.code()
     };
--- a/crates/proxy-server/tests/proxy/rig.rs
+++ b/crates/proxy-server/tests/proxy/rig.rs
@@ -373,7 +373,7 @@
             None => config_path(self.name),
         };
         fs::write(&path, &self.config).expect("the configuration is written");
-        let program = env!("CARGO_BIN_EXE_haventrack-proxy");
+        let program = env!("CARGO_BIN_EXE_load-balancing-proxy");
         let mut command = match self.descriptors {
             Some(most) => {
                 let mut shell = Command::new("sh");
--- a/crates/request-engine/src/claims.rs
+++ b/crates/request-engine/src/claims.rs
@@ -5,7 +5,7 @@
 //! gets the answer that was given. A final answer is remembered for as long as its class's memory lasts. The table is
 //! bounded; at the bound a newcomer is refused, and nothing is forgotten before its time.
 
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::cell::RefCell;
--- a/crates/request-engine/src/engine.rs
+++ b/crates/request-engine/src/engine.rs
@@ -15,11 +15,11 @@
     Arrival, Bounds, Command, Conduct, Counts, Ended, Exchange, Grant, Overload, Schedule, Verdict,
 };
 use crate::timers::{Due, Timers};
-use haventrack_decision::api::{
+use balancer::api::{
     Action, Backend, BackendId, Event, Membership, Memory, Micros, Outcome, Readiness, Request, RequestId,
     Settings, SettingsError, Settled,
 };
-use haventrack_decision::balancer::Balancer;
+use balancer::balancer::Balancer;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 
--- a/crates/request-engine/src/lease.rs
+++ b/crates/request-engine/src/lease.rs
@@ -4,7 +4,7 @@
 //! the engine that granted it and a serial number that never comes twice in that life. Whatever is said of a lease
 //! later, or by the holder of another engine's lease, is told apart, counted, and changes nothing.
 
-use haventrack_decision::api::{BackendId, Micros, RequestId};
+use balancer::api::{BackendId, Micros, RequestId};
 use rustc_hash::FxHashMap;
 use std::fmt;
 use std::num::ParseIntError;
--- a/crates/request-engine/src/open.rs
+++ b/crates/request-engine/src/open.rs
@@ -1,7 +1,7 @@
 //! What the engine keeps of a request that is open.
 
 use crate::terms::{Conduct, Exchange};
-use haventrack_decision::api::{BackendId, Micros, RequestId};
+use balancer::api::{BackendId, Micros, RequestId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
--- a/crates/request-engine/src/shell/clock.rs
+++ b/crates/request-engine/src/shell/clock.rs
@@ -1,6 +1,6 @@
 //! One clock for all events: monotonic, in microseconds, counting from the Unix epoch.
 
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/request-engine/src/shell/mod.rs
+++ b/crates/request-engine/src/shell/mod.rs
@@ -9,8 +9,8 @@
 
 use crate::engine::{Arrival, Command, Counts, Ended, Engine, Exchange, Grant, Overload, Schedule, Verdict};
 use crate::lease::{LeaseCounts, LeaseError, LeaseId};
+use balancer::api::{BackendId, Membership, Memory, Micros, RequestId, Settings, SettingsError};
 use clock::Clock;
-use haventrack_decision::api::{BackendId, Membership, Memory, Micros, RequestId, Settings, SettingsError};
 use recall::Recall;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
--- a/crates/request-engine/src/terms.rs
+++ b/crates/request-engine/src/terms.rs
@@ -1,7 +1,7 @@
 //! What travels between the engine, its fronts and its transport.
 
 use crate::lease::LeaseId;
-use haventrack_decision::api::{BackendId, Micros, Outcome, RequestId};
+use balancer::api::{BackendId, Micros, Outcome, RequestId};
 use thiserror::Error;
 
 /// The front's types that travel through the engine.
--- a/crates/request-engine/src/timers.rs
+++ b/crates/request-engine/src/timers.rs
@@ -1,6 +1,6 @@
 //! What falls due when.
 
-use haventrack_decision::api::{Micros, RequestId};
+use balancer::api::{Micros, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/request-engine/tests/claims.rs
+++ b/crates/request-engine/tests/claims.rs
@@ -1,8 +1,8 @@
 //! Claims: the hard cases by hand, and random callers against a plain model.
 
-use haventrack_decision::api::Micros;
-use haventrack_engine::claims::{ClaimError, ClaimId, Claimed, Claims, Effect, NAME_CAP};
+use balancer::api::Micros;
 use proptest::prelude::*;
+use request_engine::claims::{ClaimError, ClaimId, Claimed, Claims, Effect, NAME_CAP};
 
 const MEMORY: Micros = 3_000_000;
 
--- a/crates/request-engine/tests/hard_cases.rs
+++ b/crates/request-engine/tests/hard_cases.rs
@@ -3,9 +3,9 @@
 
 mod world;
 
-use haventrack_decision::api::*;
-use haventrack_engine::engine::*;
-use haventrack_engine::lease::{LeaseError, LeaseId};
+use balancer::api::*;
+use request_engine::engine::*;
+use request_engine::lease::{LeaseError, LeaseId};
 use world::*;
 
 fn ten() -> World {
--- a/crates/request-engine/tests/random.rs
+++ b/crates/request-engine/tests/random.rs
@@ -3,10 +3,10 @@
 
 mod world;
 
-use haventrack_decision::api::*;
-use haventrack_engine::engine::*;
-use haventrack_engine::lease::LeaseId;
+use balancer::api::*;
 use proptest::prelude::*;
+use request_engine::engine::*;
+use request_engine::lease::LeaseId;
 use world::*;
 
 const OUTCOMES: [Outcome; 9] = [
--- a/crates/request-engine/tests/same_turn.rs
+++ b/crates/request-engine/tests/same_turn.rs
@@ -2,8 +2,8 @@
 
 mod world;
 
-use haventrack_decision::api::*;
-use haventrack_engine::engine::*;
+use balancer::api::*;
+use request_engine::engine::*;
 use world::*;
 
 /// A world with one carried request of this class, whose first attempt is out.
--- a/crates/request-engine/tests/world/mod.rs
+++ b/crates/request-engine/tests/world/mod.rs
@@ -2,9 +2,9 @@
 //! the engine's commands say, after every step, and believes nothing that the engine says of itself.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use haventrack_decision::api::*;
-use haventrack_engine::engine::*;
-use haventrack_engine::lease::{LeaseError, LeaseId};
+use balancer::api::*;
+use request_engine::engine::*;
+use request_engine::lease::{LeaseError, LeaseId};
 use std::collections::BTreeMap;
 
 pub const MS: Micros = 1_000;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod renewal;
 
-use haventrack_decision::api::{
+use balancer::api::{
     Class, DedupGroup, Effect, Micros, Permissions, ReportFields, Safety, Settings, SettingsError, Tenant,
 };
 use serde::Deserialize;
--- a/crates/settings/src/renewal.rs
+++ b/crates/settings/src/renewal.rs
@@ -4,7 +4,7 @@
 //! where it is, a new or changed one gets a place behind all others, and one that was dropped leaves its place to the
 //! requests that it still has.
 
-use haventrack_decision::api::{Class, Effect, Settings};
+use balancer::api::{Class, Effect, Settings};
 use serde_json::Value;
 use thiserror::Error;
 
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden file of the settings in JSON: every key with a value of its own, and what each of them becomes.
 
+use balancer::api::{DedupGroup, Effect, Settings};
 use golden_files::GoldenFiles;
-use haventrack_decision::api::{DedupGroup, Effect, Settings};
-use haventrack_settings::parse_settings;
+use settings::parse_settings;
 use std::collections::BTreeSet;
 
 fn golden() -> GoldenFiles {
--- a/crates/settings/tests/renewal.rs
+++ b/crates/settings/tests/renewal.rs
@@ -1,10 +1,10 @@
 //! Settings that take the place of others: whole, or not at all.
 
-use haventrack_decision::api::{Effect, Settings};
-use haventrack_settings::parse_settings;
-use haventrack_settings::renewal::{Classes, MOST_CLASSES, RenewalError, at_start_only, has_all_keys};
+use balancer::api::{Effect, Settings};
 use proptest::prelude::*;
 use serde_json::{Value, json};
+use settings::parse_settings;
+use settings::renewal::{Classes, MOST_CLASSES, RenewalError, at_start_only, has_all_keys};
 
 fn class(name: &str, effect: &str, deadline: u64) -> Value {
     let mut class = json!({"name": name, "effect": effect, "aimUs": 100, "deadlineUs": deadline, "worth": 1.0,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings, read and refused by name.
 
-use haventrack_decision::api::*;
-use haventrack_settings::parse_settings;
+use balancer::api::*;
+use settings::parse_settings;
 
 const SETTINGS: &str = r#"{"balancers": 5, "me": 2, "zone": 1, "failureDomains": ["a", "b"], "kinds": ["x"],
   "membershipMode": "on_request", "surprise": {"more": 1}, "familyInfo": {"warmKeys": true}, "weights": "rough",
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,9 +1,9 @@
 //! Hosts balancers on the simulator's wire: batches on standard input, replies on standard output.
 #![forbid(unsafe_code)]
 
-use haventrack_decision::api::{Action, Backend, Event, Membership, Micros, Settled};
-use haventrack_decision::balancer::Balancer;
-use haventrack_simhost::wire::{self, BATCH_HEADER, BatchReader, Record, ReplyWriter, Scope, WireError};
+use balancer::api::{Action, Backend, Event, Membership, Micros, Settled};
+use balancer::balancer::Balancer;
+use simulator_adapter::wire::{self, BATCH_HEADER, BatchReader, Record, ReplyWriter, Scope, WireError};
 use std::io::{self, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
@@ -72,7 +72,7 @@
     }
 
     fn power_on(&mut self, who: u16, seed: u64, settings: &[u8], now: Micros) -> Result<(), Stop> {
-        match haventrack_settings::parse_settings(settings).and_then(|s| Balancer::new(s, seed, now)) {
+        match settings::parse_settings(settings).and_then(|s| Balancer::new(s, seed, now)) {
             Ok(balancer) => *place(&mut self.instances, who) = Some(balancer),
             Err(error) => {
                 self.reply.fatal(who, &error.to_string());
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Binary frames in and out. No decision is taken here.
 
-use haventrack_decision::api::{Action, Backend, Micros, Outcome, Readiness, Request, RequestId};
+use balancer::api::{Action, Backend, Micros, Outcome, Readiness, Request, RequestId};
 use std::fmt;
 
 /// Bytes of a batch's header.
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_recorded_conversation_gets_the_same_replies() {
     let golden = GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"));
-    let mut host = Command::new(env!("CARGO_BIN_EXE_haventrack-simhost"))
+    let mut host = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
--- a/crates/simulator-adapter/tests/host.rs
+++ b/crates/simulator-adapter/tests/host.rs
@@ -43,7 +43,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut host = Command::new(env!("CARGO_BIN_EXE_haventrack-simhost"))
+    let mut host = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire by bytes: what the codec reads and writes, and what it says of bad input.
 
-use haventrack_decision::api::*;
-use haventrack_simhost::wire::{self, BatchReader, Record, ReplyWriter, Scope};
+use balancer::api::*;
+use simulator_adapter::wire::{self, BatchReader, Record, ReplyWriter, Scope};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
--- a/crates/testbed/benches/decision.rs
+++ b/crates/testbed/benches/decision.rs
@@ -1,16 +1,14 @@
 //! What a decision costs: one request with the outcome of its attempt, by size of the fleet.
 //!
-//! `cargo bench -p haventrack-rig`; prints the exponent of the curve from 100 to 10,000 boxes at the end.
+//! `cargo bench -p testbed`; prints the exponent of the curve from 100 to 10,000 boxes at the end.
 
+use balancer::api::{Action, Backend, Event, Membership, Micros, Outcome, Readiness, Request, Settled};
+use balancer::balancer::Balancer;
 use criterion::{BenchmarkId, Criterion};
-use haventrack_decision::api::{
-    Action, Backend, Event, Membership, Micros, Outcome, Readiness, Request, Settled,
-};
-use haventrack_decision::balancer::Balancer;
-use haventrack_rig::script::Script;
 use std::hint::black_box;
 use std::path::Path;
 use std::time::Instant;
+use testbed::script::Script;
 
 const SIZES: [u32; 4] = [10, 100, 1_000, 10_000];
 /// Requests that are out at any time, for each box: the fleet is busy, not full.
@@ -44,7 +42,7 @@
     fn new(boxes: u32) -> Self {
         let script = Script::parse(DAY, Path::new("bench")).expect("a good script");
         let settings = script.settings(0).to_string();
-        let settings = haventrack_settings::parse_settings(settings.as_bytes()).expect("good settings");
+        let settings = settings::parse_settings(settings.as_bytes()).expect("good settings");
         let mut balancer = Balancer::new(settings, 7, 1).expect("good settings");
         let list: Vec<Backend> = (0..boxes)
             .map(|id| Backend {
--- a/crates/testbed/src/call_queue.rs
+++ b/crates/testbed/src/call_queue.rs
@@ -1,7 +1,7 @@
 //! The calls to a discovery service that all proxies share: it works through them in turn and fails those that have
 //! waited too long. Pure: no I/O, no clock.
 
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 
 /// What becomes of a call, and when it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/testbed/src/callers.rs
+++ b/crates/testbed/src/callers.rs
@@ -8,8 +8,8 @@
 mod processor;
 
 use crate::cost::CostError;
-use haventrack_extproc::generated as pb;
-use haventrack_extproc::generated::decisions_client::DecisionsClient;
+use external_processor::generated as pb;
+use external_processor::generated::decisions_client::DecisionsClient;
 use hdrhistogram::Histogram;
 use ledger::Ledger;
 use processor::Processor;
@@ -96,7 +96,7 @@
     #[arg(long, default_value_t = 20_261_201)]
     pub seed: u64,
     /// The proxy's program; without it the processor is a thread, and nothing is said of its CPU and memory.
-    #[arg(long, default_value = "target/release/haventrack-proxy")]
+    #[arg(long, default_value = "target/release/load-balancing-proxy")]
     pub program: Option<PathBuf>,
 }
 
--- a/crates/testbed/src/callers/envoy.rs
+++ b/crates/testbed/src/callers/envoy.rs
@@ -14,7 +14,7 @@
     HeadersResponse, HttpHeaders, ProcessingRequest, ProcessingResponse,
 };
 use envoy_types::pb::google::protobuf::{Struct, Value, value};
-use haventrack_extproc::generated as pb;
+use external_processor::generated as pb;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/testbed/src/callers/ledger.rs
+++ b/crates/testbed/src/callers/ledger.rs
@@ -1,7 +1,7 @@
 //! The boxes of a campaign, and what ran there.
 
 use super::{CLASSES, Campaign, Wanted};
-use haventrack_extproc::generated as pb;
+use external_processor::generated as pb;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/testbed/src/callers/processor.rs
+++ b/crates/testbed/src/callers/processor.rs
@@ -3,10 +3,10 @@
 use super::CallersError;
 use super::ledger::{CELL, box_address};
 use crate::cost::{CostError, Middle, discovery, wait_until_up};
-use haventrack_extproc::settings::Settings;
-use haventrack_program::program::{self, Fronts, Listening};
-use haventrack_proxy::carrier::Handle;
-use haventrack_proxy::config::Config;
+use external_processor::settings::Settings;
+use http_proxy::carrier::Handle;
+use http_proxy::config::Config;
+use proxy_server::program::{self, Fronts, Listening};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -73,7 +73,7 @@
 
     fn process(program: &Path, config: &str) -> Result<Self, CallersError> {
         let file =
-            |name: &str| env::temp_dir().join(format!("haventrack-callers-{}.{name}", std::process::id()));
+            |name: &str| env::temp_dir().join(format!("testbed-callers-{}.{name}", std::process::id()));
         let files = [file("json"), file("toml")];
         fs::write(&files[0], config)?;
         fs::write(&files[1], EXTPROC)?;
--- a/crates/testbed/src/cold_sums.rs
+++ b/crates/testbed/src/cold_sums.rs
@@ -8,7 +8,7 @@
 use crate::judge::{FALL_MULTIPLE, FALL_TIME, Got, Seen};
 use crate::plan::Plan;
 use crate::script::{Script, micros};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use rustc_hash::FxHashSet;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -272,7 +272,7 @@
     LocalSet::new().block_on(&runtime, async {
         let boxes = boxes(load.boxes).await?;
         let discovery = discovery(&boxes, boxes.len()).await?;
-        let path = env::temp_dir().join(format!("haventrack-cost-{}.json", std::process::id()));
+        let path = env::temp_dir().join(format!("testbed-cost-{}.json", std::process::id()));
         let mut rows = Vec::new();
         for _ in 0..load.turns {
             let direct = way(&boxes, load, None).await?;
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::judge::Judgement;
 use crate::script::{Script, ScriptError, What};
 use crate::sockets::{self, Live, Second, SocketsError};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use std::fmt::Write as _;
 use std::path::Path;
 use thiserror::Error;
--- a/crates/testbed/src/fleet/day.rs
+++ b/crates/testbed/src/fleet/day.rs
@@ -12,7 +12,7 @@
 use crate::script::{Between, Known, Script, ScriptError, micros};
 use crate::sockets::{Board, Shard};
 use crate::spread;
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::io;
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -58,7 +58,7 @@
 impl Folder {
     pub(crate) fn new() -> io::Result<Self> {
         let number = fastrand::u64(..);
-        let path = env::temp_dir().join(format!("haventrack-fleet-{}-{number:x}", std::process::id()));
+        let path = env::temp_dir().join(format!("testbed-fleet-{}-{number:x}", std::process::id()));
         fs::create_dir_all(&path)?;
         Ok(Self(path))
     }
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -6,7 +6,7 @@
 use crate::links::{Line, Link, Links};
 use crate::script::{Between, Way};
 use crate::sockets::{listen_on_loopback, reset};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -8,7 +8,7 @@
 use crate::script::Script;
 use crate::spread::{self, Spread};
 use crate::virtual_time;
-use haventrack_decision::api::SettingsError;
+use balancer::api::SettingsError;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -3,7 +3,7 @@
 
 use crate::links::{Link, Links};
 use crate::script::{Between, ClassSpec, EffectSpec, Script, Way, micros};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::fmt;
 
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -2,7 +2,7 @@
 //! if at all. The seed fixes what is hit: the n-th message of a link has the same fate in each run.
 
 use crate::script::{Between, LinkFault, Script, Way, micros, zone_of};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 
 /// A segment that was lost over TCP comes again after this, twice as long each time, up to so many times.
 const RETRANSMIT: Micros = 200_000;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -2,14 +2,6 @@
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
-use haventrack_rig::callers::{self, Campaign};
-use haventrack_rig::cost::{self, Figures, Load};
-use haventrack_rig::fleet::{self, Machine, keep, report};
-use haventrack_rig::scale::fleet::Setting;
-use haventrack_rig::scale::fleet::script::ScaleScript;
-use haventrack_rig::scale::slopes;
-use haventrack_rig::script::Script;
-use haventrack_rig::{demo, matrix, scale, virtual_time};
 use std::error::Error;
 use std::ffi::OsString;
 use std::fs::{self, File};
@@ -17,11 +9,19 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use testbed::callers::{self, Campaign};
+use testbed::cost::{self, Figures, Load};
+use testbed::fleet::{self, Machine, keep, report};
+use testbed::scale::fleet::Setting;
+use testbed::scale::fleet::script::ScaleScript;
+use testbed::scale::slopes;
+use testbed::script::Script;
+use testbed::{demo, matrix, scale, virtual_time};
 
 /// Stand-ins, fault scripts, a judge of the four rules, and measurements. Ends with code 0 where no rule broke, 1
 /// where one did, 2 where nothing could be played.
 #[derive(Parser)]
-#[command(name = "haventrack-rig", version)]
+#[command(name = "testbed", version)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -88,7 +88,7 @@
         #[arg(long, default_value_t = 5)]
         turns: usize,
         /// The proxy's program.
-        #[arg(long, default_value = "target/release/haventrack-proxy")]
+        #[arg(long, default_value = "target/release/load-balancing-proxy")]
         proxy: PathBuf,
     },
     /// Play callers of the external processor that are killed at random among boxes that crash, and measure a decision.
@@ -157,10 +157,10 @@
     #[arg(long)]
     steps: Option<usize>,
     /// Control's program.
-    #[arg(long, default_value = "target/release/haventrack-control")]
+    #[arg(long, default_value = "target/release/control-plane")]
     control: PathBuf,
     /// The proxy's program.
-    #[arg(long, default_value = "target/release/haventrack-proxy")]
+    #[arg(long, default_value = "target/release/load-balancing-proxy")]
     proxy: PathBuf,
     /// Measure today's whole lists of so many backends as well; several with commas.
     #[arg(long, value_delimiter = ',')]
@@ -187,7 +187,7 @@
     let (part, seed) = (order.part, script.seed);
     let lists: Vec<String> = setting.lists.iter().map(ToString::to_string).collect();
     let lists = if lists.is_empty() { String::new() } else { format!(" --lists {}", lists.join(",")) };
-    let command = format!("haventrack-rig scale fleet {file} --part {part} --seed {seed}{steps}{lists}");
+    let command = format!("testbed scale fleet {file} --part {part} --seed {seed}{steps}{lists}");
     if let Some(out) = &mut out {
         for line in report.lines(&command, &script.title) {
             writeln!(out, "{}", serde_json::to_string(&line)?)?;
@@ -200,7 +200,7 @@
 #[derive(Args)]
 struct SlopesOrder {
     /// The proxy's program.
-    #[arg(long, default_value = "target/release/haventrack-proxy")]
+    #[arg(long, default_value = "target/release/load-balancing-proxy")]
     proxy: PathBuf,
     /// Runs of every size, of which the medians count.
     #[arg(long, default_value_t = 5)]
@@ -238,7 +238,7 @@
     #[arg(long, value_delimiter = ',')]
     load: Vec<f64>,
     /// The program.
-    #[arg(long, default_value = "target/release/haventrack-proxy")]
+    #[arg(long, default_value = "target/release/load-balancing-proxy")]
     proxy: PathBuf,
     /// Memory that each process is told, MB.
     #[arg(long, default_value_t = 32)]
@@ -430,7 +430,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
-            eprintln!("haventrack-rig: {error}");
+            eprintln!("testbed: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/testbed/src/matrix.rs
+++ b/crates/testbed/src/matrix.rs
@@ -5,7 +5,7 @@
 
 use crate::script::{Script, ScriptError, Trouble, What};
 use crate::sockets::{self, Day, SocketsError};
-use haventrack_decision::api::{Micros, Outcome};
+use balancer::api::{Micros, Outcome};
 use std::fmt;
 use std::path::Path;
 use thiserror::Error;
--- a/crates/testbed/src/model.rs
+++ b/crates/testbed/src/model.rs
@@ -1,7 +1,7 @@
 //! A box as a model: cores that its requests share, a bound on what it holds, a cold start, and what can be wrong with
 //! it. No I/O and no clock; both modes of the rig use it.
 
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 
 /// While a box warms up, its speed is looked at this often.
 const WARM_STEP: Micros = 50_000;
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -2,7 +2,7 @@
 //! script and seed give the same plan, for processes, virtual time and the references alike.
 
 use crate::script::{Known, ProcessWhat, Script, WorkSpec, micros};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 
 /// The most of an exponential draw, in means: a single one must not fill a box for the whole day.
 const MOST_MEANS: f64 = 10.0;
--- a/crates/testbed/src/reference.rs
+++ b/crates/testbed/src/reference.rs
@@ -5,7 +5,7 @@
 use crate::model::{Arrived, BoxModel};
 use crate::plan::Plan;
 use crate::script::{Script, Trouble, What, micros};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
--- a/crates/testbed/src/restarts.rs
+++ b/crates/testbed/src/restarts.rs
@@ -1,7 +1,7 @@
 //! How soon processes that were started anew were ready, as their `/up` told whoever asked from outside. Pure.
 
 use crate::judge::Seen;
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
--- a/crates/testbed/src/scale/fleet/checker.rs
+++ b/crates/testbed/src/scale/fleet/checker.rs
@@ -3,7 +3,7 @@
 
 use super::model::Model;
 use super::words::Held;
-use haventrack_control::record::{Kind, ServiceId, SourceId, State};
+use control_plane::record::{Kind, ServiceId, SourceId, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/crates/testbed/src/scale/fleet/hollows.rs
+++ b/crates/testbed/src/scale/fleet/hollows.rs
@@ -4,7 +4,7 @@
 use super::programs::Program;
 use super::words::{self, Answer, Held, Hollow, HollowCost, MOST_WORDS, Order, Plant, Tally};
 use crate::fleet::Folder;
-use haventrack_control::record::{SourceId, Version};
+use control_plane::record::{SourceId, Version};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
--- a/crates/testbed/src/scale/fleet/in_force.rs
+++ b/crates/testbed/src/scale/fleet/in_force.rs
@@ -2,7 +2,7 @@
 
 use super::model::Model;
 use super::words::Tally;
-use haventrack_control::record::{ServiceId, SourceId};
+use control_plane::record::{ServiceId, SourceId};
 use rustc_hash::FxHashMap;
 
 /// Who hears of something from the same moment on: the hollow proxies of a zone that share a process.
--- a/crates/testbed/src/scale/fleet/model.rs
+++ b/crates/testbed/src/scale/fleet/model.rs
@@ -2,7 +2,7 @@
 //! ledgers and digests. Pure.
 
 use super::words::{Held, key_hash};
-use haventrack_control::record::{Change, Kind, ServiceId, SourceId, State, Version};
+use control_plane::record::{Change, Kind, ServiceId, SourceId, State, Version};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use twox_hash::XxHash3_64;
--- a/crates/testbed/src/scale/fleet/plan.rs
+++ b/crates/testbed/src/scale/fleet/plan.rs
@@ -2,7 +2,7 @@
 
 use super::population::Population;
 use super::script::{ScaleScript, Step};
-use haventrack_control::record::{ServiceId, State};
+use control_plane::record::{ServiceId, State};
 
 /// Seconds of a day, over which a script's rates are meant.
 const DAY_S: f64 = 86_400.0;
--- a/crates/testbed/src/scale/fleet/plant.rs
+++ b/crates/testbed/src/scale/fleet/plant.rs
@@ -1,8 +1,8 @@
 //! Faults that are planted between a link and its subscriber, so that a checker which finds none is known to look. Pure.
 
 use super::words::Plant;
-use haventrack_control::message::Message;
-use haventrack_control::record::{Epoch, Key, Scope, SourceId, State};
+use control_plane::message::Message;
+use control_plane::record::{Epoch, Key, Scope, SourceId, State};
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
--- a/crates/testbed/src/scale/fleet/population.rs
+++ b/crates/testbed/src/scale/fleet/population.rs
@@ -3,7 +3,7 @@
 
 use super::script::ScaleScript;
 use super::words::key_hash;
-use haventrack_control::record::{Backend, Kind, ServiceId};
+use control_plane::record::{Backend, Kind, ServiceId};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
--- a/crates/testbed/src/scale/fleet/reach.rs
+++ b/crates/testbed/src/scale/fleet/reach.rs
@@ -2,7 +2,7 @@
 
 use super::in_force::{Audience, Group};
 use super::population::Population;
-use haventrack_control::record::{ServiceId, SourceId};
+use control_plane::record::{ServiceId, SourceId};
 
 /// What was written so shortly before something went wrong may have been on its way still, microseconds: two hops, and a
 /// relay that is asked once a second by a busy machine.
--- a/crates/testbed/src/scale/fleet/run.rs
+++ b/crates/testbed/src/scale/fleet/run.rs
@@ -16,7 +16,7 @@
 use super::words::{Hollow, Plant, now};
 use super::{ScaleError, words};
 use crate::fleet::{Folder, Machine, keep};
-use haventrack_control::record::{Change, Key, Kind, ServiceId, SourceId, State};
+use control_plane::record::{Change, Key, Kind, ServiceId, SourceId, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/testbed/src/scale/fleet/strays.rs
+++ b/crates/testbed/src/scale/fleet/strays.rs
@@ -4,7 +4,7 @@
 use super::population::Population;
 use super::reach::Reach;
 use super::words::key_hash;
-use haventrack_control::record::{Kind, SourceId, State};
+use control_plane::record::{Kind, SourceId, State};
 
 /// What a change may take until no proxy sends to a backend that drains, microseconds: 4 s until it is in force at the
 /// agent, 6 s until the proxy counts as told, 1 s of grace.
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -12,8 +12,8 @@
 use super::strays::{DRAINED_WITHIN, strays};
 use super::watch::Watch;
 use super::words::{Held, Plant, Tally, key_hash};
-use haventrack_control::message::Message;
-use haventrack_control::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
+use control_plane::message::Message;
+use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -508,7 +508,7 @@
     report.steps[1].in_force.worst_s = 1.834;
     report.lists =
         [5_000, 20_000].map(|backends| ListRow { backends, bytes: 7, ..ListRow::default() }).into();
-    let lines = report.lines("haventrack-rig scale fleet", "day");
+    let lines = report.lines("testbed scale fleet", "day");
     let text: Vec<String> = lines.iter().map(|line| serde_json::to_string(line).expect("a line")).collect();
     let mut results = crate::scale::figures::Results::default();
     results.read("fleet.jsonl", &text.join("\n")).expect("each figure has a name of its own");
--- a/crates/testbed/src/scale/fleet/watch.rs
+++ b/crates/testbed/src/scale/fleet/watch.rs
@@ -2,8 +2,8 @@
 //! source has begun a new life since. Keeps its own table and asks the subscriber nothing. Pure.
 
 use super::words::{Tally, key_hash};
-use haventrack_control::message::Message;
-use haventrack_control::record::{Epoch, Record, SourceId, State, Version};
+use control_plane::message::Message;
+use control_plane::record::{Epoch, Record, SourceId, State, Version};
 use rustc_hash::FxHashMap;
 
 /// Tallies that a process keeps between two questions.
--- a/crates/testbed/src/scale/fleet/words.rs
+++ b/crates/testbed/src/scale/fleet/words.rs
@@ -1,7 +1,7 @@
 //! What the rig and its hollow processes say to one another, and the frames of every connection here: a length (u32,
 //! big-endian) and the bytes of one value (postcard). The same frames carry control's own messages.
 
-use haventrack_control::record::{Kind, Record, ServiceId, SourceId, State, Version};
+use control_plane::record::{Kind, Record, ServiceId, SourceId, State, Version};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::io;
--- a/crates/testbed/src/scale/slopes/mod.rs
+++ b/crates/testbed/src/scale/slopes/mod.rs
@@ -223,7 +223,7 @@
 
     /// As it was given on the command line, without the programs' paths.
     fn command(&self) -> String {
-        let mut command = format!("haventrack-rig scale slopes --runs {} --seed {}", self.runs, self.seed);
+        let mut command = format!("testbed scale slopes --runs {} --seed {}", self.runs, self.seed);
         if !self.only.is_empty() {
             command += &format!(" --only {}", self.only);
         }
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -8,7 +8,7 @@
 pub use faults::{Between, Known, LinkFault, ProcessFault, ProcessWhat, Way};
 
 use crate::model::BoxSpec;
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
@@ -483,7 +483,7 @@
         assert_eq!(script.struck(0).len(), 6);
         assert_eq!(script.struck(0), script.struck(0), "the same boxes for the same seed");
         let settings = script.settings(1).to_string();
-        assert!(haventrack_settings::parse_settings(settings.as_bytes()).is_ok(), "{settings}");
+        assert!(settings::parse_settings(settings.as_bytes()).is_ok(), "{settings}");
         // Each cell lies in one zone.
         for (a, b) in (0..12).flat_map(|a| (0..12).map(move |b| (a, b))) {
             assert!(script.cell(a) != script.cell(b) || script.zone(a) == script.zone(b));
--- a/crates/testbed/src/sockets/board.rs
+++ b/crates/testbed/src/sockets/board.rs
@@ -3,7 +3,7 @@
 
 use crate::plan::Plan;
 use crate::script::Script;
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
--- a/crates/testbed/src/sockets/boxes.rs
+++ b/crates/testbed/src/sockets/boxes.rs
@@ -7,7 +7,7 @@
 use crate::judge::Seen;
 use crate::model::{Arrived, BoxModel};
 use crate::script::{Trouble, What};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -6,7 +6,7 @@
 use crate::judge::{Got, Seen};
 use crate::plan::Arrival;
 use crate::script::EffectSpec;
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/testbed/src/sockets/shard.rs
+++ b/crates/testbed/src/sockets/shard.rs
@@ -7,7 +7,7 @@
 use super::discovery::{self, Agent};
 use crate::judge::{Record, Seen};
 use crate::script::{What, micros};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use std::cell::{Cell, Ref, RefCell};
 use std::io;
 use std::rc::Rc;
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -2,9 +2,9 @@
 
 use super::SocketsError;
 use crate::script::Script;
-use haventrack_engine::engine::Counts;
-use haventrack_program::program::{self, Listening};
-use haventrack_proxy::config::Config;
+use http_proxy::config::Config;
+use proxy_server::program::{self, Listening};
+use request_engine::engine::Counts;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, mpsc};
@@ -47,7 +47,7 @@
         let config = Config::parse(config.to_string().as_bytes(), |_| None).map_err(|e| e.to_string())?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        let started = move |handle: &haventrack_proxy::carrier::Handle, listening: Listening| {
+        let started = move |handle: &http_proxy::carrier::Handle, listening: Listening| {
             let _ = told.send(listening.clients);
             let handle = handle.clone();
             tokio::task::spawn_local(async move {
--- a/crates/testbed/src/spread.rs
+++ b/crates/testbed/src/spread.rs
@@ -4,7 +4,7 @@
 use crate::judge::{Got, Seen};
 use crate::plan::Plan;
 use crate::script::{Script, What, micros};
-use haventrack_decision::api::Micros;
+use balancer::api::Micros;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -10,14 +10,14 @@
 use crate::plan::Plan;
 use crate::script::{Script, micros};
 use crate::spread::{self, Spread};
-use haventrack_decision::api::{Backend, BackendId, Membership, Micros, Outcome, RequestId, SettingsError};
-use haventrack_engine::engine::{
+use balancer::api::{Backend, BackendId, Membership, Micros, Outcome, RequestId, SettingsError};
+use processes::Process;
+use request_engine::engine::{
     Arrival, Bounds, Command, Conduct, Counts, Ended, Engine, Exchange, Grant, Overload, Verdict,
 };
-use haventrack_engine::lease::{LeaseCounts, LeaseId};
-use haventrack_settings::parse_settings;
-use processes::Process;
+use request_engine::lease::{LeaseCounts, LeaseId};
 use rustc_hash::FxHashMap;
+use settings::parse_settings;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/testbed/src/virtual_time/boxes.rs
+++ b/crates/testbed/src/virtual_time/boxes.rs
@@ -4,7 +4,7 @@
 use crate::judge::Seen;
 use crate::model::{Arrived, BoxModel};
 use crate::script::{What, micros};
-use haventrack_decision::api::{Backend, Membership, Micros, Readiness};
+use balancer::api::{Backend, Membership, Micros, Readiness};
 
 /// How long after it came a request's connection breaks.
 const RESET_AFTER: Micros = 5_000;
--- a/crates/testbed/src/virtual_time/processes.rs
+++ b/crates/testbed/src/virtual_time/processes.rs
@@ -5,7 +5,7 @@
 use crate::judge::Seen;
 use crate::plan::Act;
 use crate::script::{Known, micros};
-use haventrack_decision::api::{Membership, Micros};
+use balancer::api::{Membership, Micros};
 
 /// How long after its start a process has discovery's list.
 const FIRST_LIST: Micros = 20_000;
@@ -113,7 +113,7 @@
         }
         let list: Vec<_> = (0..self.boxes.len()).map(|at_box| self.entry(at_box)).collect();
         for (at_box, entry) in list.iter().enumerate() {
-            let ready = entry.readiness == haventrack_decision::api::Readiness::Ready;
+            let ready = entry.readiness == balancer::api::Readiness::Ready;
             self.record.add(self.now, Seen::Told { proxy, at_box, ready });
         }
         self.proxies[proxy].membership(self.now, Membership::Full(&list));
--- a/crates/testbed/tests/callers.rs
+++ b/crates/testbed/tests/callers.rs
@@ -1,6 +1,6 @@
 //! Callers of the external processor that are killed at random, among boxes that crash: a short campaign.
 
-use haventrack_rig::callers::{Campaign, play};
+use testbed::callers::{Campaign, play};
 
 #[test]
 fn every_request_has_its_decision_and_no_effect_is_doubled() {
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,10 +1,10 @@
 //! Every figure that `docs/CAPACITY.md` takes from a measured slope or scale run stands in the committed results, to the
-//! digits in which it is written; `haventrack_rig::scale::figures` has the notation.
+//! digits in which it is written; `testbed::scale::figures` has the notation.
 
-use haventrack_rig::scale::figures::Results;
-use haventrack_rig::scale::slopes::{Host, Row};
 use std::fs;
 use std::path::{Path, PathBuf};
+use testbed::scale::figures::Results;
+use testbed::scale::slopes::{Host, Row};
 
 fn docs() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
@@ -51,7 +51,7 @@
         unit: unit.into(),
         per: "one".into(),
         what: "a figure".into(),
-        command: "haventrack-rig scale slopes".into(),
+        command: "testbed scale slopes".into(),
         seed: 1,
         runs: 5,
         sizes: SIZES.into(),
@@ -62,7 +62,7 @@
         slope_deviation: 0.0,
         residual_deviation: 0.0,
         machine: Host { cores: 8, memory_mb: 24_000 },
-        program: "haventrack-proxy 0.2.0".into(),
+        program: "load-balancing-proxy 0.2.0".into(),
     };
     serde_json::to_string(&row).expect("JSON")
 }
@@ -142,7 +142,7 @@
             "another line than its medians",
         ),
         (good.replace("[200.0,1000.0,10000.0,20000.0]", "[200.0,200.0,200.0,200.0]"), "different ones"),
-        (good.replace("haventrack-rig scale slopes", ""), "names no command"),
+        (good.replace("testbed scale slopes", ""), "names no command"),
         (format!("{FLEET}\n{FLEET}"), "two values at 5200"),
         (FLEET.replacen("\"unit\":\"s\"", "\"unit\":\"ms\"", 1), "two units"),
         (FLEET.replace(",\"value\":1.2", ""), "missing field `value`"),
--- a/crates/testbed/tests/cold_sums.rs
+++ b/crates/testbed/tests/cold_sums.rs
@@ -7,15 +7,15 @@
 #[path = "shared/program.rs"]
 mod program;
 
-use haventrack_rig::cold_sums::{ColdUse, allowed, bound, measure};
-use haventrack_rig::fleet::play;
-use haventrack_rig::fleet::report::{Row, in_virtual_time, line};
-use haventrack_rig::judge::{Got, Seen};
-use haventrack_rig::plan::Plan;
-use haventrack_rig::script::{Known, ProcessFault, ProcessWhat, Script, Trouble, What};
 use machine::machine;
 use proptest::prelude::*;
 use std::path::Path;
+use testbed::cold_sums::{ColdUse, allowed, bound, measure};
+use testbed::fleet::play;
+use testbed::fleet::report::{Row, in_virtual_time, line};
+use testbed::judge::{Got, Seen};
+use testbed::plan::Plan;
+use testbed::script::{Known, ProcessFault, ProcessWhat, Script, Trouble, What};
 
 /// Thirty processes before ten backends, three of which come back cold at once.
 fn script() -> Script {
--- a/crates/testbed/tests/connection_faults.rs
+++ b/crates/testbed/tests/connection_faults.rs
@@ -2,9 +2,9 @@
 //! servers were ejected although none was sick, and that the rules held. On the decisions before they weighed evidence
 //! the steady cases ejected healthy boxes 8 to 17 times.
 
-use haventrack_decision::api::Outcome;
-use haventrack_rig::matrix::{Case, Pattern, Row};
-use haventrack_rig::script::What;
+use balancer::api::Outcome;
+use testbed::matrix::{Case, Pattern, Row};
+use testbed::script::What;
 
 /// Six boxes, some 360 requests.
 fn play(what: What, pattern: Pattern) -> Row {
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -1,10 +1,10 @@
 //! Golden check of the committed results: each line of `docs/capacity` is read, and written again as it stands.
 
 use golden_files::GoldenFiles;
-use haventrack_rig::scale::fleet::report::Line;
-use haventrack_rig::scale::slopes::Row;
 use std::fs;
 use std::path::Path;
+use testbed::scale::fleet::report::Line;
+use testbed::scale::slopes::Row;
 
 fn committed(file: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/capacity").join(file);
--- a/crates/testbed/tests/laboratory.rs
+++ b/crates/testbed/tests/laboratory.rs
@@ -7,17 +7,17 @@
 mod program;
 mod shared;
 
-use haventrack_rig::fleet::report::Row;
-use haventrack_rig::fleet::{FleetError, Machine, play};
-use haventrack_rig::script::{
-    Between, Known, LinkFault, ProcessFault, ProcessWhat, Script, ScriptError, Trouble, Way, What,
-};
 use machine::machine;
 use program::{KEEPER, program};
 use shared::{Ended, children, runs, wait_until};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
+use testbed::fleet::report::Row;
+use testbed::fleet::{FleetError, Machine, play};
+use testbed::script::{
+    Between, Known, LinkFault, ProcessFault, ProcessWhat, Script, ScriptError, Trouble, Way, What,
+};
 
 fn script_path() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts/laboratory.toml")
@@ -51,7 +51,7 @@
 
 fn played(script: &Script) -> Row {
     let row = play(script, &machine()).expect("it plays");
-    println!("{}", haventrack_rig::fleet::report::line(&row));
+    println!("{}", testbed::fleet::report::line(&row));
     assert_eq!(row.broken, [0; 4], "{row:?}");
     assert!(row.asked > 450, "{} of some 600 requests were asked", row.asked);
     row
--- a/crates/testbed/tests/relays.rs
+++ b/crates/testbed/tests/relays.rs
@@ -1,16 +1,16 @@
 //! Relays between sockets: who sent is known, and what the script does to links is what arrives. Counts, and lower bounds
 //! of time: a slow machine changes neither.
 
-use haventrack_rig::address;
-use haventrack_rig::fleet::relay::{Carried, Clock, datagrams, streams};
-use haventrack_rig::links::Links;
-use haventrack_rig::script::{Between, Script};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::Path;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
+use testbed::address;
+use testbed::fleet::relay::{Carried, Clock, datagrams, streams};
+use testbed::links::Links;
+use testbed::script::{Between, Script};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::task::LocalSet;
@@ -171,7 +171,7 @@
             }
         }
         assert_eq!(back, 1_000, "the other way is whole");
-        let (link, way) = haventrack_rig::links::Link::of_proxies(0, 1);
+        let (link, way) = testbed::links::Link::of_proxies(0, 1);
         let expected: Vec<u32> =
             (0..1_000).filter(|&n| links.datagram(link, way, 1, u64::from(n) + 1).first.is_some()).collect();
         there.sort_unstable();
--- a/crates/testbed/tests/restarts.rs
+++ b/crates/testbed/tests/restarts.rs
@@ -6,15 +6,15 @@
 #[path = "shared/program.rs"]
 mod program;
 
-use haventrack_rig::call_queue::{CallQueue, Fate};
-use haventrack_rig::fleet::play;
-use haventrack_rig::fleet::report::line;
-use haventrack_rig::judge::Seen;
-use haventrack_rig::plan::{Act, Plan};
-use haventrack_rig::restarts::{READY_WITHIN, Restarts, measure};
-use haventrack_rig::script::{Known, Script, ScriptError};
 use machine::machine;
 use std::path::Path;
+use testbed::call_queue::{CallQueue, Fate};
+use testbed::fleet::play;
+use testbed::fleet::report::line;
+use testbed::judge::Seen;
+use testbed::plan::{Act, Plan};
+use testbed::restarts::{READY_WITHIN, Restarts, measure};
+use testbed::script::{Known, Script, ScriptError};
 
 fn script() -> Script {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts/restarts-30.toml");
--- a/crates/testbed/tests/scale_fleet.rs
+++ b/crates/testbed/tests/scale_fleet.rs
@@ -4,19 +4,19 @@
 #[path = "shared/program.rs"]
 mod program;
 
-use haventrack_rig::fleet::Machine;
-use haventrack_rig::scale::fleet::report::Report;
-use haventrack_rig::scale::fleet::script::{ScaleScript, Step, What};
-use haventrack_rig::scale::fleet::words::Plant;
-use haventrack_rig::scale::fleet::{ScaleError, Setting, play};
 use program::{KEEPER, built, program};
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
+use testbed::fleet::Machine;
+use testbed::scale::fleet::report::Report;
+use testbed::scale::fleet::script::{ScaleScript, Step, What};
+use testbed::scale::fleet::words::Plant;
+use testbed::scale::fleet::{ScaleError, Setting, play};
 
 /// Control's program.
 fn control() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT.get_or_init(|| built("haventrack-control", "haventrack-control")).clone()
+    BUILT.get_or_init(|| built("control-plane", "control-plane")).clone()
 }
 
 fn setting() -> Setting {
--- a/crates/testbed/tests/shared/machine.rs
+++ b/crates/testbed/tests/shared/machine.rs
@@ -1,7 +1,7 @@
 //! The machine that days over processes are played on.
 
 use crate::program::{KEEPER, program};
-use haventrack_rig::fleet::Machine;
+use testbed::fleet::Machine;
 
 /// Microseconds: a machine of two cores that builds something else besides.
 const SLACK: u64 = 1_000_000;
--- a/crates/testbed/tests/shared/mod.rs
+++ b/crates/testbed/tests/shared/mod.rs
@@ -18,7 +18,7 @@
 /// Whether a process with this id runs the proxy.
 pub fn runs(id: u32) -> bool {
     let name = fs::read_to_string(format!("/proc/{id}/comm")).unwrap_or_default();
-    name.starts_with("haventrack-prox")
+    name.starts_with("load-balancing-")
 }
 
 /// Waits until this holds, for longer than a busy machine takes.
--- a/crates/testbed/tests/shared/program.rs
+++ b/crates/testbed/tests/shared/program.rs
@@ -5,7 +5,7 @@
 use std::sync::OnceLock;
 
 /// The rig's own program, which starts others so that they end with a test.
-pub const KEEPER: &str = env!("CARGO_BIN_EXE_haventrack-rig");
+pub const KEEPER: &str = env!("CARGO_BIN_EXE_testbed");
 
 /// A program of this package, built as this test is, so that a test never plays an older one.
 pub fn built(package: &str, name: &str) -> PathBuf {
@@ -23,5 +23,5 @@
 /// The proxy's program.
 pub fn program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT.get_or_init(|| built("haventrack-program", "haventrack-proxy")).clone()
+    BUILT.get_or_init(|| built("proxy-server", "load-balancing-proxy")).clone()
 }
--- a/crates/testbed/tests/slopes.rs
+++ b/crates/testbed/tests/slopes.rs
@@ -5,14 +5,14 @@
 mod program;
 mod shared;
 
-use haventrack_rig::scale::slopes::fit::{FitError, line, median, percentile};
-use haventrack_rig::scale::slopes::{Order, QUANTITIES, Row, run};
 use program::{KEEPER, program};
 use proptest::prelude::*;
 use shared::{Ended, children, runs, wait_until};
 use std::collections::HashSet;
 use std::path::Path;
 use std::process::{Command, Stdio};
+use testbed::scale::slopes::fit::{FitError, line, median, percentile};
+use testbed::scale::slopes::{Order, QUANTITIES, Row, run};
 
 fn close(a: f64, b: f64) -> bool {
     (a - b).abs() <= 1e-9 * (1.0 + a.abs().max(b.abs()))
@@ -149,7 +149,7 @@
         assert_eq!((&row.sizes, row.runs, row.seed), (&given, 1, 7), "{row:?}");
         assert_eq!((row.medians.len(), row.spread.len()), (given.len(), given.len()), "{row:?}");
         assert!(row.medians.iter().all(|m| m.is_finite()), "{row:?}");
-        assert!(row.command.contains(only) && row.program.starts_with("haventrack-proxy "), "{row:?}");
+        assert!(row.command.contains(only) && row.program.starts_with("load-balancing-proxy "), "{row:?}");
         let text = serde_json::to_string(row).expect("JSON");
         assert_eq!(&serde_json::from_str::<Row>(&text).expect("a row"), row);
     }
--- a/crates/testbed/tests/socket_days.rs
+++ b/crates/testbed/tests/socket_days.rs
@@ -1,9 +1,9 @@
 //! Days on loopback sockets with real proxies. The machine may be a second late: verdicts come from what was seen, not
 //! from how fast.
 
-use haventrack_rig::script::{Script, What};
-use haventrack_rig::sockets;
 use std::path::Path;
+use testbed::script::{Script, What};
+use testbed::sockets;
 
 /// Microseconds.
 const SLACK: u64 = 1_000_000;
--- a/crates/testbed/tests/spread.rs
+++ b/crates/testbed/tests/spread.rs
@@ -2,9 +2,9 @@
 //! small proxies had more out while calm and heavy requests more time at each attempt, the first three failed: 1.2 to
 //! 1.6 % refused at 13 % load, 3.2 to 3.8 % at 60 %, and worth under that of chance.
 
-use haventrack_rig::fleet::report::{Row, in_virtual_time, references};
-use haventrack_rig::script::{Known, ProcessFault, ProcessWhat, Script, Trouble, What};
 use std::path::Path;
+use testbed::fleet::report::{Row, in_virtual_time, references};
+use testbed::script::{Known, ProcessFault, ProcessWhat, Script, Trouble, What};
 
 fn script(load: f64) -> Script {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts/spread-200.toml");
--- a/crates/testbed/tests/virtual_days.rs
+++ b/crates/testbed/tests/virtual_days.rs
@@ -1,8 +1,8 @@
 //! Days in virtual time: the rules hold, and the same seed gives the same day.
 
-use haventrack_rig::script::{Known, ProcessFault, ProcessWhat, Script, What};
-use haventrack_rig::virtual_time::play;
 use std::path::Path;
+use testbed::script::{Known, ProcessFault, ProcessWhat, Script, What};
+use testbed::virtual_time::play;
 
 fn script(name: &str) -> Script {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts").join(name);
