--- a/crates/admin/src/store.rs
+++ b/crates/admin/src/store.rs
@@ -23,7 +23,7 @@
 const LOCK_TRIES: u32 = 60;
 const LOCK_STEP: Duration = Duration::from_millis(5);
 /// How long a disk may take for a change, so that the caller is answered in its second also where the lock was waited for.
-const WRITE_WITHIN: Duration = Duration::from_millis(550);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(550);
 
 /// Why bans could not be read or kept.
 #[derive(Debug, Error)]
@@ -38,7 +38,7 @@
     #[error("{0} is held by another process")]
     Busy(PathBuf),
     /// The disk takes too long. What it was given stays given.
-    #[error("{0} was not written within {ms} ms; the change may hold yet", ms = WRITE_WITHIN.as_millis())]
+    #[error("{0} was not written within {ms} ms; the change may hold yet", ms = WRITE_TIMEOUT.as_millis())]
     Slow(PathBuf),
     /// The bound on bans.
     #[error(transparent)]
@@ -163,7 +163,7 @@
             drop(lock);
             written
         });
-        match timeout(WRITE_WITHIN, writing).await {
+        match timeout(WRITE_TIMEOUT, writing).await {
             Err(_) => Err(StoreError::Slow(self.path.clone())),
             Ok(Err(panicked)) => Err(self.io(io::Error::other(panicked))),
             Ok(Ok(written)) => written.map_err(|e| self.io(e)).map(|()| (bans, result)),
--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -55,7 +55,7 @@
 }
 
 /// The most tenants that settings may name: requests know theirs by a position of 16 bits.
-pub const MOST_TENANTS: usize = 1 << 16;
+pub const MAX_TENANTS: usize = 1 << 16;
 
 /// A tenant and its share of the service.
 #[derive(Clone, Debug, PartialEq)]
@@ -185,8 +185,8 @@
             check(stretch.is_finite() && stretch >= 0.0, &field("aim_stretch"), "must be 0 or more")?;
         }
         let tenants = self.tenants.len();
-        let problem = format!("{tenants} tenants, and at most {MOST_TENANTS} are told apart; leave out some");
-        check(tenants <= MOST_TENANTS, "tenants", &problem)?;
+        let problem = format!("{tenants} tenants, and at most {MAX_TENANTS} are told apart; leave out some");
+        check(tenants <= MAX_TENANTS, "tenants", &problem)?;
         for (i, tenant) in self.tenants.iter().enumerate() {
             let allowance = tenant.allowance_per_s;
             let field = format!("tenants[{i}].allowance_per_s");
--- a/crates/balancer/src/balancer/choice.rs
+++ b/crates/balancer/src/balancer/choice.rs
@@ -9,7 +9,7 @@
 const MIN_SPREAD: f64 = 3.0;
 const CALM_MORE: f64 = 2.0;
 /// Microseconds in which all proxies have their turns to use a server first that came back.
-const FIRST_WITHIN: f64 = 4e6;
+const FIRST_TIMEOUT: f64 = 4e6;
 /// Ready servers above which a request looks at a sample of them, and how many it draws.
 pub(super) const SAMPLE_ABOVE: usize = 256;
 const SAMPLE: usize = 64;
@@ -94,7 +94,7 @@
             }
             let room = server.slots(part) - i64::from(server.in_flight + server.sessions);
             // Departure: one that came back and has room goes first, once; a quiet fleet would never try it.
-            let due = now.saturating_sub(server.unused_since) as f64 > (1.0 - server.dither) * FIRST_WITHIN;
+            let due = now.saturating_sub(server.unused_since) as f64 > (1.0 - server.dither) * FIRST_TIMEOUT;
             let first = due && room > 0 && self.in_flight == 0 && server.cold.is_none();
             let room = if first { i64::MAX } else { room };
             let left = server.limit * part + server.dither;
--- a/crates/balancer/src/balancer/limits.rs
+++ b/crates/balancer/src/balancer/limits.rs
@@ -16,7 +16,7 @@
 /// Departure: the least step up, as a part of the limit; on a large server 1 would be lost beside a back-off.
 const LARGE_STEP: f64 = 0.15;
 /// A server without a slot and without a judged window for this long takes its kind's limit.
-const UNSAMPLED_AFTER: Micros = 2 * SECOND;
+const UNSAMPLED_DELAY: Micros = 2 * SECOND;
 /// Lmax as a multiple of a class's uncrowded latency. Departure: the first while requests are refused for
 /// want of room (queues stand), the second where none is (they drain); between, by the part refused.
 const LMAX_OVER_BASE: (f64, f64) = (1.8, 6.0);
@@ -33,8 +33,8 @@
 const MAX_LIMIT: f64 = 64.0;
 pub(super) const SAMPLE_CAP: f64 = 3.0;
 /// The least and the most of its kind's limit that a report gives a server.
-const LEAST_PART: f64 = 0.1;
-const MOST_PART: f64 = 1.5;
+const MIN_PART: f64 = 0.1;
+const MAX_PART: f64 = 1.5;
 /// How long a report's part holds.
 const PART_HOLDS: Micros = 5 * SECOND;
 /// Weight of one more latency in the averages of a class.
@@ -75,7 +75,7 @@
         let common = &mut self.kinds[usize::from(server.kind)];
         let usual = if common.service > 0.0 { common.service } else { told };
         common.service = usual + (told.min(usual * SAMPLE_CAP) - usual) * LATENCY_WEIGHT;
-        server.part = ((usual / told).clamp(LEAST_PART, MOST_PART), now);
+        server.part = ((usual / told).clamp(MIN_PART, MAX_PART), now);
         if server.probing && common.limit * share < 1.0 {
             server.limit = common.limit * share * server.part.0;
         }
@@ -107,7 +107,7 @@
         for (_, server) in self.servers.iter_mut() {
             let share = share(&self.settings, server);
             let unsampled = server.probing
-                || (server.slots(self.pool.spread) == 0 && now > server.window.since + UNSAMPLED_AFTER);
+                || (server.slots(self.pool.spread) == 0 && now > server.window.since + UNSAMPLED_DELAY);
             if unsampled && usize::from(server.kind) == kind {
                 let (part, told_at) = server.part;
                 let told = limit * share < 1.0 && now < told_at + PART_HOLDS;
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -5,9 +5,9 @@
 use crate::state::{AttemptState, Open, Scope};
 
 /// An attempt that may be repeated is given up at this part of its aim, twice as late each time, where that
-/// is at least `LOST_LEAST` times its class's mean latency; elsewhere at `LOST_OVER_MEAN` times the mean.
+/// is at least `MIN_LOST` times its class's mean latency; elsewhere at `LOST_OVER_MEAN` times the mean.
 const LOST_OVER_AIM: f64 = 0.25;
-const LOST_LEAST: f64 = 5.0;
+const MIN_LOST: f64 = 5.0;
 const LOST_OVER_MEAN: f64 = 24.0;
 /// Part of the requests that may get a further attempt after one that may have run, and the burst.
 pub(super) const RETRY_SHARE: f64 = 0.1;
@@ -89,7 +89,7 @@
             return (open.deadline, false);
         }
         let (mean, soon) = (self.mean(open.class), class.aim as f64 * LOST_OVER_AIM);
-        let early = mean * LOST_LEAST <= soon;
+        let early = mean * MIN_LOST <= soon;
         let before = open.attempts.iter().filter(|a| a.early).count() as i32;
         let lost = if early { soon * 2_f64.powi(before) } else { mean * LOST_OVER_MEAN };
         (open.deadline.min(now.saturating_add(lost as Micros)), early)
--- a/crates/control-plane/src/codec.rs
+++ b/crates/control-plane/src/codec.rs
@@ -1,6 +1,6 @@
 //! How messages travel: four bytes of length, the most significant first, then the message in postcard's form.
 
-use crate::message::{MOST_BYTES, Message, PROTOCOL};
+use crate::message::{MAX_BYTES, Message, PROTOCOL};
 use crate::record::Backend;
 use bytes::{Buf, BytesMut};
 use std::io;
@@ -64,11 +64,11 @@
     let mut frame = postcard::to_extend(message, vec![0; PREFIX]).map_err(not_sent)?;
     let bytes = frame.len() - PREFIX;
     match u32::try_from(bytes) {
-        Ok(length) if bytes <= MOST_BYTES => {
+        Ok(length) if bytes <= MAX_BYTES => {
             frame[..PREFIX].copy_from_slice(&length.to_be_bytes());
             Ok(frame)
         }
-        _ => Err(CodecError::TooLong { bytes, most: MOST_BYTES }),
+        _ => Err(CodecError::TooLong { bytes, most: MAX_BYTES }),
     }
 }
 
@@ -113,7 +113,7 @@
 
     /// Drops whatever comes, up to the longest message and to the end of the connection at the most.
     pub async fn drain(self) {
-        let mut rest = self.inner.take(MOST_BYTES as u64);
+        let mut rest = self.inner.take(MAX_BYTES as u64);
         // It is left either way.
         let _ = tokio::io::copy(&mut rest, &mut tokio::io::sink()).await;
     }
@@ -129,8 +129,8 @@
                 None => PREFIX,
                 Some(prefix) => {
                     let bytes = usize::try_from(u32::from_be_bytes(*prefix)).unwrap_or(usize::MAX);
-                    if bytes > MOST_BYTES {
-                        return Err(CodecError::TooLong { bytes, most: MOST_BYTES });
+                    if bytes > MAX_BYTES {
+                        return Err(CodecError::TooLong { bytes, most: MAX_BYTES });
                     }
                     PREFIX + bytes
                 }
--- a/crates/control-plane/src/config.rs
+++ b/crates/control-plane/src/config.rs
@@ -1,6 +1,6 @@
 //! The settings of source, relay and agent: one TOML file, of which each reads its own section.
 
-use crate::feed::{MOST_SCOPE, MOST_SOURCES, Pace};
+use crate::feed::{MAX_SCOPE, MAX_SOURCES, Pace};
 use crate::record::{Scope, ServiceId, SourceId};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -186,9 +186,9 @@
 }
 
 /// The longest name, bytes.
-const MOST_NAME: usize = 128;
+const MAX_NAME: usize = 128;
 /// Relays in one list.
-const MOST_RELAYS: usize = 1_024;
+const MAX_RELAYS: usize = 1_024;
 /// The smallest and largest useful times and numbers, with their keys.
 const SNAPSHOT_EVERY_MS: (u64, u64) = (10, 3_600_000);
 const CONNECTIONS: (u64, u64) = (1, 65_536);
@@ -247,7 +247,7 @@
             problem = problem
                 .or_else(|| name("relay.name", &relay.name))
                 .or_else(|| range("relay.connections", relay.connections as u64, CONNECTIONS))
-                .or_else(|| count("relay.sources", relay.sources.len(), MOST_SOURCES))
+                .or_else(|| count("relay.sources", relay.sources.len(), MAX_SOURCES))
                 .or_else(|| twice("relay.sources", "id", ids));
         }
         if let Some(agent) = &self.agent {
@@ -255,9 +255,9 @@
             problem = problem
                 .or_else(|| name("agent.name", &agent.name))
                 .or_else(|| range("agent.connections", agent.connections as u64, CONNECTIONS))
-                .or_else(|| count("agent.services", agent.services.len(), MOST_SCOPE))
-                .or_else(|| count("agent.sources", agent.sources.len(), MOST_SOURCES))
-                .or_else(|| count("agent.relays", agent.relays.len(), MOST_RELAYS))
+                .or_else(|| count("agent.services", agent.services.len(), MAX_SCOPE))
+                .or_else(|| count("agent.sources", agent.sources.len(), MAX_SOURCES))
+                .or_else(|| count("agent.relays", agent.relays.len(), MAX_RELAYS))
                 .or_else(|| {
                     names().enumerate().find_map(|(i, n)| name(&format!("agent.relays[{i}].name"), &n))
                 })
@@ -308,9 +308,9 @@
 
 fn name(key: &str, name: &str) -> Problem {
     match name.len() {
-        1..=MOST_NAME => None,
+        1..=MAX_NAME => None,
         0 => wrong(key, "is empty; give it a name of its own".into()),
-        bytes => wrong(key, format!("has {bytes} bytes, {MOST_NAME} at most")),
+        bytes => wrong(key, format!("has {bytes} bytes, {MAX_NAME} at most")),
     }
 }
 
--- a/crates/control-plane/src/failover.rs
+++ b/crates/control-plane/src/failover.rs
@@ -15,7 +15,7 @@
 }
 
 /// How long upstream may say nothing before it is taken to be gone, milliseconds. It says something each second.
-pub const MOST_SILENCE: Millis = 2_500;
+pub const MAX_SILENCE: Millis = 2_500;
 /// The first call comes within this time, so that parties which start together don't call together.
 const FIRST: RangeInclusive<Millis> = 0..=300;
 /// After a loss the next relay is called within this time: a relay's subscribers are some hundreds.
@@ -23,14 +23,14 @@
 /// After all failed in a row the wait begins here and doubles, half of it jitter.
 const BACKOFF: Millis = 250;
 /// It grows no further than this.
-const BACKOFF_MOST: Millis = 2_000;
+const MAX_BACKOFF: Millis = 2_000;
 /// A connection that lasted this long was a good one: the order starts again at its top.
 const GOOD: Millis = 10_000;
 /// How long one stays elsewhere before it tries the first relay of its order: so long that a relay which came back isn't
 /// overrun, so short that load is even again after some minutes.
 const ELSEWHERE: RangeInclusive<Millis> = 30_000..=90_000;
 /// While the first relay stays away it is tried less and less often, down to once in 16 times as long.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 #[derive(Clone, Copy, Debug)]
 enum Phase {
@@ -84,7 +84,7 @@
     /// What to do, while there is no connection.
     pub fn act(&mut self, now: Millis) -> Act {
         if self.order.is_empty() {
-            return Act::Wait(now + BACKOFF_MOST);
+            return Act::Wait(now + MAX_BACKOFF);
         }
         if matches!(self.phase, Phase::Begin) {
             self.phase = Phase::Waiting(now + self.within(FIRST));
@@ -119,7 +119,7 @@
         }
         let wait = if self.failures > 0 && self.failures.is_multiple_of(count) {
             let doublings = u32::try_from(self.failures / count - 1).unwrap_or(u32::MAX);
-            let wait = BACKOFF.checked_shl(doublings.min(16)).unwrap_or(BACKOFF_MOST).min(BACKOFF_MOST);
+            let wait = BACKOFF.checked_shl(doublings.min(16)).unwrap_or(MAX_BACKOFF).min(MAX_BACKOFF);
             wait / 2 + self.within(0..=wait / 2)
         } else {
             self.within(AFTER_LOSS)
@@ -157,7 +157,7 @@
 
     /// The relay that was tried beside the connection did not welcome it.
     pub fn probe_failed(&mut self, now: Millis) {
-        self.probes = (self.probes + 1).min(MOST_DOUBLINGS);
+        self.probes = (self.probes + 1).min(MAX_DOUBLINGS);
         self.put_off(now);
     }
 
--- a/crates/control-plane/src/feed.rs
+++ b/crates/control-plane/src/feed.rs
@@ -7,7 +7,7 @@
 use crate::message::{Have, Message};
 use crate::pace::Bucket;
 use crate::record::{Scope, SourceId, Urgency};
-use crate::replica::MOST_WANTED;
+use crate::replica::MAX_WANTED;
 use crate::source::Refusal;
 use std::collections::{BTreeMap, HashMap};
 
@@ -17,13 +17,13 @@
 pub type SubscriberId = u64;
 
 /// Subscribers of one party at the most: all agents of a region, should every other relay be gone.
-pub const MOST_SUBSCRIBERS: usize = 8_192;
+pub const MAX_SUBSCRIBERS: usize = 8_192;
 /// Services in a scope at the most, unless it holds all.
-pub const MOST_SCOPE: usize = 4_096;
+pub const MAX_SCOPE: usize = 4_096;
 /// Sources that one party hears of at the most.
-pub const MOST_SOURCES: usize = 256;
+pub const MAX_SOURCES: usize = 256;
 /// A subscriber that was told nothing for this long is told that upstream is alive, milliseconds.
-pub const ALIVE_EVERY: Millis = 1_000;
+pub const ALIVE_INTERVAL: Millis = 1_000;
 
 /// What comes next on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
 
 impl Feed {
     pub(crate) fn new(pace: Pace) -> Self {
-        Self { pace, subscribers: HashMap::new(), most: MOST_SUBSCRIBERS }
+        Self { pace, subscribers: HashMap::new(), most: MAX_SUBSCRIBERS }
     }
 
     pub(crate) fn set_most(&mut self, most: usize) {
@@ -106,9 +106,9 @@
             return Err(Refusal::Full(self.subscribers.len()));
         }
         if let Scope::Services(services) = &scope {
-            bounded("services in the scope", services.len(), MOST_SCOPE)?;
+            bounded("services in the scope", services.len(), MAX_SCOPE)?;
         }
-        bounded("sources that it has", have.len(), MOST_SOURCES)?;
+        bounded("sources that it has", have.len(), MAX_SOURCES)?;
         let mut bucket = Bucket::new(self.pace, now);
         bucket.spend(welcome.weight());
         let lines = have.iter().map(|have| (have.source, Line::at(have, now))).collect();
@@ -142,7 +142,7 @@
         };
         match message {
             Message::Resume { have } => {
-                bounded("sources that it has", have.len(), MOST_SOURCES)?;
+                bounded("sources that it has", have.len(), MAX_SOURCES)?;
                 for have in &have {
                     subscriber.line(have.source, now)?.resume(have, now);
                 }
@@ -151,7 +151,7 @@
                 subscriber.line(source, now)?.compare();
             }
             Message::Want { source, mut services } => {
-                bounded("services wanted", services.len(), MOST_WANTED)?;
+                bounded("services wanted", services.len(), MAX_WANTED)?;
                 services.retain(|service| subscriber.scope.holds(*service));
                 subscriber.line(source, now)?.want(services);
             }
@@ -162,10 +162,10 @@
 
     /// What comes next for a subscriber. One that did not say hello gets nothing.
     pub(crate) fn next(&mut self, to: SubscriberId, views: &[View<'_>], now: Millis) -> Next {
-        let Some(subscriber) = self.subscribers.get_mut(&to) else { return Next::Wait(now + ALIVE_EVERY) };
+        let Some(subscriber) = self.subscribers.get_mut(&to) else { return Next::Wait(now + ALIVE_INTERVAL) };
         subscriber.bucket.refill(now);
         let Subscription { scope, bucket, lines, last_word, turn } = subscriber;
-        let mut wake = *last_word + ALIVE_EVERY;
+        let mut wake = *last_word + ALIVE_INTERVAL;
         for view in views {
             lines.entry(view.ledger.source()).or_insert_with(|| Line::fresh(now)).look(*view);
         }
@@ -191,7 +191,7 @@
                 }
             }
         }
-        if now >= *last_word + ALIVE_EVERY {
+        if now >= *last_word + ALIVE_INTERVAL {
             *last_word = now;
             bucket.spend(Message::Alive.weight());
             return Next::Send(Message::Alive);
@@ -204,7 +204,7 @@
     /// The line of a source.
     fn line(&mut self, source: SourceId, now: Millis) -> Result<&mut Line, Refusal> {
         if !self.lines.contains_key(&source) {
-            bounded("sources", self.lines.len() + 1, MOST_SOURCES)?;
+            bounded("sources", self.lines.len() + 1, MAX_SOURCES)?;
         }
         Ok(self.lines.entry(source).or_insert_with(|| Line::fresh(now)))
     }
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -11,11 +11,11 @@
 use twox_hash::XxHash3_64;
 
 /// The longest name of a record, bytes: beyond any DNS name or address with a port.
-pub const MOST_NAME: usize = 255;
+pub const MAX_NAME: usize = 255;
 /// The longest body of a record, bytes: half a message, so that it fits into one with room for all the rest.
-pub const MOST_BODY: usize = crate::message::MOST_BYTES / 2;
+pub const MAX_BODY: usize = crate::message::MAX_BYTES / 2;
 /// Tombstones kept at the most, the oldest go first: some 8 MB, a quarter of an hour at 70 removals a second.
-pub const MOST_TOMBSTONES: usize = 65_536;
+pub const MAX_TOMBSTONES: usize = 65_536;
 
 /// Why a change was not made.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -147,7 +147,7 @@
             logs: Default::default(),
             logged: true,
             tombstones: BTreeSet::new(),
-            most_tombstones: MOST_TOMBSTONES,
+            most_tombstones: MAX_TOMBSTONES,
             total: 0,
             live: 0,
             scratch: Vec::new(),
@@ -181,7 +181,7 @@
     pub fn examine(change: &Change) -> Result<(), WriteError> {
         let name = || change.key.name.chars().take(64).collect::<String>();
         let bounds =
-            [("the name", change.key.name.len(), MOST_NAME), ("the body", change.body.len(), MOST_BODY)];
+            [("the name", change.key.name.len(), MAX_NAME), ("the body", change.body.len(), MAX_BODY)];
         for (what, bytes, most) in bounds {
             if bytes > most {
                 return Err(WriteError::TooLong { what, name: name(), bytes, most });
--- a/crates/control-plane/src/line.rs
+++ b/crates/control-plane/src/line.rs
@@ -2,22 +2,22 @@
 
 use crate::Millis;
 use crate::feed::{Pass, View};
-use crate::message::{Bound, Have, MOST_BYTES, Message};
+use crate::message::{Bound, Have, MAX_BYTES, Message};
 use crate::pace::Bucket;
 use crate::record::{Cursor, Epoch, Record, Scope, ServiceId, State, Urgency, Version};
 use crate::replica::furthest;
 
 /// A subscriber that has everything is told the sum of its digests this often.
-pub const CHECK_EVERY: Millis = 10_000;
+pub const CHECK_INTERVAL: Millis = 10_000;
 /// How far it is, where only changes out of its scope were made, it is told this often at the most.
-const PROGRESS_EVERY: Millis = 1_000;
+const PROGRESS_INTERVAL: Millis = 1_000;
 /// A batch, a summary or a part of a service is cut here; one record may be longer.
-const MOST_CUT: usize = MOST_BYTES / 4;
+const MAX_CUT: usize = MAX_BYTES / 4;
 /// Where there is more to say than there are tokens, they are saved up for this many bytes: else each record would have a
 /// message of its own, and heads would take most of the pace.
-const LEAST_CUT: usize = 1 << 10;
+const MIN_CUT: usize = 1 << 10;
 /// Records of one version (those that a repair took away) are not parted up to here.
-const MOST_UNCUT: usize = MOST_BYTES / 4 * 3;
+const MAX_UNCUT: usize = MAX_BYTES / 4 * 3;
 /// What a message takes beside its records, never more: two cursors (120 bytes at their longest), a check, numbers.
 pub(crate) const FRAME: usize = 192;
 /// A digest in a summary, at its longest.
@@ -194,7 +194,7 @@
         }
         let (ledger, place) = (view.ledger, urgency as usize);
         let known = ledger.known()[place];
-        let cut = MOST_CUT.min(bucket.bytes().max(LEAST_CUT)).saturating_sub(FRAME);
+        let cut = MAX_CUT.min(bucket.bytes().max(MIN_CUT)).saturating_sub(FRAME);
         let mut records: Vec<Record> = Vec::new();
         let (mut weight, mut end) = (0, known);
         // The last place where a cut would not part records of one version: how many records, up to which version.
@@ -207,7 +207,7 @@
             if last.is_some_and(|last| last != version) {
                 whole = last.map(|last| (records.len(), last));
             }
-            let limit = if whole.is_none() && last.is_some() { MOST_UNCUT } else { cut };
+            let limit = if whole.is_none() && last.is_some() { MAX_UNCUT } else { cut };
             let full = weight + record.weight() > limit;
             if full && let Some((count, upto)) = whole {
                 records.truncate(count);
@@ -250,9 +250,9 @@
         let (from, to) = (self.told, furthest(self.told, to));
         self.told = to;
         self.looked = furthest(self.looked, to);
-        self.word_at = now + PROGRESS_EVERY;
+        self.word_at = now + PROGRESS_INTERVAL;
         if check.is_some() {
-            self.check_at = now + CHECK_EVERY;
+            self.check_at = now + CHECK_INTERVAL;
         }
         Message::Batch { source: view.ledger.source(), epoch: view.ledger.epoch(), from, to, records, check }
     }
@@ -278,7 +278,7 @@
 
     fn summary(&mut self, view: View<'_>, scope: &Scope, bucket: &Bucket, now: Millis) -> Step {
         let Some(summary) = &mut self.summary else { return Step::Nothing };
-        let cut = MOST_CUT.min(bucket.bytes().max(LEAST_CUT)).saturating_sub(FRAME) / DIGEST;
+        let cut = MAX_CUT.min(bucket.bytes().max(MIN_CUT)).saturating_sub(FRAME) / DIGEST;
         let all: Box<dyn Iterator<Item = (ServiceId, u64)>> = match scope {
             Scope::All => Box::new(view.ledger.digests(summary.next)),
             Scope::Services(services) => {
@@ -301,7 +301,7 @@
                 (self.epoch, self.generation) = (summary.epoch, Some(summary.generation));
                 (self.told, self.looked) = (to, to);
                 (self.summary, self.compare) = (None, false);
-                self.check_at = now + CHECK_EVERY;
+                self.check_at = now + CHECK_INTERVAL;
             }
         }
         let (source, epoch) = (view.ledger.source(), view.ledger.epoch());
@@ -312,7 +312,7 @@
         let Some(service) = self.wants.last().copied() else { return Step::Nothing };
         let ledger = view.ledger;
         let as_of = ledger.complete();
-        let cut = MOST_CUT.min(bucket.bytes().max(LEAST_CUT)).saturating_sub(FRAME);
+        let cut = MAX_CUT.min(bucket.bytes().max(MIN_CUT)).saturating_sub(FRAME);
         let (mut records, mut weight, mut upto) = (Vec::<Record>::new(), 0, None);
         // Tombstones newer than `as_of` as well: what is missing here must be gone by then.
         let told = ledger.range(service, self.place.as_ref(), None);
--- a/crates/control-plane/src/message.rs
+++ b/crates/control-plane/src/message.rs
@@ -9,7 +9,7 @@
 pub const PROTOCOL: u16 = 1;
 /// The longest message, bytes as encoded: whatever is longer ends its connection. A batch or a part of a service is cut to
 /// a quarter of it, so that one record (a configuration, say) may take the rest.
-pub const MOST_BYTES: usize = 256 << 10;
+pub const MAX_BYTES: usize = 256 << 10;
 
 /// How far downstream is in what one source said.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     pub cursor: Cursor,
 }
 
-/// Everything that is said on a connection. Lengths are bounded by [`MOST_BYTES`].
+/// Everything that is said on a connection. Lengths are bounded by [`MAX_BYTES`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Downstream, first: who it is, what it wants, how far it is.
--- a/crates/control-plane/src/replica.rs
+++ b/crates/control-plane/src/replica.rs
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 
 /// A question without an answer is asked again after this time, then after twice as long, and so on.
-const ASK_AGAIN: Millis = 2_000;
+const ASK_RETRY_DELAY: Millis = 2_000;
 /// No longer than this is waited for an answer: the largest message at the pace of a subscriber takes 22 s.
 const ASK_AGAIN_MOST: Millis = 32_000;
 /// Services wanted in one question.
-pub(crate) const MOST_WANTED: usize = 4_096;
+pub(crate) const MAX_WANTED: usize = 4_096;
 
 /// A record that came into force here.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -235,14 +235,14 @@
             let changed = self.repair.as_ref().is_some_and(|repair| repair.changed);
             self.repair =
                 Some(Repair { base, reached: to, next: Some(0), missing: BTreeMap::new(), changed });
-            self.asked = Some((Question::Compare, now, ASK_AGAIN));
+            self.asked = Some((Question::Compare, now, ASK_RETRY_DELAY));
         }
         let Some(repair) = &mut self.repair else { return };
         if repair.next != Some(covers.0) || repair.base != base || covers.1 < covers.0 {
             return;
         }
         repair.next = covers.1.checked_add(1);
-        self.asked = Some((Question::Compare, now, ASK_AGAIN));
+        self.asked = Some((Question::Compare, now, ASK_RETRY_DELAY));
         let theirs: BTreeMap<ServiceId, u64> = digests.iter().copied().collect();
         let ours = self.ledger.digests(covers.0).map(|(service, _)| service);
         let ours = ours.take_while(|service| *service <= covers.1);
@@ -312,7 +312,7 @@
                 *place = upto;
             }
             if let Some((_, at, patience)) = &mut self.asked {
-                (*at, *patience) = (now, ASK_AGAIN);
+                (*at, *patience) = (now, ASK_RETRY_DELAY);
             }
         }
     }
@@ -366,7 +366,7 @@
         if !again && self.asked.is_some_and(|(asked, ..)| asked == question) {
             return None;
         }
-        self.asked = Some((question, now, ASK_AGAIN));
+        self.asked = Some((question, now, ASK_RETRY_DELAY));
         self.say(question)
     }
 
@@ -376,7 +376,7 @@
             Question::Resume => self.have().map(|have| Message::Resume { have: vec![have] }),
             Question::Compare => Some(Message::Compare { source }),
             Question::Want => {
-                let missing = self.repair.as_ref()?.missing.keys().copied().take(MOST_WANTED);
+                let missing = self.repair.as_ref()?.missing.keys().copied().take(MAX_WANTED);
                 self.wanted = missing.collect();
                 Some(Message::Want { source, services: self.wanted.iter().copied().collect() })
             }
--- a/crates/control-plane/src/shell/discovery.rs
+++ b/crates/control-plane/src/shell/discovery.rs
@@ -20,9 +20,9 @@
 use tracing::{debug, warn};
 
 /// The longest wait of a watch, milliseconds, as the protocol has it.
-const MOST_WAIT_MS: u64 = 60_000;
+const MAX_WAIT_MS: u64 = 60_000;
 /// How long a request's head may take, and how long a connection may idle between two.
-const HEAD_WITHIN: Duration = Duration::from_secs(30);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// The only path.
 const PATH: &str = "/discovery/hosts";
 
@@ -60,7 +60,7 @@
             let number = || value.parse().map_err(|_| format!("`{key}={value}`: must be a whole number"));
             match key {
                 "after" => question.after = Some(number()?),
-                "wait_ms" => question.wait_ms = number()?.min(MOST_WAIT_MS),
+                "wait_ms" => question.wait_ms = number()?.min(MAX_WAIT_MS),
                 _ => return Err(format!("`{key}` is not known; `after` and `wait_ms` are")),
             }
         }
@@ -123,7 +123,7 @@
                 async move { Ok::<_, Infallible>(answer(&served, &request).await) }
             });
             let mut builder = http1::Builder::new();
-            builder.timer(TokioTimer::new()).header_read_timeout(HEAD_WITHIN);
+            builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
             if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
                 debug!(%address, "ended: {error}");
             }
--- a/crates/control-plane/src/shell/link.rs
+++ b/crates/control-plane/src/shell/link.rs
@@ -5,7 +5,7 @@
 use super::{Clock, said};
 use crate::Millis;
 use crate::codec::{CodecError, FrameReader, FrameWriter};
-use crate::failover::{Act, Failover, MOST_SILENCE};
+use crate::failover::{Act, Failover, MAX_SILENCE};
 use crate::message::Message;
 use crate::source::Refusal;
 use std::cell::RefCell;
@@ -21,13 +21,13 @@
 
 /// How long a connection may take to come up. On one network it takes a millisecond; a machine that is cut off answers
 /// nothing.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often a party is told that time went by.
 const TICK: Duration = Duration::from_millis(500);
 /// How long upstream may take to accept a message. Downstream says little: whoever takes longer has stopped.
-const WRITE_WITHIN: Duration = SILENCE;
+const WRITE_TIMEOUT: Duration = SILENCE;
 /// How long upstream may say nothing.
-const SILENCE: Duration = Duration::from_millis(MOST_SILENCE);
+const SILENCE: Duration = Duration::from_millis(MAX_SILENCE);
 
 /// Who follows relays or a source over connections that come and go.
 pub trait Party {
@@ -61,13 +61,13 @@
     #[error("no connection: {0}")]
     NoConnection(std::io::Error),
     /// It did not come up in time.
-    #[error("no connection within {} ms", CONNECT_WITHIN.as_millis())]
+    #[error("no connection within {} ms", CONNECT_TIMEOUT.as_millis())]
     ConnectTimeout,
     /// Upstream said nothing for too long.
-    #[error("nothing heard for {MOST_SILENCE} ms")]
+    #[error("nothing heard for {MAX_SILENCE} ms")]
     Silent,
     /// Upstream does not read.
-    #[error("a message was not taken within {} ms", WRITE_WITHIN.as_millis())]
+    #[error("a message was not taken within {} ms", WRITE_TIMEOUT.as_millis())]
     NotTaken,
     /// Upstream ended it.
     #[error("closed by the other side")]
@@ -111,7 +111,7 @@
 
 impl Connection {
     async fn open(address: SocketAddr) -> Result<Self, LinkError> {
-        let stream = timeout(CONNECT_WITHIN, TcpStream::connect(address)).await;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| LinkError::ConnectTimeout)?.map_err(LinkError::NoConnection)?;
         stream.set_nodelay(true).map_err(LinkError::NoConnection)?;
         let (reader, writer) = stream.into_split();
@@ -120,7 +120,7 @@
 
     async fn say(&mut self, messages: &[Message]) -> Result<(), LinkError> {
         for message in messages {
-            let written = timeout(WRITE_WITHIN, self.writer.write(message)).await;
+            let written = timeout(WRITE_TIMEOUT, self.writer.write(message)).await;
             written.map_err(|_| LinkError::NotTaken)??;
         }
         Ok(())
--- a/crates/control-plane/src/shell/list.rs
+++ b/crates/control-plane/src/shell/list.rs
@@ -8,7 +8,7 @@
 
 /// Entries that have left and are still named among changes. Whoever asks for changes from before the oldest of them that
 /// was dropped gets the whole list.
-pub const MOST_LEFT: usize = 8_192;
+pub const MAX_LEFT: usize = 8_192;
 
 /// What discovery says of a backend's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -147,7 +147,7 @@
         if left {
             self.left.insert(self.revision, key);
         }
-        while self.left.len() > MOST_LEFT
+        while self.left.len() > MAX_LEFT
             && let Some((revision, key)) = self.left.pop_first()
         {
             self.log.remove(&revision);
--- a/crates/control-plane/src/shell/relay.rs
+++ b/crates/control-plane/src/shell/relay.rs
@@ -18,7 +18,7 @@
 use tracing::{info, warn};
 
 /// How often the log says what the relay holds.
-const REPORT_EVERY: Duration = Duration::from_secs(60);
+const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
 /// What ticks had to say to sources that are connected, until their own link says it. A tick repeats what was not answered,
 /// so that there are few, and those of a connection that ended are dropped.
@@ -104,7 +104,7 @@
     let server = Server::new(Rc::clone(&relay), changes, clock, config.connections);
     let open = server.open();
     let report = async {
-        let mut every = interval(REPORT_EVERY);
+        let mut every = interval(REPORT_INTERVAL);
         every.tick().await;
         loop {
             every.tick().await;
--- a/crates/control-plane/src/shell/server.rs
+++ b/crates/control-plane/src/shell/server.rs
@@ -19,11 +19,11 @@
 use tracing::{debug, info, warn};
 
 /// How long a connection may take for its first message.
-const FIRST_WITHIN: Duration = Duration::from_secs(5);
+const FIRST_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a message may take to be accepted; whoever stands longer comes back and says how far it is.
-const WRITE_WITHIN: Duration = Duration::from_secs(30);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long the reason for an end may take.
-const GOODBYE_WITHIN: Duration = Duration::from_secs(1);
+const GOODBYE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a goodbye waits for the other side to read it and end the connection, before it may be torn down by what came in
 /// and was not read.
 const LINGER: Duration = Duration::from_millis(500);
@@ -34,7 +34,7 @@
 /// memory that nobody else has.
 const SEND_BUFFER: usize = 128 << 10;
 /// Connections beyond the bound that are told so at a time; others just end.
-const MOST_REFUSED: usize = 16;
+const MAX_REFUSED: usize = 16;
 /// Descriptors that are no connections from downstream: files, links to sources, the runtime.
 const OTHER_DESCRIPTORS: usize = 64;
 
@@ -73,9 +73,9 @@
     Closed,
     #[error("ended by the other side: {0}")]
     Goodbye(String),
-    #[error("no first message within {} ms; begin with `Hello` or `Write`", FIRST_WITHIN.as_millis())]
+    #[error("no first message within {} ms; begin with `Hello` or `Write`", FIRST_TIMEOUT.as_millis())]
     NoFirst,
-    #[error("a message was not taken within {} ms", WRITE_WITHIN.as_millis())]
+    #[error("a message was not taken within {} ms", WRITE_TIMEOUT.as_millis())]
     NotTaken,
     #[error(transparent)]
     Codec(#[from] CodecError),
@@ -160,7 +160,7 @@
             if self.open.get() >= self.most {
                 let full = End::Refused(Refusal::Full(self.most));
                 warn!(%address, "refused: {full}");
-                if self.refused.get() < MOST_REFUSED {
+                if self.refused.get() < MAX_REFUSED {
                     self.refused.set(self.refused.get() + 1);
                     let refused = Rc::clone(&self.refused);
                     spawn_local(async move {
@@ -185,7 +185,7 @@
         let _ = stream.set_nodelay(true);
         let socket = SockRef::from(&stream);
         let _ = socket.set_send_buffer_size(SEND_BUFFER);
-        let _ = socket.set_tcp_user_timeout(Some(WRITE_WITHIN));
+        let _ = socket.set_tcp_user_timeout(Some(WRITE_TIMEOUT));
         let (reader, writer) = stream.into_split();
         let (reader, writer) = (FrameReader::new(reader), FrameWriter::new(writer));
         let mut connection = Served { server: self, who, reader, writer, greeted: false };
@@ -212,7 +212,7 @@
 impl<U: Upstream + 'static> Served<'_, U> {
     async fn talk(&mut self) -> Result<std::convert::Infallible, End> {
         let mut changed = self.server.changes.told.subscribe();
-        let first = timeout(FIRST_WITHIN, self.reader.read()).await.map_err(|_| End::NoFirst)?;
+        let first = timeout(FIRST_TIMEOUT, self.reader.read()).await.map_err(|_| End::NoFirst)?;
         self.hear(first?).await?;
         loop {
             // What changes from here on wakes it.
@@ -258,7 +258,7 @@
     }
 
     async fn say(&mut self, message: &Message) -> Result<(), End> {
-        let written = timeout(WRITE_WITHIN, self.writer.write(message)).await;
+        let written = timeout(WRITE_TIMEOUT, self.writer.write(message)).await;
         Ok(written.map_err(|_| End::NotTaken)??)
     }
 }
@@ -266,7 +266,7 @@
 /// Says why, ends the sending, and drops what still comes in: ending with unread bytes would reset the connection, and the
 /// reason with it.
 async fn goodbye(reader: FrameReader<OwnedReadHalf>, mut writer: FrameWriter<OwnedWriteHalf>, why: String) {
-    let said = timeout(GOODBYE_WITHIN, writer.write(&Message::Goodbye { why })).await;
+    let said = timeout(GOODBYE_TIMEOUT, writer.write(&Message::Goodbye { why })).await;
     if matches!(said, Ok(Ok(()))) {
         writer.end().await;
         let _ = timeout(LINGER, reader.drain()).await;
--- a/crates/control-plane/src/shell/writer.rs
+++ b/crates/control-plane/src/shell/writer.rs
@@ -1,7 +1,7 @@
 //! Writes changes to a source: an operator's tool, or whoever learns of backends.
 
 use crate::codec::{CodecError, FrameReader, FrameWriter, backend_body};
-use crate::message::{MOST_BYTES, Message};
+use crate::message::{MAX_BYTES, Message};
 use crate::record::{Backend, Change, Key, Kind, ServiceId, State, Version};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use tokio::time::timeout;
 
 /// How long a source may take for a connection and for an answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest part of many changes, bytes of names and bodies: a message holds it with room to spare.
-const PART: usize = MOST_BYTES / 4;
+const PART: usize = MAX_BYTES / 4;
 /// What one change takes beside its name and body, bytes at most.
 const FIXED: usize = 32;
 
@@ -26,7 +26,7 @@
     /// It did not answer: the changes may have been made.
     #[error(
         "the source at {0} did not answer within {ms} ms; the changes may have been made, write them again",
-        ms = ANSWER_WITHIN.as_millis()
+        ms = ANSWER_TIMEOUT.as_millis()
     )]
     NoAnswer(SocketAddr),
     /// The connection ended without an answer: the changes may have been made.
@@ -55,7 +55,7 @@
     /// # Errors
     /// Where there is no connection in time.
     pub async fn connect(address: SocketAddr) -> Result<Self, WriterError> {
-        let stream = timeout(ANSWER_WITHIN, TcpStream::connect(address)).await;
+        let stream = timeout(ANSWER_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| WriterError::NoAnswer(address))?;
         let stream = stream.map_err(|e| WriterError::NoConnection(address, e))?;
         stream.set_nodelay(true).map_err(|e| WriterError::NoConnection(address, e))?;
@@ -70,7 +70,7 @@
     pub async fn write(&mut self, changes: Vec<Change>) -> Result<Version, WriterError> {
         self.id += 1;
         let question = Message::Write { id: self.id, changes };
-        let answer = timeout(ANSWER_WITHIN, async {
+        let answer = timeout(ANSWER_TIMEOUT, async {
             self.writer.write(&question).await?;
             loop {
                 match self.reader.read().await? {
--- a/crates/control-plane/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -1,7 +1,7 @@
 //! The last in line: holds the records of its scope from all sources, whichever relay they come over.
 
 use crate::Millis;
-use crate::feed::MOST_SOURCES;
+use crate::feed::MAX_SOURCES;
 use crate::ledger::Ledger;
 use crate::message::{Message, PROTOCOL};
 use crate::record::{Scope, SourceId};
@@ -57,12 +57,8 @@
             Message::Batch { source, .. }
             | Message::Summary { source, .. }
             | Message::Whole { source, .. } => {
-                if !self.replicas.contains_key(&source) && self.replicas.len() >= MOST_SOURCES {
-                    return Err(Refusal::TooMany {
-                        what: "sources",
-                        is: MOST_SOURCES + 1,
-                        most: MOST_SOURCES,
-                    });
+                if !self.replicas.contains_key(&source) && self.replicas.len() >= MAX_SOURCES {
+                    return Err(Refusal::TooMany { what: "sources", is: MAX_SOURCES + 1, most: MAX_SOURCES });
                 }
                 let fresh = || Replica::new(source, Arc::clone(&self.scope), false);
                 let replica = self.replicas.entry(source).or_insert_with(fresh);
--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -5,7 +5,7 @@
 use control_plane::codec::{
     BodyError, CodecError, FrameReader, FrameWriter, backend_body, decode, encode, read_backend,
 };
-use control_plane::message::{MOST_BYTES, Message, PROTOCOL};
+use control_plane::message::{MAX_BYTES, Message, PROTOCOL};
 use control_plane::record::{Backend, Scope};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -137,23 +137,23 @@
 fn a_message_beyond_the_bound_is_refused_by_its_length_alone_on_either_side() {
     let why = |bytes| Message::Goodbye { why: "x".repeat(bytes) };
     // One byte for the place of the message, three for the length of the text.
-    let longest = MOST_BYTES - 4;
-    assert_eq!(body_of(&why(longest)).len(), MOST_BYTES);
+    let longest = MAX_BYTES - 4;
+    assert_eq!(body_of(&why(longest)).len(), MAX_BYTES);
     let (came, end) = read_all(encode(&why(longest)).expect("just fits"), vec![100_000]);
     assert_eq!((came, end.is_ok()), (vec![why(longest)], true));
     let error = encode(&why(longest + 1)).expect_err("too long");
-    assert!(matches!(error, CodecError::TooLong { bytes, most: MOST_BYTES } if bytes == MOST_BYTES + 1));
+    assert!(matches!(error, CodecError::TooLong { bytes, most: MAX_BYTES } if bytes == MAX_BYTES + 1));
 
-    for bytes in [MOST_BYTES + 1, u32::MAX as usize] {
+    for bytes in [MAX_BYTES + 1, u32::MAX as usize] {
         let prefix = u32::try_from(bytes).expect("fits").to_be_bytes();
         let (came, end) = read_all(prefix.to_vec(), vec![1]);
         let error = end.expect_err("too long");
         assert!(came.is_empty());
-        assert!(matches!(error, CodecError::TooLong { bytes: b, most: MOST_BYTES } if b == bytes), "{error}");
+        assert!(matches!(error, CodecError::TooLong { bytes: b, most: MAX_BYTES } if b == bytes), "{error}");
         assert_eq!(
             error.to_string(),
             format!(
-                "a message of {bytes} bytes is too long, {MOST_BYTES} bytes at most are taken; send it in parts"
+                "a message of {bytes} bytes is too long, {MAX_BYTES} bytes at most are taken; send it in parts"
             )
         );
     }
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/feed.rs
@@ -1,9 +1,9 @@
 //! What upstream says to whom, in which order and at which pace.
 
 use control_plane::Millis;
-use control_plane::feed::{MOST_SCOPE, Next, Pace};
-use control_plane::ledger::{Ledger, MOST_BODY, MOST_NAME, WriteError};
-use control_plane::message::{Have, MOST_BYTES, Message, PROTOCOL};
+use control_plane::feed::{MAX_SCOPE, Next, Pace};
+use control_plane::ledger::{Ledger, MAX_BODY, MAX_NAME, WriteError};
+use control_plane::message::{Have, MAX_BYTES, Message, PROTOCOL};
 use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
 use control_plane::relay::Relay;
 use control_plane::source::{Refusal, Source, Upstream};
@@ -231,7 +231,7 @@
     for name in 0..3_000 {
         backend(&mut source, 1, &format!("backend-{name:05}"), State::Active);
     }
-    write(&mut source, change(2, Kind::Configuration, &"c".repeat(MOST_NAME), State::Active, MOST_BODY));
+    write(&mut source, change(2, Kind::Configuration, &"c".repeat(MAX_NAME), State::Active, MAX_BODY));
     let mut said = connect(&mut source, &mut subscriber, 0);
     // The largest record is more than all tokens at once: it goes once there won't be more.
     let mut now = 0;
@@ -244,7 +244,7 @@
     assert!(parts > 3, "a large service comes in parts, not {parts}");
     for message in &said {
         let bytes = postcard::to_stdvec(message).expect("it is encoded").len();
-        assert!(bytes <= MOST_BYTES, "{} of {bytes} bytes", message.name());
+        assert!(bytes <= MAX_BYTES, "{} of {bytes} bytes", message.name());
     }
 }
 
@@ -252,8 +252,8 @@
 fn a_write_beyond_a_bound_is_refused_whole() {
     let mut source = source(FAST);
     let cases = [
-        change(1, Kind::Backend, &"n".repeat(MOST_NAME + 1), State::Active, 1),
-        change(1, Kind::Backend, "b", State::Active, MOST_BODY + 1),
+        change(1, Kind::Backend, &"n".repeat(MAX_NAME + 1), State::Active, 1),
+        change(1, Kind::Backend, "b", State::Active, MAX_BODY + 1),
         Change { body: Arc::from([1]), ..change(1, Kind::Backend, "b", State::Gone, 0) },
     ];
     for bad in cases {
@@ -264,9 +264,9 @@
         assert_eq!(source.ledger().live().count(), 0, "all or none");
         assert_eq!(source.ledger().head().revision, 0);
     }
-    let long = change(1, Kind::Backend, "b", State::Active, MOST_BODY + 1);
+    let long = change(1, Kind::Backend, "b", State::Active, MAX_BODY + 1);
     let error =
-        WriteError::TooLong { what: "the body", name: "b".into(), bytes: MOST_BODY + 1, most: MOST_BODY };
+        WriteError::TooLong { what: "the body", name: "b".into(), bytes: MAX_BODY + 1, most: MAX_BODY };
     assert_eq!(Ledger::examine(&long), Err(error));
 }
 
@@ -454,7 +454,7 @@
         source.on_message(2, other, 0),
         Err(Refusal::Protocol { theirs: PROTOCOL + 1, ours: PROTOCOL })
     );
-    let wide = Subscriber::new("agent", services(0..=MOST_SCOPE as u32)).hello();
+    let wide = Subscriber::new("agent", services(0..=MAX_SCOPE as u32)).hello();
     assert!(matches!(source.on_message(2, wide, 0), Err(Refusal::TooMany { .. })));
     let have = (0..300).map(|source| Have { source, epoch: 1, cursor: Default::default() }).collect();
     let many = Message::Hello { protocol: PROTOCOL, name: "x".into(), scope: Scope::All, have };
--- a/crates/control-plane/tests/list.rs
+++ b/crates/control-plane/tests/list.rs
@@ -3,7 +3,7 @@
 use control_plane::codec::backend_body;
 use control_plane::record::{Backend, Key, Kind, Record, State, Version};
 use control_plane::replica::Applied;
-use control_plane::shell::list::{List, MOST_LEFT, Phase};
+use control_plane::shell::list::{List, MAX_LEFT, Phase};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -73,7 +73,7 @@
 fn what_left_is_named_among_changes_only_and_in_the_end_forgotten() {
     let mut list = List::new(true, START);
     list.apply(&at("stays", State::Active, 1)).expect("a backend");
-    for turn in 0..MOST_LEFT + 10 {
+    for turn in 0..MAX_LEFT + 10 {
         let name = format!("s-{turn}");
         list.apply(&at(&name, State::Active, 1)).expect("a backend");
         list.apply(&at(&name, State::Gone, 1)).expect("a tombstone");
--- a/crates/control-plane/tests/processes/hostile.rs
+++ b/crates/control-plane/tests/processes/hostile.rs
@@ -2,7 +2,7 @@
 
 use super::rig::*;
 use control_plane::codec::encode;
-use control_plane::message::{MOST_BYTES, Message, PROTOCOL};
+use control_plane::message::{MAX_BYTES, Message, PROTOCOL};
 use control_plane::record::Scope;
 use control_plane::record::State::{Active, Draining};
 use std::io::{Read, Write};
@@ -34,7 +34,7 @@
 
     let good = encode(&hello(PROTOCOL)).expect("short");
     let other = encode(&hello(PROTOCOL + 1)).expect("short");
-    let too_long = u32::try_from(MOST_BYTES + 1).expect("fits").to_be_bytes();
+    let too_long = u32::try_from(MAX_BYTES + 1).expect("fits").to_be_bytes();
     let out_of_turn = encode(&Message::Alive).expect("short");
     let unknown = [0, 0, 0, 2, 250, 1];
     let cases: [(&str, Vec<u8>, String); 6] = [
@@ -50,8 +50,8 @@
             "too long",
             too_long.to_vec(),
             format!(
-                "a message of {} bytes is too long, {MOST_BYTES} bytes at most are taken; send it in parts",
-                MOST_BYTES + 1
+                "a message of {} bytes is too long, {MAX_BYTES} bytes at most are taken; send it in parts",
+                MAX_BYTES + 1
             ),
         ),
         (
--- a/crates/control-plane/tests/world/faults.rs
+++ b/crates/control-plane/tests/world/faults.rs
@@ -4,13 +4,13 @@
 use crate::parties::{Setting, World, services};
 use crate::watcher::epoch;
 use control_plane::feed::Pace;
-use control_plane::ledger::MOST_TOMBSTONES;
+use control_plane::ledger::MAX_TOMBSTONES;
 use control_plane::message::Message;
 use control_plane::record::{Kind, Scope, State};
 use std::sync::Arc;
 
 const SETTING: Setting =
-    Setting { pace: Pace { bytes_per_s: 12_000, burst: 120_000 }, tombstones: MOST_TOMBSTONES };
+    Setting { pace: Pace { bytes_per_s: 12_000, burst: 120_000 }, tombstones: MAX_TOMBSTONES };
 /// Ticks in which any single fault is mended: a check (10 s), its questions and answers, asked twice.
 const MENDED: usize = 300;
 
--- a/crates/control-plane/tests/world/parties.rs
+++ b/crates/control-plane/tests/world/parties.rs
@@ -20,7 +20,7 @@
 /// A connection on which nothing came for this long is given up.
 const SILENCE: Millis = 2_500;
 /// Messages that one connection takes in one tick.
-const MOST_A_TICK: usize = 16;
+const MAX_A_TICK: usize = 16;
 
 /// Changes a message from a relay to a subscriber; `false`: it is lost.
 pub type Tamper = Box<dyn FnMut(&mut Message) -> bool>;
@@ -290,7 +290,7 @@
                     upstream.on_message(link.id, message, now).expect("a source takes what relays say");
                 assert!(answers.is_empty());
             }
-            for _ in 0..MOST_A_TICK {
+            for _ in 0..MAX_A_TICK {
                 let Next::Send(message) = upstream.next(link.id, now) else { break };
                 link.down.push(message, now, cut, &self.noise, &mut self.random);
             }
@@ -335,7 +335,7 @@
                     upstream.relay.on_message(link.id, message, now).expect("a relay takes what agents say");
                 assert!(answers.is_empty());
             }
-            for _ in 0..MOST_A_TICK {
+            for _ in 0..MAX_A_TICK {
                 let Next::Send(mut message) = upstream.relay.next(link.id, now) else { break };
                 if self.tamper.as_mut().is_none_or(|tamper| tamper(&mut message)) {
                     *self.said.entry(message.name()).or_default() += 1;
--- a/crates/external-processor/src/desk.rs
+++ b/crates/external-processor/src/desk.rs
@@ -18,9 +18,9 @@
 use thiserror::Error;
 
 /// When whoever asked for a request that another holds should ask again, microseconds.
-pub const ASK_AGAIN: Micros = 250_000;
+pub const ASK_RETRY_DELAY: Micros = 250_000;
 /// Callers that wait for the end of one request that another holds. A further one is told that it is in flight.
-pub const MOST_WAITING: usize = 16;
+pub const MAX_WAITING: usize = 16;
 
 /// A stream, or one call: what may vanish at once. Never given twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -323,7 +323,7 @@
     fn wait(&mut self, claim: ClaimId, asked: Asked) -> bool {
         // A request that this process carries for a client is not on this desk.
         let held = self.by_claim.get(&claim).and_then(|ticket| self.held.get_mut(ticket));
-        let Some(held) = held.filter(|held| held.waiting.len() < MOST_WAITING) else { return false };
+        let Some(held) = held.filter(|held| held.waiting.len() < MAX_WAITING) else { return false };
         held.waiting.push(asked);
         true
     }
--- a/crates/external-processor/src/plain.rs
+++ b/crates/external-processor/src/plain.rs
@@ -1,6 +1,6 @@
 //! The messages of the plain service, to and from the desk's words. No I/O and no clock.
 
-use crate::desk::{ASK_AGAIN, Fault, Reply, Report, Request, Send};
+use crate::desk::{ASK_RETRY_DELAY, Fault, Reply, Report, Request, Send};
 use crate::generated as pb;
 use crate::question::{Catalogue, Fields, Unusable};
 use crate::settings::Headers;
@@ -153,7 +153,7 @@
         Reply::Final { end: End::Unknown, again } => ended(pb::End::Unknown, again, 0),
         Reply::Booked => ended(pb::End::Booked, false, 0),
         Reply::InFlight { held_for, by_key } => {
-            A::InFlight(pb::InFlight { held_for_ms: ms(held_for), ask_again_ms: ms(ASK_AGAIN), by_key })
+            A::InFlight(pb::InFlight { held_for_ms: ms(held_for), ask_again_ms: ms(ASK_RETRY_DELAY), by_key })
         }
         Reply::Renewed(within) => A::Renewed(pb::Renewed { within_ms: whole_ms(within) }),
         Reply::Rejected(fault) => {
--- a/crates/external-processor/src/question.rs
+++ b/crates/external-processor/src/question.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// A time left beyond this makes no sense, milliseconds.
-const MOST_TIME_LEFT_MS: u64 = 3_600_000;
+const MAX_TIME_LEFT_MS: u64 = 3_600_000;
 
 /// What makes a request unusable.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
@@ -223,8 +223,8 @@
 fn milliseconds(name: &str, digits: &str) -> Result<Micros, Unusable> {
     // The type's own parser would take a sign.
     let number = digits.bytes().all(|b| b.is_ascii_digit()).then(|| digits.parse::<u64>().ok()).flatten();
-    let number = number.filter(|&ms| ms <= MOST_TIME_LEFT_MS);
-    Ok(number.ok_or_else(|| senseless(name, format!("whole milliseconds to {MOST_TIME_LEFT_MS}")))? * 1_000)
+    let number = number.filter(|&ms| ms <= MAX_TIME_LEFT_MS);
+    Ok(number.ok_or_else(|| senseless(name, format!("whole milliseconds to {MAX_TIME_LEFT_MS}")))? * 1_000)
 }
 
 #[cfg(test)]
--- a/crates/external-processor/src/server.rs
+++ b/crates/external-processor/src/server.rs
@@ -39,7 +39,7 @@
 /// Replies to one Envoy stream that wait to be written: it has one message open at a time, or a piece of each body.
 const ENVOY_REPLIES: usize = 8;
 /// Lines of a load report that are read.
-const MOST_LOAD_FIELDS: usize = 64;
+const MAX_LOAD_FIELDS: usize = 64;
 
 /// The services can't begin.
 #[derive(Debug, Error)]
@@ -74,7 +74,7 @@
 
     /// `a=1,b=2` in the order of the settings; empty where a field is missing.
     fn load(&self, text: &str) -> Vec<f32> {
-        let pairs = || text.split(',').take(MOST_LOAD_FIELDS).filter_map(|pair| pair.split_once('='));
+        let pairs = || text.split(',').take(MAX_LOAD_FIELDS).filter_map(|pair| pair.split_once('='));
         let value = |field: &String| pairs().find(|(name, _)| name.trim() == field)?.1.trim().parse().ok();
         self.load_fields.iter().map(value).collect::<Option<Vec<f32>>>().unwrap_or_default()
     }
--- a/crates/external-processor/src/settings.rs
+++ b/crates/external-processor/src/settings.rs
@@ -166,7 +166,7 @@
 ];
 
 /// The longest memory, milliseconds: a day.
-const MOST_MEMORY_MS: u64 = 86_400_000;
+const MAX_MEMORY_MS: u64 = 86_400_000;
 
 impl Settings {
     /// Reads and checks a file.
@@ -213,8 +213,8 @@
         for (key, value) in
             [("memory.safe_ms", self.memory.safe_ms), ("memory.unsafe_ms", self.memory.unsafe_ms)]
         {
-            if value > MOST_MEMORY_MS {
-                return Err(senseless(key, format!("is {value}, must lie in 0..={MOST_MEMORY_MS}")));
+            if value > MAX_MEMORY_MS {
+                return Err(senseless(key, format!("is {value}, must lie in 0..={MAX_MEMORY_MS}")));
             }
         }
         let h = &self.envoy.headers;
--- a/crates/external-processor/tests/desk.rs
+++ b/crates/external-processor/tests/desk.rs
@@ -4,7 +4,7 @@
 
 use balancer::api::Outcome;
 use counter::*;
-use external_processor::desk::{Fault, MOST_WAITING, Repeat, Reply};
+use external_processor::desk::{Fault, MAX_WAITING, Repeat, Reply};
 use request_engine::claims::{ClaimError, End};
 use request_engine::engine::REPORT_GRACE;
 use request_engine::lease::{LeaseError, LeaseId};
@@ -73,7 +73,7 @@
     let mut counter = Counter::new(6);
     let first = counter.ask_keyed(1, "a", "k");
     let waiting: Vec<_> =
-        (0..MOST_WAITING as u64).map(|i| counter.ask_and_wait(2 + i, KEYED, "a", Some("k"))).collect();
+        (0..MAX_WAITING as u64).map(|i| counter.ask_and_wait(2 + i, KEYED, "a", Some("k"))).collect();
     assert!(waiting.iter().all(|&asked| counter.reply(asked).is_none()));
     let beyond = counter.ask_and_wait(99, KEYED, "a", Some("k"));
     assert_eq!(counter.reply(beyond), Some(Reply::InFlight { held_for: 0, by_key: false }));
--- a/crates/http-proxy/src/backends.rs
+++ b/crates/http-proxy/src/backends.rs
@@ -30,14 +30,14 @@
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 /// How long a probe may take once its connection is up.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a connection may take to become free again behind its answer.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// After how long a backend's close behind its answer has been heard of: a round trip within a region, and time for
 /// its machine to get to it.
 const SETTLED: Duration = Duration::from_millis(5);
 /// How often a body that is passed on is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const LOOK_INTERVAL: Duration = Duration::from_millis(20);
 /// Turns of the runtime in which an answer that the kernel has reaches whoever waits for it: the sockets are asked, the head
 /// is handed over, its body is, and one to spare. They take microseconds.
 const LAST_TURNS: u32 = 4;
@@ -212,7 +212,7 @@
     /// Closes connections that have stood idle for too long, for as long as the proxy runs.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            sleep(SWEEP_EVERY).await;
+            sleep(SWEEP_INTERVAL).await;
             for server in self.servers.borrow().values() {
                 server.idle.borrow_mut().retain(|idle| self.is_usable(idle));
             }
@@ -473,7 +473,7 @@
         if Instant::now() > (began + pace::time_for(upload.passed())).min(silent_at) {
             return;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(LOOK_INTERVAL).await;
     };
     sleep_until(ended + call.patience).await;
 }
--- a/crates/http-proxy/src/claim.rs
+++ b/crates/http-proxy/src/claim.rs
@@ -7,7 +7,7 @@
 use request_engine::shell::clock::Clock;
 
 /// When a client may ask again for what another holds, microseconds.
-const ASK_AGAIN: Micros = 1_000_000;
+const ASK_RETRY_DELAY: Micros = 1_000_000;
 
 /// The request is not this client's to have sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
         match claimed {
             Ok(Claimed::New(id)) => Ok(Some(Self { claims, clock, id, memory, settled: false })),
             Ok(Claimed::Settled(Remembered { front: Front::Carried, .. })) => Ok(None),
-            Ok(Claimed::Held { .. }) | Err(ClaimError::Full(_)) => Err(Taken::Refused(ASK_AGAIN)),
+            Ok(Claimed::Held { .. }) | Err(ClaimError::Full(_)) => Err(Taken::Refused(ASK_RETRY_DELAY)),
             Ok(Claimed::Settled(Remembered { end: End::Refused(until), .. })) => {
                 Err(Taken::Refused(until.saturating_sub(now)))
             }
--- a/crates/http-proxy/src/clients.rs
+++ b/crates/http-proxy/src/clients.rs
@@ -44,7 +44,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// How often a connection is looked at: whether its time is over, and, while the proxy ends, whether it can close.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const LOOK_INTERVAL: Duration = Duration::from_millis(250);
 const LOOK_AT_END: Duration = Duration::from_millis(25);
 /// How long the one that was asked to make room may take before the next is asked.
 const ROOM_WAIT: Duration = Duration::from_millis(5);
@@ -311,7 +311,7 @@
                         return End::Closed;
                     }
                 }
-                () = sleep(if closing { LOOK_AT_END } else { LOOK_EVERY }) => {
+                () = sleep(if closing { LOOK_AT_END } else { LOOK_INTERVAL }) => {
                     let now = Instant::now();
                     connection.look_behind(&stream.borrow());
                     match connection.doing() {
--- a/crates/http-proxy/src/clients/inbound.rs
+++ b/crates/http-proxy/src/clients/inbound.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// A time left beyond this makes no sense.
-const MOST_TIME_LEFT_MS: u64 = 3_600_000;
+const MAX_TIME_LEFT_MS: u64 = 3_600_000;
 
 const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 const SERVICE_CLASS: HeaderName = HeaderName::from_static("x-service-class");
@@ -75,7 +75,7 @@
         // The type's own parser would take a sign.
         let digits = text(TIME_LEFT).filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
         let time_left = digits.and_then(|v| v.parse::<u64>().ok());
-        let time_left = time_left.filter(|&ms| ms <= MOST_TIME_LEFT_MS);
+        let time_left = time_left.filter(|&ms| ms <= MAX_TIME_LEFT_MS);
         let patience = time_left.ok_or(bad("X-Time-Left-Ms is missing or makes no sense\n"))? * 1_000;
         let (class, patience) = (class.place, patience.min(class.deadline));
         let key = head.uri.query().and_then(about);
--- a/crates/http-proxy/src/discovery.rs
+++ b/crates/http-proxy/src/discovery.rs
@@ -43,24 +43,24 @@
 const PATIENT_LIST: Duration = Duration::from_millis(800);
 /// How long after a failure an agent is asked again, at first and at the most.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-const MOST_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(100);
 /// How long a list that has begun to come may pause, and how long it may take in all: what discovery had 6 s ago counts as
 /// told, and a list that comes slowly is news all the same.
 const LIST_SILENCE: Duration = Duration::from_millis(750);
-const LIST_WITHIN: Duration = Duration::from_secs(4);
+const LIST_TIMEOUT: Duration = Duration::from_secs(4);
 /// A watch that nothing is new for and that was answered within this did not wait. The next one comes after a pause, well
 /// within the 200 ms in which it goes on.
 const AT_ONCE: Duration = Duration::from_millis(20);
 const PAUSE: Duration = Duration::from_millis(50);
 /// How soon a connect that failed on this machine is tried again.
-const CONNECT_AGAIN: Duration = Duration::from_millis(20);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The largest list that is read, in bytes; some 25,000 entries fit in.
 pub const LIST_CAP: usize = 4 << 20;
 /// How long after a list that is too long another one is asked for, at first and at the most: each costs the service the
 /// writing of it, and only whoever keeps the list can make it shorter. A part of it is left to chance, so that not all
 /// proxies ask at once.
 const FIRST_OVERSIZED: Duration = Duration::from_secs(5);
-const MOST_OVERSIZED: Duration = Duration::from_secs(30);
+const MAX_OVERSIZED: Duration = Duration::from_secs(30);
 const OVERSIZED_CHANCE: f64 = 0.25;
 
 /// Why a call to discovery brought nothing.
@@ -82,7 +82,7 @@
     #[error(
         "the list is too long: {}, and at most {LIST_CAP} are read, some 25000 backends; the list that is held serves on, \
          and a shorter one is asked for after {} s, later each {} s",
-        size(.0), FIRST_OVERSIZED.as_secs(), MOST_OVERSIZED.as_secs()
+        size(.0), FIRST_OVERSIZED.as_secs(), MAX_OVERSIZED.as_secs()
     )]
     Oversized(Option<u64>),
     /// Not the JSON that is wanted.
@@ -111,7 +111,7 @@
 /// How long to wait after so many lists in a row that were too long. `chance` is drawn from 0..1.
 fn oversized_pause(in_a_row: u32, chance: f64) -> Duration {
     let most = FIRST_OVERSIZED * 2_u32.saturating_pow(in_a_row.saturating_sub(1).min(8));
-    most.min(MOST_OVERSIZED).mul_f64(1.0 - OVERSIZED_CHANCE * chance)
+    most.min(MAX_OVERSIZED).mul_f64(1.0 - OVERSIZED_CHANCE * chance)
 }
 
 struct Conn {
@@ -352,7 +352,7 @@
             return tell_list(&self.handle, Scope::Failed, &Vec::new());
         }
         self.revision = None;
-        sleep(pause.unwrap_or((FIRST_BACKOFF * self.failures).min(MOST_BACKOFF))).await;
+        sleep(pause.unwrap_or((FIRST_BACKOFF * self.failures).min(MAX_BACKOFF))).await;
     }
 
     /// What the next call asks for, and how long it may take.
@@ -422,7 +422,7 @@
     if told.is_some_and(|bytes| bytes > LIST_CAP as u64) {
         return Err(DiscoveryError::Oversized(told));
     }
-    let end = Instant::now() + LIST_WITHIN;
+    let end = Instant::now() + LIST_TIMEOUT;
     let (mut body, mut list) = (Limited::new(body, LIST_CAP), BytesMut::new());
     loop {
         let piece = timeout_at(end.min(Instant::now() + LIST_SILENCE), body.frame()).await;
@@ -441,7 +441,7 @@
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     loop {
         match TcpStream::connect(address).await {
-            Err(error) if retry::is_local(&error) => sleep(CONNECT_AGAIN).await,
+            Err(error) if retry::is_local(&error) => sleep(CONNECT_RETRY_DELAY).await,
             connected => return connected,
         }
     }
--- a/crates/http-proxy/src/discovery/starts.rs
+++ b/crates/http-proxy/src/discovery/starts.rs
@@ -9,11 +9,11 @@
 use rustc_hash::FxHashMap;
 
 /// How late a list may be believed to tell a start.
-const MOST_LATE: Micros = 4_000_000;
+const MAX_LATE: Micros = 4_000_000;
 /// How long the start of a backend that has left the list is remembered: one that returns has not started anew.
 const REMEMBERED: Micros = 600_000_000;
 /// How many of those are remembered, the latest ones.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_REMEMBERED: usize = 4_096;
 
 /// A start that was told.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn new(safety: &Safety) -> Self {
         let doubled = safety.cold_from / (1.0 - safety.cold_from).max(f64::EPSILON);
-        let late = MOST_LATE.min((safety.cold_time as f64 * doubled.clamp(0.0, 1.0)) as Micros);
+        let late = MAX_LATE.min((safety.cold_time as f64 * doubled.clamp(0.0, 1.0)) as Micros);
         Self { late, known: FxHashMap::default() }
     }
 
@@ -61,7 +61,7 @@
         let before_newest = newest.saturating_sub(told).saturating_mul(1_000);
         let earliest = now.saturating_sub(self.late).saturating_sub(before_newest);
         // What lies far ahead was told by a clock that tells nothing here.
-        let is_far_ahead = by_clocks > now.saturating_add(MOST_LATE);
+        let is_far_ahead = by_clocks > now.saturating_add(MAX_LATE);
         let started = if is_far_ahead { earliest } else { by_clocks.min(now).max(earliest) };
         self.known.insert(id, Start { told, started, left_at: None });
         Some(started)
@@ -77,9 +77,9 @@
             now.saturating_sub(left_at) < REMEMBERED
         });
         let mut left: Vec<_> = self.known.values().filter_map(|start| start.left_at).collect();
-        if left.len() > MOST_REMEMBERED {
+        if left.len() > MAX_REMEMBERED {
             left.sort_unstable();
-            let since = left[left.len() - MOST_REMEMBERED];
+            let since = left[left.len() - MAX_REMEMBERED];
             self.known.retain(|_, start| start.left_at.is_none_or(|at| at >= since));
         }
     }
--- a/crates/http-proxy/src/discovery/starts/tests.rs
+++ b/crates/http-proxy/src/discovery/starts/tests.rs
@@ -67,12 +67,12 @@
 #[test]
 fn so_many_that_left_are_remembered_and_no_more() {
     let mut starts = starts();
-    for id in 0..2 * MOST_REMEMBERED as u32 {
+    for id in 0..2 * MAX_REMEMBERED as u32 {
         let now = NOW + u64::from(id);
         starts.place(now, id, NOW_MS, NOW_MS);
         starts.forget(now, |listed| listed == 0);
     }
-    assert!(starts.known.len() <= MOST_REMEMBERED + 1, "{}", starts.known.len());
+    assert!(starts.known.len() <= MAX_REMEMBERED + 1, "{}", starts.known.len());
     assert!(starts.is_known(0, NOW_MS), "it is listed");
 }
 
--- a/crates/http-proxy/src/log.rs
+++ b/crates/http-proxy/src/log.rs
@@ -18,7 +18,7 @@
 /// The stack of the thread that writes.
 const WRITER_STACK: usize = 64 << 10;
 /// Failures of one kind are told at once and then in sums, this far apart.
-const SUM_EVERY: Duration = Duration::from_secs(10);
+const SUM_INTERVAL: Duration = Duration::from_secs(10);
 
 thread_local! {
     /// When the present second of the log began, and its lines so far.
@@ -116,7 +116,7 @@
     /// Gives how many have to be told now, this one included.
     fn due(&self, now: Instant) -> Option<u32> {
         let count = self.untold.get().saturating_add(1);
-        if self.told.get().is_some_and(|at| now.saturating_duration_since(at) < SUM_EVERY) {
+        if self.told.get().is_some_and(|at| now.saturating_duration_since(at) < SUM_INTERVAL) {
             self.untold.set(count);
             return None;
         }
--- a/crates/http-proxy/src/log/tests.rs
+++ b/crates/http-proxy/src/log/tests.rs
@@ -15,6 +15,6 @@
     assert_eq!(failures.due(began), Some(1));
     let soon = (0..300).filter_map(|_| failures.due(began + Duration::from_secs(1))).count();
     assert_eq!(soon, 0);
-    assert_eq!(failures.due(began + SUM_EVERY), Some(301));
-    assert_eq!(failures.due(began + 3 * SUM_EVERY), Some(1));
+    assert_eq!(failures.due(began + SUM_INTERVAL), Some(301));
+    assert_eq!(failures.due(began + 3 * SUM_INTERVAL), Some(1));
 }
--- a/crates/proxy-server/src/files.rs
+++ b/crates/proxy-server/src/files.rs
@@ -19,8 +19,8 @@
 use tokio::time::{Instant, sleep};
 
 /// For how long a process that begins waits for a disk that refuses to give what was kept. Its yes is due within 6 s.
-const OPEN_WITHIN: Duration = Duration::from_secs(4);
-const OPEN_AGAIN: Duration = Duration::from_millis(20);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(4);
+const OPEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The bans as files keep them, and this process's place among those of its proxy.
 pub struct Files {
@@ -48,7 +48,7 @@
     /// # Errors
     /// Where there is no place to be had.
     pub async fn open(folder: &Path, name: &str, now: Micros, of: Rc<Cell<u64>>) -> io::Result<(Self, Bans)> {
-        let end = Instant::now() + OPEN_WITHIN;
+        let end = Instant::now() + OPEN_TIMEOUT;
         let store = Store::new(folder, name, MachineTime::new(now));
         let (seen, bans) = Self::first_bans(&store, end).await;
         if bans.out().len() > 0 {
@@ -78,7 +78,7 @@
             match store.load() {
                 Ok(bans) => return (Some(stamp), bans),
                 Err(StoreError::Io(_, error)) if retry::is_of_disk(&error) && Instant::now() < end => {
-                    sleep(OPEN_AGAIN).await;
+                    sleep(OPEN_RETRY_DELAY).await;
                 }
                 Err(error) => {
                     log(format_args!("no backend is out, since the bans can't be read: {error}"));
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -61,18 +61,18 @@
 const DISK_STACK: usize = 128 << 10;
 
 /// How long an ending process waits for whoever reads its log.
-const LOG_WITHIN: Duration = Duration::from_millis(50);
+const LOG_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// For how long the first calls of a process are made again where they fail for a moment.
-const FIRST_WITHIN: Duration = Duration::from_secs(3);
-const FIRST_AGAIN: Duration = Duration::from_millis(20);
+const FIRST_TIMEOUT: Duration = Duration::from_secs(3);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Makes one of the first calls, before there is anything to serve, until it succeeds or fails for good.
 fn first<T, E>(mut call: impl FnMut() -> Result<T, E>, is_passing: impl Fn(&E) -> bool) -> Result<T, E> {
-    let end = Instant::now() + FIRST_WITHIN;
+    let end = Instant::now() + FIRST_TIMEOUT;
     loop {
         match call() {
-            Err(error) if is_passing(&error) && Instant::now() < end => thread::sleep(FIRST_AGAIN),
+            Err(error) if is_passing(&error) && Instant::now() < end => thread::sleep(FIRST_RETRY_DELAY),
             done => return done,
         }
     }
@@ -137,6 +137,6 @@
             ExitCode::FAILURE
         }
     };
-    log::flush(LOG_WITHIN);
+    log::flush(LOG_TIMEOUT);
     code
 }
--- a/crates/proxy-server/src/operators.rs
+++ b/crates/proxy-server/src/operators.rs
@@ -20,10 +20,10 @@
 use tokio::time::{sleep, timeout};
 
 /// How long a caller waits for the disk: its second has to hold that and the answer.
-const KEPT_WITHIN: Duration = Duration::from_millis(800);
+const KEPT_TIMEOUT: Duration = Duration::from_millis(800);
 /// How often the other processes and what they have written are looked at: well within the second after which a ban that
 /// was said to either binds both.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const LOOK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// At every how manieth look what was learnt is kept: each second.
 const KEEP_EVERY: u32 = 10;
@@ -128,7 +128,7 @@
         // It goes on where the caller has gone, or its second is over.
         let operators = Rc::clone(self);
         let kept = tokio::task::spawn_local(async move { operators.keep_pending().await });
-        let unkept = match timeout(KEPT_WITHIN, kept).await {
+        let unkept = match timeout(KEPT_TIMEOUT, kept).await {
             Ok(Ok(Ok(()))) => String::new(),
             Ok(Ok(Err(error))) => format!("; not kept yet, and tried again: {error}"),
             Ok(Err(_)) | Err(_) => "; not kept yet, and tried again".to_owned(),
@@ -146,7 +146,7 @@
     /// Tries on until the file has all that is in force.
     async fn keep_trying(self: Rc<Self>) {
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(LOOK_INTERVAL).await;
             if self.files.owes()
                 && let Err(error) = self.keep_pending().await
             {
@@ -172,7 +172,7 @@
         tokio::task::spawn_local(Rc::clone(&self).keep_trying());
         let mut looks = 0_u32;
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(LOOK_INTERVAL).await;
             self.look_round();
             looks += 1;
             if looks.is_multiple_of(KEEP_EVERY) && self.stand.borrow().is_ready() {
--- a/crates/proxy-server/src/program.rs
+++ b/crates/proxy-server/src/program.rs
@@ -41,16 +41,16 @@
 /// The kernel's queue of connections that are not accepted yet.
 const BACKLOG: u32 = 1_024;
 /// For how long a listener that can't be had for a moment is asked for again.
-const LISTEN_WITHIN: Duration = Duration::from_secs(4);
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(4);
 /// After SIGTERM, connections still come for a while: how long the proxy goes on at the least, and how long
 /// nobody must have connected.
-const DRAIN_LEAST: Duration = Duration::from_millis(800);
+const MIN_DRAIN: Duration = Duration::from_millis(800);
 /// New connections come for so long after SIGTERM; with short deadlines the process goes on for that and the deadline.
 const CONNECTIONS_COME: Duration = Duration::from_millis(400);
 const DRAIN_QUIET: Duration = Duration::from_millis(300);
 const DRAIN_STEP: Duration = Duration::from_millis(50);
 /// How soon the listener's queue is looked at again where a look failed.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+const LOOK_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Requests that may be open for each client connection that there may be. Attempts of clients that have left go on.
 const OPEN_PER_CLIENT: usize = 8;
 /// The longest deadline that an ending process is given the time for. The platform kills it 0.7 s after that.
@@ -201,7 +201,7 @@
     };
     let unheard = |error| ProgramError::Listen(config.listen, error);
     let listens = || listen(config.listen, config.console.is_some());
-    let listener = retry::until(Instant::now() + LISTEN_WITHIN, retry::is_local, listens).await;
+    let listener = retry::until(Instant::now() + LISTEN_TIMEOUT, retry::is_local, listens).await;
     let listener = Rc::new(listener.map_err(unheard)?);
     let opened = Instant::now();
     let monitor = StallMonitor::new(opened);
@@ -320,7 +320,7 @@
 async fn open_console(address: SocketAddr, operators: &Rc<Operators>) -> Result<SocketAddr, ProgramError> {
     let unheard = |error| ProgramError::Listen(address, error);
     let listener =
-        retry::until(Instant::now() + LISTEN_WITHIN, retry::is_local, || listen(address, false)).await;
+        retry::until(Instant::now() + LISTEN_TIMEOUT, retry::is_local, || listen(address, false)).await;
     let listener = listener.map_err(unheard)?;
     let address = listener.local_addr().map_err(unheard)?;
     let answers = Rc::clone(operators);
@@ -344,7 +344,7 @@
     longest: Duration,
 ) {
     let longest = longest.min(DRAIN_LONGEST);
-    let least = DRAIN_LEAST.min(longest + CONNECTIONS_COME);
+    let least = MIN_DRAIN.min(longest + CONNECTIONS_COME);
     handle.answer_by(handle.clock().at(began) + micros(longest + ANSWER_SLACK));
     let _ = phase.send(Phase::Draining);
     while began.elapsed() < least || (clients.quiet() < DRAIN_QUIET && began.elapsed() < longest) {
@@ -362,7 +362,7 @@
         // kernel completes in that moment.
         match clients.take_completed(listener) {
             Completed::Taken => {}
-            Completed::Failed if Instant::now() < end => sleep(LOOK_AGAIN).await,
+            Completed::Failed if Instant::now() < end => sleep(LOOK_RETRY_DELAY).await,
             Completed::None | Completed::Failed => return,
         }
     }
--- a/crates/proxy-server/src/renewal.rs
+++ b/crates/proxy-server/src/renewal.rs
@@ -20,8 +20,8 @@
 
 /// For how long a configuration that can't be read is tried, and how often. What discovery has counts as told 4 s after the
 /// signal.
-const READ_WITHIN: Duration = Duration::from_millis(2_500);
-const READ_AGAIN: Duration = Duration::from_millis(50);
+const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The present configuration, and where another one goes.
 pub struct Renewal {
@@ -91,10 +91,10 @@
 
     /// A file that can't be read for a moment is read again: what it says counts from the signal on.
     async fn renew_once_readable(&mut self, clients: &Clients) -> Result<SocketAddr, ConfigError> {
-        let end = Instant::now() + READ_WITHIN;
+        let end = Instant::now() + READ_TIMEOUT;
         loop {
             match self.renew(clients) {
-                Err(ConfigError::Unreadable(..)) if Instant::now() < end => sleep(READ_AGAIN).await,
+                Err(ConfigError::Unreadable(..)) if Instant::now() < end => sleep(READ_RETRY_DELAY).await,
                 renewed => return renewed,
             }
         }
--- a/crates/proxy-server/tests/faults/ending.rs
+++ b/crates/proxy-server/tests/faults/ending.rs
@@ -6,7 +6,7 @@
 
 pub const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 /// When the platform kills a process that was told to end: so long after the longest deadline.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
+const KILL_DELAY: Duration = Duration::from_millis(700);
 
 fn with_deadline(name: &str, discovery: &Discovery, millis: u64) -> serde_json::Value {
     let mut config = config(name, discovery);
@@ -40,7 +40,7 @@
     let _idle = proxy.client();
     assert_eq!(proxy.wait().code(), Some(0));
     let took = began.elapsed();
-    assert!(took < Duration::from_millis(300) + KILLED_AFTER, "it ended after {took:?}");
+    assert!(took < Duration::from_millis(300) + KILL_DELAY, "it ended after {took:?}");
 }
 
 /// More clients than it may hold, and accepts that fail: what stands in the listener's queue has its answer.
--- a/crates/proxy-server/tests/faults/soak.rs
+++ b/crates/proxy-server/tests/faults/soak.rs
@@ -21,7 +21,7 @@
 const AT_ONCE: usize = 4;
 /// When the signal to end comes, and the kill after it beside the longest deadline.
 const ENDS_AT: Duration = Duration::from_millis(2_600);
-const KILLED_AFTER: Duration = Duration::from_millis(700);
+const KILL_DELAY: Duration = Duration::from_millis(700);
 /// New connections go on coming for so long after SIGTERM.
 const CONNECTIONS_COME: Duration = Duration::from_millis(400);
 /// Up to half a second after its time an answer only earns nothing.
@@ -302,7 +302,7 @@
     }
     proxy.terminate();
     let told = Instant::now();
-    let kill = told + soak.deadline + KILLED_AFTER;
+    let kill = told + soak.deadline + KILL_DELAY;
     if rng.bool() {
         stand(proxy, rng.u64(20..140));
     }
--- a/crates/proxy-server/tests/proxy/ending.rs
+++ b/crates/proxy-server/tests/proxy/ending.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// When the platform kills a process that was told to end: so long after the longest deadline, 3 s at most.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
+const KILL_DELAY: Duration = Duration::from_millis(700);
 const LONGEST: Duration = Duration::from_secs(3);
 
 #[test]
@@ -131,7 +131,7 @@
     drop(client);
     assert_eq!(proxy.wait().code(), Some(0));
     let took = began.elapsed();
-    assert!(took < LONGEST + KILLED_AFTER, "it ended after {took:?}");
+    assert!(took < LONGEST + KILL_DELAY, "it ended after {took:?}");
 }
 
 /// A client that connects late and takes a moment for its first word, while another's request keeps the process alive.
--- a/crates/request-engine/src/engine.rs
+++ b/crates/request-engine/src/engine.rs
@@ -5,7 +5,7 @@
 //!    latest; nothing can be said of it afterwards.
 //! 2. No effect twice: an attempt settles once, and the decisions are told of it in the same step. A lease that runs
 //!    out counts as one that may have run.
-//! 3. Drains: a carried attempt starts at once; a lease may be used for [`SEND_WITHIN`] only, and is asked back
+//! 3. Drains: a carried attempt starts at once; a lease may be used for [`SEND_WINDOW`] only, and is asked back
 //!    when its backend drains or goes.
 //! 4. Cold backends: both kinds of attempts come from the decisions' one [`Action::Send`], after its budget.
 
@@ -30,7 +30,7 @@
 pub const LAST_MARGIN: Micros = 10_000;
 /// How long after its grant the holder of a lease may begin to send. Well within the second for which a backend that
 /// drains may still get something new, so that a lease granted just before the news keeps that rule too.
-pub const SEND_WITHIN: Micros = 250_000;
+pub const SEND_WINDOW: Micros = 250_000;
 /// How long after an attempt is given up its holder's report may still arrive. Under `ANSWER_MARGIN` less
 /// `LAST_MARGIN`, so that the decisions word the final answer and not the last moment.
 pub const REPORT_GRACE: Micros = 8_000;
@@ -544,7 +544,7 @@
         backend: BackendId,
         Schedule { begin_by, give_up_at }: Schedule,
     ) {
-        let send_by = give_up_at.min(begin_by).min(now.saturating_add(SEND_WITHIN));
+        let send_by = give_up_at.min(begin_by).min(now.saturating_add(SEND_WINDOW));
         let expires = give_up_at.saturating_add(REPORT_GRACE);
         let lease =
             Lease { request, attempt, backend, send_by, expires, stage: Stage::Granted, revoked: false };
--- a/crates/request-engine/src/timers.rs
+++ b/crates/request-engine/src/timers.rs
@@ -5,7 +5,7 @@
 use std::collections::BinaryHeap;
 
 /// Entries below which the heap is never swept.
-const SWEEP_LEAST: usize = 1_024;
+const MIN_SWEEP_SIZE: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Due {
@@ -30,7 +30,7 @@
     /// Adds an entry; `lives` tells whether an entry's cause still stands.
     pub(crate) fn add(&mut self, at: Micros, due: Due, lives: impl Fn(Due) -> bool) {
         self.heap.push(Reverse((at, due)));
-        if self.heap.len() > self.sweep_at.max(SWEEP_LEAST) {
+        if self.heap.len() > self.sweep_at.max(MIN_SWEEP_SIZE) {
             self.heap.retain(|&Reverse((_, due))| lives(due));
             self.sweep_at = self.heap.len() * 2;
         }
--- a/crates/request-engine/src/timers/tests.rs
+++ b/crates/request-engine/src/timers/tests.rs
@@ -20,5 +20,5 @@
     for request in 0..1_000_000 {
         timers.add(1_000_000, Due::LastMoment(request), |due| due == Due::LastMoment(request));
     }
-    assert!(timers.len() <= SWEEP_LEAST + 1, "{} entries", timers.len());
+    assert!(timers.len() <= MIN_SWEEP_SIZE + 1, "{} entries", timers.len());
 }
--- a/crates/request-engine/tests/hard_cases.rs
+++ b/crates/request-engine/tests/hard_cases.rs
@@ -114,7 +114,7 @@
 fn a_lease_that_must_have_been_used_by_now_is_not_asked_back() {
     let mut world = ten();
     let (client, grant) = world.lease(1);
-    world.pass(SEND_WITHIN);
+    world.pass(SEND_WINDOW);
     world.full((0..10).filter(|&id| Some(id) != grant.map(|g| g.backend)).map(backend).collect());
     assert!(!world.attempt((client, 0)).revoked, "it runs there, and the backend finishes it");
     world.end((client, 0), Outcome::Ok).expect("in time");
--- a/crates/request-engine/tests/world/mod.rs
+++ b/crates/request-engine/tests/world/mod.rs
@@ -363,7 +363,7 @@
             }
         }
         if let Some(grant) = lease {
-            assert!(grant.send_by <= self.now + SEND_WITHIN && grant.send_by <= grant.give_up_at);
+            assert!(grant.send_by <= self.now + SEND_WINDOW && grant.send_by <= grant.give_up_at);
         }
         let (ran, sent_at) = (Ran::Out, self.now);
         facts.attempts.push(Attempt {
--- a/crates/settings/src/renewal.rs
+++ b/crates/settings/src/renewal.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Places for classes that there may be, those of earlier settings too: the module numbers them in one byte.
-pub const MOST_CLASSES: usize = 256;
+pub const MAX_CLASSES: usize = 256;
 
 /// Why settings can't take the place of others.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     NoTtl(usize),
     /// There is no place left.
     #[error(
-        "no place for a further class: {MOST_CLASSES} are used up by this and earlier settings; restart the proxy"
+        "no place for a further class: {MAX_CLASSES} are used up by this and earlier settings; restart the proxy"
     )]
     Full,
 }
@@ -82,7 +82,7 @@
                 }
             }
         }
-        if classes.len() > MOST_CLASSES {
+        if classes.len() > MAX_CLASSES {
             return Err(RenewalError::Full);
         }
         self.names = places;
--- a/crates/settings/tests/renewal.rs
+++ b/crates/settings/tests/renewal.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use settings::parse_settings;
-use settings::renewal::{Classes, MOST_CLASSES, RenewalError, at_start_only, has_all_keys};
+use settings::renewal::{Classes, MAX_CLASSES, RenewalError, at_start_only, has_all_keys};
 
 fn class(name: &str, effect: &str, deadline: u64) -> Value {
     let mut class = json!({"name": name, "effect": effect, "aimUs": 100, "deadlineUs": deadline, "worth": 1.0,
@@ -67,12 +67,12 @@
     assert_eq!(places(&classes), [(0, "read")]);
     // Places are used up in the end, and that is said.
     let (mut settings, mut full) = (old, false);
-    for turn in 0..MOST_CLASSES as u64 {
+    for turn in 0..MAX_CLASSES as u64 {
         let (new, names) = read(&file(&[class("read", "retryable", 1_000 + turn)]));
         match classes.renew(&settings, &new, &names) {
             Ok(renewed) => settings = renewed,
             Err(error) => {
-                assert_eq!((error, settings.classes.len()), (RenewalError::Full, MOST_CLASSES));
+                assert_eq!((error, settings.classes.len()), (RenewalError::Full, MAX_CLASSES));
                 full = true;
             }
         }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -55,8 +55,8 @@
         let json = SETTINGS.replace(r#"{"name": "t", "allowancePerS": 12.5, "share": 1.0}"#, &list);
         parse_settings(json.as_bytes()).map(|settings| settings.tenants.len())
     };
-    assert_eq!(with(MOST_TENANTS), Ok(MOST_TENANTS));
-    let error = with(MOST_TENANTS + 1).expect_err("one too many");
+    assert_eq!(with(MAX_TENANTS), Ok(MAX_TENANTS));
+    let error = with(MAX_TENANTS + 1).expect_err("one too many");
     assert_eq!(error.field, "tenants");
     assert!(error.problem.contains("65537") && error.problem.contains("65536"), "{error}");
 }
--- a/crates/testbed/src/callers.rs
+++ b/crates/testbed/src/callers.rs
@@ -28,9 +28,9 @@
 use tonic::Streaming;
 
 /// The most requests, callers and boxes of a campaign.
-const MOST_REQUESTS: usize = 5_000_000;
-const MOST_CALLERS: usize = 64;
-const MOST_BOXES: usize = 8_000;
+const MAX_REQUESTS: usize = 5_000_000;
+const MAX_CALLERS: usize = 64;
+const MAX_BOXES: usize = 8_000;
 /// A caller that hears nothing for so long has found a lost answer.
 const SILENCE: Duration = Duration::from_secs(15);
 /// How often a paced caller looks whether something is due.
@@ -61,7 +61,7 @@
     #[error("caller {0}: {1}")]
     Senseless(usize, String),
     /// What was asked for is too much or nothing.
-    #[error("1 to {MOST_REQUESTS} requests, 1 to {MOST_CALLERS} callers, 1 to {MOST_BOXES} boxes")]
+    #[error("1 to {MAX_REQUESTS} requests, 1 to {MAX_CALLERS} callers, 1 to {MAX_BOXES} boxes")]
     TooMuch,
 }
 
@@ -388,9 +388,9 @@
 /// Where the processor does not come up, or an answer does not come or makes no sense.
 pub fn play(campaign: &Campaign) -> Result<Played, CallersError> {
     let in_range = |value: usize, most: usize| (1..=most).contains(&value);
-    if !in_range(campaign.requests, MOST_REQUESTS)
-        || !in_range(campaign.callers, MOST_CALLERS)
-        || !in_range(campaign.boxes, MOST_BOXES)
+    if !in_range(campaign.requests, MAX_REQUESTS)
+        || !in_range(campaign.callers, MAX_CALLERS)
+        || !in_range(campaign.boxes, MAX_BOXES)
         || campaign.open == 0
     {
         return Err(CallersError::TooMuch);
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -28,8 +28,8 @@
 use tokio::time::{Instant, sleep};
 
 /// The most boxes and requests of one measurement.
-const MOST_BOXES: usize = 5_000;
-const MOST_REQUESTS: usize = 5_000_000;
+const MAX_BOXES: usize = 5_000;
+const MAX_REQUESTS: usize = 5_000_000;
 /// Requests before the count begins.
 const WARM_UP: usize = 5_000;
 
@@ -40,7 +40,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     /// What was asked for is too much.
-    #[error("at most {MOST_BOXES} boxes and {MOST_REQUESTS} requests")]
+    #[error("at most {MAX_BOXES} boxes and {MAX_REQUESTS} requests")]
     TooMuch,
     /// The middle did not begin to listen, or an answer was not the box's.
     #[error("{0}")]
@@ -264,8 +264,7 @@
 /// # Errors
 /// Where a socket or process fails, or an answer is not a box's.
 pub fn measure(load: &Load) -> Result<Vec<[Figures; 3]>, CostError> {
-    if load.boxes > MOST_BOXES || load.requests * load.turns > MOST_REQUESTS || load.boxes * load.clients == 0
-    {
+    if load.boxes > MAX_BOXES || load.requests * load.turns > MAX_REQUESTS || load.boxes * load.clients == 0 {
         return Err(CostError::TooMuch);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/crates/testbed/src/fleet/day.rs
+++ b/crates/testbed/src/fleet/day.rs
@@ -1,7 +1,7 @@
 //! A day over processes, from the first one's start to the last one's end.
 
 use super::keep;
-use super::processes::{END_WITHIN, Folder, Machine, Place, Process, cpu_s};
+use super::processes::{END_TIMEOUT, Folder, Machine, Place, Process, cpu_s};
 use super::relay::{self, Clock};
 use super::report::{Cost, Row};
 use crate::cold_sums;
@@ -28,7 +28,7 @@
 use tokio::time::sleep;
 
 /// The most processes of a day.
-const MOST_PROCESSES: usize = 400;
+const MAX_PROCESSES: usize = 400;
 /// Clients begin so long after all is ready.
 const HEAD_START: Micros = 200_000;
 /// New connections go on coming so long after a process was told to end.
@@ -72,9 +72,9 @@
 /// Where it can't be played, or a process crashes. Broken rules are no error but in the row.
 pub fn play(script: &Script, machine: &Machine) -> Result<Row, FleetError> {
     script.check()?;
-    if script.fleet.proxies > MOST_PROCESSES {
+    if script.fleet.proxies > MAX_PROCESSES {
         let problem =
-            format!("{} processes, {MOST_PROCESSES} at most; more in virtual time", script.fleet.proxies);
+            format!("{} processes, {MAX_PROCESSES} at most; more in virtual time", script.fleet.proxies);
         return Err(ScriptError::Value("fleet.proxies".into(), problem).into());
     }
     keep::all_descriptors()?;
@@ -375,7 +375,7 @@
 
 /// Waits until all have ended, or for as long as they may take.
 async fn wait_for_end(mut told: Vec<(usize, Process)>) -> Vec<(usize, Process)> {
-    let end = tokio::time::Instant::now() + END_WITHIN;
+    let end = tokio::time::Instant::now() + END_TIMEOUT;
     while told.iter_mut().any(|(_, process)| process.ended().is_none()) && tokio::time::Instant::now() < end {
         sleep(Duration::from_millis(20)).await;
     }
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -19,14 +19,14 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// How long a process may take to be ready; hundreds start at once on a few cores.
-pub(super) const READY_WITHIN: Duration = Duration::from_secs(30);
+pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// How often one is asked, and how long an answer may take.
-const ASK_EVERY: Duration = Duration::from_millis(25);
-const ANSWER_WITHIN: Duration = Duration::from_secs(1);
+const ASK_INTERVAL: Duration = Duration::from_millis(25);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The longest answer of a console that is read, in bytes.
 const ANSWER_CAP: usize = 512;
 /// How long processes have to end at the day's end before they are killed.
-pub(super) const END_WITHIN: Duration = Duration::from_secs(5);
+pub(super) const END_TIMEOUT: Duration = Duration::from_secs(5);
 /// What a process logs that goes on from the limits of the one whose place it takes.
 const WENT_ON: &str = "goes on from the limits that were learnt";
 /// Clock ticks a second in the kernel's accounts: what Linux shows to programs, whatever its own clock.
@@ -151,31 +151,31 @@
                     self.ready = ready;
                     return ready;
                 }
-                () = sleep(ASK_EVERY) => if self.ended().is_some() { return false },
+                () = sleep(ASK_INTERVAL) => if self.ended().is_some() { return false },
             }
         }
     }
 
     /// Asks until the process says that it is ready.
     pub(super) async fn wait_until_ready(console: SocketAddr) -> bool {
-        let end = Instant::now() + READY_WITHIN;
+        let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
-            if let Ok(Ok(true)) = timeout(ANSWER_WITHIN, ask(console, "readyz")).await {
+            if let Ok(Ok(true)) = timeout(ANSWER_TIMEOUT, ask(console, "readyz")).await {
                 return true;
             }
-            sleep(ASK_EVERY).await;
+            sleep(ASK_INTERVAL).await;
         }
         false
     }
 
     /// Asks whoever listens there until `/up` says that it serves, as a front does.
     pub(super) async fn wait_until_up(listen: SocketAddr) -> bool {
-        let end = Instant::now() + READY_WITHIN;
+        let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
-            if let Ok(Ok(200)) = timeout(ANSWER_WITHIN, up(listen)).await {
+            if let Ok(Ok(200)) = timeout(ANSWER_TIMEOUT, up(listen)).await {
                 return true;
             }
-            sleep(ASK_EVERY).await;
+            sleep(ASK_INTERVAL).await;
         }
         false
     }
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -6,7 +6,7 @@
 
 /// A segment that was lost over TCP comes again after this, twice as long each time, up to so many times.
 const RETRANSMIT: Micros = 200_000;
-const MOST_RETRANSMITS: u32 = 5;
+const MAX_RETRANSMITS: u32 = 5;
 /// A datagram that comes behind later ones comes so much later at the least.
 const REORDER: Micros = 20_000;
 
@@ -125,7 +125,7 @@
         for (number, Rule { fault, to, .. }) in self.in_force(link, way, now) {
             let mut rng = self.draw(number, link, 2 + way as u64, nth + 1);
             passage.delay += late(fault, &mut rng);
-            let losses = (0..MOST_RETRANSMITS).take_while(|_| rng.f64() < fault.drop).count();
+            let losses = (0..MAX_RETRANSMITS).take_while(|_| rng.f64() < fault.drop).count();
             passage.delay += RETRANSMIT * ((1 << losses) - 1);
             if fault.cut {
                 passage.not_before = passage.not_before.max(*to);
@@ -143,7 +143,7 @@
                 return None;
             }
             let fault = &rule.fault;
-            let lost = if fault.drop > 0.0 { RETRANSMIT << MOST_RETRANSMITS } else { 0 };
+            let lost = if fault.drop > 0.0 { RETRANSMIT << MAX_RETRANSMITS } else { 0 };
             // A narrow line has no bound of its own: as long as it is narrow.
             let held = if fault.cut || fault.kbytes_s > 0.0 { rule.to - now } else { 0 };
             Some(micros((fault.delay_ms + fault.spread_ms) / 1e3) + lost + held)
--- a/crates/testbed/src/matrix.rs
+++ b/crates/testbed/src/matrix.rs
@@ -16,7 +16,7 @@
 /// Requests a second for each box: about a third of what it can do.
 const PER_BOX: f64 = 15.0;
 /// The most requests a second that the stand-ins, which share a thread, are asked for.
-const MOST_PER_S: f64 = 600.0;
+const MAX_PER_S: f64 = 600.0;
 /// Bursts: this often, this long, at this degree.
 const BURST_EVERY_S: f64 = 1.5;
 const BURST_S: f64 = 0.3;
@@ -67,7 +67,7 @@
     pub fn script(&self) -> Result<Script, ScriptError> {
         let mut script = Script::parse(SCRIPT, Path::new("connections.toml"))?;
         (script.seed, script.seconds, script.fleet.boxes) = (self.seed, self.seconds, self.boxes);
-        script.traffic.per_s = (self.boxes as f64 * PER_BOX).min(MOST_PER_S);
+        script.traffic.per_s = (self.boxes as f64 * PER_BOX).min(MAX_PER_S);
         let trouble = |at_s: f64, for_s: f64, degree: f64| Trouble {
             what: self.what,
             at_s,
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -5,7 +5,7 @@
 use balancer::api::Micros;
 
 /// The most of an exponential draw, in means: a single one must not fill a box for the whole day.
-const MOST_MEANS: f64 = 10.0;
+const MAX_MEANS: f64 = 10.0;
 /// How long after its SIGTERM a process that has not ended is killed, beyond the longest deadline.
 const END_GRACE: Micros = 700_000;
 
@@ -98,7 +98,7 @@
             WorkSpec::Even => from + rng.f64() * (to - from),
             WorkSpec::Exponential => {
                 let mean = (from + to) / 2.0;
-                (-(1.0 - rng.f64()).ln() * mean).min(mean * MOST_MEANS)
+                (-(1.0 - rng.f64()).ln() * mean).min(mean * MAX_MEANS)
             }
         };
         let traffic = &script.traffic;
--- a/crates/testbed/src/restarts.rs
+++ b/crates/testbed/src/restarts.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 
 /// A process that was started anew is meant to be ready within this time.
-pub const READY_WITHIN: Micros = 10_000_000;
+pub const READY_TIMEOUT: Micros = 10_000_000;
 
 /// How soon processes that were started anew were ready.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Restarts {
     /// Processes that were started anew, less those that were killed again before they had their time.
     pub restarted: u64,
-    /// Those that were ready within [`READY_WITHIN`] of their start.
+    /// Those that were ready within [`READY_TIMEOUT`] of their start.
     pub in_time: u64,
     /// Median time from the start until `/up` said 200, seconds, over those that got there.
     pub median_s: f64,
@@ -42,14 +42,14 @@
             }
             Seen::Up { proxy } => times.extend(starting.remove(&proxy).map(|since| at - since)),
             Seen::Killed { proxy } => {
-                let gone = starting.remove(&proxy).is_some_and(|since| at - since < READY_WITHIN);
+                let gone = starting.remove(&proxy).is_some_and(|since| at - since < READY_TIMEOUT);
                 out.restarted -= u64::from(gone);
             }
             _ => {}
         }
     }
     times.sort_unstable();
-    out.in_time = times.iter().filter(|&&time| time <= READY_WITHIN).count() as u64;
+    out.in_time = times.iter().filter(|&&time| time <= READY_TIMEOUT).count() as u64;
     let seconds = |place: usize| times.get(place).map_or(0.0, |&time| time as f64 / 1e6);
     (out.median_s, out.worst_s) = (seconds(times.len() / 2), seconds(times.len().saturating_sub(1)));
     (out.restarted > 0).then_some(out)
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -11,13 +11,13 @@
 //! end of a whole number count as rounding.
 
 use super::slopes::fit::line;
-use super::slopes::{LEAST_SIZES, Row};
+use super::slopes::{MIN_SIZES, Row};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
 /// The fewest digits that a figure is written with.
-const LEAST_DIGITS: usize = 2;
+const MIN_DIGITS: usize = 2;
 /// Units of one kind, with what each is of the kind's first.
 const KINDS: [&[(&str, f64)]; 3] = [
     &[("bytes", 1.0), ("B", 1.0), ("KB", 1e3), ("MB", 1e6), ("GB", 1e9)],
@@ -104,9 +104,9 @@
     fn take_slope(&mut self, row: Row) -> Result<(), String> {
         let wrong = |problem: String| Err(format!("`{}` {problem}", row.quantity));
         let counts = [row.medians.len(), row.spread.len()];
-        if row.sizes.len() < LEAST_SIZES || counts != [row.sizes.len(); 2] {
+        if row.sizes.len() < MIN_SIZES || counts != [row.sizes.len(); 2] {
             return wrong(format!(
-                "has {} sizes ({LEAST_SIZES} at least) and {counts:?} figures",
+                "has {} sizes ({MIN_SIZES} at least) and {counts:?} figures",
                 row.sizes.len()
             ));
         }
@@ -244,11 +244,11 @@
         Some(part) => format!("{whole}{part}").trim_start_matches(['0', '-']).len(),
         None => whole.trim_matches(['0', '-']).len(),
     };
-    if part.is_some() && digits < LEAST_DIGITS {
-        return Err(format!("`{number}` has fewer than {LEAST_DIGITS} digits"));
+    if part.is_some() && digits < MIN_DIGITS {
+        return Err(format!("`{number}` has fewer than {MIN_DIGITS} digits"));
     }
     let scaled = value / factor;
-    let digits = digits.max(LEAST_DIGITS);
+    let digits = digits.max(MIN_DIGITS);
     let rounded: f64 = format!("{scaled:.*e}", digits - 1).parse().unwrap_or(scaled);
     // Half a unit of the last digit either way, so that it doesn't matter how a half is rounded.
     let last = 10f64.powi(scaled.abs().max(f64::MIN_POSITIVE).log10().floor() as i32 - (digits as i32 - 1));
--- a/crates/testbed/src/scale/fleet/hollow.rs
+++ b/crates/testbed/src/scale/fleet/hollow.rs
@@ -3,7 +3,7 @@
 
 use super::plant::Shim;
 use super::watch::{Tallies, Watch};
-use super::words::{self, Answer, Held, Hollow, HollowCost, MOST_WORDS, Order, Plant};
+use super::words::{self, Answer, Held, Hollow, HollowCost, MAX_WORDS, Order, Plant};
 use control_plane::Millis;
 use control_plane::message::Message;
 use control_plane::record::{Scope, SourceId, Version};
@@ -286,7 +286,7 @@
         let (mut from, mut to) = stream.into_split();
         let shared = Rc::new(Shared { clock: Clock::start(), tallies: RefCell::default() });
         let mut house = House { shared, places: BTreeMap::new(), planted: None };
-        while let Some((_, order)) = words::read(&mut from, MOST_WORDS).await? {
+        while let Some((_, order)) = words::read(&mut from, MAX_WORDS).await? {
             if !house.obey(order, &mut to).await? {
                 break;
             }
--- a/crates/testbed/src/scale/fleet/hollows.rs
+++ b/crates/testbed/src/scale/fleet/hollows.rs
@@ -2,7 +2,7 @@
 
 use super::ScaleError;
 use super::programs::Program;
-use super::words::{self, Answer, Held, Hollow, HollowCost, MOST_WORDS, Order, Plant, Tally};
+use super::words::{self, Answer, Held, Hollow, HollowCost, MAX_WORDS, Order, Plant, Tally};
 use crate::fleet::Folder;
 use control_plane::record::{SourceId, Version};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 /// How long a hollow process may take for an answer: all records of a thousand proxies, on a busy machine.
-const ANSWER_WITHIN: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 /// Hollow proxies of one order to start: their scopes stay far below the longest frame.
 const PART: usize = 500;
 
@@ -32,7 +32,7 @@
     async fn hear(&mut self) -> Result<Answer, ScaleError> {
         let name = self.program.name.clone();
         let failed = move |e| ScaleError::Words(name.clone(), e);
-        let read = timeout(ANSWER_WITHIN, words::read(&mut self.stream, MOST_WORDS)).await;
+        let read = timeout(ANSWER_TIMEOUT, words::read(&mut self.stream, MAX_WORDS)).await;
         match read.map_err(|e| failed(e.into()))?.map_err(&failed)? {
             Some((_, answer)) => Ok(answer),
             None => {
@@ -73,7 +73,7 @@
             let rig: SocketAddr = listener.local_addr().map_err(failed)?;
             let arguments = ["scale".into(), "hollow".into(), rig.to_string().into()];
             let mut program = Program::start(keeper, keeper, &arguments, folder, &name)?;
-            let accepted = timeout(ANSWER_WITHIN, listener.accept()).await;
+            let accepted = timeout(ANSWER_TIMEOUT, listener.accept()).await;
             let Ok(accepted) = accepted else {
                 program.runs()?;
                 return Err(failed(std::io::ErrorKind::TimedOut.into()));
--- a/crates/testbed/src/scale/fleet/network.rs
+++ b/crates/testbed/src/scale/fleet/network.rs
@@ -20,7 +20,7 @@
 use tokio::time::timeout;
 
 /// How long reading a whole source may take.
-const READ_WITHIN: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 /// Services asked for at a time.
 const PART: usize = 500;
 
@@ -175,10 +175,11 @@
     /// All records of a source, as it says them itself to somebody who knows nothing; and how far it is.
     async fn read(&self, number: usize) -> Result<(Vec<Held>, Version), ScaleError> {
         let failed = |why: String| ScaleError::Read(number, why);
-        let read = timeout(READ_WITHIN, read_whole(number as SourceId, self.sources[number].party.address()));
+        let read =
+            timeout(READ_TIMEOUT, read_whole(number as SourceId, self.sources[number].party.address()));
         let (records, head) = read
             .await
-            .map_err(|_| failed(format!("not whole within {} s", READ_WITHIN.as_secs())))?
+            .map_err(|_| failed(format!("not whole within {} s", READ_TIMEOUT.as_secs())))?
             .map_err(|e| failed(e.to_string()))?;
         let live = records.iter().filter(|record| record.state != State::Gone);
         Ok((live.map(|record| Held::of(number as SourceId, record)).collect(), head))
--- a/crates/testbed/src/scale/fleet/programs.rs
+++ b/crates/testbed/src/scale/fleet/programs.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep};
 
 /// How long a program may take to listen; hundreds start on few cores.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Descriptors that a program of control may have: a connection for each of thousands of subscribers.
 const DESCRIPTORS: u64 = 8_192;
 /// One running program.
@@ -60,7 +60,7 @@
     /// # Errors
     /// Where the program ends, or nobody does in time.
     pub async fn listens(&mut self, address: SocketAddr) -> Result<(), ScaleError> {
-        let end = Instant::now() + READY_WITHIN;
+        let end = Instant::now() + READY_TIMEOUT;
         while TcpStream::connect(address).await.is_err() {
             self.runs()?;
             if Instant::now() > end {
--- a/crates/testbed/src/scale/fleet/real.rs
+++ b/crates/testbed/src/scale/fleet/real.rs
@@ -26,12 +26,12 @@
 use tokio::time::{sleep, timeout};
 
 /// Arrivals that are kept.
-const MOST_ARRIVALS: usize = 2_000_000;
+const MAX_ARRIVALS: usize = 2_000_000;
 /// Connections of clients to each proxy.
 const CLIENTS: usize = 4;
 /// How long a client waits beyond a request's deadline, and the deadline.
 const DEADLINE_MS: u64 = 1_000;
-const ANSWER_WITHIN: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
 const BACKLOG: u32 = 1_024;
 
 /// What clients and backends saw.
@@ -173,7 +173,7 @@
     while let Ok(Some(_)) = http1::read(&mut stream, &mut buffer, false).await {
         if let Some(number) = number {
             let mut arrivals = seen.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
-            if arrivals.len() < MOST_ARRIVALS {
+            if arrivals.len() < MAX_ARRIVALS {
                 arrivals.push((words::now(), number as u32));
             }
         }
@@ -206,7 +206,7 @@
             Ok::<_, io::Error>((stream, answer))
         };
         add(&seen.asked);
-        match timeout(ANSWER_WITHIN, once).await {
+        match timeout(ANSWER_TIMEOUT, once).await {
             Ok(Ok((stream, Some(answer)))) => {
                 match (answer.status, answer.body.as_slice()) {
                     (200, b"served") => add(&seen.served),
@@ -308,7 +308,7 @@
             stream.write_all(b"GET /discovery/hosts HTTP/1.1\r\nHost: rig\r\n\r\n").await?;
             http1::read(&mut stream, &mut Vec::new(), true).await
         };
-        let answer = timeout(ANSWER_WITHIN, read).await.map_err(|e| failed(e.to_string()))?;
+        let answer = timeout(ANSWER_TIMEOUT, read).await.map_err(|e| failed(e.to_string()))?;
         let answer = answer?.filter(|answer| answer.status == 200);
         let answer = answer.ok_or_else(|| failed("serves no list".into()))?;
         let list: Value = serde_json::from_slice(&answer.body).map_err(|e| failed(e.to_string()))?;
--- a/crates/testbed/src/scale/fleet/report.rs
+++ b/crates/testbed/src/scale/fleet/report.rs
@@ -15,7 +15,7 @@
 /// As [`BYTES_PER_S`].
 pub const MEMORY: f64 = 64e6;
 /// Memory that all processes of a run together may take, bytes.
-pub const MOST_MEMORY: u64 = 12_000_000_000;
+pub const MAX_MEMORY: u64 = 12_000_000_000;
 /// Breaks that are printed; all are counted.
 const PRINTED: usize = 20;
 
@@ -211,7 +211,7 @@
             ("all_start_until_slowest_full_s", self.full_s, "s", None),
             ("all_start_bytes_worst_ten", self.filling.worst_ten, "bytes/s", Some(BYTES_PER_S)),
             ("all_start_records", self.filling.records, "records", None),
-            ("all_processes_memory_bytes", self.memory as f64, "bytes", Some(MOST_MEMORY as f64)),
+            ("all_processes_memory_bytes", self.memory as f64, "bytes", Some(MAX_MEMORY as f64)),
             ("breaks", self.breaks.len() as f64, "breaks", Some(0.0)),
         ];
         for (what, value, unit, bound) in whole {
--- a/crates/testbed/src/scale/fleet/run.rs
+++ b/crates/testbed/src/scale/fleet/run.rs
@@ -10,7 +10,7 @@
 use super::programs::Starter;
 use super::reach::{Reach, Who, Window};
 use super::real::{Real, Stand};
-use super::report::{Cost, MOST_MEMORY, Report, StepRow, Taken};
+use super::report::{Cost, MAX_MEMORY, Report, StepRow, Taken};
 use super::script::{ScaleScript, Step, What};
 use super::strays::strays;
 use super::words::{Hollow, Plant, now};
@@ -25,9 +25,9 @@
 use tokio::time::{Instant, sleep};
 
 /// How often it is looked whether a change is due.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const LOOK_INTERVAL: Duration = Duration::from_millis(20);
 /// How often hollow proxies are asked whether they are as far as their sources.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+const ASK_INTERVAL: Duration = Duration::from_millis(100);
 /// Bytes of a configuration, as it is carried here.
 const CONFIGURATION: usize = 400;
 /// Drains, and configurations, that a source says in the moment before it is killed.
@@ -231,7 +231,7 @@
             if took > self.script.patience_s {
                 return Ok((took, Some(format!("{count} proxies; {}", example.unwrap_or_default()))));
             }
-            sleep(ASK_EVERY).await;
+            sleep(ASK_INTERVAL).await;
         }
     }
 
@@ -268,7 +268,7 @@
                 return Ok((proxies, records));
             }
             again = Some(differ.into_keys().collect());
-            sleep(5 * ASK_EVERY).await;
+            sleep(5 * ASK_INTERVAL).await;
         }
     }
 
@@ -298,7 +298,7 @@
                         .push(format!("{when}: the list of agent {number} is not equal: {text}"));
                     break;
                 }
-                sleep(ASK_EVERY).await;
+                sleep(ASK_INTERVAL).await;
             }
         }
         Ok(proxies.len())
@@ -398,8 +398,8 @@
         let own = crate::fleet::memory(std::process::id());
         let all = self.hollows.usage().1 + relays + sources + agents + proxies + own;
         self.report.memory = self.report.memory.max(all);
-        if all > MOST_MEMORY {
-            return Err(ScaleError::Memory(all / 1_000_000, MOST_MEMORY / 1_000_000));
+        if all > MAX_MEMORY {
+            return Err(ScaleError::Memory(all / 1_000_000, MAX_MEMORY / 1_000_000));
         }
         Ok(())
     }
@@ -428,7 +428,7 @@
             if passed >= step.seconds && moment == moments.len() {
                 return Ok(played);
             }
-            sleep(LOOK_EVERY).await;
+            sleep(LOOK_INTERVAL).await;
         }
     }
 
--- a/crates/testbed/src/scale/fleet/script.rs
+++ b/crates/testbed/src/scale/fleet/script.rs
@@ -7,10 +7,10 @@
 use thiserror::Error;
 
 /// The most of a run, whatever its script says: processes, hollow proxies, seconds of its steps.
-const MOST_PROCESSES: usize = 200;
-const MOST_SUBSCRIBERS: usize = 20_000;
-const MOST_BACKENDS: usize = 500_000;
-const MOST_SECONDS: f64 = 600.0;
+const MAX_PROCESSES: usize = 200;
+const MAX_SUBSCRIBERS: usize = 20_000;
+const MAX_BACKENDS: usize = 500_000;
+const MAX_SECONDS: f64 = 600.0;
 
 /// Why a script can't be played.
 #[derive(Debug, Error)]
@@ -208,13 +208,13 @@
         let wrong = |key: &str, what: String| Err(ScaleScriptError::Value { key: key.into(), what });
         let s = &self.size;
         let counts = [
-            ("size.subscribers", s.subscribers, 1, MOST_SUBSCRIBERS),
+            ("size.subscribers", s.subscribers, 1, MAX_SUBSCRIBERS),
             ("size.processes", s.processes, 1, 64),
             ("size.sources", s.sources, 1, 64),
             ("size.relays", s.relays, s.sources, 64),
             ("size.zones", s.zones, s.sources, 256),
             ("size.services", s.services, s.zones, 100_000),
-            ("size.backends", s.backends, s.services, MOST_BACKENDS),
+            ("size.backends", s.backends, s.services, MAX_BACKENDS),
             ("size.services_per_proxy", s.services_per_proxy, 1, s.services / 2),
             ("size.real", s.real, 0, 64),
         ];
@@ -224,8 +224,8 @@
             }
         }
         let processes = s.processes + s.sources + s.relays + 2 * s.real;
-        if processes > MOST_PROCESSES {
-            return wrong("size", format!("{processes} processes, {MOST_PROCESSES} at most"));
+        if processes > MAX_PROCESSES {
+            return wrong("size", format!("{processes} processes, {MAX_PROCESSES} at most"));
         }
         let numbers = [
             ("size.local", s.local, 0.0, 1.0),
@@ -242,8 +242,8 @@
         }
         for (number, step) in self.step.iter().enumerate() {
             let key = |name: &str| format!("step[{number}].{name}");
-            if !(2.0..=MOST_SECONDS).contains(&step.seconds) {
-                return wrong(&key("seconds"), format!("{}, must be from 2 to {MOST_SECONDS}", step.seconds));
+            if !(2.0..=MAX_SECONDS).contains(&step.seconds) {
+                return wrong(&key("seconds"), format!("{}, must be from 2 to {MAX_SECONDS}", step.seconds));
             }
             if !(0.0..=step.seconds - Step::LEAD_S).contains(&step.for_s) {
                 let most = step.seconds - Step::LEAD_S;
@@ -267,8 +267,8 @@
             }
         }
         let seconds: f64 = self.step.iter().map(|step| step.seconds).sum();
-        if self.step.is_empty() || seconds > MOST_SECONDS {
-            return wrong("step", format!("{seconds} s in all, must be from 2 to {MOST_SECONDS}"));
+        if self.step.is_empty() || seconds > MAX_SECONDS {
+            return wrong("step", format!("{seconds} s in all, must be from 2 to {MAX_SECONDS}"));
         }
         Ok(())
     }
--- a/crates/testbed/src/scale/fleet/strays.rs
+++ b/crates/testbed/src/scale/fleet/strays.rs
@@ -8,7 +8,7 @@
 
 /// What a change may take until no proxy sends to a backend that drains, microseconds: 4 s until it is in force at the
 /// agent, 6 s until the proxy counts as told, 1 s of grace.
-pub const DRAINED_WITHIN: u64 = 11_000_000;
+pub const DRAINED_TIMEOUT: u64 = 11_000_000;
 
 /// Requests (when, to which backend) that came to a backend long after it was drained or gone, one sentence each.
 #[must_use]
@@ -24,7 +24,7 @@
         }
         let since = since?;
         let late = (at - since) as f64 / 1e6;
-        (at > reach.latest(source, since) + DRAINED_WITHIN)
+        (at > reach.latest(source, since) + DRAINED_TIMEOUT)
             .then(|| format!("a request came to {name} {late:.1} s after it was drained"))
     };
     arrivals.iter().filter_map(stray).collect()
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -9,7 +9,7 @@
 use super::reach::{Reach, Who, Window};
 use super::report::{ListRow, Report, StepRow};
 use super::script::{ScaleScript, ScaleScriptError};
-use super::strays::{DRAINED_WITHIN, strays};
+use super::strays::{DRAINED_TIMEOUT, strays};
 use super::watch::Watch;
 use super::words::{Held, Plant, Tally, key_hash};
 use control_plane::message::Message;
@@ -418,13 +418,13 @@
     one.wrote(&said(State::Draining, "1"), version(1, 2), 1_000_000, Some(0));
     one.wrote(&said(State::Gone, ""), version(1, 3), 5_000_000, Some(0));
     one.wrote(&said(State::Active, "2"), version(1, 4), 30_000_000, Some(0));
-    let told = 1_000_000 + DRAINED_WITHIN;
+    let told = 1_000_000 + DRAINED_TIMEOUT;
     let found = |reach: &Reach, at| strays(&[(at, 7), (at, 8)], &model, &population, reach).len();
     let times = [500_000, told, told + 1, 29_999_999, 30_000_001];
     assert_eq!(times.map(|at| found(&reach, at)), [0, 0, 1, 1, 0]);
     // Where its source and somebody were cut off from one another, from the end of that on.
     reach.windows = vec![Window { who: Who::Region(0), from: 900_000, to: 8_000_000 }];
-    assert_eq!((found(&reach, told + 1), found(&reach, 8_000_001 + DRAINED_WITHIN)), (0, 1));
+    assert_eq!((found(&reach, told + 1), found(&reach, 8_000_001 + DRAINED_TIMEOUT)), (0, 1));
 }
 
 fn batch(epoch: u64, records: Vec<Record>) -> Message {
--- a/crates/testbed/src/scale/fleet/watch.rs
+++ b/crates/testbed/src/scale/fleet/watch.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 /// Tallies that a process keeps between two questions.
-const MOST_TALLIES: usize = 4_000_000;
+const MAX_TALLIES: usize = 4_000_000;
 /// Breaks that are worded for one subscriber.
 const WORDED: usize = 5;
 
@@ -94,7 +94,7 @@
     pub fn add(&mut self, source: SourceId, record: &Record, from: Version, group: u16, at: u64) {
         let key = key_hash(record.key.service, record.key.kind, &record.key.name);
         let place = (source, key, from, record.version, group);
-        if self.counts.len() >= MOST_TALLIES && !self.counts.contains_key(&place) {
+        if self.counts.len() >= MAX_TALLIES && !self.counts.contains_key(&place) {
             self.forgotten += 1;
             return;
         }
--- a/crates/testbed/src/scale/fleet/words.rs
+++ b/crates/testbed/src/scale/fleet/words.rs
@@ -12,7 +12,7 @@
 
 /// The longest frame between the rig and a hollow process, bytes: the scopes of hundreds of subscribers, or a part of
 /// what they counted.
-pub const MOST_WORDS: usize = 64 << 20;
+pub const MAX_WORDS: usize = 64 << 20;
 
 /// The machine's clock, microseconds of Unix time: the same one in all processes of a run.
 #[must_use]
--- a/crates/testbed/src/scale/slopes/agent.rs
+++ b/crates/testbed/src/scale/slopes/agent.rs
@@ -18,7 +18,7 @@
 /// Backends of a cell.
 const CELL: usize = 50;
 /// How long a proxy may take for what it is told.
-const TAKEN_WITHIN: Duration = Duration::from_secs(20);
+const TAKEN_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Member {
     address: SocketAddr,
@@ -154,8 +154,8 @@
                 self.state.heard.notified().await;
             }
         };
-        timeout(TAKEN_WITHIN, taken).await.map_err(|_| {
-            let seconds = TAKEN_WITHIN.as_secs();
+        timeout(TAKEN_TIMEOUT, taken).await.map_err(|_| {
+            let seconds = TAKEN_TIMEOUT.as_secs();
             ScaleError::Proxy(format!("it did not take the list within {seconds} s"))
         })
     }
--- a/crates/testbed/src/scale/slopes/busy.rs
+++ b/crates/testbed/src/scale/slopes/busy.rs
@@ -26,12 +26,12 @@
 /// Listeners that stand for all backends of open requests.
 const LISTENERS: usize = 400;
 /// How long requests may take to be held.
-const HELD_WITHIN: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const HELD_TIMEOUT: Duration = Duration::from_secs(20);
+const LOOK_INTERVAL: Duration = Duration::from_millis(5);
 /// How long what taking them in set off may go on.
 const SETTLE: Duration = Duration::from_millis(100);
 /// The part of the requests that may be lost before the figures are none.
-const MOST_LOST: f64 = 0.01;
+const MAX_LOST: f64 = 0.01;
 
 /// What one run of steady requests comes to.
 struct Steady {
@@ -80,12 +80,12 @@
     let thread = load::pair(load.clone());
     // The agent has to go on answering on this thread meanwhile.
     while !thread.is_finished() {
-        sleep(LOOK_EVERY).await;
+        sleep(LOOK_INTERVAL).await;
     }
     let streams = thread.join().map_err(|_| ScaleError::Proxy("the clients ended".into()))??;
     for stream in &streams {
         let all = stream.times.len() + stream.lost;
-        if stream.times.is_empty() || stream.lost as f64 > MOST_LOST * all as f64 {
+        if stream.times.is_empty() || stream.lost as f64 > MAX_LOST * all as f64 {
             return Err(ScaleError::Lost { lost: stream.lost, all });
         }
     }
@@ -187,12 +187,12 @@
     sleep(SETTLE).await;
     let cpu = subject.cpu_us()?;
     let open = Open::send(subject.address(), size);
-    let end = Instant::now() + HELD_WITHIN;
+    let end = Instant::now() + HELD_TIMEOUT;
     while (backends.held() as usize) < size {
         if Instant::now() > end || open.has_ended() {
             return Err(ScaleError::NotHeld { held: backends.held() as usize, all: size });
         }
-        sleep(LOOK_EVERY).await;
+        sleep(LOOK_INTERVAL).await;
     }
     sheet.add("open_cpu_us_per_open_request", size, subject.cpu_us()? - cpu);
     sleep(SETTLE).await;
@@ -203,7 +203,7 @@
     sheet.add("rest_cpu_us_per_open_request", size, rest_per_s);
     backends.answer();
     while !open.has_ended() {
-        sleep(LOOK_EVERY).await;
+        sleep(LOOK_INTERVAL).await;
     }
     let served = open.served()?;
     if served == size { Ok(()) } else { Err(ScaleError::Lost { lost: size - served, all: size }) }
--- a/crates/testbed/src/scale/slopes/load.rs
+++ b/crates/testbed/src/scale/slopes/load.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep_until, timeout};
 
 /// How long clients wait for what is open at a stream's end.
-const ENDS_WITHIN: Duration = Duration::from_secs(10);
+const ENDS_TIMEOUT: Duration = Duration::from_secs(10);
 /// What clients say that they will wait, milliseconds.
 const WAITS_MS: u64 = 100_000;
 /// Connections that are opened at the same time; the kernel's queue of a listener holds more.
@@ -128,7 +128,7 @@
             }
         });
     }
-    let ended = timeout(ENDS_WITHIN, async { while asked.join_next().await.is_some() {} }).await;
+    let ended = timeout(ENDS_TIMEOUT, async { while asked.join_next().await.is_some() {} }).await;
     let left = if ended.is_ok() { 0 } else { asked.len() };
     drop(asked);
     let mut seen = seen.take();
--- a/crates/testbed/src/scale/slopes/mod.rs
+++ b/crates/testbed/src/scale/slopes/mod.rs
@@ -31,11 +31,11 @@
 use tokio::task::LocalSet;
 
 /// Sizes that a quantity needs at least: fewer say too little of whether there is a line at all.
-pub const LEAST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 /// The most that are taken.
-const MOST_SIZES: usize = 12;
+const MAX_SIZES: usize = 12;
 /// The most runs.
-const MOST_RUNS: usize = 50;
+const MAX_RUNS: usize = 50;
 /// The shortest and the longest time of a figure, seconds.
 const SPANS: (f64, f64) = (0.1, 30.0);
 /// Descriptors that the largest sizes need, of this program and of the proxy.
@@ -62,7 +62,7 @@
     #[error("`--sizes` goes with one family: choose it by `--only`, one of {0}")]
     SizesOfWhat(String),
     /// Too few or too many sizes.
-    #[error("`--sizes` gives {0} different sizes: {LEAST_SIZES} to {MOST_SIZES} make a line")]
+    #[error("`--sizes` gives {0} different sizes: {MIN_SIZES} to {MAX_SIZES} make a line")]
     SizeCount(usize),
     /// A size out of bounds.
     #[error("`--sizes`: {family} go from {least} to {most} and not to {given}: {why}")]
@@ -79,7 +79,7 @@
         why: &'static str,
     },
     /// Too few or too many runs.
-    #[error("`--runs {0}`: 1 to {MOST_RUNS} are possible")]
+    #[error("`--runs {0}`: 1 to {MAX_RUNS} are possible")]
     Runs(usize),
     /// A time out of bounds.
     #[error("`--seconds {0}`: {least} to {most} are possible", least = SPANS.0, most = SPANS.1)]
@@ -183,7 +183,7 @@
     /// Where the order makes no sense or goes beyond the bounds.
     pub fn check(&self) -> Result<Vec<(Family, Vec<usize>)>, ScaleError> {
         let names = || FAMILIES.map(|family| family.sizes().name).join(", ");
-        if !(1..=MOST_RUNS).contains(&self.runs) {
+        if !(1..=MAX_RUNS).contains(&self.runs) {
             return Err(ScaleError::Runs(self.runs));
         }
         if !(SPANS.0..=SPANS.1).contains(&self.seconds) {
@@ -202,7 +202,7 @@
             return Ok(picked.into_iter().map(|family| (family, family.sizes().usual.to_vec())).collect());
         }
         let &[family] = picked.as_slice() else { return Err(ScaleError::SizesOfWhat(names())) };
-        if !(LEAST_SIZES..=MOST_SIZES).contains(&sizes.len()) {
+        if !(MIN_SIZES..=MAX_SIZES).contains(&sizes.len()) {
             return Err(ScaleError::SizeCount(sizes.len()));
         }
         let bounds = family.sizes();
--- a/crates/testbed/src/scale/slopes/probe.rs
+++ b/crates/testbed/src/scale/slopes/probe.rs
@@ -15,7 +15,7 @@
 /// How often it asks.
 const EVERY: Duration = Duration::from_millis(1);
 /// How long an answer may take; whatever holds the thread longer ends the measurement.
-const ANSWER_WITHIN: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One request: when it was written, and how long its answer took.
 type Asked = (Instant, Duration);
@@ -78,7 +78,7 @@
 fn ask(proxy: SocketAddr, stop: &AtomicBool) -> io::Result<Vec<Asked>> {
     let mut stream = TcpStream::connect(proxy)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(ANSWER_WITHIN))?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     let (mut asked, mut bytes) = (Vec::new(), Vec::new());
     let mut due = Instant::now();
     while !stop.load(Ordering::Acquire) {
--- a/crates/testbed/src/scale/slopes/subject.rs
+++ b/crates/testbed/src/scale/slopes/subject.rs
@@ -19,7 +19,7 @@
 /// How long the process may take to be up, or to read a configuration again: hundreds of thousands of tenants take seconds.
 const WITHIN: Duration = Duration::from_secs(60);
 /// How often it is looked whether it is.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const LOOK_INTERVAL: Duration = Duration::from_millis(5);
 /// Memory that the process is told, MB: enough for every connection that is measured, so that the bounds that follow from
 /// it do not refuse any.
 const MEMORY_MB: usize = 4_096;
@@ -169,7 +169,7 @@
                     self.last_words()
                 )));
             }
-            sleep(LOOK_EVERY).await;
+            sleep(LOOK_INTERVAL).await;
         }
         Ok(())
     }
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -16,12 +16,12 @@
 use thiserror::Error;
 
 /// The longest script, in seconds: a run is bounded.
-const MOST_SECONDS: f64 = 600.0;
+const MAX_SECONDS: f64 = 600.0;
 /// The largest fleet, and the most proxies.
-const MOST_BOXES: usize = 20_000;
-const MOST_PROXIES: usize = 2_000;
+const MAX_BOXES: usize = 20_000;
+const MAX_PROXIES: usize = 2_000;
 /// The most requests of one run.
-const MOST_REQUESTS: f64 = 5_000_000.0;
+const MAX_REQUESTS: f64 = 5_000_000.0;
 
 /// A script that can't be played.
 #[derive(Debug, Error)]
--- a/crates/testbed/src/script/check.rs
+++ b/crates/testbed/src/script/check.rs
@@ -1,11 +1,11 @@
 //! What of a script makes no sense, by key.
 
-use super::{MOST_BOXES, MOST_PROXIES, MOST_REQUESTS, MOST_SECONDS, ProcessWhat, Script, ScriptError, What};
+use super::{MAX_BOXES, MAX_PROXIES, MAX_REQUESTS, MAX_SECONDS, ProcessWhat, Script, ScriptError, What};
 
 /// The most waves of one fault of processes.
-const MOST_WAVES: f64 = 1_000.0;
+const MAX_WAVES: f64 = 1_000.0;
 /// The most stalls a second of one fault, over all processes.
-const MOST_STALLS_S: f64 = 5_000.0;
+const MAX_STALLS_S: f64 = 5_000.0;
 
 impl Script {
     /// Whether all of it can be played.
@@ -21,9 +21,9 @@
             fault(field.into(), format!("{value} does not lie in {least}..={most}"))
         };
         let fleet = &self.fleet;
-        within("seconds", self.seconds, 0.1, MOST_SECONDS)?;
-        within("fleet.boxes", fleet.boxes as f64, 1.0, MOST_BOXES as f64)?;
-        within("fleet.proxies", fleet.proxies as f64, 1.0, MOST_PROXIES as f64)?;
+        within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
+        within("fleet.boxes", fleet.boxes as f64, 1.0, MAX_BOXES as f64)?;
+        within("fleet.proxies", fleet.proxies as f64, 1.0, MAX_PROXIES as f64)?;
         within("fleet.zones", f64::from(fleet.zones), 1.0, 64.0)?;
         within("fleet.cells", f64::from(fleet.cells), 1.0, 1_000.0)?;
         within("fleet.cores", fleet.cores, 0.01, 1_000.0)?;
@@ -35,10 +35,10 @@
         within("fleet.cross_zone_ms", fleet.cross_zone_ms, 0.0, 1_000.0)?;
         within("fleet.news_s", fleet.news_s, 0.0, 60.0)?;
         within("fleet.front_notice_s", fleet.front_notice_s, 0.0, 60.0)?;
-        if fleet.speeds.len() > MOST_BOXES {
+        if fleet.speeds.len() > MAX_BOXES {
             return fault(
                 "fleet.speeds".into(),
-                format!("{} speeds; at most {MOST_BOXES}", fleet.speeds.len()),
+                format!("{} speeds; at most {MAX_BOXES}", fleet.speeds.len()),
             );
         }
         for (i, &speed) in fleet.speeds.iter().enumerate() {
@@ -49,7 +49,7 @@
         within("discovery.call_ms[1]", discovery.call_ms[1], 0.0, 60_000.0)?;
         within("discovery.fails_after_ms", discovery.fails_after_ms, 0.0, 60_000.0)?;
         within("traffic.skew", self.traffic.skew, 0.0, 3.0)?;
-        within("traffic.per_s", self.traffic.per_s, 0.1, MOST_REQUESTS / self.seconds)?;
+        within("traffic.per_s", self.traffic.per_s, 0.1, MAX_REQUESTS / self.seconds)?;
         for (name, part) in [
             ("traffic.leased", self.traffic.leased),
             ("traffic.lost_reports", self.traffic.lost_reports),
@@ -81,7 +81,7 @@
         for (i, trouble) in self.trouble.iter().enumerate() {
             let field = |name: &str| format!("trouble[{i}].{name}");
             within(&field("at_s"), trouble.at_s, 0.0, self.seconds)?;
-            within(&field("for_s"), trouble.for_s, 0.0, MOST_SECONDS)?;
+            within(&field("for_s"), trouble.for_s, 0.0, MAX_SECONDS)?;
             within(&field("part"), trouble.part, 0.0, 1.0)?;
             let degree = if trouble.what == What::Slow { (1.0, 100.0) } else { (0.0, 1.0) };
             if trouble.what.has_degree() {
@@ -94,23 +94,23 @@
         for (i, process) in self.process.iter().enumerate() {
             let field = |name: &str| format!("process[{i}].{name}");
             within(&field("at_s"), process.at_s, 0.0, self.seconds)?;
-            within(&field("for_s"), process.for_s, 0.0, MOST_SECONDS)?;
+            within(&field("for_s"), process.for_s, 0.0, MAX_SECONDS)?;
             within(&field("part"), process.part, 0.0, 1.0)?;
-            within(&field("waves"), f64::from(process.waves), 1.0, MOST_WAVES)?;
-            within(&field("wave_s"), process.wave_s, 0.0, MOST_SECONDS)?;
+            within(&field("waves"), f64::from(process.waves), 1.0, MAX_WAVES)?;
+            within(&field("wave_s"), process.wave_s, 0.0, MAX_SECONDS)?;
             if process.every_s != 0.0 {
                 if process.what != ProcessWhat::Stall {
                     return fault(field("every_s"), "only a `stall` comes again".into());
                 }
                 // As often as the laboratory can signal them all, and with a moment between two of them.
-                let least = (fleet.proxies as f64 * process.part / MOST_STALLS_S).max(process.for_s + 0.001);
-                within(&field("every_s"), process.every_s, least, MOST_SECONDS)?;
+                let least = (fleet.proxies as f64 * process.part / MAX_STALLS_S).max(process.for_s + 0.001);
+                within(&field("every_s"), process.every_s, least, MAX_SECONDS)?;
             }
         }
         for (i, link) in self.link.iter().enumerate() {
             let field = |name: &str| format!("link[{i}].{name}");
             within(&field("at_s"), link.at_s, 0.0, self.seconds)?;
-            within(&field("for_s"), link.for_s, 0.0, MOST_SECONDS)?;
+            within(&field("for_s"), link.for_s, 0.0, MAX_SECONDS)?;
             for (name, part) in [
                 ("part", link.part),
                 ("drop", link.drop),
--- a/crates/testbed/src/sockets.rs
+++ b/crates/testbed/src/sockets.rs
@@ -23,7 +23,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use thiserror::Error;
-use threads::{LIMITS_EVERY, PROXY_TIME, Proxy};
+use threads::{LIMITS_INTERVAL, PROXY_TIME, Proxy};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
@@ -137,7 +137,7 @@
         watch(&second(&board, &shard, &proxies[0], at, slack));
     }
     // Whatever a proxy still sends for requests that are over would be seen now.
-    sleep(LIMITS_EVERY + Duration::from_millis(50)).await;
+    sleep(LIMITS_INTERVAL + Duration::from_millis(50)).await;
     let (mut outcomes, mut ejections) = ([0; Outcome::ALL.len()], 0);
     for proxy in &proxies {
         if let Ok(shown) = proxy.shown.lock() {
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -19,7 +19,7 @@
 
 /// How long beyond its time a client listens on, so that a late answer is seen.
 const LISTENS_ON: Duration = Duration::from_secs(1);
-const UP_EVERY: Duration = Duration::from_millis(20);
+const UP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a box answers to a request: nobody else can make it up by chance.
 pub(crate) fn body(id: u64) -> String {
@@ -32,7 +32,7 @@
         if let Ok(200) = up(address).await {
             return;
         }
-        sleep(UP_EVERY).await;
+        sleep(UP_INTERVAL).await;
     }
 }
 
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// The longest that a watch waits, milliseconds.
-const MOST_WAIT_MS: u64 = 60_000;
+const MAX_WAIT_MS: u64 = 60_000;
 /// A watch goes on where the next call comes within this time of the last answer; a later call begins a new one.
 const WATCH_GOES_ON: Duration = Duration::from_millis(200);
 
@@ -166,7 +166,7 @@
         while let Ok(Some(request)) = http1::read(&mut stream, &mut buffer, false).await {
             self.shared.saw(Seen::Called { proxy: self.proxy });
             let after = number(&request, "after");
-            let wait = Duration::from_millis(number(&request, "wait_ms").unwrap_or(0).min(MOST_WAIT_MS));
+            let wait = Duration::from_millis(number(&request, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS));
             if !(self.is_taken(after).await && self.has_waited(after, wait).await) {
                 if http1::answer(&mut stream, "503 Service Unavailable", "", b"").await.is_err() {
                     return;
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -17,7 +17,7 @@
 /// How long a proxy may take to come up, and to end.
 pub(super) const PROXY_TIME: Duration = Duration::from_secs(10);
 /// How often a proxy's limits are looked at.
-pub(super) const LIMITS_EVERY: Duration = Duration::from_millis(250);
+pub(super) const LIMITS_INTERVAL: Duration = Duration::from_millis(250);
 /// What a proxy may use: plenty, the sockets are this machine's.
 const MEMORY_MB: usize = 192;
 const SOCKETS: usize = 4_096;
@@ -56,7 +56,7 @@
                     if let Ok(mut seen) = seen.lock() {
                         *seen = now;
                     }
-                    sleep(LIMITS_EVERY).await;
+                    sleep(LIMITS_INTERVAL).await;
                 }
             });
         };
--- a/crates/testbed/tests/restarts.rs
+++ b/crates/testbed/tests/restarts.rs
@@ -13,7 +13,7 @@
 use testbed::fleet::report::line;
 use testbed::judge::Seen;
 use testbed::plan::{Act, Plan};
-use testbed::restarts::{READY_WITHIN, Restarts, measure};
+use testbed::restarts::{READY_TIMEOUT, Restarts, measure};
 use testbed::script::{Known, Script, ScriptError};
 
 fn script() -> Script {
@@ -66,18 +66,18 @@
     assert_eq!(measure(&[]), None);
     assert!(measure(&seen).is_some_and(|r| (r.restarted, r.in_time) == (10, 0) && !r.is_soon()));
     seen.extend((0..8).map(|proxy| up(1_000_005, proxy)));
-    seen.push(up(READY_WITHIN + 5, 8));
+    seen.push(up(READY_TIMEOUT + 5, 8));
     let nine = measure(&seen).expect("ten");
     assert!(nine.is_soon() && (nine.median_s, nine.worst_s) == (1.0, 10.0), "{nine:?}");
     // The last one a moment too late for nine in ten, where one more was never ready.
     seen.pop();
-    seen.push(up(READY_WITHIN + 6, 8));
+    seen.push(up(READY_TIMEOUT + 6, 8));
     assert!(measure(&seen).is_some_and(|r| r.in_time == 8 && !r.is_soon()));
     // One that was killed again before its time was over counts no more; one that had its time does.
-    seen.push((READY_WITHIN + 4, Seen::Killed { proxy: 9 }));
+    seen.push((READY_TIMEOUT + 4, Seen::Killed { proxy: 9 }));
     assert_eq!(measure(&seen).map(|r| r.restarted), Some(9));
     seen.pop();
-    seen.push((READY_WITHIN + 5, Seen::Killed { proxy: 9 }));
+    seen.push((READY_TIMEOUT + 5, Seen::Killed { proxy: 9 }));
     assert_eq!(measure(&seen).map(|r| r.restarted), Some(10));
 }
 
--- a/test.sh
+++ b/test.sh
@@ -3,7 +3,7 @@
 set -euo pipefail
 cd "$(dirname "$0")"
 # The longest line of the files that hold decisions, in characters.
-readonly MOST_WIDTH=110
+readonly MAX_WIDTH=110
 # Tests that fail for a known fault, one a line: `test: cause, issue`. CI passes over just these.
 readonly KNOWN_RED=KNOWN-RED.txt
 
@@ -37,6 +37,6 @@
     [[ " ${policy[*]} " == *" $file "* ]] || { echo "$file is not named under policy"; exit 1; }
 done
 lines=$(cat "${policy[@]}" | grep -cve '^[[:space:]]*$')
-longest=$(cat "${policy[@]}" | awk '{ if (length($0) > most) most = length($0) } END { print most }')
-echo "policy: $lines lines that are not blank, the longest of $longest characters ($MOST_WIDTH at most)"
-[ "$longest" -le "$MOST_WIDTH" ]
+longest=$(cat "${policy[@]}" | awk '{ if (length($0) > max) max = length($0) } END { print max }')
+echo "policy: $lines lines that are not blank, the longest of $longest characters ($MAX_WIDTH at most)"
+[ "$longest" -le "$MAX_WIDTH" ]
