--- /dev/null
+++ b/crates/balancer/src/api/outcome.rs
@@ -0,0 +1,46 @@
+//! How attempts end.
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// Served.
+    Ok,
+    /// The backend responded with an error.
+    Error,
+    /// A response came that cannot be parsed. Unlike [`Outcome::Error`] it says little about the backend: intermediaries
+    /// corrupt responses of healthy backends. Real sockets only; the simulator has no such outcome.
+    Malformed,
+    /// The backend rejected it without processing it.
+    Rejected,
+    /// No response in time.
+    Timeout,
+    /// No connection could be established.
+    ConnectFailed,
+    /// The connection broke.
+    Reset,
+    /// Cancelled by this proxy.
+    Cancelled,
+    /// Never sent.
+    NotSent,
+}
+
+impl Outcome {
+    /// All outcomes, each at the index of its discriminant.
+    pub const ALL: [Self; 9] = [
+        Self::Ok,
+        Self::Error,
+        Self::Malformed,
+        Self::Rejected,
+        Self::Timeout,
+        Self::ConnectFailed,
+        Self::Reset,
+        Self::Cancelled,
+        Self::NotSent,
+    ];
+
+    /// Whether this outcome proves that the attempt was never executed.
+    #[must_use]
+    pub fn never_executed(self) -> bool {
+        matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
+    }
+}
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -6,12 +6,13 @@
 mod choice;
 mod cold;
 mod health;
+mod learned_state;
 mod limits;
 mod membership;
-mod memory;
+
 mod repeats;
 
-use crate::api::{Action, Event, Micros, Request, RequestId, Settings, SettingsError, Settled};
+use crate::api::{Action, AttemptResult, Event, Micros, Request, RequestId, Settings, SettingsError};
 use crate::state::{
     Attempt, AttemptState, Bucket, ColdBudget, CommonLimit, Latency, Open, PeakRate, Pool, Requests, Scope,
     Servers, Window,
@@ -71,11 +72,15 @@
     /// A balancer that knows no backends yet, or the first of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let kinds = usize::from(settings.kinds).max(1);
-        let latencies = settings.classes.iter().flat_map(|c| vec![Latency::new(c.aim, now); kinds]).collect();
+        let kinds = usize::from(settings.machine_kind_count).max(1);
+        let latencies = settings
+            .classes
+            .iter()
+            .flat_map(|c| vec![Latency::new(c.latency_objective, now); kinds])
+            .collect();
         let window = Window { since: now, ..Window::default() };
         let common = CommonLimit { limit: INITIAL_LIMIT, growing: true, window, service: 0.0 };
-        let tokens = |t: &crate::api::Tenant| t.allowance_per_s / f64::from(settings.balancers);
+        let tokens = |t: &crate::api::Tenant| t.quota_per_s / f64::from(settings.instance_count);
         let bucket = |t| Bucket { tokens: tokens(t), at: now, asked: 0.0 };
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
@@ -90,7 +95,7 @@
             kinds: vec![common; kinds],
             tenants: settings.tenants.iter().map(bucket).collect(),
             retry_tokens: RETRY_BURST,
-            rest: (settings.permissions.conn_idle as f64, now),
+            rest: (settings.permissions.idle_connection_timeout as f64, now),
             pool: Pool { slots: 0.0, spread: 1.0, most: u32::MAX, judged_at: None },
             served: PeakRate { count: 0.0, since: now, peak: 0.0 },
             subscribe_failures: 0,
@@ -106,24 +111,24 @@
         match event {
             Event::Membership(news) => self.on_membership(now, news, out),
             Event::Request(request) => self.on_request(now, request, out),
-            Event::Settled(settled) => self.on_settled(now, settled, out),
-            Event::Occupied { request, attempt } => self.on_occupied(now, request, attempt, out),
-            Event::FirstByte { request, .. } => {
+            Event::AttemptFinished(settled) => self.on_settled(now, settled, out),
+            Event::SessionEstablished { request, attempt } => self.on_occupied(now, request, attempt, out),
+            Event::ResponseStarted { request, .. } => {
                 self.open.find(request).into_iter().for_each(|slot| self.open[slot].streaming = true);
             }
-            Event::ClientGone(request) => {
+            Event::ClientDisconnected(request) => {
                 self.open.find(request).into_iter().for_each(|slot| self.close(slot));
             }
-            Event::Probed { .. } => {}
-            Event::Retune(settings) => self.on_retune(now, settings),
-            Event::Timer(token) => self.on_timer(now, token, out),
+            Event::HealthCheckFinished { .. } => {}
+            Event::SettingsChanged(settings) => self.on_retune(now, settings),
+            Event::TimerExpired(token) => self.on_timer(now, token, out),
         }
     }
 
     /// Other settings hold for what comes from now on. New classes stand behind those that were there.
     fn on_retune(&mut self, now: Micros, settings: &Settings) {
         let (kinds, new) = (self.kinds.len(), settings.classes.iter().skip(self.settings.classes.len()));
-        self.latencies.extend(new.flat_map(|c| vec![Latency::new(c.aim, now); kinds]));
+        self.latencies.extend(new.flat_map(|c| vec![Latency::new(c.latency_objective, now); kinds]));
         self.settings.clone_from(settings);
     }
 
@@ -147,10 +152,10 @@
             id: request.id,
             class,
             arrived: now,
-            deadline: now + request.patience,
+            deadline: now + request.timeout,
             max_attempts: usize::from(self.settings.permissions.max_attempts),
             over_share,
-            carried: request.carried,
+            carried: request.is_proxied,
             answered: false,
             streaming: false,
             held_until: None,
@@ -168,9 +173,9 @@
     /// traffic is more than one in `balancers` where others died: a tenant without a token is over its share
     /// only if it also asks for more of its allowance here than the tenants do on the whole.
     fn over_share(&mut self, now: Micros, tenant: usize) -> bool {
-        let allowance = |tenant: usize| self.settings.tenants[tenant].allowance_per_s;
+        let allowance = |tenant: usize| self.settings.tenants[tenant].quota_per_s;
         let Some(bucket) = self.tenants.get_mut(tenant) else { return false };
-        let rate = allowance(tenant) / f64::from(self.settings.balancers);
+        let rate = allowance(tenant) / f64::from(self.settings.instance_count);
         if bucket.take(now, rate, rate.max(1.0)) {
             return false;
         }
@@ -198,7 +203,7 @@
         self.kinds.iter_mut().for_each(|s| s.window.filled = true);
         self.open[slot].held_until = Some(now + wait);
         self.held.push(slot);
-        out.push(Action::SetTimer { after: wait, token: (slot as u32) << 2 | TIMER_HOLD });
+        out.push(Action::SetTimer { delay: wait, token: (slot as u32) << 2 | TIMER_HOLD });
     }
 
     /// The hold is over, or there was none.
@@ -234,8 +239,8 @@
         let request = open.id;
         let crowded = !open.over_share && open.attempts.iter().all(|a| a.state == AttemptState::NeverRan);
         out.push(if self.may_refuse(open) {
-            let most = self.settings.permissions.retry_after;
-            Action::Refuse { request, retry_after: most.map_or(0, |m| m.min(self.retry_after(open.class))) }
+            let most = self.settings.permissions.max_retry_after;
+            Action::Reject { request, retry_after: most.map_or(0, |m| m.min(self.retry_after(open.class))) }
         } else {
             Action::Fail { request }
         });
@@ -250,7 +255,7 @@
     /// aim. With many slots to a proxy a refusal means that the fleet is full.
     fn retry_after(&self, class: usize) -> Micros {
         let part = (self.pool.slots / CHANCE_SLOTS).clamp(CHANCE_WAIT, 1.0);
-        (self.settings.classes[class].aim as f64 * part) as Micros
+        (self.settings.classes[class].latency_objective as f64 * part) as Micros
     }
 
     /// The request is over for the client; its place stays until its attempts have ended.
@@ -272,7 +277,7 @@
         let server = &mut self.servers[index];
         if let (Some(cold), Some(tokens)) = (server.cold.as_mut(), tokens) {
             *cold = ColdBudget { tokens: tokens - 1.0, filled_at: now, ..*cold };
-            if now >= cold.started.saturating_add(self.settings.safety.cold_time) {
+            if now >= cold.started.saturating_add(self.settings.safety.warm_up_duration) {
                 server.cold = None;
             }
         }
@@ -291,21 +296,21 @@
         open.attempts.push(Attempt { server: index, zone, cell, sent_at: now, rested, early, state });
         self.servers[index].held += 1;
         let (request, backend) = (open.id, self.servers[index].id);
-        out.push(Action::Send { request, backend, begin_by, give_up_at });
+        out.push(Action::Send { request, backend, start_by: begin_by, give_up_at });
     }
 
-    fn on_settled(&mut self, now: Micros, settled: Settled<'_>, out: &mut Vec<Action>) {
+    fn on_settled(&mut self, now: Micros, settled: AttemptResult<'_>, out: &mut Vec<Action>) {
         let Some(slot) = self.open.find(settled.request) else { return };
         let open = &mut self.open[slot];
         let Some(attempt) = open.attempts.get_mut(usize::from(settled.attempt)) else { return };
         let was = attempt.state;
-        let never_ran = settled.outcome.never_ran() && was == AttemptState::Out;
+        let never_ran = settled.outcome.never_executed() && was == AttemptState::Out;
         if !matches!(was, AttemptState::Out | AttemptState::Session) {
             return;
         }
         attempt.state = if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
         let (attempt, class) = (*attempt, open.class);
-        if settled.closed {
+        if settled.is_answered {
             self.refused -= self.refused * REFUSED_WEIGHT;
         }
         if was == AttemptState::Session {
@@ -314,7 +319,7 @@
         } else {
             self.observe(now, class, attempt, &settled, out);
         }
-        if settled.closed || self.open[slot].answered {
+        if settled.is_answered || self.open[slot].answered {
             self.close(slot);
         } else {
             self.again(now, slot, never_ran, out);
@@ -349,8 +354,8 @@
 
     fn value(&self, slot: usize) -> f64 {
         let open = &self.open[slot];
-        let share = if open.over_share { self.settings.over_share_worth } else { 1.0 };
-        self.settings.classes[open.class].worth * share / self.mean(open.class)
+        let share = if open.over_share { self.settings.over_quota_weight } else { 1.0 };
+        self.settings.classes[open.class].priority_weight * share / self.mean(open.class)
     }
 
     fn on_timer(&mut self, now: Micros, token: u32, out: &mut Vec<Action>) {
--- a/crates/balancer/src/balancer/choice.rs
+++ b/crates/balancer/src/balancer/choice.rs
@@ -1,7 +1,7 @@
 //! The choice of a server: most room wins, near ones first.
 
 use super::{Balancer, FREE_CROSSING, GOLDEN, limits::STANDING};
-use crate::api::{Effect, Micros};
+use crate::api::{Idempotency, Micros};
 use crate::state::{Scope, Server};
 
 /// Servers that a proxy spreads its requests over, at the least, where its limits add up to fewer slots, and
@@ -36,23 +36,23 @@
     pub(super) fn judge_pool(&mut self, now: Micros) {
         let own = self.ready.iter().map(|&s| &self.servers[s]).filter(|s| self.near(s));
         let slots = own.map(|s| s.limit).sum::<f64>();
-        let turn = (f64::from(self.settings.me) * GOLDEN).fract();
+        let turn = (f64::from(self.settings.instance_index) * GOLDEN).fract();
         (self.pool.judged_at, self.pool.slots) = (Some(now), slots);
         let calm = 1.0 - (self.refused / STANDING).min(1.0);
         let wide = 1.0 + (MIN_SPREAD - 1.0) * calm;
         self.pool.spread = if slots > 0.0 { (wide / slots).max(1.0) } else { 1.0 };
-        let more = if self.settings.balancers > 1 { CALM_MORE * calm } else { 0.0 };
+        let more = if self.settings.instance_count > 1 { CALM_MORE * calm } else { 0.0 };
         let most = slots + slots.sqrt() + turn + more;
         self.pool.most = if self.pool.spread > 1.0 { (most as u32).max(1) } else { u32::MAX };
     }
 
     /// Whether a server can be sent to without a price for the way.
     fn near(&self, server: &Server) -> bool {
-        server.zone == self.settings.zone || self.settings.cross_zone_price <= FREE_CROSSING
+        server.zone == self.settings.zone || self.settings.cross_zone_cost <= FREE_CROSSING
     }
 
     fn overdue(&self, class: usize) -> Micros {
-        let aim = self.settings.classes[class].aim as f64;
+        let aim = self.settings.classes[class].latency_objective as f64;
         (self.mean(class) * OVERDUE_OVER_MEAN).clamp(aim * OVERDUE_OVER_AIM.0, aim * OVERDUE_OVER_AIM.1)
             as Micros
     }
@@ -72,7 +72,7 @@
         let mut spare: Option<(f64, usize)> = None;
         let part = self.pool.spread * if open.over_share { OVER_SHARE_LIMIT } else { 1.0 };
         let overdue = self.overdue(open.class);
-        let repeatable = self.settings.classes[open.class].effect != Effect::Unsafe;
+        let repeatable = self.settings.classes[open.class].idempotency != Idempotency::NonIdempotent;
         let mut best: [Option<(i64, usize)>; 2] = [None, None];
         let mut ties = [0_u32; 2];
         let sampled = scope == Scope::Anywhere && self.ready.len() > SAMPLE_ABOVE;
--- a/crates/balancer/src/balancer/cold.rs
+++ b/crates/balancer/src/balancer/cold.rs
@@ -13,11 +13,12 @@
     /// its size takes: the best seconds of this proxy, for all proxies, over all servers.
     pub(super) fn cold_tokens(&self, now: Micros, server: &Server, cold: &ColdBudget) -> f64 {
         let safety = &self.settings.safety;
-        let age = now.saturating_sub(cold.started) as f64 / safety.cold_time.max(1) as f64;
-        let part = safety.cold_from + (1.0 - safety.cold_from) * age.min(1.0);
-        let bank = self.served.peak * f64::from(self.settings.balancers) / self.ready.len().max(1) as f64;
+        let age = now.saturating_sub(cold.started) as f64 / safety.warm_up_duration.max(1) as f64;
+        let part = safety.initial_capacity + (1.0 - safety.initial_capacity) * age.min(1.0);
+        let bank =
+            self.served.peak * f64::from(self.settings.instance_count) / self.ready.len().max(1) as f64;
         let single = SECOND as f64 / self.mean_of_all();
-        let rate = (safety.fall_multiple * COLD_MARGIN).min(1.0)
+        let rate = (safety.overload_factor * COLD_MARGIN).min(1.0)
             * part
             * bank.max(single)
             * share(&self.settings, server);
--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -2,7 +2,7 @@
 
 use super::limits::{LATENCY_WEIGHT, SAMPLE_CAP};
 use super::{Balancer, SECOND};
-use crate::api::{Action, Micros, Outcome, Settled};
+use crate::api::{Action, AttemptResult, Micros, Outcome};
 use crate::state::Attempt;
 
 /// A bad sample (an error, say), and the most that any sample counts, as multiples of Lmax.
@@ -40,7 +40,7 @@
         now: Micros,
         class: usize,
         to: Attempt,
-        end: &Settled<'_>,
+        end: &AttemptResult<'_>,
         out: &mut Vec<Action>,
     ) {
         let index = to.server;
@@ -53,13 +53,13 @@
         server.in_flight = server.in_flight.saturating_sub(1);
         self.in_flight = self.in_flight.saturating_sub(1);
         let silent = server.silent_since <= to.sent_at;
-        if end.outcome == Outcome::Moot {
+        if end.outcome == Outcome::NotSent {
             // It was never sent: another request may be the trial of an ejected server.
             (server.trial_out, server.unused_since) = (false, now);
             return;
         }
-        let lmax = latency.lmax(self.settings.classes[class].aim as f64, self.refused);
-        let multiplex = self.settings.permissions.multiplex.max(1);
+        let lmax = latency.lmax(self.settings.classes[class].latency_objective as f64, self.refused);
+        let multiplex = self.settings.permissions.streams_per_connection.max(1);
         if let Some(at) = server.rested.get_mut((server.in_flight / multiplex) as usize) {
             *at = now;
         }
@@ -75,8 +75,8 @@
             }
             // A server that answered others meanwhile is not hung; the request was heavy.
             Outcome::Timeout | Outcome::Cancelled => silent,
-            Outcome::Error | Outcome::Spoilt | Outcome::ConnectFailed | Outcome::Reset => true,
-            Outcome::Full | Outcome::Moot => {
+            Outcome::Error | Outcome::Malformed | Outcome::ConnectFailed | Outcome::Reset => true,
+            Outcome::Rejected | Outcome::NotSent => {
                 server.full_until = now + latency.mean as Micros;
                 false
             }
@@ -88,7 +88,7 @@
         self.weigh(index, failed, if end.outcome == Outcome::Timeout { WAITED } else { 1.0 });
         self.judge_health(now, index, failed, out);
         // What broke or was lost on the way says nothing of how crowded its server is.
-        let broken = matches!(end.outcome, Outcome::Spoilt | Outcome::ConnectFailed | Outcome::Reset);
+        let broken = matches!(end.outcome, Outcome::Malformed | Outcome::ConnectFailed | Outcome::Reset);
         if broken || (end.outcome == Outcome::Timeout && to.early) {
             return;
         }
@@ -97,7 +97,7 @@
             self.judge_kind(now, kind, sample);
         }
         self.judge_window(now, index, sample);
-        self.follow_report(now, index, end.report);
+        self.follow_report(now, index, end.load_report);
     }
 
     /// Weighs one more outcome. A server's failures count as usual only once it has served again: those of a
@@ -149,7 +149,7 @@
     /// trust starts at the time after which idle connections close by themselves and backs off at each
     /// request that got no answer on a rested one. It can cost handshakes where servers hang or restart.
     pub(super) fn connection(&mut self, now: Micros, index: usize, out: &mut Vec<Action>) -> Micros {
-        let multiplex = self.settings.permissions.multiplex.max(1);
+        let multiplex = self.settings.permissions.streams_per_connection.max(1);
         let trusted = self.trusted_rest(now);
         let server = &mut self.servers[index];
         let number = (server.in_flight / multiplex) as usize;
@@ -160,7 +160,7 @@
         let rested = if server.in_flight.is_multiple_of(multiplex) { now - used_at } else { 0 };
         if rested > MIN_REST && rested as f64 > trusted {
             server.rested.truncate(number + 1);
-            out.push(Action::CloseIdle(server.id));
+            out.push(Action::CloseIdleConnections(server.id));
             return 0;
         }
         rested
--- a/crates/balancer/src/balancer/limits.rs
+++ b/crates/balancer/src/balancer/limits.rs
@@ -43,8 +43,8 @@
 /// This proxy's part of a server: the inverse of how many proxies use it. Departure: bounds and steps of a
 /// limit are the server's, not the proxy's, so that the admitted sum does not grow with the bank.
 pub(super) fn share(settings: &Settings, server: &Server) -> f64 {
-    let balancers = f64::from(settings.balancers);
-    let local = (balancers / f64::from(settings.zones)).max(1.0);
+    let balancers = f64::from(settings.instance_count);
+    let local = (balancers / f64::from(settings.zone_count)).max(1.0);
     1.0 / if server.zone == settings.zone { local } else { balancers }
 }
 
@@ -68,7 +68,8 @@
     /// server compares with its kind: servers that are slower, for whatever cause, get less from all proxies
     /// alike. The mark fades when the server has given no answer for a while.
     pub(super) fn follow_report(&mut self, now: Micros, index: usize, report: &[f32]) {
-        let told = self.settings.report.avg_ms.and_then(|i| report.get(i)).map(|&ms| f64::from(ms));
+        let told =
+            self.settings.load_report.mean_service_ms.and_then(|i| report.get(i)).map(|&ms| f64::from(ms));
         let Some(told) = told.filter(|ms| ms.is_finite() && *ms > 0.0) else { return };
         let share = share(&self.settings, &self.servers[index]);
         let server = &mut self.servers[index];
--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -2,21 +2,21 @@
 
 use super::limits::share;
 use super::{Balancer, FREE_CROSSING, GOLDEN, SECOND, TIMER_SUBSCRIBE};
-use crate::api::{Action, Backend, Membership, Micros, Readiness};
+use crate::api::{Action, Backend, MembershipUpdate, Micros, Readiness};
 use crate::state::{ColdBudget, Server, Window};
 
 impl Balancer {
-    pub(super) fn on_membership(&mut self, now: Micros, news: Membership<'_>, out: &mut Vec<Action>) {
+    pub(super) fn on_membership(&mut self, now: Micros, news: MembershipUpdate<'_>, out: &mut Vec<Action>) {
         let (entries, complete) = match news {
-            Membership::Delta(entries) => (entries, false),
-            Membership::Full(entries) => (entries, true),
-            Membership::Cached(entries) => {
+            MembershipUpdate::Delta(entries) => (entries, false),
+            MembershipUpdate::Snapshot(entries) => (entries, true),
+            MembershipUpdate::CachedSnapshot(entries) => {
                 if self.settings.discovery_on_request {
                     out.push(Action::Subscribe);
                 }
                 (entries, true)
             }
-            Membership::Failed => return self.resubscribe_later(out),
+            MembershipUpdate::Failed => return self.resubscribe_later(out),
         };
         self.subscribe_failures = 0;
         if complete {
@@ -32,7 +32,7 @@
         let (zone, servers) = (self.settings.zone, &self.servers);
         let first = self.ready.partition_point(|&s| servers[s].zone < zone);
         let end = self.ready.partition_point(|&s| servers[s].zone <= zone);
-        let free = self.settings.cross_zone_price <= FREE_CROSSING;
+        let free = self.settings.cross_zone_cost <= FREE_CROSSING;
         self.own = if free || first == end { 0..self.ready.len() } else { first..end };
         self.serve_held(now, out);
     }
@@ -40,7 +40,7 @@
     /// Spaces a proxy's dithers evenly over the servers of a zone and kind, and the proxies' evenly over each
     /// server. Drawn by chance for each server they left some proxies without a slot for good.
     fn place_dithers(&mut self) {
-        let (servers, me) = (&mut self.servers, f64::from(self.settings.me));
+        let (servers, me) = (&mut self.servers, f64::from(self.settings.instance_index));
         let group = |s: &Server| (s.zone, s.kind);
         self.ready.sort_unstable_by_key(|&s| (group(&servers[s]), servers[s].id));
         let groups: Vec<_> = self.ready.chunk_by(|&a, &b| group(&servers[a]) == group(&servers[b])).collect();
@@ -56,23 +56,23 @@
         let wait = (SECOND / 8) << self.subscribe_failures.min(3);
         self.subscribe_failures += 1;
         let after = wait + self.rng.u64(0..=wait);
-        out.push(Action::SetTimer { after, token: TIMER_SUBSCRIBE });
+        out.push(Action::SetTimer { delay: after, token: TIMER_SUBSCRIBE });
     }
 
     fn update(&mut self, now: Micros, entry: &Backend) {
         let ready = entry.readiness == Readiness::Ready;
-        let listed = entry.readiness != Readiness::Gone;
+        let listed = entry.readiness != Readiness::Removed;
         let index = match self.servers.find(entry.id) {
             Some(index) => index,
             None if !listed => return,
             None => {
-                let kind = entry.kind.min(self.settings.kinds.saturating_sub(1));
+                let kind = entry.machine_kind.min(self.settings.machine_kind_count.saturating_sub(1));
                 let server = Server {
                     id: entry.id,
                     zone: entry.zone,
                     kind,
                     cell: entry.cell,
-                    started: entry.started,
+                    started: entry.started_at,
                     silent_since: now,
                     part: (1.0, now),
                     ..Server::default()
@@ -86,8 +86,8 @@
         server.unused_since = if server.ready { server.unused_since } else { now };
         (server.listed, server.ready) = (listed, ready);
         (server.zone, server.cell) = (entry.zone, entry.cell);
-        if server.started != entry.started {
-            server.started = entry.started;
+        if server.started != entry.started_at {
+            server.started = entry.started_at;
             self.restarted(now, index);
         }
     }
@@ -103,7 +103,8 @@
         (server.evidence, server.unproven, server.in_service) = (0.0, 0, now);
         (server.ejected_until, server.strikes, server.unused_since) = (None, 0, now);
         (server.limit, server.probing) = (limit, true);
-        let started = server.started.filter(|&t| now < t.saturating_add(self.settings.safety.cold_time));
+        let started =
+            server.started.filter(|&t| now < t.saturating_add(self.settings.safety.warm_up_duration));
         server.cold = started.map(|started| ColdBudget { started, tokens, filled_at: now });
     }
 }
--- a/crates/balancer/src/balancer/repeats.rs
+++ b/crates/balancer/src/balancer/repeats.rs
@@ -1,7 +1,7 @@
 //! Repeats: where a further attempt may go (rule 2), whether it is worth it, and when one is given up.
 
 use super::Balancer;
-use crate::api::{Action, DedupGroup, Effect, Micros};
+use crate::api::{Action, DedupScope, Idempotency, Micros};
 use crate::state::{AttemptState, Open, Scope};
 
 /// An attempt that may be repeated is given up at this part of its aim, twice as late each time, where that
@@ -21,19 +21,19 @@
         if open.answered || open.streaming || open.attempts.len() >= open.max_attempts {
             return Scope::Nowhere;
         }
-        if out > 0 && !permissions.second_copies {
+        if out > 0 && !permissions.hedging {
             return Scope::Nowhere;
         }
         let Some(first) = open.attempts.iter().find(|a| a.state != AttemptState::NeverRan) else {
             return Scope::Anywhere;
         };
-        match self.settings.classes[open.class].effect {
-            Effect::Safe => Scope::Anywhere,
-            Effect::Unsafe => Scope::Nowhere,
-            Effect::Keyed { ttl, .. } if now >= first.sent_at.saturating_add(ttl) => Scope::Nowhere,
-            Effect::Keyed { group: DedupGroup::All, .. } => Scope::Anywhere,
-            Effect::Keyed { group: DedupGroup::Zone, .. } => Scope::Zone(first.zone),
-            Effect::Keyed { group: DedupGroup::Cell, .. } => Scope::Cell(first.cell),
+        match self.settings.classes[open.class].idempotency {
+            Idempotency::Idempotent => Scope::Anywhere,
+            Idempotency::NonIdempotent => Scope::Nowhere,
+            Idempotency::Keyed { ttl, .. } if now >= first.sent_at.saturating_add(ttl) => Scope::Nowhere,
+            Idempotency::Keyed { scope: DedupScope::All, .. } => Scope::Anywhere,
+            Idempotency::Keyed { scope: DedupScope::Zone, .. } => Scope::Zone(first.zone),
+            Idempotency::Keyed { scope: DedupScope::Cell, .. } => Scope::Cell(first.cell),
         }
     }
 
@@ -41,8 +41,8 @@
     /// window in which its backends remember the key.
     pub(super) fn begin_by(&self, open: &Open) -> Micros {
         let first = open.attempts.iter().find(|a| a.state != AttemptState::NeverRan);
-        match (first, self.settings.classes[open.class].effect) {
-            (Some(first), Effect::Keyed { ttl, .. }) => first.sent_at.saturating_add(ttl),
+        match (first, self.settings.classes[open.class].idempotency) {
+            (Some(first), Idempotency::Keyed { ttl, .. }) => first.sent_at.saturating_add(ttl),
             _ => Micros::MAX,
         }
     }
@@ -50,17 +50,20 @@
     /// Rule 2: whether the client may be told that trying again is harmless.
     pub(super) fn may_refuse(&self, open: &Open) -> bool {
         let may_have_run = open.attempts.iter().any(|a| a.state != AttemptState::NeverRan);
-        match self.settings.classes[open.class].effect {
-            Effect::Safe | Effect::Keyed { group: DedupGroup::All, .. } => true,
-            Effect::Keyed { .. } | Effect::Unsafe => !may_have_run,
+        match self.settings.classes[open.class].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !may_have_run,
         }
     }
 
     /// Whether an attempt started now would come too late to be worth anything.
     pub(super) fn too_late(&self, now: Micros, open: &Open) -> bool {
         let class = &self.settings.classes[open.class];
-        let last =
-            if class.late_worth > 0.0 { open.deadline } else { open.deadline.min(open.arrived + class.aim) };
+        let last = if class.late_weight_fraction > 0.0 {
+            open.deadline
+        } else {
+            open.deadline.min(open.arrived + class.latency_objective)
+        };
         now + (self.mean(open.class) / 2.0) as Micros >= last
     }
 
@@ -85,10 +88,10 @@
     pub(super) fn give_up_at(&self, now: Micros, open: &Open) -> (Micros, bool) {
         let class = &self.settings.classes[open.class];
         let last = open.attempts.len() + 1 >= open.max_attempts;
-        if last || class.effect == Effect::Unsafe || self.retry_tokens < 1.0 {
+        if last || class.idempotency == Idempotency::NonIdempotent || self.retry_tokens < 1.0 {
             return (open.deadline, false);
         }
-        let (mean, soon) = (self.mean(open.class), class.aim as f64 * LOST_OVER_AIM);
+        let (mean, soon) = (self.mean(open.class), class.latency_objective as f64 * LOST_OVER_AIM);
         let early = mean * MIN_LOST <= soon;
         let before = open.attempts.iter().filter(|a| a.early).count() as i32;
         let lost = if early { soon * 2_f64.powi(before) } else { mean * LOST_OVER_MEAN };
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -10,49 +10,56 @@
 /// How far past its deadline a request may be answered.
 const SLACK: Micros = 20 * MS;
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: 500 * MS, aim_stretch: 0.0, deadline: 2 * SECOND, worth: 1.0, late_worth: 0.0, effect }
+pub fn class(effect: Idempotency) -> Class {
+    Class {
+        latency_objective: 500 * MS,
+        objective_work_factor: 0.0,
+        deadline: 2 * SECOND,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        idempotency: effect,
+    }
 }
 
 /// Two zones, one proxy, one class of each effect: safe, unsafe, keyed for all, for a zone, for a cell.
 pub fn settings() -> Settings {
-    let keyed = |group| class(Effect::Keyed { group, ttl: 600 * MS });
+    let keyed = |group| class(Idempotency::Keyed { scope: group, ttl: 600 * MS });
     Settings {
-        me: 0,
-        balancers: 1,
+        instance_index: 0,
+        instance_count: 1,
         zone: 0,
-        zones: 2,
-        kinds: 1,
+        zone_count: 2,
+        machine_kind_count: 1,
         discovery_on_request: false,
-        warm_keys: false,
+        key_affinity: false,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            keyed(DedupGroup::All),
-            keyed(DedupGroup::Zone),
-            keyed(DedupGroup::Cell),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            keyed(DedupScope::All),
+            keyed(DedupScope::Zone),
+            keyed(DedupScope::Cell),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        cross_zone_price: 0.05,
-        probe_price: 0.01,
-        report: ReportFields::default(),
-        report_by_probe: false,
+        over_quota_weight: 0.1,
+        cross_zone_cost: 0.05,
+        health_check_cost: 0.01,
+        load_report: LoadReportFields::default(),
+        load_report_by_health_check: false,
         permissions: Permissions {
             max_attempts: 4,
-            second_copies: false,
-            cancel: true,
-            probes: false,
-            conn_idle: 5 * SECOND,
-            multiplex: 1,
-            retry_after: Some(SECOND),
+            hedging: false,
+            cancellation: true,
+            health_checks: false,
+            idle_connection_timeout: 5 * SECOND,
+            streams_per_connection: 1,
+            max_retry_after: Some(SECOND),
         },
-        safety: Safety {
-            ask_within: 10 * SECOND,
-            cold_from: 0.2,
-            cold_time: 10 * SECOND,
-            fall_multiple: 2.5,
-            fall_time: 2 * SECOND,
+        safety: SafetyLimits {
+            max_poll_interval: 10 * SECOND,
+            initial_capacity: 0.2,
+            warm_up_duration: 10 * SECOND,
+            overload_factor: 2.5,
+            overload_window: 2 * SECOND,
         },
     }
 }
@@ -62,10 +69,10 @@
     Backend {
         id,
         zone: (id % 2) as u16,
-        kind: 0,
+        machine_kind: 0,
         cell: (id / 6 * 2 + id % 2) as u16,
         readiness: Readiness::Ready,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -75,10 +82,10 @@
         class,
         tenant: 0,
         key: None,
-        patience: 2 * SECOND,
-        work: None,
-        repeat: false,
-        carried: true,
+        timeout: 2 * SECOND,
+        expected_work: None,
+        is_retry: false,
+        is_proxied: true,
     }
 }
 
@@ -134,7 +141,7 @@
             log: Vec::new(),
         };
         let list: Vec<Backend> = servers.into_iter().collect();
-        proxy.list(Membership::Cached(&list));
+        proxy.list(MembershipUpdate::CachedSnapshot(&list));
         proxy
     }
 
@@ -151,22 +158,22 @@
 
     fn carry_out(&mut self, action: &Action) {
         match *action {
-            Action::Send { request, backend, begin_by, give_up_at } => {
+            Action::Send { request, backend, start_by: begin_by, give_up_at } => {
                 assert!(begin_by > self.now, "rule 2: sent when its window was over");
                 self.check_send(request, backend, give_up_at);
             }
-            Action::Refuse { request, .. } => self.check_end(request, true),
+            Action::Reject { request, .. } => self.check_end(request, true),
             Action::Fail { request } => self.check_end(request, false),
             Action::Cancel { request, attempt } => {
                 let tracked = &self.requests[&request];
                 assert!(usize::from(attempt) < tracked.attempts.len(), "cancelled an attempt never made");
-                assert!(self.settings.permissions.cancel);
+                assert!(self.settings.permissions.cancellation);
             }
-            Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
-            Action::Probe(backend) => {
-                assert!(self.settings.permissions.probes && self.servers.contains_key(&backend));
+            Action::SetTimer { delay: after, token } => self.timers.push((self.now + after, token)),
+            Action::CheckHealth(backend) => {
+                assert!(self.settings.permissions.health_checks && self.servers.contains_key(&backend));
             }
-            Action::CloseIdle(backend) => assert!(self.servers.contains_key(&backend)),
+            Action::CloseIdleConnections(backend) => assert!(self.servers.contains_key(&backend)),
             Action::Subscribe | Action::Log(_) => {}
         }
     }
@@ -180,20 +187,20 @@
         assert!(give_up_at <= tracked.deadline, "rule 1: an attempt outlasts the deadline");
         assert!(tracked.attempts.len() < usize::from(settings.permissions.max_attempts));
         let out = tracked.attempts.iter().any(|a| a.state == State::Out);
-        assert!(!out || settings.permissions.second_copies, "rule 2: two attempts out");
+        assert!(!out || settings.permissions.hedging, "rule 2: two attempts out");
         let ran: Vec<&Attempt> = tracked.attempts.iter().filter(|a| a.state != State::NeverRan).collect();
-        match settings.classes[usize::from(tracked.class)].effect {
-            Effect::Safe => {}
-            Effect::Unsafe => assert!(ran.is_empty(), "rule 2: an unsafe request was repeated"),
-            Effect::Keyed { group, ttl } => {
+        match settings.classes[usize::from(tracked.class)].idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => assert!(ran.is_empty(), "rule 2: an unsafe request was repeated"),
+            Idempotency::Keyed { scope: group, ttl } => {
                 for earlier in ran {
                     // The group that remembers the key is the one in which the attempt was made.
                     let other = earlier.at;
                     assert!(self.now <= earlier.sent_at + ttl, "rule 2: a repeat after the key's time");
                     assert!(match group {
-                        DedupGroup::All => true,
-                        DedupGroup::Zone => other.zone == server.zone,
-                        DedupGroup::Cell => other.cell == server.cell,
+                        DedupScope::All => true,
+                        DedupScope::Zone => other.zone == server.zone,
+                        DedupScope::Cell => other.cell == server.cell,
                     });
                 }
             }
@@ -212,20 +219,22 @@
         assert!(!tracked.ended, "rule 1: two final answers");
         assert!(self.now <= tracked.deadline + SLACK, "rule 1: a late final answer");
         let may_have_run = tracked.attempts.iter().any(|a| a.state != State::NeverRan);
-        let harmless = match self.settings.classes[usize::from(tracked.class)].effect {
-            Effect::Safe | Effect::Keyed { group: DedupGroup::All, .. } => true,
+        let harmless = match self.settings.classes[usize::from(tracked.class)].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
             _ => !may_have_run,
         };
         assert!(!refused || harmless, "rule 2: refused what may have run");
         tracked.ended = true;
     }
 
-    pub fn list(&mut self, news: Membership<'_>) -> Vec<Action> {
-        let (Membership::Delta(entries) | Membership::Full(entries) | Membership::Cached(entries)) = news
+    pub fn list(&mut self, news: MembershipUpdate<'_>) -> Vec<Action> {
+        let (MembershipUpdate::Delta(entries)
+        | MembershipUpdate::Snapshot(entries)
+        | MembershipUpdate::CachedSnapshot(entries)) = news
         else {
             return self.event(Event::Membership(news));
         };
-        if !matches!(news, Membership::Delta(_)) {
+        if !matches!(news, MembershipUpdate::Delta(_)) {
             self.servers.keys().for_each(|&id| _ = self.barred.entry(id).or_insert(self.now));
         }
         for entry in entries {
@@ -242,7 +251,7 @@
     pub fn request(&mut self, request: Request) -> Vec<Action> {
         let class = request.class.min(self.settings.classes.len() as u8 - 1);
         let tracked =
-            Tracked { class, deadline: self.now + request.patience, ended: false, attempts: Vec::new() };
+            Tracked { class, deadline: self.now + request.timeout, ended: false, attempts: Vec::new() };
         assert!(self.requests.insert(request.id, tracked).is_none());
         self.event(Event::Request(request))
     }
@@ -262,11 +271,19 @@
         let tracked = self.requests.get_mut(&request).expect("a request that is known");
         let which = &mut tracked.attempts[usize::from(attempt)];
         assert_eq!(which.state, State::Out);
-        which.state = if outcome.never_ran() { State::NeverRan } else { State::MayHaveRun };
+        which.state = if outcome.never_executed() { State::NeverRan } else { State::MayHaveRun };
         let (backend, elapsed) = (which.backend, self.now - which.sent_at);
         tracked.ended |= outcome == Outcome::Ok;
         let closed = tracked.ended;
-        self.event(Event::Settled(Settled { request, backend, attempt, outcome, closed, elapsed, report }))
+        self.event(Event::AttemptFinished(AttemptResult {
+            request,
+            backend,
+            attempt,
+            outcome,
+            is_answered: closed,
+            elapsed,
+            load_report: report,
+        }))
     }
 
     /// The attempts that are out: request, number, backend.
@@ -290,7 +307,7 @@
             let (due, later) = self.timers.iter().partition(|t| t.0 <= self.now);
             self.timers = later;
             let due: Vec<(Micros, u32)> = due;
-            due.iter().for_each(|t| _ = self.event(Event::Timer(t.1)));
+            due.iter().for_each(|t| _ = self.event(Event::TimerExpired(t.1)));
             for (id, number, _) in self.out() {
                 if self.requests[&id].attempts[usize::from(number)].give_up_at <= self.now {
                     self.settle(id, number, Outcome::Timeout);
@@ -325,7 +342,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/balancer/tests/heavy.rs
+++ b/crates/balancer/tests/heavy.rs
@@ -27,5 +27,5 @@
     assert_eq!(times.first(), Some(&125), "a lost answer is still told in time for another attempt");
     assert!(times.windows(2).all(|pair| pair[1] > pair[0]), "{times:?}");
     assert_eq!(attempts.last().map(|a| a.state), Some(State::MayHaveRun));
-    assert!(!proxy.log.iter().any(|(_, a)| matches!(a, Action::Refuse { request: 1_000, .. })), "{times:?}");
+    assert!(!proxy.log.iter().any(|(_, a)| matches!(a, Action::Reject { request: 1_000, .. })), "{times:?}");
 }
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -17,43 +17,43 @@
 }
 
 fn limit(proxy: &Proxy, backend: BackendId) -> f64 {
-    let servers = proxy.balancer.memory().servers;
+    let servers = proxy.balancer.learned_state().backends;
     servers.iter().find(|s| s.backend == backend).expect("a ready server").limit
 }
 
 #[test]
 fn another_instance_goes_on_from_what_was_learnt() {
     let old = learnt();
-    let memory = old.balancer.memory();
+    let memory = old.balancer.learned_state();
     let fresh = Proxy::new(settings(), (0..4).map(backend));
-    assert_ne!(fresh.balancer.memory(), memory, "something was learnt");
+    assert_ne!(fresh.balancer.learned_state(), memory, "something was learnt");
     let mut new = Proxy::new(settings(), (0..4).map(backend));
-    assert!(new.balancer.adopt(new.now, &memory));
-    assert_eq!(new.balancer.memory(), memory);
+    assert!(new.balancer.restore(new.now, &memory));
+    assert_eq!(new.balancer.learned_state(), memory);
 }
 
 #[test]
 fn servers_that_left_or_started_anew_are_not_taken_for_those_that_were() {
-    let memory = learnt().balancer.memory();
+    let memory = learnt().balancer.learned_state();
     // Server 1 is gone, 2 has started anew, 9 has come.
-    let again = Backend { started: Some(SECOND / 2), ..backend(2) };
+    let again = Backend { started_at: Some(SECOND / 2), ..backend(2) };
     let list = [backend(0), again, backend(3), backend(9)];
     let mut new = Proxy::new(settings(), list);
     let (anew, come) = (limit(&new, 2), limit(&new, 9));
-    assert!(new.balancer.adopt(new.now, &memory));
-    let of = |id| memory.servers.iter().find(|s| s.backend == id).expect("it was learnt").limit;
+    assert!(new.balancer.restore(new.now, &memory));
+    let of = |id| memory.backends.iter().find(|s| s.backend == id).expect("it was learnt").limit;
     assert_eq!((limit(&new, 0), limit(&new, 3)), (of(0), of(3)));
     assert_eq!((limit(&new, 2), limit(&new, 9)), (anew, come));
-    assert_eq!(new.balancer.memory().servers.len(), 4, "nothing is listed by it");
+    assert_eq!(new.balancer.learned_state().backends.len(), 4, "nothing is listed by it");
 }
 
 #[test]
 fn what_was_learnt_under_other_classes_is_left() {
-    let memory = learnt().balancer.memory();
+    let memory = learnt().balancer.learned_state();
     let mut other = settings();
     other.classes.pop();
     let mut new = Proxy::new(other, (0..4).map(backend));
-    let before = new.balancer.memory();
-    assert!(!new.balancer.adopt(new.now, &memory));
-    assert_eq!(new.balancer.memory(), before);
+    let before = new.balancer.learned_state();
+    assert!(!new.balancer.restore(new.now, &memory));
+    assert_eq!(new.balancer.learned_state(), before);
 }
--- a/crates/balancer/tests/module.rs
+++ b/crates/balancer/tests/module.rs
@@ -10,7 +10,7 @@
 }
 
 fn single_zone() -> Settings {
-    Settings { zones: 1, ..settings() }
+    Settings { zone_count: 1, ..settings() }
 }
 
 /// Lets `per_tick` requests come every 10 ms for some time, each served after `latency`.
@@ -49,7 +49,7 @@
     proxy.advance(150 * MS);
     assert_eq!(proxy.requests.values().filter(|t| t.ended).count(), 0, "held for a tenth of two seconds");
     proxy.advance(60 * MS);
-    let refusals = proxy.log.iter().filter(|(_, a)| matches!(a, Action::Refuse { retry_after: 1.., .. }));
+    let refusals = proxy.log.iter().filter(|(_, a)| matches!(a, Action::Reject { retry_after: 1.., .. }));
     assert_eq!(refusals.count(), 100 - sent);
 }
 
@@ -67,7 +67,7 @@
 #[test]
 fn a_held_request_of_higher_worth_goes_first() {
     let mut settings = single_zone();
-    settings.classes[2].worth = 10.0;
+    settings.classes[2].priority_weight = 10.0;
     let mut proxy = Proxy::new(settings, one_zone(1));
     (0..10).for_each(|id| _ = proxy.request(request(id, 0)));
     proxy.request(request(50, 2));
@@ -91,7 +91,7 @@
 fn a_server_that_turns_away_is_left_alone_for_a_while() {
     let mut proxy = Proxy::new(single_zone(), one_zone(3));
     let full = sent_to(&proxy.request(request(0, 0))).expect("there is room");
-    proxy.settle(0, 0, Outcome::Full);
+    proxy.settle(0, 0, Outcome::Rejected);
     assert_eq!(proxy.in_flight(full), 0);
     (1..9).for_each(|id| _ = proxy.request(request(id, 0)));
     assert_eq!(proxy.in_flight(full), 0, "it has the most room, but just turned one away");
@@ -157,7 +157,7 @@
         for id in 0..800 {
             proxy.request(request(id, 0));
             proxy.advance(10 * MS);
-            let (turn, outcomes) = (id % part, [Outcome::Ok, Outcome::Spoilt]);
+            let (turn, outcomes) = (id % part, [Outcome::Ok, Outcome::Malformed]);
             for (request, attempt, _) in proxy.out() {
                 let spoilt = turn == 0 && request == id && attempt == 0;
                 proxy.settle(request, attempt, outcomes[usize::from(spoilt)]);
@@ -184,7 +184,7 @@
     proxy.serve(|_| 0);
     for id in 0..6 {
         proxy.request(request(id, 0));
-        proxy.settle(id, 0, Outcome::Spoilt);
+        proxy.settle(id, 0, Outcome::Malformed);
         assert_eq!(proxy.requests[&id].attempts.len(), 2, "request {id}");
         proxy.advance(5 * MS);
         proxy.settle(id, 1, Outcome::Ok);
@@ -260,7 +260,7 @@
     let mut proxy = Proxy::new(single_zone(), one_zone(1));
     for id in 0..40 {
         proxy.request(request(id, 0));
-        let outcome = if id % 3 == 0 { Outcome::Error } else { Outcome::Full };
+        let outcome = if id % 3 == 0 { Outcome::Error } else { Outcome::Rejected };
         proxy.out().iter().for_each(|o| _ = proxy.settle(o.0, o.1, outcome));
         proxy.advance(50 * MS);
     }
@@ -273,7 +273,7 @@
 #[test]
 fn a_proxy_without_any_slot_still_serves() {
     for me in 0..40 {
-        let settings = Settings { me, balancers: 40, ..single_zone() };
+        let settings = Settings { instance_index: me, instance_count: 40, ..single_zone() };
         let mut proxy = Proxy::new(settings, one_zone(1));
         assert_eq!(sent_to(&proxy.request(request(1, 0))), Some(0));
     }
@@ -283,7 +283,10 @@
 fn what_all_proxies_admit_does_not_grow_with_their_number() {
     let admitted = |balancers| {
         let sent = |me| {
-            let mut proxy = Proxy::new(Settings { me, balancers, ..single_zone() }, one_zone(50));
+            let mut proxy = Proxy::new(
+                Settings { instance_index: me, instance_count: balancers, ..single_zone() },
+                one_zone(50),
+            );
             (0..200).for_each(|id| _ = proxy.request(request(id, 0)));
             proxy.out().len()
         };
@@ -298,7 +301,7 @@
 
 #[test]
 fn requests_over_their_tenants_share_give_way_first() {
-    let tenants = vec![Tenant { allowance_per_s: 1.0 }, Tenant { allowance_per_s: 1000.0 }];
+    let tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1000.0 }];
     let mut proxy = Proxy::new(Settings { tenants, ..single_zone() }, one_zone(4));
     load(&mut proxy, 10_000, 100, 2, |_| 20 * MS);
     proxy.serve(|_| 0);
@@ -317,7 +320,7 @@
     let mut proxy = Proxy::new(single_zone(), one_zone(2));
     let least = |proxy: &Proxy| proxy.balancer.limits().map(|(limit, _)| limit).fold(f64::MAX, f64::min);
     let refused =
-        |proxy: &Proxy| proxy.log.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. })).count();
+        |proxy: &Proxy| proxy.log.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).count();
     load(&mut proxy, 0, 300, 1, |_| 20 * MS);
     load(&mut proxy, 1_000, 400, 1, |_| 80 * MS);
     assert_eq!(refused(&proxy), 0, "the queue drains");
@@ -336,12 +339,12 @@
 #[test]
 fn limits_that_fell_for_waits_that_cost_nothing_do_not_stay_low_by_what_they_refuse() {
     let mut settings = single_zone();
-    (settings.classes[0].aim, settings.classes[0].deadline) = (2 * SECOND, 5 * SECOND);
+    (settings.classes[0].latency_objective, settings.classes[0].deadline) = (2 * SECOND, 5 * SECOND);
     let mut proxy = Proxy::new(settings, one_zone(2));
     load(&mut proxy, 0, 300, 1, |_| 10 * MS);
     load(&mut proxy, 1_000, 300, 4, |_| 90 * MS);
     let refused =
-        |proxy: &Proxy| proxy.log.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. })).count();
+        |proxy: &Proxy| proxy.log.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).count();
     let before = refused(&proxy);
     load(&mut proxy, 10_000, 500, 4, |_| 90 * MS);
     assert_eq!(refused(&proxy), before, "eighteen at a time on a server, all within a twentieth of the aim");
@@ -351,7 +354,7 @@
 /// wrongly, and had not been held for a moment.
 #[test]
 fn requests_beyond_a_share_are_held_and_served_last_while_nobody_else_is_refused() {
-    let tenants = vec![Tenant { allowance_per_s: 1.0 }, Tenant { allowance_per_s: 1000.0 }];
+    let tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1000.0 }];
     let mut proxy = Proxy::new(Settings { tenants, ..single_zone() }, one_zone(4));
     let mut beyond = 0;
     while sent_to(&proxy.request(Request { tenant: 0, ..request(beyond, 0) })).is_some() {
@@ -374,7 +377,7 @@
     let asked = |proxy: &Proxy| proxy.log.iter().filter(|(_, a)| *a == Action::Subscribe).count();
     assert_eq!(asked(&proxy), 1);
     for failures in 1..6 {
-        proxy.list(Membership::Failed);
+        proxy.list(MembershipUpdate::Failed);
         assert_eq!(asked(&proxy), failures, "not at once");
         proxy.advance(5 * SECOND);
         assert_eq!(asked(&proxy), failures + 1);
@@ -385,7 +388,7 @@
 fn a_stream_that_has_begun_is_left_alone() {
     let mut proxy = Proxy::new(single_zone(), one_zone(3));
     proxy.request(request(1, 0));
-    proxy.event(Event::FirstByte { request: 1, attempt: 0 });
+    proxy.event(Event::ResponseStarted { request: 1, attempt: 0 });
     proxy.now += SECOND;
     proxy.advance(SECOND / 2);
     assert!(!proxy.log.iter().any(|(_, a)| matches!(a, Action::Cancel { .. } | Action::Fail { .. })));
@@ -395,8 +398,8 @@
 /// tenants within their share were treated as over it.
 #[test]
 fn a_tenant_that_asks_for_less_of_its_allowance_than_others_is_not_over_its_share() {
-    let tenants = vec![Tenant { allowance_per_s: 100.0 }, Tenant { allowance_per_s: 100.0 }];
-    let mut proxy = Proxy::new(Settings { tenants, balancers: 100, ..single_zone() }, one_zone(40));
+    let tenants = vec![Tenant { quota_per_s: 100.0 }, Tenant { quota_per_s: 100.0 }];
+    let mut proxy = Proxy::new(Settings { tenants, instance_count: 100, ..single_zone() }, one_zone(40));
     let modest = |id| Request { tenant: 0, ..request(id, 0) };
     let flood = |id| Request { tenant: 1, ..request(id, 0) };
     let mut held = [0, 0];
@@ -425,7 +428,7 @@
 }
 
 fn closed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::CloseIdle(_)))
+    actions.iter().any(|a| matches!(a, Action::CloseIdleConnections(_)))
 }
 
 /// kochi-main's idle_reap days: connections were dropped unseen while they rested, and each use of one lost a
@@ -437,7 +440,7 @@
     let mut round = |proxy: &mut Proxy, rest: Micros, outcome: Outcome| {
         proxy.advance(rest);
         id += 1;
-        let actions = proxy.request(Request { patience: 300 * MS, ..request(id, 1) });
+        let actions = proxy.request(Request { timeout: 300 * MS, ..request(id, 1) });
         assert_eq!(sent_to(&actions), Some(0));
         match outcome {
             Outcome::Timeout => proxy.advance(300 * MS),
@@ -481,7 +484,7 @@
 #[test]
 fn a_proxy_with_few_slots_can_have_more_than_one_request_out_on_different_servers() {
     let two = |me| {
-        let settings = Settings { me, balancers: 100, ..single_zone() };
+        let settings = Settings { instance_index: me, instance_count: 100, ..single_zone() };
         let mut proxy = Proxy::new(settings, one_zone(60));
         (0..4).for_each(|id| _ = proxy.request(request(id, 0)));
         let servers: std::collections::BTreeSet<_> = proxy.out().iter().map(|o| o.2).collect();
@@ -494,12 +497,12 @@
 /// Rooms of slow servers at full size: one answer's report has to do, as windows never fill.
 #[test]
 fn a_report_of_a_slow_server_lowers_its_limit_at_once_where_a_proxy_has_few_slots() {
-    let mut settings = Settings { balancers: 100, ..single_zone() };
-    settings.report.avg_ms = Some(0);
+    let mut settings = Settings { instance_count: 100, ..single_zone() };
+    settings.load_report.mean_service_ms = Some(0);
     let back = |slow: bool| {
         let mut sends = 0;
         for me in 0..20 {
-            let mut proxy = Proxy::new(Settings { me, ..settings.clone() }, one_zone(60));
+            let mut proxy = Proxy::new(Settings { instance_index: me, ..settings.clone() }, one_zone(60));
             for id in 0..100 {
                 proxy.request(request(id, 0));
                 proxy.advance(5 * MS);
@@ -520,11 +523,11 @@
 #[test]
 fn a_refused_client_is_asked_back_sooner_where_a_proxy_has_few_slots() {
     let wait = |balancers| {
-        let mut proxy = Proxy::new(Settings { balancers, ..single_zone() }, one_zone(40));
+        let mut proxy = Proxy::new(Settings { instance_count: balancers, ..single_zone() }, one_zone(40));
         (0..200).for_each(|id| _ = proxy.request(request(id, 0)));
         proxy.advance(300 * MS);
         let waits = proxy.log.iter().filter_map(|(_, a)| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
         waits.max().expect("some are refused")
@@ -538,7 +541,8 @@
 fn every_proxy_holds_about_as_many_slots_and_so_does_every_server() {
     let (mut by_server, mut by_proxy) = (vec![0; 60], Vec::new());
     for me in 0..200 {
-        let mut proxy = Proxy::new(Settings { me, balancers: 60, ..single_zone() }, one_zone(60));
+        let mut proxy =
+            Proxy::new(Settings { instance_index: me, instance_count: 60, ..single_zone() }, one_zone(60));
         (0..3).for_each(|id| _ = proxy.request(request(id, 0)));
         by_proxy.push(proxy.out().len());
         proxy.out().iter().for_each(|o| by_server[o.2 as usize] += 1);
@@ -552,8 +556,9 @@
 #[test]
 fn times_at_the_far_end_of_the_clock_are_no_trouble() {
     let mut settings = single_zone();
-    settings.classes[2].effect = Effect::Keyed { group: DedupGroup::All, ttl: Micros::MAX };
-    let mut proxy = Proxy::new(settings, [Backend { started: Some(Micros::MAX), ..backend(0) }, backend(2)]);
+    settings.classes[2].idempotency = Idempotency::Keyed { scope: DedupScope::All, ttl: Micros::MAX };
+    let mut proxy =
+        Proxy::new(settings, [Backend { started_at: Some(Micros::MAX), ..backend(0) }, backend(2)]);
     for id in 0..4 {
         proxy.request(request(id, 2));
     }
@@ -573,7 +578,7 @@
     // Where the own zone drains away, the other one is found by the second look.
     let left: Vec<Backend> =
         (0..500).map(|half| Backend { readiness: Readiness::Draining, ..backend(half * 2) }).collect();
-    proxy.list(Membership::Delta(&left));
+    proxy.list(MembershipUpdate::Delta(&left));
     let far = sent_to(&proxy.request(request(1_000, 0)));
     assert!(far.is_some_and(|id| id % 2 == 1), "{far:?}");
     // A repeat goes to its cell, which no sample would find.
@@ -587,7 +592,7 @@
 /// their servers, and half of the requests were refused although every server served.
 #[test]
 fn what_fails_everywhere_ejects_nobody_and_costs_no_limit() {
-    for outcome in [Outcome::Reset, Outcome::ConnectFailed, Outcome::Spoilt] {
+    for outcome in [Outcome::Reset, Outcome::ConnectFailed, Outcome::Malformed] {
         let mut proxy = Proxy::new(single_zone(), one_zone(6));
         let mut rng = fastrand::Rng::with_seed(5);
         let mut refused = 0;
--- a/crates/balancer/tests/retune.rs
+++ b/crates/balancer/tests/retune.rs
@@ -22,9 +22,9 @@
     let keyed = proxy.request(request(2, 2));
     // One attempt from now on, and a further class, which is unsafe.
     let mut other = settings();
-    other.classes.push(class(Effect::Unsafe));
+    other.classes.push(class(Idempotency::NonIdempotent));
     other.permissions.max_attempts = 1;
-    assert!(proxy.event(Event::Retune(&other)).is_empty());
+    assert!(proxy.event(Event::SettingsChanged(&other)).is_empty());
     let before = std::mem::replace(&mut proxy.settings, other);
     let new = proxy.request(request(3, 0));
     assert_eq!(attempts(&mut proxy, 3, new), (1, true), "it came under one attempt");
@@ -48,7 +48,7 @@
     let before: Vec<_> = proxy.balancer.limits().collect();
     assert_ne!(before, at_first, "something was learnt");
     let mut other = settings();
-    other.classes.push(class(Effect::Safe));
-    proxy.event(Event::Retune(&other));
+    other.classes.push(class(Idempotency::Idempotent));
+    proxy.event(Event::SettingsChanged(&other));
     assert_eq!(proxy.balancer.limits().collect::<Vec<_>>(), before);
 }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -10,7 +10,7 @@
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
@@ -50,21 +50,25 @@
     let request = if what & 64 == 0 { 1_000_000 + number } else { known.unwrap_or(number) };
     let settled = |attempt| {
         let (backend, outcome) = (number, Outcome::Ok);
-        Event::Settled(Settled {
+        Event::AttemptFinished(AttemptResult {
             request,
             backend,
             attempt,
             outcome,
-            closed: false,
+            is_answered: false,
             elapsed: 5,
-            report: &[1.0],
+            load_report: &[1.0],
         })
     };
     match what % 4 {
-        0 => proxy.event(Event::Timer(number)),
-        1 => proxy.event(Event::Probed { backend: number, outcome: Outcome::Ok, report: &[] }),
+        0 => proxy.event(Event::TimerExpired(number)),
+        1 => proxy.event(Event::HealthCheckFinished {
+            backend: number,
+            outcome: Outcome::Ok,
+            load_report: &[],
+        }),
         2 => proxy.event(settled(500)),
-        _ if known != Some(request) => proxy.event(Event::ClientGone(request)),
+        _ if known != Some(request) => proxy.event(Event::ClientDisconnected(request)),
         _ => proxy.event(settled(999)),
     };
 }
@@ -75,7 +79,7 @@
         match *step {
             Step::Request { class, tenant, key, patience } => {
                 let key = Some(key).filter(|&k| k > 0);
-                proxy.request(Request { tenant, key, patience, ..request(number as u32, class) });
+                proxy.request(Request { tenant, key, timeout: patience, ..request(number as u32, class) });
             }
             Step::Settle { which, outcome } => {
                 let out = proxy.out();
@@ -86,21 +90,25 @@
             Step::Wait(time) => proxy.advance(time),
             Step::Change { id, readiness, restarted } => {
                 let readiness =
-                    [Readiness::Ready, Readiness::Draining, Readiness::Gone][usize::from(readiness)];
+                    [Readiness::Ready, Readiness::Draining, Readiness::Removed][usize::from(readiness)];
                 let started = restarted.then_some(proxy.now);
-                proxy.list(Membership::Delta(&[Backend { readiness, started, ..backend(id) }]));
+                proxy.list(MembershipUpdate::Delta(&[Backend {
+                    readiness,
+                    started_at: started,
+                    ..backend(id)
+                }]));
             }
             Step::Full(ref ids) => {
                 let entries: Vec<Backend> = ids.iter().map(|&id| backend(id)).collect();
-                proxy.list(Membership::Full(&entries));
+                proxy.list(MembershipUpdate::Snapshot(&entries));
             }
-            Step::DiscoveryFails => _ = proxy.list(Membership::Failed),
+            Step::DiscoveryFails => _ = proxy.list(MembershipUpdate::Failed),
             Step::ClientLeaves(which) => {
                 let open: Vec<_> =
                     proxy.requests.iter().filter(|(_, t)| !t.ended).map(|(&id, _)| id).collect();
                 if let Some(&id) = open.get(which % open.len().max(1)) {
                     proxy.requests.get_mut(&id).expect("it was just found").ended = true;
-                    proxy.event(Event::ClientGone(id));
+                    proxy.event(Event::ClientDisconnected(id));
                 }
             }
             Step::Odd(what, number) => odd(&mut proxy, what, number),
@@ -123,12 +131,12 @@
         max_attempts in 1..6_u16,
     ) {
         let mut settings = settings();
-        settings.permissions.second_copies = second_copies;
+        settings.permissions.hedging = second_copies;
         settings.permissions.max_attempts = max_attempts;
-        settings.balancers = balancers;
-        settings.warm_keys = warm_keys;
+        settings.instance_count = balancers;
+        settings.key_affinity = warm_keys;
         settings.discovery_on_request = max_attempts % 2 == 0;
-        settings.tenants = vec![Tenant { allowance_per_s: 5.0 }, Tenant { allowance_per_s: 50.0 }];
+        settings.tenants = vec![Tenant { quota_per_s: 5.0 }, Tenant { quota_per_s: 50.0 }];
         let log = play(settings.clone(), &steps);
         prop_assert_eq!(log, play(settings, &steps), "the same events lead to the same actions");
     }
@@ -146,7 +154,7 @@
 
 #[test]
 fn an_unsafe_request_that_never_ran_goes_elsewhere() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut proxy = Proxy::new(settings(), (0..6).map(backend));
         let first = sent_to(&proxy.request(request(1, 1)));
         let second = sent_to(&proxy.settle(1, 0, outcome));
@@ -176,7 +184,7 @@
         let mut proxy = Proxy::new(settings(), (0..12).map(backend));
         let first = sent_to(&proxy.request(request(1, class))).expect("there is room");
         let Backend { zone, cell, .. } = backend(first + 1);
-        proxy.list(Membership::Delta(&[Backend { zone, cell, ..backend(first) }]));
+        proxy.list(MembershipUpdate::Delta(&[Backend { zone, cell, ..backend(first) }]));
         let second = sent_to(&proxy.settle(1, 0, Outcome::Error)).expect("the group has room");
         assert_eq!(first % 2, second % 2, "class {class}");
         // And what comes now goes by where it is now.
@@ -192,9 +200,9 @@
     let mut proxy = Proxy::new(settings(), [backend(0)]);
     let sent = (0..200).filter(|&id| sent_to(&proxy.request(request(id, 0))).is_some()).count();
     assert!(sent < 200, "some are held");
-    proxy.list(Membership::Delta(&[Backend { readiness: Readiness::Draining, ..backend(0) }]));
+    proxy.list(MembershipUpdate::Delta(&[Backend { readiness: Readiness::Draining, ..backend(0) }]));
     for (id, attempt, _) in proxy.out() {
-        let actions = proxy.settle(id, attempt, Outcome::Full);
+        let actions = proxy.settle(id, attempt, Outcome::Rejected);
         assert_eq!(sent_to(&actions), None);
     }
     proxy.advance(3 * SECOND);
@@ -204,12 +212,12 @@
 fn all_proxies_together_stay_under_a_cold_servers_budget() {
     // 20 proxies with a warm fleet of 10, each with a steady trickle; one server restarts.
     let mut settings = settings();
-    (settings.zones, settings.balancers) = (1, 20);
+    (settings.zone_count, settings.instance_count) = (1, 20);
     let at_warm = 20.0 * 20.0 / 10.0;
     let mut cold_sends = Vec::new();
     for me in 0..20 {
         let mut proxy = Proxy::new(
-            Settings { me, ..settings.clone() },
+            Settings { instance_index: me, ..settings.clone() },
             (0..10).map(|i| Backend { zone: 0, ..backend(i) }),
         );
         let mut id = 0;
@@ -225,7 +233,7 @@
         };
         run(&mut proxy, 5 * SECOND, &mut Vec::new());
         let started = Some(proxy.now);
-        proxy.list(Membership::Delta(&[Backend { zone: 0, started, ..backend(3) }]));
+        proxy.list(MembershipUpdate::Delta(&[Backend { zone: 0, started_at: started, ..backend(3) }]));
         run(&mut proxy, 4 * SECOND, &mut cold_sends);
     }
     cold_sends.sort_unstable();
--- a/crates/balancer/tests/spread.rs
+++ b/crates/balancer/tests/spread.rs
@@ -27,11 +27,12 @@
     let (mut idle, mut loaded) = (0, 0);
     for me in 0..10 {
         let one_zone = (0..50).map(|id| Backend { zone: 0, ..backend(id) });
-        let settings = Settings { me, balancers: 100, cross_zone_price: 0.0, ..settings() };
+        let settings =
+            Settings { instance_index: me, instance_count: 100, cross_zone_cost: 0.0, ..settings() };
         let mut proxy = Proxy::new(settings, one_zone);
         idle += used(&mut proxy, 0, 40, 1, 0);
         used(&mut proxy, 1_000, 200, 4, 100 * MS);
-        let refused = proxy.log.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. })).count();
+        let refused = proxy.log.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).count();
         assert!(refused > 400, "{refused} of 800");
         loaded += used(&mut proxy, 5_000, 100, 4, 100 * MS);
     }
@@ -45,7 +46,8 @@
 fn a_small_proxy_on_a_quiet_fleet_holds_nothing_back() {
     for me in 0..10 {
         let one_zone = (0..60).map(|id| Backend { zone: 0, ..backend(id) });
-        let settings = Settings { me, balancers: 200, cross_zone_price: 0.0, ..settings() };
+        let settings =
+            Settings { instance_index: me, instance_count: 200, cross_zone_cost: 0.0, ..settings() };
         let mut proxy = Proxy::new(settings, one_zone);
         for id in 0..3 {
             proxy.request(request(id, 0));
@@ -59,7 +61,10 @@
 /// Ten servers in one zone, warm, and a proxy of so many before them.
 fn ten(me: u32, balancers: u32) -> Proxy {
     let one_zone = (0..10).map(|id| Backend { zone: 0, ..backend(id) });
-    Proxy::new(Settings { me, balancers, cross_zone_price: 0.0, ..settings() }, one_zone)
+    Proxy::new(
+        Settings { instance_index: me, instance_count: balancers, cross_zone_cost: 0.0, ..settings() },
+        one_zone,
+    )
 }
 
 /// Where one request goes that nothing else is beside; it is served.
@@ -79,9 +84,9 @@
     (0..400).for_each(|id| _ = one_request(&mut proxy, id));
     for id in 0..10 {
         let entry = Backend { zone: 0, ..backend(id) };
-        proxy.list(Membership::Delta(&[Backend { readiness: Readiness::Draining, ..entry }]));
+        proxy.list(MembershipUpdate::Delta(&[Backend { readiness: Readiness::Draining, ..entry }]));
         assert_ne!(one_request(&mut proxy, 1_000 + 10 * id), id);
-        proxy.list(Membership::Delta(&[entry]));
+        proxy.list(MembershipUpdate::Delta(&[entry]));
         proxy.advance(4 * SECOND + 5 * MS);
         assert_eq!(one_request(&mut proxy, 1_001 + 10 * id), id, "the first after its return and its turn");
     }
@@ -123,8 +128,8 @@
         let mut proxy = ten(me, 200);
         (0..20).for_each(|id| _ = one_request(&mut proxy, id));
         let entry = Backend { zone: 0, ..backend(3) };
-        proxy.list(Membership::Delta(&[Backend { readiness: Readiness::Draining, ..entry }]));
-        proxy.list(Membership::Delta(&[entry]));
+        proxy.list(MembershipUpdate::Delta(&[Backend { readiness: Readiness::Draining, ..entry }]));
+        proxy.list(MembershipUpdate::Delta(&[entry]));
         let came = (0..5).find(|&second| {
             let to = one_request(&mut proxy, 1_000 + second);
             proxy.advance(980 * MS);
--- a/crates/external-processor/src/desk.rs
+++ b/crates/external-processor/src/desk.rs
@@ -7,7 +7,7 @@
 //! 3. An attempt whose word can't have reached its caller counts as never sent; one that did and is not reported counts
 //!    as one that may have run.
 
-use balancer::api::{Effect, Micros, Outcome, RequestId, Settings};
+use balancer::api::{Idempotency, Micros, Outcome, RequestId, Settings};
 use request_engine::claims::{self, ClaimError, ClaimId, Claimed, End, Front, Remembered};
 use request_engine::engine::{Arrival, Conduct, Grant, Verdict};
 use request_engine::lease::{LeaseError, LeaseId};
@@ -244,7 +244,7 @@
 pub struct Desk {
     claims: claims::Shared,
     bounds: Bounds,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     deadlines: Vec<Micros>,
     max_attempts: u16,
     draining: bool,
@@ -259,12 +259,12 @@
 }
 
 /// Whether a further attempt may follow the one of this number.
-fn repeat(effect: Effect, attempt: u16, max_attempts: u16) -> Repeat {
+fn repeat(effect: Idempotency, attempt: u16, max_attempts: u16) -> Repeat {
     match effect {
         _ if attempt + 1 >= max_attempts => Repeat::Never,
-        Effect::Safe => Repeat::Always,
-        Effect::Keyed { .. } => Repeat::WithinGroup,
-        Effect::Unsafe => Repeat::IfNeverRan,
+        Idempotency::Idempotent => Repeat::Always,
+        Idempotency::Keyed { .. } => Repeat::WithinGroup,
+        Idempotency::NonIdempotent => Repeat::IfNeverRan,
     }
 }
 
@@ -275,7 +275,7 @@
         Self {
             claims,
             bounds,
-            effects: settings.classes.iter().map(|c| c.effect).collect(),
+            effects: settings.classes.iter().map(|c| c.idempotency).collect(),
             deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
             max_attempts: settings.permissions.max_attempts,
             draining: false,
@@ -330,7 +330,7 @@
 
     fn take(&mut self, now: Micros, asked: Asked, request: &Request, claim: ClaimId, port: &mut impl Port) {
         // The caller has held a lease for it, and what came of that is known nowhere any more.
-        if request.prior.is_some() && self.effects[usize::from(request.class)] != Effect::Safe {
+        if request.prior.is_some() && self.effects[usize::from(request.class)] != Idempotency::Idempotent {
             self.settle(now, claim, request.class, End::Unknown, claims::Effect::Perhaps);
             self.counts.unknown += 1;
             return self.tell(asked, Reply::Final { end: End::Unknown, again: false });
@@ -394,7 +394,7 @@
         let Some(held) = self.held.get_mut(&ticket) else { return };
         held.out = None;
         held.open = Some(asked.tag);
-        held.may_have_run |= !outcome.never_ran();
+        held.may_have_run |= !outcome.never_executed();
         if once {
             let end = if held.may_have_run { End::Failed } else { End::Refused(now) };
             self.finish(now, ticket, end);
@@ -478,7 +478,7 @@
     ) {
         let Some(held) = self.held.get_mut(&ticket) else {
             // Nobody is there to send it.
-            let _ = port.report(grant.lease, Outcome::Moot, Vec::new());
+            let _ = port.report(grant.lease, Outcome::NotSent, Vec::new());
             return;
         };
         // The lease before this one has run out unreported: it may have run.
@@ -502,13 +502,13 @@
             }
             // The box left in this very moment: the decisions choose another one.
             (Some(_), None) => {
-                let _ = port.report(grant.lease, Outcome::Moot, Vec::new());
+                let _ = port.report(grant.lease, Outcome::NotSent, Vec::new());
             }
             // Its caller has let the last lease run out and does not wait for another.
             (None, _) => {
                 let request = held.request;
                 port.client_gone(request);
-                let _ = port.report(grant.lease, Outcome::Moot, Vec::new());
+                let _ = port.report(grant.lease, Outcome::NotSent, Vec::new());
                 self.finish(now, ticket, End::Unknown);
             }
         }
@@ -577,7 +577,7 @@
         let Some(held) = self.held.get_mut(&ticket) else { return };
         if let Some(send) = held.out.take() {
             held.may_have_run |= heard;
-            let outcome = if heard { Outcome::Cancelled } else { Outcome::Moot };
+            let outcome = if heard { Outcome::Cancelled } else { Outcome::NotSent };
             self.by_lease.remove(&send.grant.lease);
             // One that has run out meanwhile is settled as one that may have run.
             let _ = port.report(send.grant.lease, outcome, Vec::new());
@@ -624,9 +624,9 @@
     fn memory(&self, class: u8) -> Micros {
         let class = usize::from(class);
         match self.effects[class] {
-            Effect::Safe => self.bounds.safe_memory,
-            Effect::Keyed { ttl, .. } => ttl.max(self.deadlines[class]),
-            Effect::Unsafe => self.bounds.unsafe_memory.max(self.deadlines[class]),
+            Idempotency::Idempotent => self.bounds.safe_memory,
+            Idempotency::Keyed { ttl, .. } => ttl.max(self.deadlines[class]),
+            Idempotency::NonIdempotent => self.bounds.unsafe_memory.max(self.deadlines[class]),
         }
     }
 }
--- a/crates/external-processor/src/envoy.rs
+++ b/crates/external-processor/src/envoy.rs
@@ -154,7 +154,9 @@
             () if has("connection_failure") || has("connect_timeout") => Outcome::ConnectFailed,
             () if has("timeout") => Outcome::Timeout,
             // Envoy's circuit breaker, or a filter before the router.
-            () if has("overflow") || has("no_healthy_upstream") || has("cluster_not_found") => Outcome::Moot,
+            () if has("overflow") || has("no_healthy_upstream") || has("cluster_not_found") => {
+                Outcome::NotSent
+            }
             () if has("upstream_reset") || has("connection_termination") => Outcome::Reset,
             () => Outcome::Cancelled,
         };
@@ -162,9 +164,9 @@
     match status {
         Some(200) => Outcome::Ok,
         Some(500) => Outcome::Error,
-        Some(503 | 504) if unprocessed => Outcome::Full,
+        Some(503 | 504) if unprocessed => Outcome::Rejected,
         Some(503 | 504) | None => Outcome::Reset,
-        Some(_) => Outcome::Spoilt,
+        Some(_) => Outcome::Malformed,
     }
 }
 
@@ -261,7 +263,7 @@
             }
         }
         let outcome = outcome(status, unprocessed, details(attributes));
-        self.state = State::Reported { never_ran: outcome.never_ran() };
+        self.state = State::Reported { never_ran: outcome.never_executed() };
         Step::Report { lease, outcome, load }
     }
 
--- a/crates/external-processor/src/question.rs
+++ b/crates/external-processor/src/question.rs
@@ -3,7 +3,7 @@
 
 use crate::desk::Request;
 use crate::settings::Headers;
-use balancer::api::{Effect, Micros, Settings};
+use balancer::api::{Idempotency, Micros, Settings};
 use request_engine::claims::NAME_CAP;
 use request_engine::subject::about;
 use rustc_hash::FxHashMap;
@@ -82,7 +82,7 @@
         let class = |(position, c): (u8, &balancer::api::Class)| Class {
             position,
             deadline: c.deadline,
-            keyed: matches!(c.effect, Effect::Keyed { .. }),
+            keyed: matches!(c.idempotency, Idempotency::Keyed { .. }),
         };
         let known = (0..=u8::MAX).zip(&settings.classes).map(class);
         Self {
--- a/crates/external-processor/tests/counter/mod.rs
+++ b/crates/external-processor/tests/counter/mod.rs
@@ -26,48 +26,55 @@
     type Payload = ();
 }
 
-fn class(effect: Effect) -> Class {
-    Class { aim: 500 * MS, aim_stretch: 0.0, deadline: 2 * SECOND, worth: 1.0, late_worth: 0.5, effect }
+fn class(effect: Idempotency) -> Class {
+    Class {
+        latency_objective: 500 * MS,
+        objective_work_factor: 0.0,
+        deadline: 2 * SECOND,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.5,
+        idempotency: effect,
+    }
 }
 
 fn settings() -> Settings {
-    let keyed = Effect::Keyed { group: DedupGroup::Cell, ttl: MEMORY };
+    let keyed = Idempotency::Keyed { scope: DedupScope::Cell, ttl: MEMORY };
     Settings {
-        me: 0,
-        balancers: 1,
+        instance_index: 0,
+        instance_count: 1,
         zone: 0,
-        zones: 1,
-        kinds: 1,
+        zone_count: 1,
+        machine_kind_count: 1,
         discovery_on_request: false,
-        warm_keys: false,
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(keyed)],
+        key_affinity: false,
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent), class(keyed)],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        cross_zone_price: 0.0,
-        probe_price: 0.0,
-        report: ReportFields::default(),
-        report_by_probe: false,
+        over_quota_weight: 0.1,
+        cross_zone_cost: 0.0,
+        health_check_cost: 0.0,
+        load_report: LoadReportFields::default(),
+        load_report_by_health_check: false,
         permissions: Permissions {
             max_attempts: 4,
-            second_copies: false,
-            cancel: true,
-            probes: false,
-            conn_idle: 5 * SECOND,
-            multiplex: 1,
-            retry_after: Some(SECOND),
+            hedging: false,
+            cancellation: true,
+            health_checks: false,
+            idle_connection_timeout: 5 * SECOND,
+            streams_per_connection: 1,
+            max_retry_after: Some(SECOND),
         },
-        safety: Safety {
-            ask_within: 10 * SECOND,
-            cold_from: 0.3,
-            cold_time: 8 * SECOND,
-            fall_multiple: 3.0,
-            fall_time: 2 * SECOND,
+        safety: SafetyLimits {
+            max_poll_interval: 10 * SECOND,
+            initial_capacity: 0.3,
+            warm_up_duration: 8 * SECOND,
+            overload_factor: 3.0,
+            overload_window: 2 * SECOND,
         },
     }
 }
 
 fn listed(id: BackendId, readiness: Readiness) -> Backend {
-    Backend { id, zone: 0, kind: 0, cell: (id / 3) as u16, readiness, started: None }
+    Backend { id, zone: 0, machine_kind: 0, cell: (id / 3) as u16, readiness, started_at: None }
 }
 
 fn endpoint(id: BackendId) -> SocketAddr {
@@ -160,7 +167,7 @@
         let bounds = Bounds { requests: 10_000, leases: 10_000 };
         let mut engine = Engine::new(settings.clone(), bounds, 7, 0xfeed, SECOND).expect("good settings");
         let backends: Vec<_> = (0..boxes).map(|id| listed(id, Readiness::Ready)).collect();
-        engine.membership(SECOND, Membership::Full(&backends));
+        engine.membership(SECOND, MembershipUpdate::Snapshot(&backends));
         let claims = Rc::new(RefCell::new(Claims::new(10_000)));
         let bounds = desk::Bounds { per_caller: PER_CALLER, safe_memory: SECOND, unsafe_memory: MEMORY };
         Self {
@@ -265,7 +272,7 @@
         let taken = self.engine.lease_counts().reported - before;
         if let (Some(outcome), Some(attempt)) = (outcome, self.attempts.get_mut(&lease))
             && taken == 1
-            && outcome.never_ran()
+            && outcome.never_executed()
         {
             attempt.never_ran = true;
         }
@@ -300,15 +307,15 @@
 
     pub fn drain_box(&mut self, id: BackendId) {
         self.draining.insert(id);
-        self.engine.membership(self.now, Membership::Delta(&[listed(id, Readiness::Draining)]));
+        self.engine.membership(self.now, MembershipUpdate::Delta(&[listed(id, Readiness::Draining)]));
         self.pump();
     }
 
     pub fn start_box(&mut self, id: BackendId) {
         self.draining.remove(&id);
         let started = Some(self.now);
-        let backend = Backend { started, ..listed(id, Readiness::Ready) };
-        self.engine.membership(self.now, Membership::Delta(&[backend]));
+        let backend = Backend { started_at: started, ..listed(id, Readiness::Ready) };
+        self.engine.membership(self.now, MembershipUpdate::Delta(&[backend]));
         self.pump();
     }
 
--- a/crates/external-processor/tests/desk.rs
+++ b/crates/external-processor/tests/desk.rs
@@ -209,7 +209,7 @@
     let first = counter.sent(asked).expect("a box");
     counter.drain_box(first.grant.backend);
     assert_eq!(counter.revoked, [(1, first.grant.lease)]);
-    let told = counter.report(1, first.grant.lease, Outcome::Moot);
+    let told = counter.report(1, first.grant.lease, Outcome::NotSent);
     let second = counter.sent(told).expect("another box");
     assert_ne!(second.grant.backend, first.grant.backend);
     counter.finish();
@@ -221,7 +221,7 @@
     let refused = counter.ask_once(1, SAFE, "a");
     let send = counter.sent(refused).expect("a box");
     assert_eq!(send.repeat, Repeat::Never);
-    let told = counter.report(1, send.grant.lease, Outcome::Full);
+    let told = counter.report(1, send.grant.lease, Outcome::Rejected);
     assert_eq!(counter.reply(told), last(End::Refused(counter.now)), "it never ran");
     let failed = counter.ask_once(1, SAFE, "b");
     let lease = counter.sent(failed).expect("a box").grant.lease;
--- a/crates/http-proxy/src/backend_list.rs
+++ b/crates/http-proxy/src/backend_list.rs
@@ -59,7 +59,7 @@
         let mut told = Vec::with_capacity(entries.len());
         for Entry { name, listed } in entries {
             told.push(self.governed(&name, listed));
-            if listed.backend.readiness == Readiness::Gone {
+            if listed.backend.readiness == Readiness::Removed {
                 self.listed.remove(&name);
             } else {
                 self.listed.insert(name, listed);
@@ -94,7 +94,7 @@
         }
         // A start that the list tells later still counts: it is a further one.
         if let Some(back) = self.bans.called_back(name) {
-            backend.started = Some(backend.started.map_or(back, |started: Micros| started.max(back)));
+            backend.started_at = Some(backend.started_at.map_or(back, |started: Micros| started.max(back)));
         }
         listed
     }
@@ -109,7 +109,7 @@
 
     fn entry(name: &str, readiness: Readiness, started: Option<Micros>) -> Entry {
         let id = name.bytes().map(u32::from).sum();
-        let backend = Backend { id, zone: 0, kind: 0, cell: 0, readiness, started };
+        let backend = Backend { id, zone: 0, machine_kind: 0, cell: 0, readiness, started_at: started };
         Entry {
             name: name.into(),
             listed: Listed { backend, address: SocketAddr::from(([127, 0, 0, 1], 9)) },
@@ -141,8 +141,8 @@
             backend_list.take(true, vec![ready("a"), ready("b")])[0].backend.readiness,
             Readiness::Draining
         );
-        let gone = backend_list.take(false, vec![entry("a", Readiness::Gone, None)]);
-        assert_eq!(gone[0].backend.readiness, Readiness::Gone);
+        let gone = backend_list.take(false, vec![entry("a", Readiness::Removed, None)]);
+        assert_eq!(gone[0].backend.readiness, Readiness::Removed);
         assert!(backend_list.knows("a"), "it is out and can be called back");
         assert_eq!(backend_list.take(false, vec![ready("a")])[0].backend.readiness, Readiness::Draining);
         assert!(!backend_list.knows("c"));
@@ -154,12 +154,12 @@
         backend_list.take(true, vec![entry("a", Readiness::Ready, Some(1_000))]);
         exclude(&mut backend_list, "a");
         let told = change(&mut backend_list, |bans| assert!(bans.include("a", 9_000)));
-        assert_eq!((told[0].backend.readiness, told[0].backend.started), (Readiness::Ready, Some(9_000)));
+        assert_eq!((told[0].backend.readiness, told[0].backend.started_at), (Readiness::Ready, Some(9_000)));
         // The list tells the restart within the ban late: that is not a further one.
         let late = backend_list.take(false, vec![entry("a", Readiness::Ready, Some(7_000))]);
-        assert_eq!(late[0].backend.started, Some(9_000));
+        assert_eq!(late[0].backend.started_at, Some(9_000));
         let again = backend_list.take(false, vec![entry("a", Readiness::Ready, Some(12_000))]);
-        assert_eq!(again[0].backend.started, Some(12_000));
+        assert_eq!(again[0].backend.started_at, Some(12_000));
         let leaves = backend_list.take(false, vec![entry("a", Readiness::Draining, Some(12_000))]);
         assert_eq!(leaves[0].backend.readiness, Readiness::Draining, "a call back does not undo the list");
     }
@@ -172,7 +172,7 @@
             let mut told = FxHashMap::default();
             for (step, name, phase) in steps {
                 let name = ["a", "b", "c", "d"][usize::from(name)];
-                let phase = [Readiness::Ready, Readiness::Draining, Readiness::Gone][usize::from(phase)];
+                let phase = [Readiness::Ready, Readiness::Draining, Readiness::Removed][usize::from(phase)];
                 let news = match step {
                     0 => exclude(&mut backend_list, name),
                     1 => change(&mut backend_list, |bans| _ = bans.include(name, 6)),
--- a/crates/http-proxy/src/backends.rs
+++ b/crates/http-proxy/src/backends.rs
@@ -158,7 +158,7 @@
     /// Takes what discovery says of one backend.
     pub fn update(&self, id: BackendId, address: SocketAddr, readiness: Readiness, started: Option<Micros>) {
         let mut servers = self.servers.borrow_mut();
-        if readiness == Readiness::Gone {
+        if readiness == Readiness::Removed {
             // Attempts that are out there hold it until they end; a backend of its name later is another one.
             return servers.remove(&id).iter().for_each(|server| server.depart());
         }
@@ -302,13 +302,13 @@
     ) -> Ended {
         // Its client may have left in the same turn.
         if recall.is_unwanted() || call.is_forsaken().await {
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
         let conn = match self.take_idle(&server) {
             Some(conn) => Ok(conn),
             None => tokio::select! {
                 biased;
-                () = recall.unwanted() => return Outcome::Moot.into(),
+                () = recall.unwanted() => return Outcome::NotSent.into(),
                 conn = self.dial(&server, give_up) => conn,
             },
         };
@@ -318,12 +318,12 @@
         };
         // Rule 3: while the connection came up, the backend may have begun to drain or have been replaced.
         if !server.ready.get() || conn.life != server.life.get() {
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
         // While the connection came up, the client may have left, and nobody here has heard of it yet.
         if call.is_forsaken().await {
             self.keep(&server, conn);
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
         let began = Instant::now();
         let left = give_up.saturating_duration_since(began).min(call.patience);
@@ -331,7 +331,7 @@
         let is_late = begin_by.is_some_and(|by| began >= by);
         if is_late || left < Duration::from_millis(1) || call.body.is_spent() {
             self.keep(&server, conn);
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
         let request = request(&call, server.address.get(), left);
         let unsent = conn.wire.written();
@@ -356,14 +356,14 @@
         let mut ended = match exchanged {
             Ok(reply) => self.ended(reply, server, conn),
             // Also ahead of the whole request: nobody knows what an early answer means.
-            Err(Broken::Spoilt) => Outcome::Spoilt.into(),
+            Err(Broken::Spoilt) => Outcome::Malformed.into(),
             Err(Broken::Cancelled) if all_written => Outcome::Cancelled.into(),
             Err(Broken::TimedOut) if all_written => Outcome::Timeout.into(),
             Err(Broken::Connection) if all_written => Outcome::Reset.into(),
-            Err(Broken::Cancelled) => Outcome::Moot.into(),
+            Err(Broken::Cancelled) => Outcome::NotSent.into(),
             // The client broke it off, or was too slow: that says nothing of the backend.
             Err(_) if matches!(&call.body, Payload::Passed(upload) if upload.has_failed() || upload.ended().is_none()) => {
-                Outcome::Moot.into()
+                Outcome::NotSent.into()
             }
             Err(_) => Outcome::ConnectFailed.into(),
         };
@@ -381,7 +381,7 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
                 if reply.headers.get(UNPROCESSED).is_some_and(|v| v == "1") =>
             {
-                Outcome::Full
+                Outcome::Rejected
             }
             _ => Outcome::Error,
         };
@@ -433,7 +433,7 @@
         let request = request(&call, server.address.get(), PROBE_TIMEOUT);
         match timeout_at(until, exchange(&mut conn.sender, request)).await {
             Err(_) => Outcome::Timeout.into(),
-            Ok(Err(Broken::Spoilt)) => Outcome::Spoilt.into(),
+            Ok(Err(Broken::Spoilt)) => Outcome::Malformed.into(),
             Ok(Err(_)) => Outcome::Reset.into(),
             Ok(Ok(reply)) => {
                 let body = match &reply.body {
@@ -504,7 +504,7 @@
     fn outcome(&self) -> Outcome {
         match self {
             Self::Backends => Outcome::ConnectFailed,
-            Self::Own => Outcome::Moot,
+            Self::Own => Outcome::NotSent,
         }
     }
 }
--- a/crates/http-proxy/src/backends/tests.rs
+++ b/crates/http-proxy/src/backends/tests.rs
@@ -17,7 +17,7 @@
     for id in 0..100 {
         fleet.update(id, address, Readiness::Ready, None);
         if id % 2 == 0 {
-            fleet.update(id, address, Readiness::Gone, None);
+            fleet.update(id, address, Readiness::Removed, None);
         } else {
             fleet.retain(|listed| listed > id);
         }
--- a/crates/http-proxy/src/carrier.rs
+++ b/crates/http-proxy/src/carrier.rs
@@ -3,7 +3,7 @@
 use crate::backends::{Fleet, Listed};
 use crate::exchange::{Call, Payload, Served};
 use crate::log::log;
-use balancer::api::{Backend, BackendId, Membership, Outcome};
+use balancer::api::{Backend, BackendId, MembershipUpdate, Outcome};
 use request_engine::engine::{Ended, Exchange, Grant, Verdict};
 use request_engine::lease::LeaseId;
 use request_engine::outside::{Inbox, Ticket, Word};
@@ -72,7 +72,7 @@
         async move {
             match server {
                 Some(server) => fleet.attempt(server, work, times, recall).await,
-                None => Outcome::Moot.into(),
+                None => Outcome::NotSent.into(),
             }
         }
     }
@@ -83,7 +83,7 @@
         async move {
             match server {
                 Some(server) => fleet.probe(server, deep).await,
-                None => Outcome::Moot.into(),
+                None => Outcome::NotSent.into(),
             }
         }
     }
@@ -151,13 +151,13 @@
         fleet.retain(|id| listed.contains(&id));
     }
     for Listed { backend, address } in entries {
-        fleet.update(backend.id, *address, backend.readiness, backend.started);
+        fleet.update(backend.id, *address, backend.readiness, backend.started_at);
     }
     let backends: Vec<Backend> = entries.iter().map(|e| e.backend).collect();
     handle.membership(match scope {
-        Scope::Delta => Membership::Delta(&backends),
-        Scope::Full => Membership::Full(&backends),
-        Scope::Cached => Membership::Cached(&backends),
-        Scope::Failed => Membership::Failed,
+        Scope::Delta => MembershipUpdate::Delta(&backends),
+        Scope::Full => MembershipUpdate::Snapshot(&backends),
+        Scope::Cached => MembershipUpdate::CachedSnapshot(&backends),
+        Scope::Failed => MembershipUpdate::Failed,
     });
 }
--- a/crates/http-proxy/src/claim.rs
+++ b/crates/http-proxy/src/claim.rs
@@ -1,7 +1,7 @@
 //! Rule 2 across fronts: a client's request that callers outside might ask for too is held in the table they share.
 
 use crate::exchange::Served;
-use balancer::api::{Class, Effect, Micros};
+use balancer::api::{Class, Idempotency, Micros};
 use request_engine::claims::{self, ClaimError, ClaimId, Claimed, End, Front, Remembered, Shared};
 use request_engine::engine::Verdict;
 use request_engine::shell::clock::Clock;
@@ -33,10 +33,10 @@
     /// The terms of a class.
     #[must_use]
     pub fn of(class: &Class) -> Self {
-        match class.effect {
-            Effect::Safe => Self { keyed: false, memory: 0 },
-            Effect::Keyed { ttl, .. } => Self { keyed: true, memory: ttl.max(class.deadline) },
-            Effect::Unsafe => Self { keyed: false, memory: class.deadline },
+        match class.idempotency {
+            Idempotency::Idempotent => Self { keyed: false, memory: 0 },
+            Idempotency::Keyed { ttl, .. } => Self { keyed: true, memory: ttl.max(class.deadline) },
+            Idempotency::NonIdempotent => Self { keyed: false, memory: class.deadline },
         }
     }
 }
--- a/crates/http-proxy/src/classes.rs
+++ b/crates/http-proxy/src/classes.rs
@@ -1,7 +1,7 @@
 //! The classes that clients may name, and those that they could name until just now. Pure: no I/O, no clock.
 
 use crate::claim::Terms;
-use balancer::api::{Class as Decided, DedupGroup, Effect, Micros, Settings};
+use balancer::api::{Class as Decided, DedupScope, Idempotency, Micros, Settings};
 use hyper::Method;
 use rustc_hash::FxHashMap;
 
@@ -17,7 +17,7 @@
     /// How long a client waits in all.
     pub deadline: Micros,
     /// How it may be repeated.
-    effect: Effect,
+    effect: Idempotency,
     method: Method,
 }
 
@@ -52,19 +52,19 @@
         Some(Self {
             place: u8::try_from(place).ok()?,
             deadline: class.deadline,
-            effect: class.effect,
-            method: if class.effect == Effect::Safe { Method::GET } else { Method::POST },
+            effect: class.idempotency,
+            method: if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST },
         })
     }
 
     /// How widely its requests may be repeated, the least first, and for how long.
     fn width(&self) -> (u8, Micros) {
         match self.effect {
-            Effect::Unsafe => (0, 0),
-            Effect::Keyed { group: DedupGroup::Cell, ttl } => (1, ttl),
-            Effect::Keyed { group: DedupGroup::Zone, ttl } => (2, ttl),
-            Effect::Keyed { group: DedupGroup::All, ttl } => (3, ttl),
-            Effect::Safe => (4, 0),
+            Idempotency::NonIdempotent => (0, 0),
+            Idempotency::Keyed { scope: DedupScope::Cell, ttl } => (1, ttl),
+            Idempotency::Keyed { scope: DedupScope::Zone, ttl } => (2, ttl),
+            Idempotency::Keyed { scope: DedupScope::All, ttl } => (3, ttl),
+            Idempotency::Idempotent => (4, 0),
         }
     }
 
@@ -72,7 +72,7 @@
         match () {
             () if self.method != method => Err(Misfit::Method),
             // Without its key a repeat would not be dropped.
-            () if matches!(self.effect, Effect::Keyed { .. }) && !has_key => Err(Misfit::NoKey),
+            () if matches!(self.effect, Idempotency::Keyed { .. }) && !has_key => Err(Misfit::NoKey),
             () => Ok(self),
         }
     }
@@ -136,25 +136,26 @@
     use super::*;
     use settings::parse_settings;
 
-    fn settings(classes: &[Effect]) -> Settings {
+    fn settings(classes: &[Idempotency]) -> Settings {
         let text = r#"{"balancers": 1, "me": 0, "zone": 0, "membershipMode": "pushed", "classes": [{"aimUs": 1,
             "deadlineUs": 1, "worth": 1, "effect": "retryable"}], "permissions": {"maxAttempts": 1},
             "safety": {"coldFrom": 0.3, "coldUs": 1, "fallMultiple": 3, "fallUs": 1}}"#;
         let mut settings = parse_settings(text.as_bytes()).expect("settings");
         let like = settings.classes[0].clone();
-        settings.classes = classes.iter().map(|&effect| Decided { effect, ..like.clone() }).collect();
+        settings.classes =
+            classes.iter().map(|&effect| Decided { idempotency: effect, ..like.clone() }).collect();
         settings
     }
 
-    const KEYED: Effect = Effect::Keyed { group: DedupGroup::All, ttl: 9 };
+    const KEYED: Idempotency = Idempotency::Keyed { scope: DedupScope::All, ttl: 9 };
 
     /// Clients take up new settings 1.2 s later: until then a request may be meant under the narrower of two rules.
     #[test]
     fn while_clients_may_not_know_yet_the_narrower_of_two_rules_counts() {
-        let keyed = |group, ttl| Effect::Keyed { group, ttl };
-        let (cell, zone) = (keyed(DedupGroup::Cell, 9), keyed(DedupGroup::Zone, 9));
+        let keyed = |group, ttl| Idempotency::Keyed { scope: group, ttl };
+        let (cell, zone) = (keyed(DedupScope::Cell, 9), keyed(DedupScope::Zone, 9));
         let cases =
-            [(cell, zone, 0), (zone, cell, 1), (keyed(DedupGroup::Cell, 5), cell, 0), (KEYED, zone, 1)];
+            [(cell, zone, 0), (zone, cell, 1), (keyed(DedupScope::Cell, 5), cell, 0), (KEYED, zone, 1)];
         for (before, now, counts) in cases {
             let mut classes = Classes::default();
             classes.hold(0, &settings(&[before]), std::iter::once((0, "lift")));
@@ -168,7 +169,7 @@
     #[test]
     fn a_class_that_was_dropped_or_changed_is_served_as_it_was_for_a_while() {
         let mut classes = Classes::default();
-        classes.hold(0, &settings(&[Effect::Safe, KEYED]), [(0, "read"), (1, "lift")].into_iter());
+        classes.hold(0, &settings(&[Idempotency::Idempotent, KEYED]), [(0, "read"), (1, "lift")].into_iter());
         let place = |classes: &Classes, now, name: &str, method: Method, key| {
             classes.find(now, name, &method, key).map(|class| class.place)
         };
@@ -177,7 +178,8 @@
         assert_eq!(place(&classes, 0, "lift", Method::POST, false), Err(Misfit::NoKey));
         assert_eq!(place(&classes, 0, "none", Method::GET, false), Err(Misfit::Unknown));
         // "read" becomes unsafe at a place of its own, "lift" is dropped, "view" is new.
-        let changed = settings(&[Effect::Safe, KEYED, Effect::Unsafe, Effect::Safe]);
+        let changed =
+            settings(&[Idempotency::Idempotent, KEYED, Idempotency::NonIdempotent, Idempotency::Idempotent]);
         classes.hold(100, &changed, [(2, "read"), (3, "view")].into_iter());
         let soon = 100 + STILL_SERVED - 1;
         for now in [100, soon] {
--- a/crates/http-proxy/src/discovery/starts.rs
+++ b/crates/http-proxy/src/discovery/starts.rs
@@ -5,7 +5,7 @@
 //! heard of it: no earlier than some seconds before the first sight, and before it by no more than the youngest start in the
 //! same list. The seconds are bounded in turn, so that they can at most double the capacity that a cold backend is taken for.
 
-use balancer::api::{BackendId, Micros, Safety};
+use balancer::api::{BackendId, Micros, SafetyLimits};
 use rustc_hash::FxHashMap;
 
 /// How late a list may be believed to tell a start.
@@ -35,9 +35,9 @@
 impl Starts {
     /// No start is known.
     #[must_use]
-    pub fn new(safety: &Safety) -> Self {
-        let doubled = safety.cold_from / (1.0 - safety.cold_from).max(f64::EPSILON);
-        let late = MAX_LATE.min((safety.cold_time as f64 * doubled.clamp(0.0, 1.0)) as Micros);
+    pub fn new(safety: &SafetyLimits) -> Self {
+        let doubled = safety.initial_capacity / (1.0 - safety.initial_capacity).max(f64::EPSILON);
+        let late = MAX_LATE.min((safety.warm_up_duration as f64 * doubled.clamp(0.0, 1.0)) as Micros);
         Self { late, known: FxHashMap::default() }
     }
 
--- a/crates/http-proxy/src/discovery/starts/tests.rs
+++ b/crates/http-proxy/src/discovery/starts/tests.rs
@@ -11,7 +11,7 @@
     Starts::new(&safety(0.33, 8 * SECOND))
 }
 
-pub fn safety(cold_from: f64, cold_time: Micros) -> Safety {
+pub fn safety(cold_from: f64, cold_time: Micros) -> SafetyLimits {
     let text = format!(
         r#"{{"balancers": 1, "me": 0, "zone": 0, "membershipMode": "pushed", "classes": [{{"aimUs": 1, "deadlineUs": 1,
         "worth": 1, "effect": "retryable"}}], "permissions": {{"maxAttempts": 1}},
--- a/crates/http-proxy/src/discovery/translator.rs
+++ b/crates/http-proxy/src/discovery/translator.rs
@@ -6,7 +6,7 @@
 use crate::backends::Listed;
 use crate::log::log;
 use crate::names::Names;
-use balancer::api::{Backend, BackendId, Micros, Readiness, Safety};
+use balancer::api::{Backend, BackendId, Micros, Readiness, SafetyLimits};
 use request_engine::shell::clock::Clock;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Deserialize;
@@ -75,7 +75,7 @@
 impl Translator {
     /// A translator that knows no backends yet.
     #[must_use]
-    pub fn new(clock: Clock, names: &Names, safety: &Safety) -> Self {
+    pub fn new(clock: Clock, names: &Names, safety: &SafetyLimits) -> Self {
         let zones = names.zones.iter().cloned().zip(0..).collect();
         let kinds = names.kinds.iter().cloned().zip(0..=u8::MAX).collect();
         Self {
@@ -114,7 +114,7 @@
 
     /// Where every backend has a new name, those that are gone must not pile up.
     fn forget_gone(&mut self, list: &List) {
-        let stays = |l: &Listed| l.backend.readiness != Readiness::Gone;
+        let stays = |l: &Listed| l.backend.readiness != Readiness::Removed;
         let listed = || list.entries.iter().map(|e| e.listed);
         let named = |stay: bool| listed().filter(move |l| stays(l) == stay).map(|l| l.backend.id);
         let (stay, gone): (FxHashSet<_>, FxHashSet<_>) = (named(true).collect(), named(false).collect());
@@ -140,7 +140,7 @@
         let readiness = match raw.phase.as_str() {
             "active" => Readiness::Ready,
             "leaving" => Readiness::Draining,
-            "left" => Readiness::Gone,
+            "left" => Readiness::Removed,
             other => return Err(format!("unknown phase `{other}`")),
         };
         let zone = self.zones.get(&raw.locality).copied();
@@ -149,7 +149,8 @@
         let kind = self.kinds.get(&raw.flavor).copied().unwrap_or(0);
         let id = self.number(&raw.id);
         let started = self.starts.place(now, id, raw.up_since_ms, newest);
-        let backend = Backend { id, zone, kind, cell: raw.cell, readiness, started };
+        let backend =
+            Backend { id, zone, machine_kind: kind, cell: raw.cell, readiness, started_at: started };
         Ok(Entry { name: raw.id, listed: Listed { backend, address } })
     }
 
--- a/crates/http-proxy/tests/outage.rs
+++ b/crates/http-proxy/tests/outage.rs
@@ -1,7 +1,7 @@
 //! A whole fleet, in virtual time, before a discovery service that was down: when is the first call of each proxy answered?
 //! The decisions and the turns are the proxy's own; the service has one queue.
 
-use balancer::api::{Action, Event, Membership, Micros, Settings};
+use balancer::api::{Action, Event, MembershipUpdate, Micros, Settings};
 use balancer::balancer::Balancer;
 use http_proxy::turns::{Failure, OPENING_LIMIT, Turns};
 use settings::parse_settings;
@@ -141,7 +141,7 @@
             .iter()
             .map(|&me| {
                 let settings = settings(me, self.balancers);
-                let mut turns = Turns::of(me, self.balancers, settings.safety.ask_within);
+                let mut turns = Turns::of(me, self.balancers, settings.safety.max_poll_interval);
                 // The watch has been up for a while.
                 turns.begun(DOWN - chance.u64(0..20 * SECOND));
                 turns.answered();
@@ -159,9 +159,9 @@
             match step {
                 Step::Failed(failure) => {
                     proxy.turns.failed(plain(failure));
-                    proxy.balancer.handle(now, Event::Membership(Membership::Failed), &mut actions);
+                    proxy.balancer.handle(now, Event::Membership(MembershipUpdate::Failed), &mut actions);
                 }
-                Step::Timer(token) => proxy.balancer.handle(now, Event::Timer(token), &mut actions),
+                Step::Timer(token) => proxy.balancer.handle(now, Event::TimerExpired(token), &mut actions),
                 Step::Begins => {
                     proxy.turns.begun(now);
                     proxy.calls += 1;
@@ -173,7 +173,7 @@
             }
             for action in actions {
                 match action {
-                    Action::SetTimer { after, token } => {
+                    Action::SetTimer { delay: after, token } => {
                         due.push(Reverse((now + after + self.late_by, which, Step::Timer(token))))
                     }
                     Action::Subscribe => {
--- a/crates/proxy-server/src/files.rs
+++ b/crates/proxy-server/src/files.rs
@@ -7,7 +7,7 @@
 use admin::snapshot::{Learnt, Server, Snapshot, SnapshotError};
 use admin::store::{REMEMBERED, Stamp, Store, StoreError};
 use admin::succession::Seat;
-use balancer::api::{LearntLimit, Memory, Micros};
+use balancer::api::{LearnedKindLimit, LearnedLatency, LearnedLimit, LearnedState, Micros};
 use http_proxy::log::{Failures, log};
 use socket_io::retry;
 use std::cell::{Cell, RefCell};
@@ -157,7 +157,7 @@
     }
 
     /// Has what was learnt kept, unless the one before is still being written.
-    pub fn keep(&self, now: Micros, memory: impl FnOnce() -> Memory) {
+    pub fn keep(&self, now: Micros, memory: impl FnOnce() -> LearnedState) {
         if self.keeping.replace(true) {
             return;
         }
@@ -175,19 +175,44 @@
     ///
     /// # Errors
     /// Why there is nothing to go on from.
-    pub fn learnt(&self, now: Micros) -> Result<Memory, SnapshotError> {
+    pub fn learnt(&self, now: Micros) -> Result<LearnedState, SnapshotError> {
         self.snapshot.read(self.of.get(), now).map(to_adopt)
     }
 }
 
-fn to_keep(memory: Memory) -> Learnt {
-    let Memory { servers, kinds, latencies, peak, refused } = memory;
-    let server = |LearntLimit { backend, started, limit, common }| Server { backend, started, limit, common };
-    Learnt { servers: servers.into_iter().map(server).collect(), kinds, latencies, peak, refused }
+/// The learned state in the form in which it is stored.
+fn to_keep(state: LearnedState) -> Learnt {
+    let server = |learned: LearnedLimit| Server {
+        backend: learned.backend,
+        started: learned.started_at,
+        limit: learned.limit,
+        common: learned.is_shared,
+    };
+    let latency = |learned: LearnedLatency| (learned.samples, learned.mean, learned.baseline);
+    Learnt {
+        servers: state.backends.into_iter().map(server).collect(),
+        kinds: state.machine_kinds.into_iter().map(|kind| (kind.limit, kind.is_doubling)).collect(),
+        latencies: state.latencies.into_iter().map(latency).collect(),
+        peak: state.peak_rate,
+        refused: state.rejected_fraction,
+    }
 }
 
-fn to_adopt(learnt: Learnt) -> Memory {
-    let Learnt { servers, kinds, latencies, peak, refused } = learnt;
-    let server = |Server { backend, started, limit, common }| LearntLimit { backend, started, limit, common };
-    Memory { servers: servers.into_iter().map(server).collect(), kinds, latencies, peak, refused }
+/// The learned state as a balancer restores it.
+fn to_adopt(stored: Learnt) -> LearnedState {
+    let backend = |server: Server| LearnedLimit {
+        backend: server.backend,
+        started_at: server.started,
+        limit: server.limit,
+        is_shared: server.common,
+    };
+    let kind = |(limit, is_doubling)| LearnedKindLimit { limit, is_doubling };
+    let latency = |(samples, mean, baseline)| LearnedLatency { samples, mean, baseline };
+    LearnedState {
+        backends: stored.servers.into_iter().map(backend).collect(),
+        machine_kinds: stored.kinds.into_iter().map(kind).collect(),
+        latencies: stored.latencies.into_iter().map(latency).collect(),
+        peak_rate: stored.peak,
+        rejected_fraction: stored.refused,
+    }
 }
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -109,7 +109,7 @@
         "  {} classes, {} tenants, {} zones",
         settings.classes.len(),
         settings.tenants.len(),
-        settings.zones
+        settings.zone_count
     );
     println!(
         "  at most {} connections from clients and {} to backends, {} bytes of large bodies",
--- a/crates/proxy-server/src/program.rs
+++ b/crates/proxy-server/src/program.rs
@@ -185,7 +185,7 @@
     let fleet = Fleet::new(
         config.backend_sockets,
         config.dial_timeout,
-        settings.permissions.conn_idle,
+        settings.permissions.idle_connection_timeout,
         config.names.report.clone(),
     );
     let learns = Rc::<Cell<u64>>::default();
@@ -213,7 +213,7 @@
     let bounds = Bounds { requests, leases };
     let engine = Engine::new(settings.clone(), bounds, config.seed, config.seed ^ clock.now(), clock.now())?;
     let (subscribe, subscriptions) = mpsc::unbounded_channel();
-    let report_by_probe = settings.report_by_probe;
+    let report_by_probe = settings.load_report_by_health_check;
     let outside = Rc::new(Inbox::default());
     let carrier = Carrier { fleet: Rc::clone(&fleet), subscribe, report_by_probe, outside };
     let handle = Handle::new(engine, clock, carrier);
@@ -228,8 +228,12 @@
     let held = Rc::new(Cell::new(false));
     let translator = Translator::new(clock, &config.names, &settings.safety);
     let (discovery, addresses) = watch::channel(config.discovery);
-    let asks = asked
-        .then(|| (subscriptions, Turns::of(settings.me, settings.balancers, settings.safety.ask_within)));
+    let asks = asked.then(|| {
+        (
+            subscriptions,
+            Turns::of(settings.instance_index, settings.instance_count, settings.safety.max_poll_interval),
+        )
+    });
     let backend_list = Rc::new(RefCell::new(BackendList::new(bans)));
     let mut watcher =
         Watcher::new(addresses, translator, Rc::clone(&backend_list), handle.clone(), Rc::clone(&held), asks);
--- a/crates/proxy-server/src/renewal.rs
+++ b/crates/proxy-server/src/renewal.rs
@@ -107,7 +107,10 @@
         let settings = classes.renew(&self.settings, &config.settings, &config.names.classes);
         let settings = settings.map_err(ConfigError::Renewal)?;
         self.handle.retune(&settings).map_err(ConfigError::Settings)?;
-        self.handle.transport().fleet.retune(config.dial_timeout, settings.permissions.conn_idle);
+        self.handle
+            .transport()
+            .fleet
+            .retune(config.dial_timeout, settings.permissions.idle_connection_timeout);
         clients.classes().borrow_mut().hold(self.handle.clock().now(), &settings, classes.named());
         self.longest.set(longest(&classes, &settings));
         self.learns.set(learnt_of(&classes, &self.names));
--- a/crates/request-engine/src/engine.rs
+++ b/crates/request-engine/src/engine.rs
@@ -16,8 +16,8 @@
 };
 use crate::timers::{Due, Timers};
 use balancer::api::{
-    Action, Backend, BackendId, Event, Membership, Memory, Micros, Outcome, Readiness, Request, RequestId,
-    Settings, SettingsError, Settled,
+    Action, AttemptResult, Backend, BackendId, Event, LearnedState, MembershipUpdate, Micros, Outcome,
+    Readiness, Request, RequestId, Settings, SettingsError,
 };
 use balancer::balancer::Balancer;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -119,10 +119,10 @@
             tenant: arrival.tenant,
             key: arrival.key,
             // A client with hardly any time at all is not robbed of what it has.
-            patience: left.saturating_sub(ANSWER_MARGIN.min(left / 2)),
-            work: arrival.work,
-            repeat: arrival.repeat,
-            carried: matches!(arrival.conduct, Conduct::Carried(_)),
+            timeout: left.saturating_sub(ANSWER_MARGIN.min(left / 2)),
+            expected_work: arrival.work,
+            is_retry: arrival.repeat,
+            is_proxied: matches!(arrival.conduct, Conduct::Carried(_)),
         };
         let open = Open {
             conduct: arrival.conduct,
@@ -144,7 +144,7 @@
         {
             self.counts.gone += 1;
             self.withdraw_unsent(request);
-            self.feed(now, Event::ClientGone(request));
+            self.feed(now, Event::ClientDisconnected(request));
             self.forget(request);
         }
     }
@@ -238,7 +238,7 @@
     }
 
     /// News of the backends. Leases on those that drain or are gone are asked back while they may be unsent.
-    pub fn membership(&mut self, now: Micros, news: Membership<'_>) {
+    pub fn membership(&mut self, now: Micros, news: MembershipUpdate<'_>) {
         let now = self.at(now);
         let unsent = if self.leases.len() == 0 { Vec::new() } else { self.unsent(now, news) };
         self.feed(now, Event::Membership(news));
@@ -255,26 +255,26 @@
         settings.validate()?;
         let now = self.at(now);
         self.max_attempts = usize::from(settings.permissions.max_attempts);
-        self.feed(now, Event::Retune(settings));
+        self.feed(now, Event::SettingsChanged(settings));
         Ok(())
     }
 
     /// What the decisions have learnt, for the process that takes this one's place.
     #[must_use]
-    pub fn memory(&self) -> Memory {
-        self.balancer.memory()
+    pub fn memory(&self) -> LearnedState {
+        self.balancer.learned_state()
     }
 
     /// The decisions go on from what those of another process have learnt. Whether that fits them.
-    pub fn adopt(&mut self, now: Micros, memory: &Memory) -> bool {
+    pub fn adopt(&mut self, now: Micros, memory: &LearnedState) -> bool {
         let now = self.at(now);
-        self.balancer.adopt(now, memory)
+        self.balancer.restore(now, memory)
     }
 
     /// A probe has ended.
     pub fn probed(&mut self, now: Micros, backend: BackendId, outcome: Outcome, report: &[f32]) {
         let now = self.at(now);
-        self.feed(now, Event::Probed { backend, outcome, report });
+        self.feed(now, Event::HealthCheckFinished { backend, outcome, load_report: report });
     }
 
     /// Hands on what is due.
@@ -282,7 +282,7 @@
         let now = self.at(now);
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Decision(token) => self.feed(now, Event::Timer(token)),
+                Due::Decision(token) => self.feed(now, Event::TimerExpired(token)),
                 Due::LastMoment(request) => self.last_moment(now, request),
                 Due::LeaseEnd(serial) => self.lease_end(now, serial),
             }
@@ -384,7 +384,7 @@
             self.counts.last_moment += 1;
             self.withdraw_unsent(request);
             self.answer(request, Verdict::Failed);
-            self.feed(now, Event::ClientGone(request));
+            self.feed(now, Event::ClientDisconnected(request));
         }
     }
 
@@ -400,21 +400,21 @@
         }
     }
 
-    fn unsent(&self, now: Micros, news: Membership<'_>) -> Vec<u64> {
+    fn unsent(&self, now: Micros, news: MembershipUpdate<'_>) -> Vec<u64> {
         let of = |entries: &[Backend], ready: bool| -> FxHashSet<BackendId> {
             let wanted = entries.iter().filter(|e| (e.readiness == Readiness::Ready) == ready);
             wanted.map(|e| e.id).collect()
         };
         match news {
-            Membership::Delta(entries) => {
+            MembershipUpdate::Delta(entries) => {
                 let left = of(entries, false);
                 self.leases.unsent_on(now, |backend| left.contains(&backend))
             }
-            Membership::Full(entries) | Membership::Cached(entries) => {
+            MembershipUpdate::Snapshot(entries) | MembershipUpdate::CachedSnapshot(entries) => {
                 let ready = of(entries, true);
                 self.leases.unsent_on(now, |backend| !ready.contains(&backend))
             }
-            Membership::Failed => Vec::new(),
+            MembershipUpdate::Failed => Vec::new(),
         }
     }
 
@@ -434,7 +434,7 @@
 
     fn settle_never_sent(&mut self, now: Micros) {
         while let Some(Pending { request, attempt }) = self.never_sent.pop_front() {
-            self.settle(now, request, attempt, Outcome::Moot.into());
+            self.settle(now, request, attempt, Outcome::NotSent.into());
         }
     }
 
@@ -453,8 +453,16 @@
         self.counts.outcomes[ended.outcome as usize] += 1;
         let closed = self.reply(request).is_none();
         let (outcome, report) = (ended.outcome, ended.report.as_slice());
-        let settled = Settled { request, backend, attempt: number, outcome, closed, elapsed, report };
-        self.balancer.handle(now, Event::Settled(settled), &mut self.actions);
+        let settled = AttemptResult {
+            request,
+            backend,
+            attempt: number,
+            outcome,
+            is_answered: closed,
+            elapsed,
+            load_report: report,
+        };
+        self.balancer.handle(now, Event::AttemptFinished(settled), &mut self.actions);
         self.act(now);
         self.forget(request);
     }
@@ -468,7 +476,7 @@
         }
         attempt.state = State::Session;
         self.answer(request, Verdict::Served(payload));
-        self.feed(now, Event::Occupied { request, attempt: number });
+        self.feed(now, Event::SessionEstablished { request, attempt: number });
     }
 
     /// Removes a request for which nothing more can come.
@@ -482,20 +490,20 @@
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, backend, begin_by, give_up_at } => {
+                Action::Send { request, backend, start_by: begin_by, give_up_at } => {
                     self.send(now, request, backend, Schedule { begin_by, give_up_at });
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     self.answer(request, Verdict::Refused { retry_after });
                 }
                 Action::Fail { request } => self.answer(request, Verdict::Failed),
                 Action::Cancel { request, attempt } => self.withdraw(request, attempt),
-                Action::SetTimer { after, token } => {
+                Action::SetTimer { delay: after, token } => {
                     self.remind(now.saturating_add(after), Due::Decision(token))
                 }
                 Action::Subscribe => self.commands.push_back(Command::Subscribe),
-                Action::Probe(backend) => self.commands.push_back(Command::Probe(backend)),
-                Action::CloseIdle(backend) => self.commands.push_back(Command::CloseIdle(backend)),
+                Action::CheckHealth(backend) => self.commands.push_back(Command::Probe(backend)),
+                Action::CloseIdleConnections(backend) => self.commands.push_back(Command::CloseIdle(backend)),
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
             }
         }
@@ -529,7 +537,7 @@
                 self.commands.push_back(Command::Start { request, attempt, backend, schedule, work });
                 if once {
                     // What is not kept can't be sent again, whatever comes of it.
-                    self.balancer.handle(now, Event::FirstByte { request, attempt }, &mut self.actions);
+                    self.balancer.handle(now, Event::ResponseStarted { request, attempt }, &mut self.actions);
                 }
             }
             Conduct::Leased => self.grant(now, request, attempt, backend, schedule),
--- a/crates/request-engine/src/shell/mod.rs
+++ b/crates/request-engine/src/shell/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::engine::{Arrival, Command, Counts, Ended, Engine, Exchange, Grant, Overload, Schedule, Verdict};
 use crate::lease::{LeaseCounts, LeaseError, LeaseId};
-use balancer::api::{BackendId, Membership, Memory, Micros, RequestId, Settings, SettingsError};
+use balancer::api::{BackendId, LearnedState, MembershipUpdate, Micros, RequestId, Settings, SettingsError};
 use clock::Clock;
 use recall::Recall;
 use rustc_hash::FxHashMap;
@@ -183,7 +183,7 @@
     }
 
     /// News of the backends.
-    pub fn membership(&self, news: Membership<'_>) {
+    pub fn membership(&self, news: MembershipUpdate<'_>) {
         self.drive(|engine, now| engine.membership(now, news));
     }
 
@@ -197,12 +197,12 @@
 
     /// What the decisions have learnt.
     #[must_use]
-    pub fn memory(&self) -> Memory {
+    pub fn memory(&self) -> LearnedState {
         self.0.engine.borrow().memory()
     }
 
     /// The decisions go on from what those of another process have learnt. Whether that fits them.
-    pub fn adopt(&self, memory: &Memory) -> bool {
+    pub fn adopt(&self, memory: &LearnedState) -> bool {
         self.drive(|engine, now| engine.adopt(now, memory))
     }
 
--- a/crates/request-engine/tests/hard_cases.rs
+++ b/crates/request-engine/tests/hard_cases.rs
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_lease_is_asked_back_when_its_backend_drains_or_is_gone() {
-    for gone in [Readiness::Draining, Readiness::Gone] {
+    for gone in [Readiness::Draining, Readiness::Removed] {
         let mut world = ten();
         let (client, grant) = world.lease(1);
         let first = grant.expect("a lease").backend;
@@ -103,7 +103,7 @@
         world.delta(Backend { readiness: gone, ..backend(first) });
         assert!(world.attempt((client, 0)).revoked);
         // The holder had not begun: it says so, and the request goes elsewhere although it must not run twice.
-        world.end((client, 0), Outcome::Moot).expect("in time");
+        world.end((client, 0), Outcome::NotSent).expect("in time");
         assert_ne!(world.granted(client).expect("another lease").backend, first);
         world.end((client, 1), Outcome::Ok).expect("in time");
         world.finish();
@@ -165,7 +165,7 @@
         assert!(round < 200);
     }
     let started = world.now;
-    world.delta(Backend { started: Some(started), ..backend(9) });
+    world.delta(Backend { started_at: Some(started), ..backend(9) });
     let sent = |world: &World, leased: bool| {
         let all = world.clients.values().flat_map(|c| &c.attempts);
         all.filter(|a| a.backend == 9 && a.sent_at < started + 2 * SECOND && a.lease.is_some() == leased)
--- a/crates/request-engine/tests/random.rs
+++ b/crates/request-engine/tests/random.rs
@@ -12,13 +12,13 @@
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Spoilt,
-    Outcome::Full,
+    Outcome::Malformed,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 
 #[derive(Clone, Debug)]
@@ -119,10 +119,10 @@
                 world.delta(Backend { readiness: Readiness::Draining, ..backend(id) });
             }
         }
-        Step::Gone { id } => world.delta(Backend { readiness: Readiness::Gone, ..backend(id) }),
+        Step::Gone { id } => world.delta(Backend { readiness: Readiness::Removed, ..backend(id) }),
         Step::Back { id, cold } => {
             let started = cold.then_some(world.now);
-            world.delta(Backend { started, ..backend(id) });
+            world.delta(Backend { started_at: started, ..backend(id) });
         }
         Step::AllGone => world.full(Vec::new()),
         Step::Stray { request, attempt, outcome } => {
--- a/crates/request-engine/tests/same_turn.rs
+++ b/crates/request-engine/tests/same_turn.rs
@@ -43,7 +43,9 @@
 /// in the same turn, where nothing of it has left.
 #[test]
 fn a_failure_and_a_client_that_left_in_the_same_turn_leave_no_attempt_that_may_begin() {
-    for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Full] {
+    for outcome in
+        [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Rejected]
+    {
         let (mut world, client) = carried(0);
         world.pass(10 * MS);
         world.leave(client);
--- a/crates/request-engine/tests/world/mod.rs
+++ b/crates/request-engine/tests/world/mod.rs
@@ -22,53 +22,60 @@
     type Payload = u32;
 }
 
-fn class(effect: Effect) -> Class {
-    Class { aim: 500 * MS, aim_stretch: 0.0, deadline: 2 * SECOND, worth: 1.0, late_worth: 0.5, effect }
+fn class(effect: Idempotency) -> Class {
+    Class {
+        latency_objective: 500 * MS,
+        objective_work_factor: 0.0,
+        deadline: 2 * SECOND,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.5,
+        idempotency: effect,
+    }
 }
 
 /// One proxy, one zone, three classes: safe, unsafe, keyed for a cell.
 pub fn settings() -> Settings {
     Settings {
-        me: 0,
-        balancers: 1,
+        instance_index: 0,
+        instance_count: 1,
         zone: 0,
-        zones: 1,
-        kinds: 1,
+        zone_count: 1,
+        machine_kind_count: 1,
         discovery_on_request: false,
-        warm_keys: false,
+        key_affinity: false,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(Effect::Keyed { group: DedupGroup::Cell, ttl: SECOND }),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            class(Idempotency::Keyed { scope: DedupScope::Cell, ttl: SECOND }),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        cross_zone_price: 0.0,
-        probe_price: 0.0,
-        report: ReportFields::default(),
-        report_by_probe: false,
+        over_quota_weight: 0.1,
+        cross_zone_cost: 0.0,
+        health_check_cost: 0.0,
+        load_report: LoadReportFields::default(),
+        load_report_by_health_check: false,
         permissions: Permissions {
             max_attempts: 4,
-            second_copies: false,
-            cancel: true,
-            probes: false,
-            conn_idle: 5 * SECOND,
-            multiplex: 1,
-            retry_after: Some(SECOND),
+            hedging: false,
+            cancellation: true,
+            health_checks: false,
+            idle_connection_timeout: 5 * SECOND,
+            streams_per_connection: 1,
+            max_retry_after: Some(SECOND),
         },
-        safety: Safety {
-            ask_within: 10 * SECOND,
-            cold_from: 0.3,
-            cold_time: 8 * SECOND,
-            fall_multiple: 3.0,
-            fall_time: 2 * SECOND,
+        safety: SafetyLimits {
+            max_poll_interval: 10 * SECOND,
+            initial_capacity: 0.3,
+            warm_up_duration: 8 * SECOND,
+            overload_factor: 3.0,
+            overload_window: 2 * SECOND,
         },
     }
 }
 
 pub fn backend(id: BackendId) -> Backend {
     let cell = (id / 3) as u16;
-    Backend { id, zone: 0, kind: 0, cell, readiness: Readiness::Ready, started: None }
+    Backend { id, zone: 0, machine_kind: 0, cell, readiness: Readiness::Ready, started_at: None }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -141,17 +148,17 @@
 
     pub fn full(&mut self, list: Vec<Backend>) {
         self.listed = list.iter().map(|b| (b.id, *b)).collect();
-        self.engine.membership(self.now, Membership::Full(&list));
+        self.engine.membership(self.now, MembershipUpdate::Snapshot(&list));
         self.obey();
     }
 
     pub fn delta(&mut self, entry: Backend) {
-        if entry.readiness == Readiness::Gone {
+        if entry.readiness == Readiness::Removed {
             self.listed.remove(&entry.id);
         } else {
             self.listed.insert(entry.id, entry);
         }
-        self.engine.membership(self.now, Membership::Delta(&[entry]));
+        self.engine.membership(self.now, MembershipUpdate::Delta(&[entry]));
         self.obey();
     }
 
@@ -232,7 +239,7 @@
             Some(grant) => self.engine.report(self.now, grant.lease, ended),
         };
         if accepted.is_ok() {
-            self.mark(which, if outcome.never_ran() { Ran::Never } else { Ran::Maybe });
+            self.mark(which, if outcome.never_executed() { Ran::Never } else { Ran::Maybe });
         }
         self.obey();
         accepted
@@ -353,10 +360,10 @@
         assert!(facts.attempts.len() < 4, "more attempts than are allowed");
         for earlier in facts.attempts.iter().filter(|a| a.ran != Ran::Never) {
             assert_ne!(earlier.ran, Ran::Out, "rule 2: a second copy");
-            match self.classes[usize::from(facts.class)].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("rule 2: an unsafe request is sent again"),
-                Effect::Keyed { ttl, .. } => {
+            match self.classes[usize::from(facts.class)].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("rule 2: an unsafe request is sent again"),
+                Idempotency::Keyed { ttl, .. } => {
                     assert!(self.now <= earlier.sent_at + ttl, "rule 2: the key is forgotten");
                     assert_eq!(backend / 3, earlier.backend / 3, "rule 2: another cell");
                 }
@@ -394,7 +401,7 @@
         assert!(self.now <= facts.end, "rule 1: client {client} is answered after its time");
         if matches!(verdict, Verdict::Refused { .. }) {
             let may_have_run = facts.attempts.iter().any(|a| a.ran != Ran::Never);
-            let safe = classes[usize::from(facts.class)].effect == Effect::Safe;
+            let safe = classes[usize::from(facts.class)].idempotency == Idempotency::Idempotent;
             assert!(safe || !may_have_run, "rule 2: refused what may have run");
         }
         facts.verdict = Some(verdict);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,8 @@
 pub mod renewal;
 
 use balancer::api::{
-    Class, DedupGroup, Effect, Micros, Permissions, ReportFields, Safety, Settings, SettingsError, Tenant,
+    Class, DedupScope, Idempotency, LoadReportFields, Micros, Permissions, SafetyLimits, Settings,
+    SettingsError, Tenant,
 };
 use serde::Deserialize;
 
@@ -118,26 +119,26 @@
 
 fn class(index: usize, raw: &RawClass) -> Result<Class, SettingsError> {
     let effect = match raw.effect.as_str() {
-        "retryable" => Effect::Safe,
-        "fragile" => Effect::Unsafe,
+        "retryable" => Idempotency::Idempotent,
+        "fragile" => Idempotency::NonIdempotent,
         "dedup" => {
             let group = match raw.group.as_str() {
-                "all" => DedupGroup::All,
-                "zone" => DedupGroup::Zone,
-                "cell" => DedupGroup::Cell,
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                "cell" => DedupScope::Cell,
                 other => return Err(unknown(&format!("classes[{index}].group"), other)),
             };
-            Effect::Keyed { group, ttl: raw.key_ttl_us }
+            Idempotency::Keyed { scope: group, ttl: raw.key_ttl_us }
         }
         other => return Err(unknown(&format!("classes[{index}].effect"), other)),
     };
     Ok(Class {
-        aim: raw.aim_us,
-        aim_stretch: raw.aim_stretch,
+        latency_objective: raw.aim_us,
+        objective_work_factor: raw.aim_stretch,
         deadline: raw.deadline_us,
-        worth: raw.worth,
-        late_worth: raw.late_worth,
-        effect,
+        priority_weight: raw.worth,
+        late_weight_fraction: raw.late_worth,
+        idempotency: effect,
     })
 }
 
@@ -157,43 +158,43 @@
     let position = |name: &str| raw.load_report.fields.iter().position(|f| f == name);
     let classes = raw.classes.iter().enumerate().map(|(i, c)| class(i, c)).collect::<Result<_, _>>()?;
     let settings = Settings {
-        me: raw.me,
-        balancers: raw.balancers,
+        instance_index: raw.me,
+        instance_count: raw.balancers,
         zone: raw.zone,
-        zones: raw.failure_domains.len().max(1) as u16,
-        kinds: raw.kinds.len().clamp(1, 255) as u8,
+        zone_count: raw.failure_domains.len().max(1) as u16,
+        machine_kind_count: raw.kinds.len().clamp(1, 255) as u8,
         discovery_on_request: match raw.membership_mode.as_str() {
             "pushed" => false,
             "on_request" => true,
             other => return Err(unknown("membershipMode", other)),
         },
-        warm_keys: raw.family_info.warm_keys,
+        key_affinity: raw.family_info.warm_keys,
         classes,
-        tenants: raw.tenants.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-        over_share_worth: raw.over_share_worth,
-        cross_zone_price: raw.penalties.cross_zone,
-        probe_price: raw.penalties.probe,
-        report: ReportFields {
-            active: position("active"),
-            waiting: position("waiting"),
-            avg_ms: position("avg_ms"),
+        tenants: raw.tenants.iter().map(|t| Tenant { quota_per_s: t.allowance_per_s }).collect(),
+        over_quota_weight: raw.over_share_worth,
+        cross_zone_cost: raw.penalties.cross_zone,
+        health_check_cost: raw.penalties.probe,
+        load_report: LoadReportFields {
+            in_flight: position("active"),
+            queued: position("waiting"),
+            mean_service_ms: position("avg_ms"),
         },
-        report_by_probe: raw.load_report.via == "probe",
+        load_report_by_health_check: raw.load_report.via == "probe",
         permissions: Permissions {
             max_attempts: raw.permissions.max_attempts,
-            second_copies: raw.permissions.second_copies,
-            cancel: raw.permissions.cancel,
-            probes: raw.permissions.probes,
-            conn_idle: raw.permissions.conn_idle_us,
-            multiplex: raw.permissions.multiplex,
-            retry_after: raw.permissions.retry_after.then_some(raw.permissions.max_retry_after_us),
+            hedging: raw.permissions.second_copies,
+            cancellation: raw.permissions.cancel,
+            health_checks: raw.permissions.probes,
+            idle_connection_timeout: raw.permissions.conn_idle_us,
+            streams_per_connection: raw.permissions.multiplex,
+            max_retry_after: raw.permissions.retry_after.then_some(raw.permissions.max_retry_after_us),
         },
-        safety: Safety {
-            ask_within: raw.safety.ask_within_us,
-            cold_from: raw.safety.cold_from,
-            cold_time: raw.safety.cold_us,
-            fall_multiple: raw.safety.fall_multiple,
-            fall_time: raw.safety.fall_us,
+        safety: SafetyLimits {
+            max_poll_interval: raw.safety.ask_within_us,
+            initial_capacity: raw.safety.cold_from,
+            warm_up_duration: raw.safety.cold_us,
+            overload_factor: raw.safety.fall_multiple,
+            overload_window: raw.safety.fall_us,
         },
     };
     settings.validate()?;
--- a/crates/settings/src/renewal.rs
+++ b/crates/settings/src/renewal.rs
@@ -4,7 +4,7 @@
 //! where it is, a new or changed one gets a place behind all others, and one that was dropped leaves its place to the
 //! requests that it still has.
 
-use balancer::api::{Class, Effect, Settings};
+use balancer::api::{Class, Idempotency, Settings};
 use serde_json::Value;
 use thiserror::Error;
 
@@ -67,7 +67,7 @@
         names: &[String],
     ) -> Result<Settings, RenewalError> {
         unique(names)?;
-        let no_ttl = |class: &Class| matches!(class.effect, Effect::Keyed { ttl: 0, .. });
+        let no_ttl = |class: &Class| matches!(class.idempotency, Idempotency::Keyed { ttl: 0, .. });
         if let Some(place) = new.classes.iter().position(no_ttl) {
             return Err(RenewalError::NoTtl(place));
         }
@@ -88,9 +88,9 @@
         self.names = places;
         Ok(Settings {
             classes,
-            over_share_worth: new.over_share_worth,
-            cross_zone_price: new.cross_zone_price,
-            probe_price: new.probe_price,
+            over_quota_weight: new.over_quota_weight,
+            cross_zone_cost: new.cross_zone_cost,
+            health_check_cost: new.health_check_cost,
             permissions: new.permissions,
             safety: new.safety,
             ..old.clone()
--- a/crates/settings/tests/renewal.rs
+++ b/crates/settings/tests/renewal.rs
@@ -1,6 +1,6 @@
 //! Settings that take the place of others: whole, or not at all.
 
-use balancer::api::{Effect, Settings};
+use balancer::api::{Idempotency, Settings};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use settings::parse_settings;
@@ -42,7 +42,10 @@
     let second = classes.renew(&old, &new, &names).expect("good settings");
     assert_eq!(places(&classes), [(2, "view"), (3, "read")]);
     assert_eq!(second.classes[..2], old.classes[..], "open requests find theirs where they were");
-    assert_eq!((second.classes[2].effect, second.classes[3].deadline), (Effect::Unsafe, 700));
+    assert_eq!(
+        (second.classes[2].idempotency, second.classes[3].deadline),
+        (Idempotency::NonIdempotent, 700)
+    );
     // The same once more takes no further place; other attempts take none either.
     let mut fewer = file(&[class("read", "retryable", 700), class("view", "fragile", 900)]);
     fewer["permissions"]["maxAttempts"] = json!(1);
@@ -50,7 +53,7 @@
     let (new, names) = read(&fewer);
     let third = classes.renew(&second, &new, &names).expect("good settings");
     assert_eq!(places(&classes), [(2, "view"), (3, "read")]);
-    assert_eq!((third.classes.len(), third.permissions.max_attempts, third.balancers), (4, 1, 2));
+    assert_eq!((third.classes.len(), third.permissions.max_attempts, third.instance_count), (4, 1, 2));
 }
 
 #[test]
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -16,16 +16,19 @@
 #[test]
 fn settings_are_read_and_unknown_keys_passed_over() {
     let settings = parse_settings(SETTINGS.as_bytes()).expect("good settings");
-    assert!(settings.discovery_on_request && settings.warm_keys);
-    assert_eq!((settings.me, settings.balancers, settings.zone, settings.zones), (2, 5, 1, 2));
-    let keyed = Effect::Keyed { group: DedupGroup::Cell, ttl: 3_000_000 };
-    assert_eq!(settings.classes[0].effect, keyed);
+    assert!(settings.discovery_on_request && settings.key_affinity);
     assert_eq!(
-        (settings.report.active, settings.report.avg_ms, settings.report.waiting),
+        (settings.instance_index, settings.instance_count, settings.zone, settings.zone_count),
+        (2, 5, 1, 2)
+    );
+    let keyed = Idempotency::Keyed { scope: DedupScope::Cell, ttl: 3_000_000 };
+    assert_eq!(settings.classes[0].idempotency, keyed);
+    assert_eq!(
+        (settings.load_report.in_flight, settings.load_report.mean_service_ms, settings.load_report.queued),
         (Some(1), Some(0), None)
     );
-    assert_eq!(settings.permissions.retry_after, Some(7));
-    assert_eq!(settings.tenants[0].allowance_per_s, 12.5);
+    assert_eq!(settings.permissions.max_retry_after, Some(7));
+    assert_eq!(settings.tenants[0].quota_per_s, 12.5);
 }
 
 #[test]
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Hosts balancers on the simulator's wire: batches on standard input, replies on standard output.
 #![forbid(unsafe_code)]
 
-use balancer::api::{Action, Backend, Event, Membership, Micros, Settled};
+use balancer::api::{Action, AttemptResult, Backend, Event, MembershipUpdate, Micros};
 use balancer::balancer::Balancer;
 use simulator_adapter::wire::{self, BATCH_HEADER, BatchReader, Record, ReplyWriter, Scope, WireError};
 use std::io::{self, Read, Write};
@@ -112,10 +112,10 @@
                         }
                     };
                     let news = match scope {
-                        Scope::Delta => Membership::Delta(&entries),
-                        Scope::Full => Membership::Full(&entries),
-                        Scope::Cached => Membership::Cached(&entries),
-                        Scope::Failed => Membership::Failed,
+                        Scope::Delta => MembershipUpdate::Delta(&entries),
+                        Scope::Full => MembershipUpdate::Snapshot(&entries),
+                        Scope::Cached => MembershipUpdate::CachedSnapshot(&entries),
+                        Scope::Failed => MembershipUpdate::Failed,
                     };
                     self.step(who()?, at, |b, out| b.handle(now, Event::Membership(news), out))?;
                 }
@@ -125,23 +125,31 @@
                     }
                 }
                 Record::FirstByte { request, attempt } => {
-                    let event = Event::FirstByte { request, attempt };
+                    let event = Event::ResponseStarted { request, attempt };
                     self.step(who()?, at, |b, out| b.handle(now, event, out))?;
                 }
                 Record::Settled { request, backend, attempt, outcome, closed, elapsed, ref report } => {
                     let elapsed = Micros::from(elapsed);
-                    let settled = Settled { request, backend, attempt, outcome, closed, elapsed, report };
-                    self.step(who()?, at, |b, out| b.handle(now, Event::Settled(settled), out))?;
+                    let settled = AttemptResult {
+                        request,
+                        backend,
+                        attempt,
+                        outcome,
+                        is_answered: closed,
+                        elapsed,
+                        load_report: report,
+                    };
+                    self.step(who()?, at, |b, out| b.handle(now, Event::AttemptFinished(settled), out))?;
                 }
                 Record::Probed { backend, outcome, ref report } => {
-                    let event = Event::Probed { backend, outcome, report };
+                    let event = Event::HealthCheckFinished { backend, outcome, load_report: report };
                     self.step(who()?, at, |b, out| b.handle(now, event, out))?;
                 }
                 Record::Vanished(request) => {
-                    self.step(who()?, at, |b, out| b.handle(now, Event::ClientGone(request), out))?;
+                    self.step(who()?, at, |b, out| b.handle(now, Event::ClientDisconnected(request), out))?;
                 }
                 Record::Wakeup(token) => {
-                    self.step(who()?, at, |b, out| b.handle(now, Event::Timer(token), out))?;
+                    self.step(who()?, at, |b, out| b.handle(now, Event::TimerExpired(token), out))?;
                 }
                 Record::Peer => {}
                 Record::Unknown(code) => self.report_unknown(code),
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -101,10 +101,10 @@
             class,
             tenant,
             key: (key != 0).then_some(key),
-            patience: Micros::from(patience),
-            work: work.map(Micros::from),
-            repeat,
-            carried: true,
+            timeout: Micros::from(patience),
+            expected_work: work.map(Micros::from),
+            is_retry: repeat,
+            is_proxied: true,
         })
     }
 }
@@ -154,12 +154,12 @@
         Ok(match self.u16(at)? {
             100 => Outcome::Ok,
             301 => Outcome::Error,
-            302 => Outcome::Full,
+            302 => Outcome::Rejected,
             303 => Outcome::Timeout,
             304 => Outcome::ConnectFailed,
             305 => Outcome::Reset,
             306 => Outcome::Cancelled,
-            307 => Outcome::Moot,
+            307 => Outcome::NotSent,
             other => return self.wrong(at, &format!("an outcome of 100 or 301 to 307, not {other}")),
         })
     }
@@ -271,15 +271,15 @@
         Ok(Backend {
             id: f.u32(0)?,
             zone: f.u16(4)?,
-            kind: f.u8(6)?,
+            machine_kind: f.u8(6)?,
             cell: f.u16(7)?,
             readiness: match f.u8(9)? {
-                0 => Readiness::Gone,
+                0 => Readiness::Removed,
                 1 => Readiness::Ready,
                 2 => Readiness::Draining,
                 other => return f.wrong(9, &format!("a readiness of 0 to 2, not {other}")),
             },
-            started: Some(f.u64(14)?).filter(|&t| t != 0),
+            started_at: Some(f.u64(14)?).filter(|&t| t != 0),
         })
     };
     entries.chunks_exact(ENTRY).enumerate().map(parse).collect()
@@ -326,16 +326,18 @@
             Action::Send { request, backend, give_up_at, .. } => {
                 self.record(64, &[&request.to_be_bytes(), &give_up_at.to_be_bytes(), &backend.to_be_bytes()]);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 self.record(65, &[&request.to_be_bytes(), &micros(*retry_after)]);
             }
             Action::Fail { request } => self.record(66, &[&request.to_be_bytes()]),
             Action::Cancel { request, attempt } => {
                 self.record(67, &[&request.to_be_bytes(), &attempt.to_be_bytes()]);
             }
-            Action::SetTimer { after, token } => self.record(68, &[&micros(*after), &token.to_be_bytes()]),
-            Action::Probe(backend) => self.record(69, &[&backend.to_be_bytes()]),
-            Action::CloseIdle(backend) => self.record(70, &[&backend.to_be_bytes()]),
+            Action::SetTimer { delay: after, token } => {
+                self.record(68, &[&micros(*after), &token.to_be_bytes()])
+            }
+            Action::CheckHealth(backend) => self.record(69, &[&backend.to_be_bytes()]),
+            Action::CloseIdleConnections(backend) => self.record(70, &[&backend.to_be_bytes()]),
             Action::Log(text) => self.text(72, text),
             Action::Subscribe => self.record(74, &[&[1]]),
         }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -42,8 +42,8 @@
     assert_eq!(read[0], Record::SwitchTo(3));
     let request = read[1].request().expect("a request");
     assert_eq!((request.id, request.class, request.tenant), (0x5d3a_91c4, 0, 0));
-    assert_eq!((request.key, request.patience), (Some(0x91f0_3b7c_55d2_0a64), 240_000));
-    assert_eq!((request.work, request.repeat), (Some(12_000), false));
+    assert_eq!((request.key, request.timeout), (Some(0x91f0_3b7c_55d2_0a64), 240_000));
+    assert_eq!((request.expected_work, request.is_retry), (Some(12_000), false));
     assert_eq!(read[2..], [Record::Wakeup(77), Record::SwitchTo(5), Record::Vanished(0x0e6f_2b19)]);
 }
 
@@ -60,15 +60,15 @@
     .expect("a good batch");
     let Record::Page { list: 0, entries } = read[0] else { panic!("{:?}", read[0]) };
     let entries = wire::parse_entries(entries).expect("good entries");
-    assert_eq!((entries[0].id, entries[0].zone, entries[0].started), (0x0312_4a07, 0, None));
-    assert_eq!(entries[1].started, Some(0x5d_1420));
+    assert_eq!((entries[0].id, entries[0].zone, entries[0].started_at), (0x0312_4a07, 0, None));
+    assert_eq!(entries[1].started_at, Some(0x5d_1420));
     assert_eq!(entries[1].readiness, Readiness::Draining);
     assert_eq!(read[1], Record::Membership { scope: Scope::Cached, list: 0 });
     let expected = Record::Settled {
         request: 0x5d3a_91c4,
         backend: 0x0312_4a07,
         attempt: 2,
-        outcome: Outcome::Full,
+        outcome: Outcome::Rejected,
         closed: true,
         elapsed: 0x4844,
         report: vec![2.5],
@@ -106,9 +106,9 @@
 fn actions_are_written_as_the_wire_says() {
     let mut reply = ReplyWriter::default();
     let (request, backend) = (0x5d3a_91c4, 0x0312_4a07);
-    let send = Action::Send { request, backend, begin_by: u64::MAX, give_up_at: 0x8194da };
+    let send = Action::Send { request, backend, start_by: u64::MAX, give_up_at: 0x8194da };
     reply.action(3, &send);
-    reply.action(3, &Action::SetTimer { after: 500_000, token: 77 });
+    reply.action(3, &Action::SetTimer { delay: 500_000, token: 77 });
     reply.action(5, &Action::Log("two servers known".into()));
     let expected = "00000048
         4c 00000002 0003
@@ -117,12 +117,12 @@
         4c 00000002 0005
         48 00000013 0011 74776f2073657276657273206b6e6f776e";
     assert_eq!(reply.finish(), hex(expected));
-    reply.action(1, &Action::Refuse { request: 1, retry_after: 2 });
+    reply.action(1, &Action::Reject { request: 1, retry_after: 2 });
     reply.action(1, &Action::Fail { request: 1 });
     reply.action(1, &Action::Cancel { request: 1, attempt: 3 });
-    reply.action(1, &Action::Probe(9));
+    reply.action(1, &Action::CheckHealth(9));
     reply.action(1, &Action::Subscribe);
-    reply.action(1, &Action::CloseIdle(9));
+    reply.action(1, &Action::CloseIdleConnections(9));
     reply.fatal(1, "x");
     let expected = "00000048 4c 00000002 0001
         41 00000008 00000001 00000002
--- a/crates/testbed/benches/decision.rs
+++ b/crates/testbed/benches/decision.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo bench -p testbed`; prints the exponent of the curve from 100 to 10,000 boxes at the end.
 
-use balancer::api::{Action, Backend, Event, Membership, Micros, Outcome, Readiness, Request, Settled};
+use balancer::api::{Action, Backend, Event, MembershipUpdate, Micros, Outcome, Readiness, Request, AttemptResult};
 use balancer::balancer::Balancer;
 use criterion::{BenchmarkId, Criterion};
 use std::hint::black_box;
@@ -48,13 +48,13 @@
             .map(|id| Backend {
                 id,
                 zone: (id % 4) as u16,
-                kind: 0,
+                machine_kind: 0,
                 cell: (id % 12) as u16,
                 readiness: Readiness::Ready,
-                started: None,
+                started_at: None,
             })
             .collect();
-        balancer.handle(1, Event::Membership(Membership::Full(&list)), &mut Vec::new());
+        balancer.handle(1, Event::Membership(MembershipUpdate::Snapshot(&list)), &mut Vec::new());
         let most = ((f64::from(boxes) * OUT_PER_BOX) as usize).max(2);
         // So many out at a time, each for this latency, is this many a second.
         let step = (LATENCY / most as u64).max(1);
@@ -84,25 +84,25 @@
             class: 0,
             tenant: 0,
             key: None,
-            patience: 1_500_000,
-            work: None,
-            repeat: false,
-            carried: true,
+            timeout: 1_500_000,
+            expected_work: None,
+            is_retry: false,
+            is_proxied: true,
         };
         self.balancer.handle(self.now, Event::Request(request), &mut self.actions);
         self.take();
         while self.out.len() > self.most {
             let Some((request, backend, sent_at)) = self.out.pop_front() else { return };
-            let settled = Settled {
+            let settled = AttemptResult {
                 request,
                 backend,
                 attempt: 0,
                 outcome: Outcome::Ok,
-                closed: true,
+                is_answered: true,
                 elapsed: self.now - sent_at,
-                report: &[],
+                load_report: &[],
             };
-            self.balancer.handle(self.now, Event::Settled(settled), &mut self.actions);
+            self.balancer.handle(self.now, Event::AttemptFinished(settled), &mut self.actions);
             self.take();
         }
     }
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -10,7 +10,7 @@
 use crate::plan::Plan;
 use crate::script::{Script, micros};
 use crate::spread::{self, Spread};
-use balancer::api::{Backend, BackendId, Membership, Micros, Outcome, RequestId, SettingsError};
+use balancer::api::{Backend, BackendId, MembershipUpdate, Micros, Outcome, RequestId, SettingsError};
 use processes::Process;
 use request_engine::engine::{
     Arrival, Bounds, Command, Conduct, Counts, Ended, Engine, Exchange, Grant, Overload, Verdict,
@@ -89,8 +89,8 @@
     fn from(sent: Sent) -> Self {
         match sent {
             Sent::Ok => Self::Ok,
-            Sent::Full => Self::Full,
-            Sent::Spoilt => Self::Spoilt,
+            Sent::Full => Self::Rejected,
+            Sent::Spoilt => Self::Malformed,
             Sent::Reset => Self::Reset,
             Sent::ConnectFailed => Self::ConnectFailed,
         }
@@ -246,7 +246,7 @@
         };
         world.first_list = (0..script.fleet.boxes).map(|b| world.entry(b)).collect();
         for proxy in 0..world.proxies.len() {
-            world.proxies[proxy].membership(START, Membership::Full(&world.first_list));
+            world.proxies[proxy].membership(START, MembershipUpdate::Snapshot(&world.first_list));
             world.obey(proxy);
         }
         for (i, event) in plan.processes.iter().enumerate() {
@@ -370,7 +370,7 @@
     fn caller_sends(&mut self, which: usize) {
         let attempt = &self.tries[which];
         if attempt.revoked || self.now > attempt.send_by {
-            return self.tell_proxy(which, Outcome::Moot);
+            return self.tell_proxy(which, Outcome::NotSent);
         }
         let (way, give_up_at) = (self.way(which), attempt.give_up_at);
         self.after(way, Event::ToBox(which));
--- a/crates/testbed/src/virtual_time/boxes.rs
+++ b/crates/testbed/src/virtual_time/boxes.rs
@@ -4,7 +4,7 @@
 use crate::judge::Seen;
 use crate::model::{Arrived, BoxModel};
 use crate::script::{What, micros};
-use balancer::api::{Backend, Membership, Micros, Readiness};
+use balancer::api::{Backend, MembershipUpdate, Micros, Readiness};
 
 /// How long after it came a request's connection breaks.
 const RESET_AFTER: Micros = 5_000;
@@ -62,17 +62,17 @@
     pub(super) fn entry(&self, at_box: usize) -> Backend {
         let at = &self.boxes[at_box];
         let readiness = match (&at.model, at.drains) {
-            (None, _) => Readiness::Gone,
+            (None, _) => Readiness::Removed,
             (Some(_), true) => Readiness::Draining,
             (Some(_), false) => Readiness::Ready,
         };
         Backend {
             id: at_box as u32,
             zone: self.script.zone(at_box),
-            kind: 0,
+            machine_kind: 0,
             cell: self.script.cell(at_box),
             readiness,
-            started: at.started,
+            started_at: at.started,
         }
     }
 
@@ -90,7 +90,7 @@
         let entry = self.entry(at_box);
         let ready = entry.readiness == Readiness::Ready;
         self.record.add(self.now, Seen::Told { proxy, at_box, ready });
-        self.proxies[proxy].membership(self.now, Membership::Delta(&[entry]));
+        self.proxies[proxy].membership(self.now, MembershipUpdate::Delta(&[entry]));
         self.obey(proxy);
     }
 
--- a/crates/testbed/src/virtual_time/processes.rs
+++ b/crates/testbed/src/virtual_time/processes.rs
@@ -5,7 +5,7 @@
 use crate::judge::Seen;
 use crate::plan::Act;
 use crate::script::{Known, micros};
-use balancer::api::{Membership, Micros};
+use balancer::api::{MembershipUpdate, Micros};
 
 /// How long after its start a process has discovery's list.
 const FIRST_LIST: Micros = 20_000;
@@ -100,7 +100,7 @@
         self.proxy_due[proxy] = Micros::MAX;
         self.record.add(self.now, Seen::Restarted { proxy });
         if list == Known::Old {
-            self.proxies[proxy].membership(self.now, Membership::Cached(&self.first_list));
+            self.proxies[proxy].membership(self.now, MembershipUpdate::CachedSnapshot(&self.first_list));
             self.obey(proxy);
         }
         self.after(FIRST_LIST, Event::FirstList(proxy));
@@ -116,7 +116,7 @@
             let ready = entry.readiness == balancer::api::Readiness::Ready;
             self.record.add(self.now, Seen::Told { proxy, at_box, ready });
         }
-        self.proxies[proxy].membership(self.now, Membership::Full(&list));
+        self.proxies[proxy].membership(self.now, MembershipUpdate::Snapshot(&list));
         self.obey(proxy);
     }
 
