--- a/crates/external-processor/src/bridge.rs
+++ b/crates/external-processor/src/bridge.rs
@@ -5,12 +5,12 @@
 use crate::desk::{Asked, Bounds, CallerId, Counts, Desk, Port, Reply, Report, Request};
 use crate::question::Unusable;
 use balancer::api::{BackendId, Micros, Outcome, RequestId, Settings};
-use request_engine::claims;
-use request_engine::engine::{Ended, Exchange};
+use request_engine::driver::clock::Clock;
+use request_engine::driver::{Handle, Transport};
+use request_engine::engine::{AttemptEnd, MessageTypes};
+use request_engine::idempotency;
 use request_engine::lease::{LeaseError, LeaseId};
-use request_engine::outside::{Inbox, Ticket, Word};
-use request_engine::shell::clock::Clock;
-use request_engine::shell::{Handle, Transport};
+use request_engine::lease_events::{LeaseEvent, LeaseEventQueue, RequestHandle};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -97,33 +97,33 @@
 
 impl<T: Transport> Port for EnginePort<'_, T>
 where
-    <T::Exchange as Exchange>::Reply: From<Ticket>,
+    <T::Messages as MessageTypes>::Responder: From<RequestHandle>,
 {
-    fn admit(&mut self, request: &Request, ticket: Ticket) -> Option<RequestId> {
+    fn admit(&mut self, request: &Request, ticket: RequestHandle) -> Option<RequestId> {
         self.0.admit(request.arrival(), ticket.into()).ok()
     }
 
     fn report(&mut self, lease: LeaseId, outcome: Outcome, load: Vec<f32>) -> Result<(), LeaseError> {
-        self.0.report(lease, Ended { outcome, payload: None, report: load, waited: 0 })
+        self.0.report_result(lease, AttemptEnd { outcome, response: None, load_report: load, client_wait: 0 })
     }
 
     fn establish(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
-        self.0.establish(lease)
+        self.0.establish_session(lease)
     }
 
     fn renew(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
-        self.0.renew(lease)
+        self.0.renew_session(lease)
     }
 
     fn client_gone(&mut self, request: RequestId) {
-        self.0.client_gone(request);
+        self.0.client_disconnected(request);
     }
 }
 
 struct Inner<T: Transport> {
     desk: RefCell<Desk>,
     handle: Handle<T>,
-    inbox: Rc<Inbox>,
+    inbox: Rc<LeaseEventQueue>,
     endpoints: Endpoints,
     callers: RefCell<FxHashMap<CallerId, mpsc::Sender<Told>>>,
     /// Callers that did not take their replies and whose end is not told yet.
@@ -141,16 +141,16 @@
 
 impl<T: Transport> Bridge<T>
 where
-    <T::Exchange as Exchange>::Reply: From<Ticket>,
+    <T::Messages as MessageTypes>::Responder: From<RequestHandle>,
 {
     /// A desk before this engine, whose words come to `inbox`.
     #[must_use]
     pub fn new(
         settings: &Settings,
         bounds: Bounds,
-        claims: claims::Shared,
+        claims: idempotency::SharedRegistry,
         handle: Handle<T>,
-        inbox: Rc<Inbox>,
+        inbox: Rc<LeaseEventQueue>,
         endpoints: Endpoints,
     ) -> Self {
         let desk = RefCell::new(Desk::new(settings, bounds, claims));
@@ -173,7 +173,7 @@
             tokio::select! {
                 biased;
                 Some(gone) = gone.recv() => inner.gone(gone),
-                () = inner.inbox.waiting() => {}
+                () = inner.inbox.wait() => {}
                 count = questions.recv_many(&mut taken, IN_ONE_GO) => {
                     if count == 0 {
                         return;
@@ -207,7 +207,7 @@
 
 impl<T: Transport> Inner<T>
 where
-    <T::Exchange as Exchange>::Reply: From<Ticket>,
+    <T::Messages as MessageTypes>::Responder: From<RequestHandle>,
 {
     fn now(&self) -> Micros {
         let clock: Clock = self.handle.clock();
@@ -253,10 +253,10 @@
     /// Takes the engine's words until there are none, and tells callers what follows.
     fn settle(&self) {
         let mut port = EnginePort(&self.handle);
-        while let Some(word) = self.inbox.take() {
+        while let Some(word) = self.inbox.pop() {
             let endpoint = match &word {
-                Word::Granted(_, grant) => (self.endpoints)(grant.backend),
-                Word::Revoked(..) | Word::Answered(..) => None,
+                LeaseEvent::Granted(_, grant) => (self.endpoints)(grant.backend),
+                LeaseEvent::Revoked(..) | LeaseEvent::Completed(..) => None,
             };
             let now = self.now();
             self.desk.borrow_mut().word(now, word, endpoint, &mut port);
--- a/crates/external-processor/src/desk.rs
+++ b/crates/external-processor/src/desk.rs
@@ -8,10 +8,12 @@
 //!    as one that may have run.
 
 use balancer::api::{Idempotency, Micros, Outcome, RequestId, Settings};
-use request_engine::claims::{self, ClaimError, ClaimId, Claimed, End, Front, Remembered};
-use request_engine::engine::{Arrival, Conduct, Grant, Verdict};
+use request_engine::engine::{Dispatch, FinalOutcome, IncomingRequest, LeaseGrant};
+use request_engine::idempotency::{
+    self, ClaimError, ClaimId, ClaimStatus, CompletedRequest, FinalStatus, FrontEnd,
+};
 use request_engine::lease::{LeaseError, LeaseId};
-use request_engine::outside::{Ticket, Word};
+use request_engine::lease_events::{LeaseEvent, RequestHandle};
 use rustc_hash::{FxHashMap, FxHashSet};
 use smallvec::SmallVec;
 use std::net::SocketAddr;
@@ -67,16 +69,16 @@
 impl Request {
     /// The request as the engine takes it: its caller makes the attempts.
     #[must_use]
-    pub fn arrival<W>(&self) -> Arrival<W> {
-        Arrival {
+    pub fn arrival<W>(&self) -> IncomingRequest<W> {
+        IncomingRequest {
             class: self.class,
             tenant: self.tenant,
             key: self.about,
-            arrived: self.arrived,
-            patience: self.patience,
-            work: self.work,
-            repeat: self.repeat,
-            conduct: Conduct::Leased,
+            arrived_at: self.arrived,
+            timeout: self.patience,
+            expected_work: self.work,
+            is_retry: self.repeat,
+            dispatch: Dispatch::Leased,
         }
     }
 }
@@ -113,7 +115,7 @@
     /// Where to.
     pub endpoint: SocketAddr,
     /// The engine's grant.
-    pub grant: Grant,
+    pub grant: LeaseGrant,
     /// Whether a further attempt may follow.
     pub repeat: Repeat,
 }
@@ -149,7 +151,7 @@
     /// The final answer; `again`: it was given before.
     Final {
         /// How it ended.
-        end: End,
+        end: FinalStatus,
         /// Whether it was given before.
         again: bool,
     },
@@ -171,7 +173,7 @@
 /// The engine, as this front sees it. What it causes comes as [`Word`]s, after the call.
 pub trait Port {
     /// Takes a request; `None` at a bound.
-    fn admit(&mut self, request: &Request, ticket: Ticket) -> Option<RequestId>;
+    fn admit(&mut self, request: &Request, ticket: RequestHandle) -> Option<RequestId>;
     /// Settles a lease.
     ///
     /// # Errors
@@ -242,17 +244,17 @@
 
 /// The requests that callers hold.
 pub struct Desk {
-    claims: claims::Shared,
+    claims: idempotency::SharedRegistry,
     bounds: Bounds,
     effects: Vec<Idempotency>,
     deadlines: Vec<Micros>,
     max_attempts: u16,
     draining: bool,
     next: u64,
-    held: FxHashMap<Ticket, Held>,
-    by_lease: FxHashMap<LeaseId, Ticket>,
-    by_claim: FxHashMap<ClaimId, Ticket>,
-    callers: FxHashMap<CallerId, FxHashSet<Ticket>>,
+    held: FxHashMap<RequestHandle, Held>,
+    by_lease: FxHashMap<LeaseId, RequestHandle>,
+    by_claim: FxHashMap<ClaimId, RequestHandle>,
+    callers: FxHashMap<CallerId, FxHashSet<RequestHandle>>,
     replies: Vec<(Asked, Reply)>,
     revoked: Vec<(CallerId, LeaseId)>,
     counts: Counts,
@@ -271,7 +273,7 @@
 impl Desk {
     /// A desk with nothing on it.
     #[must_use]
-    pub fn new(settings: &Settings, bounds: Bounds, claims: claims::Shared) -> Self {
+    pub fn new(settings: &Settings, bounds: Bounds, claims: idempotency::SharedRegistry) -> Self {
         Self {
             claims,
             bounds,
@@ -304,18 +306,18 @@
         let claimed = self.claims.borrow_mut().claim(now, &request.id, request.class, request.key.as_deref());
         match claimed {
             Err(fault) => self.reject(asked, fault.into()),
-            Ok(Claimed::Settled(Remembered { end, .. })) => {
+            Ok(ClaimStatus::Completed(CompletedRequest { status: end, .. })) => {
                 self.counts.again += 1;
                 self.tell(asked, Reply::Final { end, again: true });
             }
-            Ok(Claimed::Held { by, since, by_key }) => {
+            Ok(ClaimStatus::InFlight { owner: by, since, by_key }) => {
                 self.counts.in_flight += 1;
                 if request.wait && self.wait(by, asked) {
                     return;
                 }
                 self.tell(asked, Reply::InFlight { held_for: now.saturating_sub(since), by_key });
             }
-            Ok(Claimed::New(claim)) => self.take(now, asked, request, claim, port),
+            Ok(ClaimStatus::New(claim)) => self.take(now, asked, request, claim, port),
         }
     }
 
@@ -331,14 +333,20 @@
     fn take(&mut self, now: Micros, asked: Asked, request: &Request, claim: ClaimId, port: &mut impl Port) {
         // The caller has held a lease for it, and what came of that is known nowhere any more.
         if request.prior.is_some() && self.effects[usize::from(request.class)] != Idempotency::Idempotent {
-            self.settle(now, claim, request.class, End::Unknown, claims::Effect::Perhaps);
+            self.settle(
+                now,
+                claim,
+                request.class,
+                FinalStatus::Unknown,
+                idempotency::ExecutionEffect::Possible,
+            );
             self.counts.unknown += 1;
-            return self.tell(asked, Reply::Final { end: End::Unknown, again: false });
+            return self.tell(asked, Reply::Final { end: FinalStatus::Unknown, again: false });
         }
-        let ticket = Ticket(self.next);
+        let ticket = RequestHandle(self.next);
         self.next += 1;
         let Some(id) = port.admit(request, ticket) else {
-            self.claims.borrow_mut().settle(now, claim, FORGOTTEN, claims::Effect::None, 0);
+            self.claims.borrow_mut().complete(now, claim, FORGOTTEN, idempotency::ExecutionEffect::None, 0);
             return self.reject(asked, Fault::Overload);
         };
         let held = Held {
@@ -396,7 +404,7 @@
         held.open = Some(asked.tag);
         held.may_have_run |= !outcome.never_executed();
         if once {
-            let end = if held.may_have_run { End::Failed } else { End::Refused(now) };
+            let end = if held.may_have_run { FinalStatus::Failed } else { FinalStatus::Rejected(now) };
             self.finish(now, ticket, end);
         }
     }
@@ -448,20 +456,28 @@
     // ---- What the engine says ----
 
     /// A word of the engine; `endpoint` is where its grant's backend listens now.
-    pub fn word(&mut self, now: Micros, word: Word, endpoint: Option<SocketAddr>, port: &mut impl Port) {
+    pub fn word(
+        &mut self,
+        now: Micros,
+        word: LeaseEvent,
+        endpoint: Option<SocketAddr>,
+        port: &mut impl Port,
+    ) {
         match word {
-            Word::Granted(ticket, grant) => self.granted(now, ticket, grant, endpoint, port),
-            Word::Revoked(ticket, lease) => {
+            LeaseEvent::Granted(ticket, grant) => self.granted(now, ticket, grant, endpoint, port),
+            LeaseEvent::Revoked(ticket, lease) => {
                 let held = self.held.get(&ticket).filter(|h| h.out.is_some_and(|s| s.grant.lease == lease));
                 if let Some(held) = held {
                     self.revoked.push((held.owner, lease));
                 }
             }
-            Word::Answered(ticket, verdict) => {
+            LeaseEvent::Completed(ticket, verdict) => {
                 let end = match verdict {
-                    Verdict::Served(_) => End::Served,
-                    Verdict::Refused { retry_after } => End::Refused(now.saturating_add(retry_after)),
-                    Verdict::Failed => End::Failed,
+                    FinalOutcome::Served(_) => FinalStatus::Served,
+                    FinalOutcome::Rejected { retry_after } => {
+                        FinalStatus::Rejected(now.saturating_add(retry_after))
+                    }
+                    FinalOutcome::Failed => FinalStatus::Failed,
                 };
                 self.finish(now, ticket, end);
             }
@@ -471,8 +487,8 @@
     fn granted(
         &mut self,
         now: Micros,
-        ticket: Ticket,
-        grant: Grant,
+        ticket: RequestHandle,
+        grant: LeaseGrant,
         endpoint: Option<SocketAddr>,
         port: &mut impl Port,
     ) {
@@ -509,7 +525,7 @@
                 let request = held.request;
                 port.client_gone(request);
                 let _ = port.report(grant.lease, Outcome::NotSent, Vec::new());
-                self.finish(now, ticket, End::Unknown);
+                self.finish(now, ticket, FinalStatus::Unknown);
             }
         }
     }
@@ -555,7 +571,7 @@
         self.tell(asked, Reply::Rejected(fault));
     }
 
-    fn change_owner(&mut self, ticket: Ticket, to: CallerId) {
+    fn change_owner(&mut self, ticket: RequestHandle, to: CallerId) {
         let Some(held) = self.held.get_mut(&ticket) else { return };
         let from = std::mem::replace(&mut held.owner, to);
         if from != to {
@@ -564,7 +580,7 @@
         self.callers.entry(to).or_default().insert(ticket);
     }
 
-    fn leave(&mut self, caller: CallerId, ticket: Ticket) {
+    fn leave(&mut self, caller: CallerId, ticket: RequestHandle) {
         if let Some(held) = self.callers.get_mut(&caller) {
             held.remove(&ticket);
             if held.is_empty() {
@@ -573,7 +589,7 @@
         }
     }
 
-    fn withdraw(&mut self, now: Micros, ticket: Ticket, heard: bool, port: &mut impl Port) {
+    fn withdraw(&mut self, now: Micros, ticket: RequestHandle, heard: bool, port: &mut impl Port) {
         let Some(held) = self.held.get_mut(&ticket) else { return };
         if let Some(send) = held.out.take() {
             held.may_have_run |= heard;
@@ -583,28 +599,29 @@
             let _ = port.report(send.grant.lease, outcome, Vec::new());
         }
         held.open = None;
-        let end = if held.may_have_run { End::Unknown } else { End::Refused(now) };
+        let end = if held.may_have_run { FinalStatus::Unknown } else { FinalStatus::Rejected(now) };
         match end {
-            End::Unknown => self.counts.unknown += 1,
+            FinalStatus::Unknown => self.counts.unknown += 1,
             _ => self.counts.withdrawn += 1,
         }
         self.finish(now, ticket, end);
     }
 
     /// The one place where a request ends: its claim, the question that is open, and those who wait.
-    fn finish(&mut self, now: Micros, ticket: Ticket, end: End) {
+    fn finish(&mut self, now: Micros, ticket: RequestHandle, end: FinalStatus) {
         let Some(held) = self.held.remove(&ticket) else { return };
         self.by_claim.remove(&held.claim);
         self.leave(held.owner, ticket);
         if let Some(send) = held.out {
             self.by_lease.remove(&send.grant.lease);
         }
-        let ran = held.may_have_run || held.out.is_some() || end == End::Served;
-        let effect = if ran { claims::Effect::Perhaps } else { claims::Effect::None };
+        let ran = held.may_have_run || held.out.is_some() || end == FinalStatus::Served;
+        let effect =
+            if ran { idempotency::ExecutionEffect::Possible } else { idempotency::ExecutionEffect::None };
         let told = held.open.map(|tag| Asked { caller: held.owner, tag });
         if told.is_none() && !ran {
             // Nobody was told an end and nothing has run: whoever asks again gets a decision.
-            self.claims.borrow_mut().settle(now, held.claim, FORGOTTEN, effect, 0);
+            self.claims.borrow_mut().complete(now, held.claim, FORGOTTEN, effect, 0);
         } else {
             self.settle(now, held.claim, held.class, end, effect);
         }
@@ -616,9 +633,16 @@
         }
     }
 
-    fn settle(&self, now: Micros, claim: ClaimId, class: u8, end: End, effect: claims::Effect) {
-        let remembered = Remembered { front: Front::Outside, end };
-        self.claims.borrow_mut().settle(now, claim, remembered, effect, self.memory(class));
+    fn settle(
+        &self,
+        now: Micros,
+        claim: ClaimId,
+        class: u8,
+        end: FinalStatus,
+        effect: idempotency::ExecutionEffect,
+    ) {
+        let remembered = CompletedRequest { front_end: FrontEnd::External, status: end };
+        self.claims.borrow_mut().complete(now, claim, remembered, effect, self.memory(class));
     }
 
     fn memory(&self, class: u8) -> Micros {
@@ -632,4 +656,5 @@
 }
 
 /// What a claim is settled with that is forgotten at once.
-const FORGOTTEN: Remembered = Remembered { front: Front::Outside, end: End::Refused(0) };
+const FORGOTTEN: CompletedRequest =
+    CompletedRequest { front_end: FrontEnd::External, status: FinalStatus::Rejected(0) };
--- a/crates/external-processor/src/envoy.rs
+++ b/crates/external-processor/src/envoy.rs
@@ -23,7 +23,7 @@
 };
 use envoy_types::pb::envoy::r#type::v3::HttpStatus;
 use envoy_types::pb::google::protobuf::{Struct, Value, value};
-use request_engine::claims::End;
+use request_engine::idempotency::FinalStatus;
 use request_engine::lease::LeaseId;
 use std::collections::HashMap;
 use thiserror::Error;
@@ -171,18 +171,18 @@
 }
 
 /// The end of a request as an HTTP client hears it.
-fn ended(now: Micros, end: End) -> Box<ProcessingResponse> {
+fn ended(now: Micros, end: FinalStatus) -> Box<ProcessingResponse> {
     match end {
-        End::Refused(until) => immediate(503, Some(until.saturating_sub(now)), "no room"),
-        End::Failed => immediate(502, None, "failed"),
-        End::Unknown => immediate(502, None, "whoever held this request vanished: it may have run"),
-        End::Served => immediate(409, None, "this request was served before"),
+        FinalStatus::Rejected(until) => immediate(503, Some(until.saturating_sub(now)), "no room"),
+        FinalStatus::Failed => immediate(502, None, "failed"),
+        FinalStatus::Unknown => immediate(502, None, "whoever held this request vanished: it may have run"),
+        FinalStatus::Served => immediate(409, None, "this request was served before"),
     }
 }
 
 fn rejected(fault: Fault) -> Box<ProcessingResponse> {
     match fault {
-        Fault::Claim(request_engine::claims::ClaimError::Full(_))
+        Fault::Claim(request_engine::idempotency::ClaimError::Full(_))
         | Fault::Overload
         | Fault::TooMany(_)
         | Fault::Draining => immediate(503, Some(RETRY), &fault.to_string()),
@@ -286,9 +286,10 @@
     pub fn reported(&mut self, now: Micros, reply: Reply) -> Box<ProcessingResponse> {
         let was = std::mem::replace(&mut self.state, State::Over);
         match (was, reply) {
-            (State::Reported { never_ran: true }, Reply::Final { end: end @ End::Refused(_), .. }) => {
-                ended(now, end)
-            }
+            (
+                State::Reported { never_ran: true },
+                Reply::Final { end: end @ FinalStatus::Rejected(_), .. },
+            ) => ended(now, end),
             _ => pass(),
         }
     }
--- a/crates/external-processor/src/plain.rs
+++ b/crates/external-processor/src/plain.rs
@@ -5,7 +5,7 @@
 use crate::question::{Catalogue, Fields, Unusable};
 use crate::settings::Headers;
 use balancer::api::{Micros, Outcome};
-use request_engine::claims::{ClaimError, End};
+use request_engine::idempotency::{ClaimError, FinalStatus};
 use request_engine::lease::{LeaseError, LeaseId};
 
 /// What the fields of a [`pb::DecideRequest`] are called, for messages about them.
@@ -125,12 +125,12 @@
 fn reason(fault: Fault) -> pb::Reason {
     match fault {
         Fault::Claim(ClaimError::Full(_)) | Fault::Overload | Fault::TooMany(_) => pb::Reason::Overload,
-        Fault::Claim(ClaimError::Name(_)) => pb::Reason::Invalid,
-        Fault::Claim(ClaimError::OtherKey) => pb::Reason::OtherKey,
+        Fault::Claim(ClaimError::InvalidName(_)) => pb::Reason::Invalid,
+        Fault::Claim(ClaimError::KeyMismatch) => pb::Reason::OtherKey,
         Fault::Lease(LeaseError::Foreign) => pb::Reason::LeaseForeign,
         Fault::Lease(LeaseError::Unknown) => pb::Reason::LeaseUnknown,
         Fault::Lease(LeaseError::Late) => pb::Reason::LeaseLate,
-        Fault::Lease(LeaseError::Doubled) => pb::Reason::LeaseDoubled,
+        Fault::Lease(LeaseError::AlreadyReported) => pb::Reason::LeaseDoubled,
         Fault::Lease(LeaseError::WrongState) => pb::Reason::LeaseState,
         Fault::Endpoint(_) => pb::Reason::Endpoint,
         Fault::Draining => pb::Reason::Draining,
@@ -147,10 +147,10 @@
     };
     let answer = match reply {
         Reply::Send(told) => A::Send(send(now, &told)),
-        Reply::Final { end: End::Served, again } => ended(pb::End::Served, again, 0),
-        Reply::Final { end: End::Refused(until), again } => ended(pb::End::Refused, again, until),
-        Reply::Final { end: End::Failed, again } => ended(pb::End::Failed, again, 0),
-        Reply::Final { end: End::Unknown, again } => ended(pb::End::Unknown, again, 0),
+        Reply::Final { end: FinalStatus::Served, again } => ended(pb::End::Served, again, 0),
+        Reply::Final { end: FinalStatus::Rejected(until), again } => ended(pb::End::Refused, again, until),
+        Reply::Final { end: FinalStatus::Failed, again } => ended(pb::End::Failed, again, 0),
+        Reply::Final { end: FinalStatus::Unknown, again } => ended(pb::End::Unknown, again, 0),
         Reply::Booked => ended(pb::End::Booked, false, 0),
         Reply::InFlight { held_for, by_key } => {
             A::InFlight(pb::InFlight { held_for_ms: ms(held_for), ask_again_ms: ms(ASK_RETRY_DELAY), by_key })
--- a/crates/external-processor/src/question.rs
+++ b/crates/external-processor/src/question.rs
@@ -4,8 +4,8 @@
 use crate::desk::Request;
 use crate::settings::Headers;
 use balancer::api::{Idempotency, Micros, Settings};
-use request_engine::claims::NAME_CAP;
-use request_engine::subject::about;
+use request_engine::idempotency::MAX_NAME_BYTES;
+use request_engine::request_key::request_key;
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
@@ -103,8 +103,8 @@
         let class =
             class.ok_or_else(|| senseless(&names.class, format!("no class `{}`", cut(fields.class))))?;
         for (name, value) in [(&names.id, fields.id), (&names.key, fields.key)] {
-            if value.len() > NAME_CAP {
-                return Err(senseless(name, format!("{} bytes, {NAME_CAP} at most", value.len())));
+            if value.len() > MAX_NAME_BYTES {
+                return Err(senseless(name, format!("{} bytes, {MAX_NAME_BYTES} at most", value.len())));
             }
         }
         if fields.id.is_empty() {
@@ -175,7 +175,7 @@
             class,
             tenant: text(&names.tenant, head.tenant)?,
             key: head.key.unwrap_or_default(),
-            about: about(query),
+            about: request_key(query),
             patience,
             work: work.transpose()?,
             repeat: head.repeat == Some(b"1"),
@@ -280,7 +280,7 @@
             ("x-account", &b"nobody"[..]),
             ("x-time-left-ms", b"-1"),
             ("x-time-left-ms", b"99999999999999999999"),
-            ("x-correlation-id", &[b'a'; NAME_CAP + 1]),
+            ("x-correlation-id", &[b'a'; MAX_NAME_BYTES + 1]),
             ("x-weight-hint", b"heavy"),
             ("x-service-class", b"\"'`"),
         ] {
--- a/crates/external-processor/src/server.rs
+++ b/crates/external-processor/src/server.rs
@@ -13,7 +13,7 @@
     ExternalProcessor, ExternalProcessorServer,
 };
 use envoy_types::pb::envoy::service::ext_proc::v3::{ProcessingRequest, ProcessingResponse};
-use request_engine::shell::clock::Clock;
+use request_engine::driver::clock::Clock;
 use std::io;
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::pin::Pin;
--- a/crates/external-processor/tests/counter/mod.rs
+++ b/crates/external-processor/tests/counter/mod.rs
@@ -3,10 +3,10 @@
 
 use balancer::api::*;
 use external_processor::desk::{self, Asked, CallerId, Desk, Port, Reply, Report};
-use request_engine::claims::Claims;
-use request_engine::engine::{Bounds, Command, Ended, Engine, Exchange};
+use request_engine::engine::{AttemptEnd, Command, Engine, EngineLimits, MessageTypes};
+use request_engine::idempotency::IdempotencyRegistry;
 use request_engine::lease::{LeaseError, LeaseId};
-use request_engine::outside::{Ticket, Word};
+use request_engine::lease_events::{LeaseEvent, RequestHandle};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -20,10 +20,10 @@
 #[derive(Debug, PartialEq)]
 pub struct Nothing;
 
-impl Exchange for Nothing {
-    type Work = ();
-    type Reply = Ticket;
-    type Payload = ();
+impl MessageTypes for Nothing {
+    type OutboundRequest = ();
+    type Responder = RequestHandle;
+    type Response = ();
 }
 
 fn class(effect: Idempotency) -> Class {
@@ -82,18 +82,22 @@
 }
 
 /// The engine as the desk's port; the clock is the counter's. As in the shell, what a call causes is said at once.
-struct At<'a>(&'a mut Engine<Nothing>, Micros, &'a mut VecDeque<Word>);
+struct At<'a>(&'a mut Engine<Nothing>, Micros, &'a mut VecDeque<LeaseEvent>);
 
 impl At<'_> {
     fn hear(&mut self) {
         while let Some(command) = self.0.next_command() {
-            let ticket = |request| self.0.reply(request).copied();
+            let ticket = |request| self.0.responder(request).copied();
             let word = match command {
-                Command::Grant(grant) => ticket(grant.request).map(|ticket| Word::Granted(ticket, grant)),
-                Command::Revoke { request, lease } => {
-                    ticket(request).map(|ticket| Word::Revoked(ticket, lease))
+                Command::GrantLease(grant) => {
+                    ticket(grant.request).map(|ticket| LeaseEvent::Granted(ticket, grant))
+                }
+                Command::RevokeLease { request, lease } => {
+                    ticket(request).map(|ticket| LeaseEvent::Revoked(ticket, lease))
+                }
+                Command::Respond { responder: reply, outcome: verdict, .. } => {
+                    Some(LeaseEvent::Completed(reply, verdict))
                 }
-                Command::Answer { reply, verdict, .. } => Some(Word::Answered(reply, verdict)),
                 _ => None,
             };
             self.2.extend(word);
@@ -108,30 +112,34 @@
 }
 
 impl Port for At<'_> {
-    fn admit(&mut self, request: &desk::Request, ticket: Ticket) -> Option<RequestId> {
+    fn admit(&mut self, request: &desk::Request, ticket: RequestHandle) -> Option<RequestId> {
         let admitted = self.0.admit(self.1, request.arrival(), ticket).ok();
         self.hear();
         admitted
     }
 
     fn report(&mut self, lease: LeaseId, outcome: Outcome, report: Vec<f32>) -> Result<(), LeaseError> {
-        let taken = self.0.report(self.1, lease, Ended { outcome, payload: None, report, waited: 0 });
+        let taken = self.0.report_result(
+            self.1,
+            lease,
+            AttemptEnd { outcome, response: None, load_report: report, client_wait: 0 },
+        );
         self.hear();
         taken
     }
 
     fn establish(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
-        let taken = self.0.establish(self.1, lease).map(|until| until - self.1);
+        let taken = self.0.establish_session(self.1, lease).map(|until| until - self.1);
         self.hear();
         taken
     }
 
     fn renew(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
-        self.0.renew(self.1, lease).map(|until| until - self.1)
+        self.0.renew_session(self.1, lease).map(|until| until - self.1)
     }
 
     fn client_gone(&mut self, request: RequestId) {
-        self.0.client_gone(self.1, request);
+        self.0.client_disconnected(self.1, request);
         self.hear();
     }
 }
@@ -151,7 +159,7 @@
     pub engine: Engine<Nothing>,
     pub desk: Desk,
     pub revoked: Vec<(u64, LeaseId)>,
-    words: VecDeque<Word>,
+    words: VecDeque<LeaseEvent>,
     draining: BTreeSet<BackendId>,
     questions: BTreeMap<Asked, Option<String>>,
     replies: BTreeMap<Asked, Vec<Reply>>,
@@ -164,11 +172,11 @@
     /// A desk, and an engine that knows so many boxes.
     pub fn new(boxes: u32) -> Self {
         let settings = settings();
-        let bounds = Bounds { requests: 10_000, leases: 10_000 };
+        let bounds = EngineLimits { requests: 10_000, leases: 10_000 };
         let mut engine = Engine::new(settings.clone(), bounds, 7, 0xfeed, SECOND).expect("good settings");
         let backends: Vec<_> = (0..boxes).map(|id| listed(id, Readiness::Ready)).collect();
-        engine.membership(SECOND, MembershipUpdate::Snapshot(&backends));
-        let claims = Rc::new(RefCell::new(Claims::new(10_000)));
+        engine.update_membership(SECOND, MembershipUpdate::Snapshot(&backends));
+        let claims = Rc::new(RefCell::new(IdempotencyRegistry::new(10_000)));
         let bounds = desk::Bounds { per_caller: PER_CALLER, safe_memory: SECOND, unsafe_memory: MEMORY };
         Self {
             now: SECOND,
@@ -307,7 +315,7 @@
 
     pub fn drain_box(&mut self, id: BackendId) {
         self.draining.insert(id);
-        self.engine.membership(self.now, MembershipUpdate::Delta(&[listed(id, Readiness::Draining)]));
+        self.engine.update_membership(self.now, MembershipUpdate::Delta(&[listed(id, Readiness::Draining)]));
         self.pump();
     }
 
@@ -315,13 +323,13 @@
         self.draining.remove(&id);
         let started = Some(self.now);
         let backend = Backend { started_at: started, ..listed(id, Readiness::Ready) };
-        self.engine.membership(self.now, MembershipUpdate::Delta(&[backend]));
+        self.engine.update_membership(self.now, MembershipUpdate::Delta(&[backend]));
         self.pump();
     }
 
     pub fn pass(&mut self, span: Micros) {
         let until = self.now + span;
-        while let Some(due) = self.engine.next_due().filter(|&due| due <= until) {
+        while let Some(due) = self.engine.next_timer().filter(|&due| due <= until) {
             self.now = self.now.max(due);
             self.engine.advance(self.now);
             self.pump();
@@ -334,7 +342,7 @@
         at!(self).hear();
         while let Some(word) = self.words.pop_front() {
             let at = match &word {
-                Word::Granted(_, grant) => Some(endpoint(grant.backend)),
+                LeaseEvent::Granted(_, grant) => Some(endpoint(grant.backend)),
                 _ => None,
             };
             self.desk.word(self.now, word, at, at!(self));
@@ -393,7 +401,11 @@
             assert!(told || gone, "{asked:?} was never answered");
         }
         assert!(self.desk.is_empty(), "{} requests are held for ever", self.desk.len());
-        assert_eq!((self.engine.leases(), self.engine.open()), (0, 0), "leases and requests left");
+        assert_eq!(
+            (self.engine.active_leases(), self.engine.open_requests()),
+            (0, 0),
+            "leases and requests left"
+        );
     }
 }
 
--- a/crates/external-processor/tests/desk.rs
+++ b/crates/external-processor/tests/desk.rs
@@ -5,19 +5,19 @@
 use balancer::api::Outcome;
 use counter::*;
 use external_processor::desk::{Fault, MAX_WAITING, Repeat, Reply};
-use request_engine::claims::{ClaimError, End};
 use request_engine::engine::REPORT_GRACE;
+use request_engine::idempotency::{ClaimError, FinalStatus};
 use request_engine::lease::{LeaseError, LeaseId};
 
 const SAFE: u8 = 0;
 const UNSAFE: u8 = 1;
 const KEYED: u8 = 2;
 
-fn last(end: End) -> Option<Reply> {
+fn last(end: FinalStatus) -> Option<Reply> {
     Some(Reply::Final { end, again: false })
 }
 
-fn again(end: End) -> Option<Reply> {
+fn again(end: FinalStatus) -> Option<Reply> {
     Some(Reply::Final { end, again: true })
 }
 
@@ -28,9 +28,9 @@
     let send = counter.sent(asked).expect("a box");
     assert_eq!((send.repeat, send.grant.attempt), (Repeat::IfNeverRan, 0));
     let reported = counter.report(1, send.grant.lease, Outcome::Ok);
-    assert_eq!(counter.reply(reported), last(End::Served));
+    assert_eq!(counter.reply(reported), last(FinalStatus::Served));
     let asked = counter.ask(2, UNSAFE, "a");
-    assert_eq!(counter.reply(asked), again(End::Served));
+    assert_eq!(counter.reply(asked), again(FinalStatus::Served));
     counter.pass(MEMORY + SECOND);
     let asked = counter.ask(2, UNSAFE, "a");
     assert!(counter.sent(asked).is_some(), "forgotten after its time");
@@ -47,7 +47,7 @@
     assert_ne!(first.endpoint, second.endpoint);
     assert_eq!(second.grant.attempt, 1);
     let reported = counter.report(1, second.grant.lease, Outcome::Reset);
-    assert_eq!(counter.reply(reported), last(End::Failed), "it may have run");
+    assert_eq!(counter.reply(reported), last(FinalStatus::Failed), "it may have run");
     counter.finish();
 }
 
@@ -61,10 +61,10 @@
     let waits = counter.ask_and_wait(3, KEYED, "c", Some("k"));
     assert_eq!(counter.reply(waits), None);
     let reported = counter.report(1, send.grant.lease, Outcome::Ok);
-    assert_eq!(counter.reply(reported), last(End::Served));
-    assert_eq!(counter.reply(waits), again(End::Served));
+    assert_eq!(counter.reply(reported), last(FinalStatus::Served));
+    assert_eq!(counter.reply(waits), again(FinalStatus::Served));
     let late = counter.ask_keyed(4, "d", "k");
-    assert_eq!(counter.reply(late), again(End::Served));
+    assert_eq!(counter.reply(late), again(FinalStatus::Served));
     counter.finish();
 }
 
@@ -79,7 +79,7 @@
     assert_eq!(counter.reply(beyond), Some(Reply::InFlight { held_for: 0, by_key: false }));
     let lease = counter.sent(first).expect("a box").grant.lease;
     counter.report(1, lease, Outcome::Ok);
-    assert!(waiting.iter().all(|&asked| counter.reply(asked) == again(End::Served)));
+    assert!(waiting.iter().all(|&asked| counter.reply(asked) == again(FinalStatus::Served)));
     counter.finish();
 }
 
@@ -89,13 +89,13 @@
     let asked = counter.ask_keyed(1, "a", "k");
     let send = counter.sent(asked).expect("a box");
     counter.gone(1, true);
-    assert_eq!(counter.engine.leases(), 0, "the slot is back");
+    assert_eq!(counter.engine.active_leases(), 0, "the slot is back");
     for id in ["a", "b"] {
         let asked = counter.ask_keyed(2, id, "k");
-        assert_eq!(counter.reply(asked), again(End::Unknown), "{id}");
+        assert_eq!(counter.reply(asked), again(FinalStatus::Unknown), "{id}");
     }
     let reported = counter.report(1, send.grant.lease, Outcome::Ok);
-    assert_eq!(counter.reply(reported), Some(Reply::Rejected(Fault::Lease(LeaseError::Doubled))));
+    assert_eq!(counter.reply(reported), Some(Reply::Rejected(Fault::Lease(LeaseError::AlreadyReported))));
     counter.finish();
 }
 
@@ -118,7 +118,7 @@
     let held = asked.iter().filter(|&&a| counter.reply(a).is_none()).count();
     assert!(held > 0, "one box at its start has no room for forty");
     counter.gone(1, true);
-    assert!(counter.desk.is_empty() && counter.engine.leases() == 0);
+    assert!(counter.desk.is_empty() && counter.engine.active_leases() == 0);
     counter.finish();
 }
 
@@ -141,26 +141,26 @@
     let lease = counter.sent(asked).expect("a box").grant.lease;
     let told = counter.report_at(1, lease, Outcome::Ok, "127.0.0.1:9");
     assert!(matches!(counter.reply(told), Some(Reply::Rejected(Fault::Endpoint(_)))));
-    let told = counter.report(1, LeaseId { life: 1, ..lease }, Outcome::Ok);
+    let told = counter.report(1, LeaseId { incarnation: 1, ..lease }, Outcome::Ok);
     assert_eq!(counter.reply(told), Some(Reply::Rejected(Fault::Lease(LeaseError::Foreign))));
     let told = counter.report(1, LeaseId { serial: 999, ..lease }, Outcome::Ok);
     assert_eq!(counter.reply(told), Some(Reply::Rejected(Fault::Lease(LeaseError::Unknown))));
     let told = counter.report(2, lease, Outcome::Ok);
-    assert_eq!(counter.reply(told), last(End::Served), "whoever knows the lease may report it");
+    assert_eq!(counter.reply(told), last(FinalStatus::Served), "whoever knows the lease may report it");
     let told = counter.report(1, lease, Outcome::Ok);
-    assert_eq!(counter.reply(told), Some(Reply::Rejected(Fault::Lease(LeaseError::Doubled))));
+    assert_eq!(counter.reply(told), Some(Reply::Rejected(Fault::Lease(LeaseError::AlreadyReported))));
     counter.finish();
 }
 
 #[test]
 fn an_old_lease_in_hand_is_never_sent_again() {
     let mut counter = Counter::new(6);
-    let old = LeaseId { life: 0xbad, serial: 7 };
+    let old = LeaseId { incarnation: 0xbad, serial: 7 };
     for (class, key, id) in [(UNSAFE, None, "a"), (KEYED, Some("k"), "b")] {
         let asked = counter.ask_after(1, class, id, key, old);
-        assert_eq!(counter.reply(asked), last(End::Unknown), "class {class}: it may have run");
+        assert_eq!(counter.reply(asked), last(FinalStatus::Unknown), "class {class}: it may have run");
         let asked = counter.ask_after(2, class, id, key, old);
-        assert_eq!(counter.reply(asked), again(End::Unknown));
+        assert_eq!(counter.reply(asked), again(FinalStatus::Unknown));
     }
     let asked = counter.ask_after(1, SAFE, "c", None, old);
     assert!(counter.sent(asked).is_some(), "safe to repeat");
@@ -172,7 +172,7 @@
     let mut counter = Counter::new(6);
     counter.ask_keyed(1, "a", "k");
     let other = counter.ask_keyed(2, "a", "l");
-    assert_eq!(counter.reply(other), Some(Reply::Rejected(Fault::Claim(ClaimError::OtherKey))));
+    assert_eq!(counter.reply(other), Some(Reply::Rejected(Fault::Claim(ClaimError::KeyMismatch))));
     counter.finish();
 }
 
@@ -198,7 +198,7 @@
     let refused = counter.ask(1, SAFE, "b");
     assert_eq!(counter.reply(refused), Some(Reply::Rejected(Fault::Draining)));
     let told = counter.report(1, lease, Outcome::Ok);
-    assert_eq!(counter.reply(told), last(End::Served));
+    assert_eq!(counter.reply(told), last(FinalStatus::Served));
     counter.finish();
 }
 
@@ -222,11 +222,11 @@
     let send = counter.sent(refused).expect("a box");
     assert_eq!(send.repeat, Repeat::Never);
     let told = counter.report(1, send.grant.lease, Outcome::Rejected);
-    assert_eq!(counter.reply(told), last(End::Refused(counter.now)), "it never ran");
+    assert_eq!(counter.reply(told), last(FinalStatus::Rejected(counter.now)), "it never ran");
     let failed = counter.ask_once(1, SAFE, "b");
     let lease = counter.sent(failed).expect("a box").grant.lease;
     let told = counter.report(1, lease, Outcome::Reset);
-    assert_eq!(counter.reply(told), last(End::Failed));
+    assert_eq!(counter.reply(told), last(FinalStatus::Failed));
     counter.finish();
 }
 
@@ -240,7 +240,7 @@
     counter.pass(20 * SECOND);
     let told = counter.renew(2, lease);
     assert!(matches!(counter.reply(told), Some(Reply::Renewed(_))));
-    assert_eq!(counter.engine.leases(), 1);
+    assert_eq!(counter.engine.active_leases(), 1);
     let told = counter.report(2, lease, Outcome::Ok);
     assert_eq!(counter.reply(told), Some(Reply::Booked));
     counter.finish();
--- a/crates/http-proxy/src/backends.rs
+++ b/crates/http-proxy/src/backends.rs
@@ -14,8 +14,8 @@
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName};
 use hyper::{Method, StatusCode, Uri};
 use hyper_util::rt::TokioIo;
-use request_engine::shell::Times;
-use request_engine::shell::recall::Recall;
+use request_engine::driver::AttemptTimes;
+use request_engine::driver::cancellation::CancellationSignal;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -54,7 +54,7 @@
 }
 
 /// How an attempt or a probe ended.
-type Ended = request_engine::engine::Ended<Served>;
+type Ended = request_engine::engine::AttemptEnd<Served>;
 
 /// Counts an open socket until it is dropped.
 struct Counted(Rc<Cell<usize>>);
@@ -297,18 +297,18 @@
         self: Rc<Self>,
         server: Rc<Server>,
         call: Rc<Call>,
-        Times { begin_by, give_up }: Times,
-        recall: Rc<Recall>,
+        AttemptTimes { start_by: begin_by, give_up_at: give_up }: AttemptTimes,
+        recall: Rc<CancellationSignal>,
     ) -> Ended {
         // Its client may have left in the same turn.
-        if recall.is_unwanted() || call.is_forsaken().await {
+        if recall.is_start_cancelled() || call.is_forsaken().await {
             return Outcome::NotSent.into();
         }
         let conn = match self.take_idle(&server) {
             Some(conn) => Ok(conn),
             None => tokio::select! {
                 biased;
-                () = recall.unwanted() => return Outcome::NotSent.into(),
+                () = recall.start_cancelled() => return Outcome::NotSent.into(),
                 conn = self.dial(&server, give_up) => conn,
             },
         };
@@ -338,10 +338,10 @@
         let before = unsent + least_size(&request);
         let wire = Rc::clone(&conn.wire);
         let recalled = async {
-            recall.unwanted().await;
+            recall.start_cancelled().await;
             // What is on its way goes on without its client, unless the decisions withdraw it.
             if wire.written() > unsent {
-                recall.withdrawn().await;
+                recall.cancelled().await;
             }
         };
         let exchanged = tokio::select! {
@@ -369,7 +369,7 @@
         };
         if let Payload::Passed(upload) = &call.body {
             let waited = upload.ended().unwrap_or_else(Instant::now).saturating_duration_since(began);
-            ended.waited = u64::try_from(waited.as_micros()).unwrap_or(u64::MAX);
+            ended.client_wait = u64::try_from(waited.as_micros()).unwrap_or(u64::MAX);
         }
         ended
     }
@@ -401,7 +401,7 @@
         };
         let content_type = reply.headers.get(CONTENT_TYPE).cloned();
         let payload = body.filter(|_| outcome == Outcome::Ok).map(|body| Served { body, content_type });
-        Ended { outcome, payload, report: report.unwrap_or_default(), waited: 0 }
+        Ended { outcome, response: payload, load_report: report.unwrap_or_default(), client_wait: 0 }
     }
 
     /// A load report (`name=value,...`) in the settings' order; what it leaves out is not a number.
@@ -441,9 +441,9 @@
                     Answered::Begun(..) => String::new(),
                 };
                 let mut ended = self.ended(reply, server, conn);
-                ended.payload = None;
-                if deep && ended.outcome == Outcome::Ok && ended.report.is_empty() && !body.is_empty() {
-                    ended.report = self.report(body.trim());
+                ended.response = None;
+                if deep && ended.outcome == Outcome::Ok && ended.load_report.is_empty() && !body.is_empty() {
+                    ended.load_report = self.report(body.trim());
                 }
                 ended
             }
--- a/crates/http-proxy/src/carrier.rs
+++ b/crates/http-proxy/src/carrier.rs
@@ -4,11 +4,11 @@
 use crate::exchange::{Call, Payload, Served};
 use crate::log::log;
 use balancer::api::{Backend, BackendId, MembershipUpdate, Outcome};
-use request_engine::engine::{Ended, Exchange, Grant, Verdict};
+use request_engine::driver::cancellation::CancellationSignal;
+use request_engine::driver::{self, AttemptTimes, Transport};
+use request_engine::engine::{AttemptEnd, FinalOutcome, LeaseGrant, MessageTypes};
 use request_engine::lease::LeaseId;
-use request_engine::outside::{Inbox, Ticket, Word};
-use request_engine::shell::recall::Recall;
-use request_engine::shell::{self, Times, Transport};
+use request_engine::lease_events::{LeaseEvent, LeaseEventQueue, RequestHandle};
 use rustc_hash::FxHashSet;
 use std::future::Future;
 use std::rc::Rc;
@@ -22,29 +22,29 @@
 #[derive(Debug)]
 pub enum Reply {
     /// To a client's connection.
-    Client(oneshot::Sender<Verdict<Served>>),
+    Client(oneshot::Sender<FinalOutcome<Served>>),
     /// To the front whose callers make their attempts themselves.
-    Outside(Ticket),
+    Outside(RequestHandle),
 }
 
-impl From<Ticket> for Reply {
-    fn from(ticket: Ticket) -> Self {
+impl From<RequestHandle> for Reply {
+    fn from(ticket: RequestHandle) -> Self {
         Self::Outside(ticket)
     }
 }
 
-impl Exchange for Http {
-    type Work = Rc<Call>;
-    type Reply = Reply;
-    type Payload = Served;
+impl MessageTypes for Http {
+    type OutboundRequest = Rc<Call>;
+    type Responder = Reply;
+    type Response = Served;
 
-    fn goes_once(work: &Rc<Call>) -> bool {
+    fn is_single_use(work: &Rc<Call>) -> bool {
         matches!(work.body, Payload::Passed(_))
     }
 }
 
 /// The way to the engine.
-pub type Handle = shell::Handle<Carrier>;
+pub type Handle = driver::Handle<Carrier>;
 
 /// The transport of this proxy's own connections.
 pub struct Carrier {
@@ -55,19 +55,19 @@
     /// Whether load reports come with probes alone.
     pub report_by_probe: bool,
     /// What is said to callers that make their attempts themselves; nothing where there are none.
-    pub outside: Rc<Inbox>,
+    pub outside: Rc<LeaseEventQueue>,
 }
 
 impl Transport for Carrier {
-    type Exchange = Http;
+    type Messages = Http;
 
-    fn start(
+    fn start_attempt(
         &self,
         backend: BackendId,
         work: Rc<Call>,
-        times: Times,
-        recall: Rc<Recall>,
-    ) -> impl Future<Output = Ended<Served>> + 'static {
+        times: AttemptTimes,
+        recall: Rc<CancellationSignal>,
+    ) -> impl Future<Output = AttemptEnd<Served>> + 'static {
         let (fleet, server) = (Rc::clone(&self.fleet), self.fleet.server(backend));
         async move {
             match server {
@@ -77,7 +77,7 @@
         }
     }
 
-    fn probe(&self, backend: BackendId) -> impl Future<Output = Ended<Served>> + 'static {
+    fn check_health(&self, backend: BackendId) -> impl Future<Output = AttemptEnd<Served>> + 'static {
         let (fleet, server, deep) =
             (Rc::clone(&self.fleet), self.fleet.server(backend), self.report_by_probe);
         async move {
@@ -88,32 +88,32 @@
         }
     }
 
-    fn answer(&self, reply: Reply, verdict: Verdict<Served>) {
+    fn respond(&self, reply: Reply, verdict: FinalOutcome<Served>) {
         match reply {
             // A client that has left meanwhile is told of by its own guard.
             Reply::Client(sender) => drop(sender.send(verdict)),
             Reply::Outside(ticket) => {
                 let verdict = match verdict {
-                    Verdict::Served(_) => Verdict::Served(None),
-                    Verdict::Refused { retry_after } => Verdict::Refused { retry_after },
-                    Verdict::Failed => Verdict::Failed,
+                    FinalOutcome::Served(_) => FinalOutcome::Served(None),
+                    FinalOutcome::Rejected { retry_after } => FinalOutcome::Rejected { retry_after },
+                    FinalOutcome::Failed => FinalOutcome::Failed,
                 };
-                self.outside.put(Word::Answered(ticket, verdict));
+                self.outside.push(LeaseEvent::Completed(ticket, verdict));
             }
         }
     }
 
-    fn grant(&self, reply: Option<&Reply>, grant: Grant) {
+    fn grant_lease(&self, reply: Option<&Reply>, grant: LeaseGrant) {
         match reply {
-            Some(&Reply::Outside(ticket)) => self.outside.put(Word::Granted(ticket, grant)),
+            Some(&Reply::Outside(ticket)) => self.outside.push(LeaseEvent::Granted(ticket, grant)),
             // A client asks for none; one that is granted all the same runs out by itself.
             Some(Reply::Client(_)) | None => log(format_args!("nobody asked for lease {}", grant.lease)),
         }
     }
 
-    fn revoke(&self, reply: Option<&Reply>, lease: LeaseId) {
+    fn revoke_lease(&self, reply: Option<&Reply>, lease: LeaseId) {
         if let Some(&Reply::Outside(ticket)) = reply {
-            self.outside.put(Word::Revoked(ticket, lease));
+            self.outside.push(LeaseEvent::Revoked(ticket, lease));
         }
     }
 
@@ -121,7 +121,7 @@
         let _ = self.subscribe.send(());
     }
 
-    fn close_idle(&self, backend: BackendId) {
+    fn close_idle_connections(&self, backend: BackendId) {
         self.fleet.close_idle(backend);
     }
 
@@ -154,7 +154,7 @@
         fleet.update(backend.id, *address, backend.readiness, backend.started_at);
     }
     let backends: Vec<Backend> = entries.iter().map(|e| e.backend).collect();
-    handle.membership(match scope {
+    handle.update_membership(match scope {
         Scope::Delta => MembershipUpdate::Delta(&backends),
         Scope::Full => MembershipUpdate::Snapshot(&backends),
         Scope::Cached => MembershipUpdate::CachedSnapshot(&backends),
--- a/crates/http-proxy/src/claim.rs
+++ b/crates/http-proxy/src/claim.rs
@@ -2,9 +2,11 @@
 
 use crate::exchange::Served;
 use balancer::api::{Class, Idempotency, Micros};
-use request_engine::claims::{self, ClaimError, ClaimId, Claimed, End, Front, Remembered, Shared};
-use request_engine::engine::Verdict;
-use request_engine::shell::clock::Clock;
+use request_engine::driver::clock::Clock;
+use request_engine::engine::FinalOutcome;
+use request_engine::idempotency::{
+    self, ClaimError, ClaimId, ClaimStatus, CompletedRequest, FinalStatus, FrontEnd, SharedRegistry,
+};
 
 /// When a client may ask again for what another holds, microseconds.
 const ASK_RETRY_DELAY: Micros = 1_000_000;
@@ -43,7 +45,7 @@
 
 /// A request that this front holds. One whose client leaves may have run.
 pub struct Claim<'a> {
-    claims: &'a Shared,
+    claims: &'a SharedRegistry,
     clock: Clock,
     id: ClaimId,
     memory: Micros,
@@ -57,7 +59,7 @@
     /// # Errors
     /// Where it is another's, or can't be held.
     pub fn take(
-        claims: &'a Shared,
+        claims: &'a SharedRegistry,
         clock: Clock,
         id: &[u8],
         class: u8,
@@ -67,41 +69,53 @@
         let now = clock.now();
         let claimed = claims.borrow_mut().claim(now, id, class, key.filter(|_| keyed));
         match claimed {
-            Ok(Claimed::New(id)) => Ok(Some(Self { claims, clock, id, memory, settled: false })),
-            Ok(Claimed::Settled(Remembered { front: Front::Carried, .. })) => Ok(None),
-            Ok(Claimed::Held { .. }) | Err(ClaimError::Full(_)) => Err(Taken::Refused(ASK_RETRY_DELAY)),
-            Ok(Claimed::Settled(Remembered { end: End::Refused(until), .. })) => {
+            Ok(ClaimStatus::New(id)) => Ok(Some(Self { claims, clock, id, memory, settled: false })),
+            Ok(ClaimStatus::Completed(CompletedRequest { front_end: FrontEnd::Proxied, .. })) => Ok(None),
+            Ok(ClaimStatus::InFlight { .. }) | Err(ClaimError::Full(_)) => {
+                Err(Taken::Refused(ASK_RETRY_DELAY))
+            }
+            Ok(ClaimStatus::Completed(CompletedRequest { status: FinalStatus::Rejected(until), .. })) => {
                 Err(Taken::Refused(until.saturating_sub(now)))
             }
-            Ok(Claimed::Settled(_)) => Err(Taken::NoAnswer("another caller sent it: no answer is kept\n")),
-            Err(ClaimError::OtherKey) => Err(Taken::NoAnswer("this id came with another key\n")),
-            Err(ClaimError::Name(_)) => Err(Taken::Senseless("the id or the key is too long\n")),
+            Ok(ClaimStatus::Completed(_)) => {
+                Err(Taken::NoAnswer("another caller sent it: no answer is kept\n"))
+            }
+            Err(ClaimError::KeyMismatch) => Err(Taken::NoAnswer("this id came with another key\n")),
+            Err(ClaimError::InvalidName(_)) => Err(Taken::Senseless("the id or the key is too long\n")),
         }
     }
 
     /// Its answer is on its way; `None`: there will be none.
-    pub fn settle(mut self, verdict: Option<&Verdict<Served>>) {
+    pub fn settle(mut self, verdict: Option<&FinalOutcome<Served>>) {
         self.settled = true;
         let now = self.clock.now();
         match verdict {
-            Some(Verdict::Served(_)) => self.end(now, End::Served, claims::Effect::Perhaps),
-            Some(&Verdict::Refused { retry_after }) => {
-                self.end(now, End::Refused(now.saturating_add(retry_after)), claims::Effect::None);
+            Some(FinalOutcome::Served(_)) => {
+                self.end(now, FinalStatus::Served, idempotency::ExecutionEffect::Possible)
+            }
+            Some(&FinalOutcome::Rejected { retry_after }) => {
+                self.end(
+                    now,
+                    FinalStatus::Rejected(now.saturating_add(retry_after)),
+                    idempotency::ExecutionEffect::None,
+                );
+            }
+            Some(FinalOutcome::Failed) | None => {
+                self.end(now, FinalStatus::Failed, idempotency::ExecutionEffect::Possible)
             }
-            Some(Verdict::Failed) | None => self.end(now, End::Failed, claims::Effect::Perhaps),
         }
     }
 
-    fn end(&self, now: Micros, end: End, effect: claims::Effect) {
-        let remembered = Remembered { front: Front::Carried, end };
-        self.claims.borrow_mut().settle(now, self.id, remembered, effect, self.memory);
+    fn end(&self, now: Micros, end: FinalStatus, effect: idempotency::ExecutionEffect) {
+        let remembered = CompletedRequest { front_end: FrontEnd::Proxied, status: end };
+        self.claims.borrow_mut().complete(now, self.id, remembered, effect, self.memory);
     }
 }
 
 impl Drop for Claim<'_> {
     fn drop(&mut self) {
         if !self.settled {
-            self.end(self.clock.now(), End::Unknown, claims::Effect::Perhaps);
+            self.end(self.clock.now(), FinalStatus::Unknown, idempotency::ExecutionEffect::Possible);
         }
     }
 }
--- a/crates/http-proxy/src/clients.rs
+++ b/crates/http-proxy/src/clients.rs
@@ -24,9 +24,9 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use request_engine::claims;
-use request_engine::engine::{Arrival, Conduct, Overload, Verdict};
-use request_engine::shell::clock::Clock;
+use request_engine::driver::clock::Clock;
+use request_engine::engine::{Dispatch, FinalOutcome, IncomingRequest, Overload};
+use request_engine::idempotency;
 use rustc_hash::{FxHashMap, FxHashSet};
 use slab::Slab;
 use socket_io::retry;
@@ -98,7 +98,7 @@
     /// The ids of the requests that have no answer yet.
     ids: RefCell<FxHashSet<HeaderValue>>,
     /// Who holds which request, where callers outside hold some as well.
-    claims: Option<claims::Shared>,
+    claims: Option<idempotency::SharedRegistry>,
 }
 
 impl Clients {
@@ -116,7 +116,7 @@
         phase: watch::Receiver<Phase>,
         most: usize,
         large_bodies: usize,
-        claims: Option<claims::Shared>,
+        claims: Option<idempotency::SharedRegistry>,
         monitor: Rc<StallMonitor>,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -339,8 +339,8 @@
             let answered = match self.inbound(request, connection, Requester::new(connection, stream)).await {
                 Ok((arrival, id)) => {
                     // It may have written, and left, while it stood in the kernel's queue or this process stood.
-                    match &arrival.conduct {
-                        Conduct::Carried(call) if matches!(call.body, Payload::Passed(_)) => {}
+                    match &arrival.dispatch {
+                        Dispatch::Proxied(call) if matches!(call.body, Payload::Passed(_)) => {}
                         _ => connection.is_whole(),
                     }
                     connection.look_ahead(&stream.borrow());
@@ -378,7 +378,7 @@
 
     async fn ask(
         &self,
-        arrival: Arrival<Rc<Call>>,
+        arrival: IncomingRequest<Rc<Call>>,
         id: HeaderValue,
         connection: &ClientConnection,
     ) -> Result<Response<Content>, Rejected> {
@@ -402,7 +402,7 @@
             // Nothing of it has run.
             Err(Overload::Requests(_) | Overload::Leases(_)) => {
                 if let Some(claim) = claim {
-                    claim.settle(Some(&Verdict::Refused { retry_after: OVERLOAD_RETRY }));
+                    claim.settle(Some(&FinalOutcome::Rejected { retry_after: OVERLOAD_RETRY }));
                 }
                 return Ok(refusal(OVERLOAD_RETRY));
             }
@@ -419,21 +419,25 @@
             claim.settle(answer.as_ref().ok());
         }
         Ok(match answer {
-            Ok(Verdict::Served(Some(served))) => {
+            Ok(FinalOutcome::Served(Some(served))) => {
                 let mut response = Response::new(served.body);
                 if let Some(content_type) = served.content_type {
                     response.headers_mut().insert(header::CONTENT_TYPE, content_type);
                 }
                 response
             }
-            Ok(Verdict::Refused { retry_after }) => refusal(retry_after),
-            Ok(Verdict::Served(None) | Verdict::Failed) | Err(_) => failure(),
+            Ok(FinalOutcome::Rejected { retry_after }) => refusal(retry_after),
+            Ok(FinalOutcome::Served(None) | FinalOutcome::Failed) | Err(_) => failure(),
         })
     }
 
     /// The claim of a request, where callers outside might ask for it too.
-    fn claim(&self, arrival: &Arrival<Rc<Call>>, id: &HeaderValue) -> Result<Option<Claim<'_>>, Taken> {
-        let (Some(claims), Conduct::Carried(call)) = (&self.claims, &arrival.conduct) else {
+    fn claim(
+        &self,
+        arrival: &IncomingRequest<Rc<Call>>,
+        id: &HeaderValue,
+    ) -> Result<Option<Claim<'_>>, Taken> {
+        let (Some(claims), Dispatch::Proxied(call)) = (&self.claims, &arrival.dispatch) else {
             return Ok(None);
         };
         let key = call.headers.get(IDEMPOTENCY_KEY).map(HeaderValue::as_bytes);
@@ -459,7 +463,7 @@
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.handle.client_gone(self.request);
+            self.handle.client_disconnected(self.request);
         }
     }
 }
--- a/crates/http-proxy/src/clients/inbound.rs
+++ b/crates/http-proxy/src/clients/inbound.rs
@@ -13,8 +13,8 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, StatusCode, Uri};
-use request_engine::engine::{ANSWER_MARGIN, Arrival, Conduct};
-use request_engine::subject::about;
+use request_engine::engine::{ANSWER_MARGIN, Dispatch, IncomingRequest};
+use request_engine::request_key::request_key;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
         request: Request<Incoming>,
         connection: &ClientConnection,
         requester: Requester,
-    ) -> Result<(Arrival<Rc<Call>>, HeaderValue), Rejected> {
+    ) -> Result<(IncomingRequest<Rc<Call>>, HeaderValue), Rejected> {
         let (head, body) = request.into_parts();
         let bad = |why| Rejected(StatusCode::BAD_REQUEST, why);
         let text = |name| head.headers.get(name).and_then(|v: &HeaderValue| v.to_str().ok());
@@ -78,7 +78,7 @@
         let time_left = time_left.filter(|&ms| ms <= MAX_TIME_LEFT_MS);
         let patience = time_left.ok_or(bad("X-Time-Left-Ms is missing or makes no sense\n"))? * 1_000;
         let (class, patience) = (class.place, patience.min(class.deadline));
-        let key = head.uri.query().and_then(about);
+        let key = head.uri.query().and_then(request_key);
         let work = text(WEIGHT_HINT).and_then(|v| v.trim().parse().ok());
         let repeat = text(REPEAT) == Some("1");
         let length = exact_size(&body, &head.headers);
@@ -100,8 +100,20 @@
             patience: own,
             requester: Some(requester),
         });
-        let conduct = Conduct::Carried(call);
-        Ok((Arrival { class, tenant, key, arrived, patience, work, repeat, conduct }, id))
+        let conduct = Dispatch::Proxied(call);
+        Ok((
+            IncomingRequest {
+                class,
+                tenant,
+                key,
+                arrived_at: arrived,
+                timeout: patience,
+                expected_work: work,
+                is_retry: repeat,
+                dispatch: conduct,
+            },
+            id,
+        ))
     }
 
     /// A request's body: whole where that is small or there is room for it, and otherwise passed on as it comes.
--- a/crates/http-proxy/src/discovery/translator.rs
+++ b/crates/http-proxy/src/discovery/translator.rs
@@ -7,7 +7,7 @@
 use crate::log::log;
 use crate::names::Names;
 use balancer::api::{Backend, BackendId, Micros, Readiness, SafetyLimits};
-use request_engine::shell::clock::Clock;
+use request_engine::driver::clock::Clock;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/proxy-server/src/operators.rs
+++ b/crates/proxy-server/src/operators.rs
@@ -12,7 +12,7 @@
 use http_proxy::carrier::{Handle, Scope, tell_list};
 use http_proxy::clients::Clients;
 use http_proxy::log::{Failures, log};
-use request_engine::shell::clock::Clock;
+use request_engine::driver::clock::Clock;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -176,7 +176,7 @@
             self.look_round();
             looks += 1;
             if looks.is_multiple_of(KEEP_EVERY) && self.stand.borrow().is_ready() {
-                self.files.keep(self.clock.now(), || self.handle.memory());
+                self.files.keep(self.clock.now(), || self.handle.learned_state());
             }
             if let Some(bans) = self.files.news() {
                 self.govern(bans);
@@ -191,7 +191,7 @@
 
     /// Goes on from what the process has learnt whose place this one takes, now that there is a list to apply it to.
     fn go_on(&self) {
-        match self.files.learnt(self.clock.now()).map(|learnt| self.handle.adopt(&learnt)) {
+        match self.files.learnt(self.clock.now()).map(|learnt| self.handle.restore(&learnt)) {
             Ok(true) => log(format_args!("goes on from the limits that were learnt")),
             Ok(false) => log(format_args!("learns limits anew: classes or kinds are others")),
             Err(error) => log(format_args!("learns limits anew: {error}")),
--- a/crates/proxy-server/src/program.rs
+++ b/crates/proxy-server/src/program.rs
@@ -19,10 +19,10 @@
 use http_proxy::names::Names;
 use http_proxy::stall::StallMonitor;
 use http_proxy::turns::Turns;
-use request_engine::claims::{self, Claims};
-use request_engine::engine::{Bounds, Engine};
-use request_engine::outside::Inbox;
-use request_engine::shell::clock::Clock;
+use request_engine::driver::clock::Clock;
+use request_engine::engine::{Engine, EngineLimits};
+use request_engine::idempotency::{self, IdempotencyRegistry};
+use request_engine::lease_events::LeaseEventQueue;
 use settings::renewal::RenewalError;
 use socket_io::retry;
 use std::cell::{Cell, RefCell};
@@ -132,7 +132,7 @@
         settings: &extproc::Settings,
         decisions: &Settings,
         names: &Names,
-        claims: claims::Shared,
+        claims: idempotency::SharedRegistry,
         handle: &Handle,
     ) -> Result<Self, ServerError> {
         let (safe_memory, unsafe_memory) = settings.memories();
@@ -210,11 +210,11 @@
     // Each client connection carries one request, and one whose client has left may run on for a while.
     let leases = extproc.as_ref().map_or(0, |e| e.bounds.leases);
     let requests = config.client_sockets * OPEN_PER_CLIENT + leases;
-    let bounds = Bounds { requests, leases };
+    let bounds = EngineLimits { requests, leases };
     let engine = Engine::new(settings.clone(), bounds, config.seed, config.seed ^ clock.now(), clock.now())?;
     let (subscribe, subscriptions) = mpsc::unbounded_channel();
     let report_by_probe = settings.load_report_by_health_check;
-    let outside = Rc::new(Inbox::default());
+    let outside = Rc::new(LeaseEventQueue::default());
     let carrier = Carrier { fleet: Rc::clone(&fleet), subscribe, report_by_probe, outside };
     let handle = Handle::new(engine, clock, carrier);
     // Clients' requests are held beside those of callers, so that both fronts share the table.
@@ -333,8 +333,8 @@
     Ok(address)
 }
 
-fn shared_claims(most: usize) -> claims::Shared {
-    Rc::new(RefCell::new(Claims::new(most)))
+fn shared_claims(most: usize) -> idempotency::SharedRegistry {
+    Rc::new(RefCell::new(IdempotencyRegistry::new(most)))
 }
 
 /// Finishes what was taken, and what still comes. Whatever hangs then, everything that came has its answer before the
@@ -349,7 +349,7 @@
 ) {
     let longest = longest.min(DRAIN_LONGEST);
     let least = MIN_DRAIN.min(longest + CONNECTIONS_COME);
-    handle.answer_by(handle.clock().at(began) + micros(longest + ANSWER_SLACK));
+    handle.set_response_deadline(handle.clock().at(began) + micros(longest + ANSWER_SLACK));
     let _ = phase.send(Phase::Draining);
     while began.elapsed() < least || (clients.quiet() < DRAIN_QUIET && began.elapsed() < longest) {
         sleep(DRAIN_STEP).await;
--- a/crates/proxy-server/src/renewal.rs
+++ b/crates/proxy-server/src/renewal.rs
@@ -106,7 +106,7 @@
         let mut classes = self.classes.clone();
         let settings = classes.renew(&self.settings, &config.settings, &config.names.classes);
         let settings = settings.map_err(ConfigError::Renewal)?;
-        self.handle.retune(&settings).map_err(ConfigError::Settings)?;
+        self.handle.update_settings(&settings).map_err(ConfigError::Settings)?;
         self.handle
             .transport()
             .fleet
--- a/crates/request-engine/src/shell/recall.rs
+++ b/crates/request-engine/src/driver/cancellation.rs
@@ -4,7 +4,7 @@
 use tokio::sync::Notify;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-enum Word {
+enum Signal {
     /// It goes on.
     #[default]
     None,
@@ -14,51 +14,51 @@
     Now,
 }
 
-/// The word to one attempt. It can become stronger and never weaker, and whoever asks later hears it all the same.
+/// The signal to one attempt. It can become stronger and never weaker, and whoever asks later hears it all the same.
 #[derive(Debug, Default)]
-pub struct Recall {
-    word: Cell<Word>,
+pub struct CancellationSignal {
+    signal: Cell<Signal>,
     wake: Notify,
 }
 
-impl Recall {
-    fn say(&self, word: Word) {
-        if word > self.word.get() {
-            self.word.set(word);
+impl CancellationSignal {
+    fn say(&self, signal: Signal) {
+        if signal > self.signal.get() {
+            self.signal.set(signal);
             self.wake.notify_one();
         }
     }
 
     /// The attempt is not wanted any more: it ends unless a byte of it has left.
-    pub fn unless_sent(&self) {
-        self.say(Word::Unsent);
+    pub fn cancel_unless_sent(&self) {
+        self.say(Signal::Unsent);
     }
 
     /// The attempt ends.
-    pub fn at_once(&self) {
-        self.say(Word::Now);
+    pub fn cancel(&self) {
+        self.say(Signal::Now);
     }
 
-    async fn heard(&self, word: Word) {
-        while self.word.get() < word {
+    async fn heard(&self, signal: Signal) {
+        while self.signal.get() < signal {
             self.wake.notified().await;
         }
     }
 
     /// Waits until the attempt may not begin, if it has not yet. One task at a time may wait.
-    pub async fn unwanted(&self) {
-        self.heard(Word::Unsent).await;
+    pub async fn start_cancelled(&self) {
+        self.heard(Signal::Unsent).await;
     }
 
     /// Waits until the attempt has to end, whatever of it has left. One task at a time may wait.
-    pub async fn withdrawn(&self) {
-        self.heard(Word::Now).await;
+    pub async fn cancelled(&self) {
+        self.heard(Signal::Now).await;
     }
 
     /// Whether the attempt may not begin.
     #[must_use]
-    pub fn is_unwanted(&self) -> bool {
-        self.word.get() >= Word::Unsent
+    pub fn is_start_cancelled(&self) -> bool {
+        self.signal.get() >= Signal::Unsent
     }
 }
 
--- a/crates/request-engine/src/shell/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -4,14 +4,17 @@
 //! All of it lives on one thread (a `LocalSet`). A front's call runs the engine at once, with no queue between them:
 //! nothing can pile up there, and a request costs no change of task.
 
+pub mod cancellation;
 pub mod clock;
-pub mod recall;
 
-use crate::engine::{Arrival, Command, Counts, Ended, Engine, Exchange, Grant, Overload, Schedule, Verdict};
+use crate::engine::{
+    AttemptEnd, Command, Counts, Engine, FinalOutcome, IncomingRequest, LeaseGrant, MessageTypes, Overload,
+    Schedule,
+};
 use crate::lease::{LeaseCounts, LeaseError, LeaseId};
 use balancer::api::{BackendId, LearnedState, MembershipUpdate, Micros, RequestId, Settings, SettingsError};
+use cancellation::CancellationSignal;
 use clock::Clock;
-use recall::Recall;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -21,64 +24,64 @@
 
 /// When an attempt may begin, and when it is given up, as the runtime's timers want it.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct AttemptTimes {
     /// From when on it may not begin any more.
-    pub begin_by: Option<Instant>,
+    pub start_by: Option<Instant>,
     /// When it is given up.
-    pub give_up: Instant,
+    pub give_up_at: Instant,
 }
 
 /// What carries the engine's commands out. None of these may call the engine back before it returns.
 pub trait Transport: Sized + 'static {
     /// The types that travel.
-    type Exchange: Exchange;
+    type Messages: MessageTypes;
 
     /// Makes an attempt on a backend and tells how it ended: given up as `times` say, or when `recall` says so.
-    fn start(
+    fn start_attempt(
         &self,
         backend: BackendId,
-        work: <Self::Exchange as Exchange>::Work,
-        times: Times,
-        recall: Rc<Recall>,
-    ) -> impl Future<Output = Ended<<Self::Exchange as Exchange>::Payload>> + 'static;
+        work: <Self::Messages as MessageTypes>::OutboundRequest,
+        times: AttemptTimes,
+        recall: Rc<CancellationSignal>,
+    ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
 
     /// Probes a backend and tells how that ended.
-    fn probe(
+    fn check_health(
         &self,
         backend: BackendId,
-    ) -> impl Future<Output = Ended<<Self::Exchange as Exchange>::Payload>> + 'static;
+    ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
 
     /// Hands a final answer to its front.
-    fn answer(
+    fn respond(
         &self,
-        reply: <Self::Exchange as Exchange>::Reply,
-        verdict: Verdict<<Self::Exchange as Exchange>::Payload>,
+        reply: <Self::Messages as MessageTypes>::Responder,
+        verdict: FinalOutcome<<Self::Messages as MessageTypes>::Response>,
     );
 
     /// Tells the front of a request that its caller holds a lease; `None` where the caller has left.
-    fn grant(&self, reply: Option<&<Self::Exchange as Exchange>::Reply>, grant: Grant);
+    fn grant_lease(&self, reply: Option<&<Self::Messages as MessageTypes>::Responder>, grant: LeaseGrant);
 
     /// Asks a lease back; `None` where the caller has left.
-    fn revoke(&self, reply: Option<&<Self::Exchange as Exchange>::Reply>, lease: LeaseId);
+    fn revoke_lease(&self, reply: Option<&<Self::Messages as MessageTypes>::Responder>, lease: LeaseId);
 
     /// Begins to follow discovery, where it has to be asked.
     fn subscribe(&self);
 
     /// Closes the idle connections to a backend.
-    fn close_idle(&self, backend: BackendId);
+    fn close_idle_connections(&self, backend: BackendId);
 
     /// Writes a line for the operators.
     fn log(&self, line: &str);
 }
 
-type Work<T> = <<T as Transport>::Exchange as Exchange>::Work;
-type Reply<T> = <<T as Transport>::Exchange as Exchange>::Reply;
-type Payload<T> = <<T as Transport>::Exchange as Exchange>::Payload;
+type Work<T> = <<T as Transport>::Messages as MessageTypes>::OutboundRequest;
+type Reply<T> = <<T as Transport>::Messages as MessageTypes>::Responder;
+type Payload<T> = <<T as Transport>::Messages as MessageTypes>::Response;
 
 struct Inner<T: Transport> {
-    engine: RefCell<Engine<T::Exchange>>,
+    engine: RefCell<Engine<T::Messages>>,
     /// What takes back the carried attempts that are out.
-    recalls: RefCell<FxHashMap<(RequestId, u16), Rc<Recall>>>,
+    recalls: RefCell<FxHashMap<(RequestId, u16), Rc<CancellationSignal>>>,
     transport: T,
     clock: Clock,
     /// Until when the timers' task sleeps; `Micros::MAX`: until it is woken.
@@ -112,7 +115,7 @@
 impl<T: Transport> Handle<T> {
     /// The way to this engine.
     #[must_use]
-    pub fn new(engine: Engine<T::Exchange>, clock: Clock, transport: T) -> Self {
+    pub fn new(engine: Engine<T::Messages>, clock: Clock, transport: T) -> Self {
         Self(Rc::new(Inner {
             engine: RefCell::new(engine),
             recalls: RefCell::default(),
@@ -127,7 +130,7 @@
     /// Keeps the timers. Ends only when the engine has panicked: the process should then end too.
     pub async fn run(self) {
         while !self.0.broken.get() {
-            let next = self.drive(|engine, _| engine.next_due());
+            let next = self.drive(|engine, _| engine.next_timer());
             self.0.asleep_until.set(next.unwrap_or(Micros::MAX));
             match next {
                 None => self.0.wake.notified().await,
@@ -144,66 +147,70 @@
     ///
     /// # Errors
     /// At a bound.
-    pub fn admit(&self, arrival: Arrival<Work<T>>, reply: Reply<T>) -> Result<RequestId, Overload<Reply<T>>> {
+    pub fn admit(
+        &self,
+        arrival: IncomingRequest<Work<T>>,
+        reply: Reply<T>,
+    ) -> Result<RequestId, Overload<Reply<T>>> {
         self.drive(|engine, now| engine.admit(now, arrival, reply))
     }
 
     /// The client of a request has left.
-    pub fn client_gone(&self, request: RequestId) {
-        self.drive(|engine, now| engine.client_gone(now, request));
+    pub fn client_disconnected(&self, request: RequestId) {
+        self.drive(|engine, now| engine.client_disconnected(now, request));
     }
 
     /// The holder of a lease tells how its attempt ended.
     ///
     /// # Errors
     /// Where the lease is not out.
-    pub fn report(&self, lease: LeaseId, ended: Ended<Payload<T>>) -> Result<(), LeaseError> {
-        self.drive(|engine, now| engine.report(now, lease, ended))
+    pub fn report_result(&self, lease: LeaseId, ended: AttemptEnd<Payload<T>>) -> Result<(), LeaseError> {
+        self.drive(|engine, now| engine.report_result(now, lease, ended))
     }
 
     /// The holder of a lease tells that its attempt has become a session; gives the time left without being renewed.
     ///
     /// # Errors
     /// Where the lease is not out or a session already.
-    pub fn establish(&self, lease: LeaseId) -> Result<Micros, LeaseError> {
-        self.drive(|engine, now| engine.establish(now, lease).map(|until| until.saturating_sub(now)))
+    pub fn establish_session(&self, lease: LeaseId) -> Result<Micros, LeaseError> {
+        self.drive(|engine, now| engine.establish_session(now, lease).map(|until| until.saturating_sub(now)))
     }
 
     /// The holder of a session tells that it goes on; gives the time left without being renewed.
     ///
     /// # Errors
     /// Where the lease is not out or no session.
-    pub fn renew(&self, lease: LeaseId) -> Result<Micros, LeaseError> {
-        self.drive(|engine, now| engine.renew(now, lease).map(|until| until.saturating_sub(now)))
+    pub fn renew_session(&self, lease: LeaseId) -> Result<Micros, LeaseError> {
+        self.drive(|engine, now| engine.renew_session(now, lease).map(|until| until.saturating_sub(now)))
     }
 
     /// The process ends: see [`Engine::answer_by`].
-    pub fn answer_by(&self, by: Micros) {
-        self.drive(|engine, now| engine.answer_by(now, by));
+    pub fn set_response_deadline(&self, by: Micros) {
+        self.drive(|engine, now| engine.set_response_deadline(now, by));
     }
 
     /// News of the backends.
-    pub fn membership(&self, news: MembershipUpdate<'_>) {
-        self.drive(|engine, now| engine.membership(now, news));
+    pub fn update_membership(&self, news: MembershipUpdate<'_>) {
+        self.drive(|engine, now| engine.update_membership(now, news));
     }
 
     /// Other settings hold for requests that come from now on.
     ///
     /// # Errors
     /// The first setting that makes no sense; then nothing has changed.
-    pub fn retune(&self, settings: &Settings) -> Result<(), SettingsError> {
-        self.drive(|engine, now| engine.retune(now, settings))
+    pub fn update_settings(&self, settings: &Settings) -> Result<(), SettingsError> {
+        self.drive(|engine, now| engine.update_settings(now, settings))
     }
 
     /// What the decisions have learnt.
     #[must_use]
-    pub fn memory(&self) -> LearnedState {
-        self.0.engine.borrow().memory()
+    pub fn learned_state(&self) -> LearnedState {
+        self.0.engine.borrow().learned_state()
     }
 
     /// The decisions go on from what those of another process have learnt. Whether that fits them.
-    pub fn adopt(&self, memory: &LearnedState) -> bool {
-        self.drive(|engine, now| engine.adopt(now, memory))
+    pub fn restore(&self, memory: &LearnedState) -> bool {
+        self.drive(|engine, now| engine.restore(now, memory))
     }
 
     /// The transport, for what a front does beside requests.
@@ -232,7 +239,7 @@
     }
 
     /// Runs the engine, then what is due, then all that both want done.
-    fn drive<R>(&self, run: impl FnOnce(&mut Engine<T::Exchange>, Micros) -> R) -> R {
+    fn drive<R>(&self, run: impl FnOnce(&mut Engine<T::Messages>, Micros) -> R) -> R {
         let inner = &*self.0;
         let _watch = Watch(inner);
         let engine = &mut *inner.engine.borrow_mut();
@@ -243,59 +250,63 @@
         while let Some(command) = engine.next_command() {
             self.carry_out(engine, command);
         }
-        if engine.next_due().unwrap_or(Micros::MAX) < inner.asleep_until.get() {
+        if engine.next_timer().unwrap_or(Micros::MAX) < inner.asleep_until.get() {
             inner.wake.notify_one();
         }
         result
     }
 
-    fn carry_out(&self, engine: &Engine<T::Exchange>, command: Command<T::Exchange>) {
+    fn carry_out(&self, engine: &Engine<T::Messages>, command: Command<T::Messages>) {
         let transport = &self.0.transport;
         match command {
-            Command::Start { request, attempt, backend, schedule, work } => {
+            Command::StartAttempt { request, attempt, backend, schedule, outbound_request: work } => {
                 self.start(request, attempt, backend, schedule, work);
             }
-            Command::Withdraw { request, attempt } => {
+            Command::CancelAttempt { request, attempt } => {
                 if let Some(recall) = self.0.recalls.borrow().get(&(request, attempt)) {
-                    recall.at_once();
+                    recall.cancel();
                 }
             }
-            Command::WithdrawUnsent { request, attempt } => {
+            Command::CancelUnsentAttempt { request, attempt } => {
                 if let Some(recall) = self.0.recalls.borrow().get(&(request, attempt)) {
-                    recall.unless_sent();
+                    recall.cancel_unless_sent();
                 }
             }
-            Command::Grant(grant) => transport.grant(engine.reply(grant.request), grant),
-            Command::Revoke { request, lease } => transport.revoke(engine.reply(request), lease),
-            Command::Answer { reply, verdict, .. } => transport.answer(reply, verdict),
+            Command::GrantLease(grant) => transport.grant_lease(engine.responder(grant.request), grant),
+            Command::RevokeLease { request, lease } => {
+                transport.revoke_lease(engine.responder(request), lease)
+            }
+            Command::Respond { responder: reply, outcome: verdict, .. } => transport.respond(reply, verdict),
             Command::Subscribe => transport.subscribe(),
-            Command::Probe(backend) => self.probe(backend),
-            Command::CloseIdle(backend) => transport.close_idle(backend),
+            Command::CheckHealth(backend) => self.probe(backend),
+            Command::CloseIdleConnections(backend) => transport.close_idle_connections(backend),
             Command::Log(line) => transport.log(&line),
         }
     }
 
     fn start(&self, request: RequestId, attempt: u16, backend: BackendId, schedule: Schedule, work: Work<T>) {
-        let recall = Rc::<Recall>::default();
+        let recall = Rc::<CancellationSignal>::default();
         self.0.recalls.borrow_mut().insert((request, attempt), Rc::clone(&recall));
         let instant = |at| self.0.clock.instant(at);
-        let begin_by = (schedule.begin_by < Micros::MAX).then(|| instant(schedule.begin_by));
-        let times = Times { begin_by, give_up: instant(schedule.give_up_at) };
-        let attempting = self.0.transport.start(backend, work, times, recall);
+        let begin_by = (schedule.start_by < Micros::MAX).then(|| instant(schedule.start_by));
+        let times = AttemptTimes { start_by: begin_by, give_up_at: instant(schedule.give_up_at) };
+        let attempting = self.0.transport.start_attempt(backend, work, times, recall);
         let handle = self.clone();
         tokio::task::spawn_local(async move {
             let ended = attempting.await;
             handle.0.recalls.borrow_mut().remove(&(request, attempt));
-            handle.drive(|engine, now| engine.ended(now, request, attempt, ended));
+            handle.drive(|engine, now| engine.attempt_finished(now, request, attempt, ended));
         });
     }
 
     fn probe(&self, backend: BackendId) {
-        let probing = self.0.transport.probe(backend);
+        let probing = self.0.transport.check_health(backend);
         let handle = self.clone();
         tokio::task::spawn_local(async move {
             let ended = probing.await;
-            handle.drive(|engine, now| engine.probed(now, backend, ended.outcome, &ended.report));
+            handle.drive(|engine, now| {
+                engine.health_check_finished(now, backend, ended.outcome, &ended.load_report)
+            });
         });
     }
 }
--- a/crates/request-engine/src/engine.rs
+++ b/crates/request-engine/src/engine.rs
@@ -10,11 +10,12 @@
 //! 4. Cold backends: both kinds of attempts come from the decisions' one [`Action::Send`], after its budget.
 
 use crate::lease::{Lease, LeaseCounts, LeaseError, LeaseId, Leases, Stage};
-use crate::open::{Attempt, Open, Pending, State};
-pub use crate::terms::{
-    Arrival, Bounds, Command, Conduct, Counts, Ended, Exchange, Grant, Overload, Schedule, Verdict,
+pub use crate::messages::{
+    AttemptEnd, Command, Counts, Dispatch, EngineLimits, FinalOutcome, IncomingRequest, LeaseGrant,
+    MessageTypes, Overload, Schedule,
 };
-use crate::timers::{Due, Timers};
+use crate::open::{Attempt, Open, Pending, State};
+use crate::timers::{TimerKind, Timers};
 use balancer::api::{
     Action, AttemptResult, Backend, BackendId, Event, LearnedState, MembershipUpdate, Micros, Outcome,
     Readiness, Request, RequestId, Settings, SettingsError,
@@ -38,9 +39,9 @@
 pub const SESSION_LEASE: Micros = 30_000_000;
 
 /// Owns the decisions and all that is open.
-pub struct Engine<X: Exchange> {
+pub struct Engine<X: MessageTypes> {
     balancer: Balancer,
-    bounds: Bounds,
+    bounds: EngineLimits,
     /// How often a request that comes now may be sent.
     max_attempts: usize,
     /// The latest time that was told: an earlier one counts as this.
@@ -57,7 +58,7 @@
     counts: Counts,
 }
 
-impl<X: Exchange> Engine<X> {
+impl<X: MessageTypes> Engine<X> {
     /// An engine with nothing open that knows no backends. `life` must differ from one start to the next: it tells
     /// the leases of this life from those of others.
     ///
@@ -65,7 +66,7 @@
     /// The first of the settings that makes no sense.
     pub fn new(
         settings: Settings,
-        bounds: Bounds,
+        bounds: EngineLimits,
         seed: u64,
         life: u64,
         now: Micros,
@@ -97,21 +98,21 @@
     pub fn admit(
         &mut self,
         now: Micros,
-        arrival: Arrival<X::Work>,
-        reply: X::Reply,
-    ) -> Result<RequestId, Overload<X::Reply>> {
+        arrival: IncomingRequest<X::OutboundRequest>,
+        reply: X::Responder,
+    ) -> Result<RequestId, Overload<X::Responder>> {
         let now = self.at(now);
         if self.open.len() >= self.bounds.requests {
-            self.counts.overload += 1;
+            self.counts.overloaded += 1;
             return Err(Overload::Requests(reply));
         }
-        if matches!(arrival.conduct, Conduct::Leased) && !self.leases.has_room() {
-            self.counts.overload += 1;
+        if matches!(arrival.dispatch, Dispatch::Leased) && !self.leases.has_capacity() {
+            self.counts.overloaded += 1;
             return Err(Overload::Leases(reply));
         }
-        self.counts.taken += 1;
+        self.counts.admitted += 1;
         let id = self.number();
-        let waits_until = arrival.arrived.saturating_add(arrival.patience);
+        let waits_until = arrival.arrived_at.saturating_add(arrival.timeout);
         let left = self.answers_by.map_or(waits_until, |by| waits_until.min(by)).saturating_sub(now);
         let request = Request {
             id,
@@ -120,29 +121,29 @@
             key: arrival.key,
             // A client with hardly any time at all is not robbed of what it has.
             timeout: left.saturating_sub(ANSWER_MARGIN.min(left / 2)),
-            expected_work: arrival.work,
-            is_retry: arrival.repeat,
-            is_proxied: matches!(arrival.conduct, Conduct::Carried(_)),
+            expected_work: arrival.expected_work,
+            is_retry: arrival.is_retry,
+            is_proxied: matches!(arrival.dispatch, Dispatch::Proxied(_)),
         };
         let open = Open {
-            conduct: arrival.conduct,
+            conduct: arrival.dispatch,
             reply: Some(reply),
             max_attempts: self.max_attempts,
             attempts: Vec::new(),
         };
         self.open.insert(id, open);
-        self.remind(now + left.saturating_sub(LAST_MARGIN.min(left / 4)), Due::LastMoment(id));
+        self.remind(now + left.saturating_sub(LAST_MARGIN.min(left / 4)), TimerKind::ResponseDeadline(id));
         self.feed(now, Event::Request(request));
         Ok(id)
     }
 
     /// The client of a request has left: nothing more is said to it, and what has not been sent for it is not sent.
-    pub fn client_gone(&mut self, now: Micros, request: RequestId) {
+    pub fn client_disconnected(&mut self, now: Micros, request: RequestId) {
         let now = self.at(now);
         if let Some(open) = self.open.get_mut(&request)
             && open.reply.take().is_some()
         {
-            self.counts.gone += 1;
+            self.counts.client_disconnected += 1;
             self.withdraw_unsent(request);
             self.feed(now, Event::ClientDisconnected(request));
             self.forget(request);
@@ -150,7 +151,7 @@
     }
 
     /// The process ends: whatever is open and whatever still comes has its final answer by then.
-    pub fn answer_by(&mut self, now: Micros, by: Micros) {
+    pub fn set_response_deadline(&mut self, now: Micros, by: Micros) {
         let now = self.at(now);
         self.answers_by = Some(by);
         let mut waiting: Vec<_> =
@@ -159,28 +160,40 @@
         waiting.sort_unstable();
         let at = by.saturating_sub(LAST_MARGIN).max(now);
         for request in waiting {
-            self.remind(at, Due::LastMoment(request));
+            self.remind(at, TimerKind::ResponseDeadline(request));
         }
     }
 
     /// A carried attempt has ended.
-    pub fn ended(&mut self, now: Micros, request: RequestId, attempt: u16, ended: Ended<X::Payload>) {
+    pub fn attempt_finished(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        attempt: u16,
+        ended: AttemptEnd<X::Response>,
+    ) {
         let now = self.at(now);
         if self.is_carried(request, attempt) {
             self.settle(now, request, attempt, ended);
             self.settle_never_sent(now);
         } else {
-            self.counts.stray += 1;
+            self.counts.unmatched += 1;
         }
     }
 
     /// A carried attempt has become a session: its backend has answered and its slot is held until the attempt ends.
-    pub fn established(&mut self, now: Micros, request: RequestId, attempt: u16, payload: X::Payload) {
+    pub fn session_established(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        attempt: u16,
+        payload: X::Response,
+    ) {
         let now = self.at(now);
         if self.is_carried(request, attempt) {
             self.occupy(now, request, attempt, Some(payload));
         } else {
-            self.counts.stray += 1;
+            self.counts.unmatched += 1;
         }
     }
 
@@ -188,11 +201,11 @@
     ///
     /// # Errors
     /// Where the lease is not out; then nothing has changed.
-    pub fn report(
+    pub fn report_result(
         &mut self,
         now: Micros,
         lease: LeaseId,
-        ended: Ended<X::Payload>,
+        ended: AttemptEnd<X::Response>,
     ) -> Result<(), LeaseError> {
         let now = self.at(now);
         self.leases.find(now, lease)?;
@@ -208,12 +221,12 @@
     ///
     /// # Errors
     /// Where the lease is not out or a session already; then nothing has changed.
-    pub fn establish(&mut self, now: Micros, id: LeaseId) -> Result<Micros, LeaseError> {
+    pub fn establish_session(&mut self, now: Micros, id: LeaseId) -> Result<Micros, LeaseError> {
         let now = self.at(now);
         let expires = now.saturating_add(SESSION_LEASE);
         let lease = self.leases.find(now, id)?;
         if lease.stage == Stage::Session {
-            self.leases.counts.misfit += 1;
+            self.leases.counts.wrong_state += 1;
             return Err(LeaseError::WrongState);
         }
         (lease.stage, lease.expires) = (Stage::Session, expires);
@@ -226,11 +239,11 @@
     ///
     /// # Errors
     /// Where the lease is not out or no session; then nothing has changed.
-    pub fn renew(&mut self, now: Micros, id: LeaseId) -> Result<Micros, LeaseError> {
+    pub fn renew_session(&mut self, now: Micros, id: LeaseId) -> Result<Micros, LeaseError> {
         let now = self.at(now);
         let lease = self.leases.find(now, id)?;
         if lease.stage != Stage::Session {
-            self.leases.counts.misfit += 1;
+            self.leases.counts.wrong_state += 1;
             return Err(LeaseError::WrongState);
         }
         lease.expires = now.saturating_add(SESSION_LEASE);
@@ -238,7 +251,7 @@
     }
 
     /// News of the backends. Leases on those that drain or are gone are asked back while they may be unsent.
-    pub fn membership(&mut self, now: Micros, news: MembershipUpdate<'_>) {
+    pub fn update_membership(&mut self, now: Micros, news: MembershipUpdate<'_>) {
         let now = self.at(now);
         let unsent = if self.leases.len() == 0 { Vec::new() } else { self.unsent(now, news) };
         self.feed(now, Event::Membership(news));
@@ -251,7 +264,7 @@
     ///
     /// # Errors
     /// The first setting that makes no sense; then nothing has changed.
-    pub fn retune(&mut self, now: Micros, settings: &Settings) -> Result<(), SettingsError> {
+    pub fn update_settings(&mut self, now: Micros, settings: &Settings) -> Result<(), SettingsError> {
         settings.validate()?;
         let now = self.at(now);
         self.max_attempts = usize::from(settings.permissions.max_attempts);
@@ -261,18 +274,24 @@
 
     /// What the decisions have learnt, for the process that takes this one's place.
     #[must_use]
-    pub fn memory(&self) -> LearnedState {
+    pub fn learned_state(&self) -> LearnedState {
         self.balancer.learned_state()
     }
 
     /// The decisions go on from what those of another process have learnt. Whether that fits them.
-    pub fn adopt(&mut self, now: Micros, memory: &LearnedState) -> bool {
+    pub fn restore(&mut self, now: Micros, memory: &LearnedState) -> bool {
         let now = self.at(now);
         self.balancer.restore(now, memory)
     }
 
     /// A probe has ended.
-    pub fn probed(&mut self, now: Micros, backend: BackendId, outcome: Outcome, report: &[f32]) {
+    pub fn health_check_finished(
+        &mut self,
+        now: Micros,
+        backend: BackendId,
+        outcome: Outcome,
+        report: &[f32],
+    ) {
         let now = self.at(now);
         self.feed(now, Event::HealthCheckFinished { backend, outcome, load_report: report });
     }
@@ -282,9 +301,9 @@
         let now = self.at(now);
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Decision(token) => self.feed(now, Event::TimerExpired(token)),
-                Due::LastMoment(request) => self.last_moment(now, request),
-                Due::LeaseEnd(serial) => self.lease_end(now, serial),
+                TimerKind::Decision(token) => self.feed(now, Event::TimerExpired(token)),
+                TimerKind::ResponseDeadline(request) => self.last_moment(now, request),
+                TimerKind::LeaseExpiry(serial) => self.lease_end(now, serial),
             }
         }
     }
@@ -293,7 +312,7 @@
 
     /// When [`Engine::advance`] is next wanted.
     #[must_use]
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_timer(&self) -> Option<Micros> {
         self.timers.next()
     }
 
@@ -304,25 +323,25 @@
 
     /// Where the answer of a request will go, while it has none.
     #[must_use]
-    pub fn reply(&self, request: RequestId) -> Option<&X::Reply> {
+    pub fn responder(&self, request: RequestId) -> Option<&X::Responder> {
         self.open.get(&request)?.reply.as_ref()
     }
 
     /// Requests whose attempts have not all ended.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
     /// Leases that are out.
     #[must_use]
-    pub fn leases(&self) -> usize {
+    pub fn active_leases(&self) -> usize {
         self.leases.len()
     }
 
     /// Timers that are kept, those of ended causes too.
     #[must_use]
-    pub fn timers(&self) -> usize {
+    pub fn pending_timers(&self) -> usize {
         self.timers.len()
     }
 
@@ -363,12 +382,14 @@
         }
     }
 
-    fn remind(&mut self, at: Micros, due: Due) {
+    fn remind(&mut self, at: Micros, due: TimerKind) {
         let (open, leases) = (&self.open, &self.leases);
         self.timers.add(at, due, |due| match due {
-            Due::Decision(_) => true,
-            Due::LastMoment(request) => open.get(&request).is_some_and(|open| open.reply.is_some()),
-            Due::LeaseEnd(serial) => leases.is_out(serial),
+            TimerKind::Decision(_) => true,
+            TimerKind::ResponseDeadline(request) => {
+                open.get(&request).is_some_and(|open| open.reply.is_some())
+            }
+            TimerKind::LeaseExpiry(serial) => leases.is_out(serial),
         });
     }
 
@@ -380,10 +401,10 @@
 
     /// Rule 1: whatever the decisions are waiting for, the client gets an answer before its time ends.
     fn last_moment(&mut self, now: Micros, request: RequestId) {
-        if self.reply(request).is_some() {
-            self.counts.last_moment += 1;
+        if self.responder(request).is_some() {
+            self.counts.deadline_failures += 1;
             self.withdraw_unsent(request);
-            self.answer(request, Verdict::Failed);
+            self.answer(request, FinalOutcome::Failed);
             self.feed(now, Event::ClientDisconnected(request));
         }
     }
@@ -396,7 +417,7 @@
                 self.settle_never_sent(now);
             }
             Ok(None) => {}
-            Err(later) => self.remind(later, Due::LeaseEnd(serial)),
+            Err(later) => self.remind(later, TimerKind::LeaseExpiry(serial)),
         }
     }
 
@@ -421,7 +442,7 @@
     fn revoke(&mut self, serial: u64) {
         let lease = self.leases.id(serial);
         if let Some(request) = self.leases.revoke(serial) {
-            self.commands.push_back(Command::Revoke { request, lease });
+            self.commands.push_back(Command::RevokeLease { request, lease });
         }
     }
 
@@ -439,20 +460,20 @@
     }
 
     /// The one place where an attempt ends.
-    fn settle(&mut self, now: Micros, request: RequestId, number: u16, ended: Ended<X::Payload>) {
+    fn settle(&mut self, now: Micros, request: RequestId, number: u16, ended: AttemptEnd<X::Response>) {
         let Some(open) = self.open.get_mut(&request) else { return };
         let Some(attempt) = open.attempts.get_mut(usize::from(number)) else { return };
         let was = std::mem::replace(&mut attempt.state, State::Ended);
         assert!(was != State::Ended, "attempt {number} of request {request} ends twice");
         let (backend, elapsed) =
-            (attempt.backend, now.saturating_sub(attempt.sent_at).saturating_sub(ended.waited));
+            (attempt.backend, now.saturating_sub(attempt.sent_at).saturating_sub(ended.client_wait));
         // The first answer of a backend reaches the client without being asked for.
         if ended.outcome == Outcome::Ok {
-            self.answer(request, Verdict::Served(ended.payload));
+            self.answer(request, FinalOutcome::Served(ended.response));
         }
         self.counts.outcomes[ended.outcome as usize] += 1;
-        let closed = self.reply(request).is_none();
-        let (outcome, report) = (ended.outcome, ended.report.as_slice());
+        let closed = self.responder(request).is_none();
+        let (outcome, report) = (ended.outcome, ended.load_report.as_slice());
         let settled = AttemptResult {
             request,
             backend,
@@ -467,15 +488,15 @@
         self.forget(request);
     }
 
-    fn occupy(&mut self, now: Micros, request: RequestId, number: u16, payload: Option<X::Payload>) {
+    fn occupy(&mut self, now: Micros, request: RequestId, number: u16, payload: Option<X::Response>) {
         let open = self.open.get_mut(&request);
         let Some(attempt) = open.and_then(|open| open.attempts.get_mut(usize::from(number))) else { return };
         if attempt.state != State::Out {
-            self.counts.stray += 1;
+            self.counts.unmatched += 1;
             return;
         }
         attempt.state = State::Session;
-        self.answer(request, Verdict::Served(payload));
+        self.answer(request, FinalOutcome::Served(payload));
         self.feed(now, Event::SessionEstablished { request, attempt: number });
     }
 
@@ -491,19 +512,21 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, backend, start_by: begin_by, give_up_at } => {
-                    self.send(now, request, backend, Schedule { begin_by, give_up_at });
+                    self.send(now, request, backend, Schedule { start_by: begin_by, give_up_at });
                 }
                 Action::Reject { request, retry_after } => {
-                    self.answer(request, Verdict::Refused { retry_after });
+                    self.answer(request, FinalOutcome::Rejected { retry_after });
                 }
-                Action::Fail { request } => self.answer(request, Verdict::Failed),
+                Action::Fail { request } => self.answer(request, FinalOutcome::Failed),
                 Action::Cancel { request, attempt } => self.withdraw(request, attempt),
                 Action::SetTimer { delay: after, token } => {
-                    self.remind(now.saturating_add(after), Due::Decision(token))
+                    self.remind(now.saturating_add(after), TimerKind::Decision(token))
                 }
                 Action::Subscribe => self.commands.push_back(Command::Subscribe),
-                Action::CheckHealth(backend) => self.commands.push_back(Command::Probe(backend)),
-                Action::CloseIdleConnections(backend) => self.commands.push_back(Command::CloseIdle(backend)),
+                Action::CheckHealth(backend) => self.commands.push_back(Command::CheckHealth(backend)),
+                Action::CloseIdleConnections(backend) => {
+                    self.commands.push_back(Command::CloseIdleConnections(backend))
+                }
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
             }
         }
@@ -511,15 +534,15 @@
     }
 
     /// The one place where a final answer leaves.
-    fn answer(&mut self, request: RequestId, verdict: Verdict<X::Payload>) {
+    fn answer(&mut self, request: RequestId, verdict: FinalOutcome<X::Response>) {
         let Some(reply) = self.open.get_mut(&request).and_then(|open| open.reply.take()) else { return };
         let count = match verdict {
-            Verdict::Served(_) => &mut self.counts.served,
-            Verdict::Refused { .. } => &mut self.counts.refused,
-            Verdict::Failed => &mut self.counts.failed,
+            FinalOutcome::Served(_) => &mut self.counts.served,
+            FinalOutcome::Rejected { .. } => &mut self.counts.rejected,
+            FinalOutcome::Failed => &mut self.counts.failed,
         };
         *count += 1;
-        self.commands.push_back(Command::Answer { request, reply, verdict });
+        self.commands.push_back(Command::Respond { request, responder: reply, outcome: verdict });
         self.forget(request);
     }
 
@@ -532,15 +555,21 @@
         self.counts.attempts += 1;
         match &open.conduct {
             _ if !may_go => self.never_sent.push_back(Pending { request, attempt }),
-            Conduct::Carried(work) => {
-                let (work, once) = (work.clone(), X::goes_once(work));
-                self.commands.push_back(Command::Start { request, attempt, backend, schedule, work });
+            Dispatch::Proxied(work) => {
+                let (work, once) = (work.clone(), X::is_single_use(work));
+                self.commands.push_back(Command::StartAttempt {
+                    request,
+                    attempt,
+                    backend,
+                    schedule,
+                    outbound_request: work,
+                });
                 if once {
                     // What is not kept can't be sent again, whatever comes of it.
                     self.balancer.handle(now, Event::ResponseStarted { request, attempt }, &mut self.actions);
                 }
             }
-            Conduct::Leased => self.grant(now, request, attempt, backend, schedule),
+            Dispatch::Leased => self.grant(now, request, attempt, backend, schedule),
         }
     }
 
@@ -550,7 +579,7 @@
         request: RequestId,
         attempt: u16,
         backend: BackendId,
-        Schedule { begin_by, give_up_at }: Schedule,
+        Schedule { start_by: begin_by, give_up_at }: Schedule,
     ) {
         let send_by = give_up_at.min(begin_by).min(now.saturating_add(SEND_WINDOW));
         let expires = give_up_at.saturating_add(REPORT_GRACE);
@@ -563,8 +592,8 @@
         if let Some(a) = self.open.get_mut(&request).and_then(|o| o.attempts.get_mut(usize::from(attempt))) {
             a.lease = id.serial;
         }
-        self.remind(expires, Due::LeaseEnd(id.serial));
-        self.commands.push_back(Command::Grant(Grant {
+        self.remind(expires, TimerKind::LeaseExpiry(id.serial));
+        self.commands.push_back(Command::GrantLease(LeaseGrant {
             lease: id,
             request,
             attempt,
@@ -579,7 +608,8 @@
     fn withdraw_unsent(&mut self, request: RequestId) {
         let Some(open) = self.open.get(&request) else { return };
         let out = open.attempts.iter().enumerate().filter(|(_, a)| a.state == State::Out && a.lease == 0);
-        let withdrawn = out.map(|(attempt, _)| Command::WithdrawUnsent { request, attempt: attempt as u16 });
+        let withdrawn =
+            out.map(|(attempt, _)| Command::CancelUnsentAttempt { request, attempt: attempt as u16 });
         self.commands.extend(withdrawn);
     }
 
@@ -588,7 +618,7 @@
         let Some(attempt) = open.and_then(|open| open.attempts.get(usize::from(number))) else { return };
         match (attempt.state, attempt.lease) {
             (State::Ended, _) => {}
-            (_, 0) => self.commands.push_back(Command::Withdraw { request, attempt: number }),
+            (_, 0) => self.commands.push_back(Command::CancelAttempt { request, attempt: number }),
             (_, serial) => self.revoke(serial),
         }
     }
--- a/crates/request-engine/src/claims.rs
+++ b/crates/request-engine/src/idempotency.rs
@@ -15,31 +15,31 @@
 use thiserror::Error;
 
 /// The longest id or key, in bytes: what a header of this protocol holds, with room to spare.
-pub const NAME_CAP: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 
 /// A claim that is held. A place in the table is used again; the serial number tells its holders apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClaimId {
-    place: usize,
+    slot: usize,
     serial: u64,
 }
 
 /// What becomes of a question about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Claimed<A> {
-    /// Nobody holds it: it is the asker's, who owes [`Claims::settle`].
+pub enum ClaimStatus<A> {
+    /// Nobody holds it: it is the asker's, who owes [`IdempotencyRegistry::complete`].
     New(ClaimId),
     /// It is in flight.
-    Held {
+    InFlight {
         /// Who holds it.
-        by: ClaimId,
+        owner: ClaimId,
         /// Since when.
         since: Micros,
         /// Whether the id is another one and only the key is the same.
         by_key: bool,
     },
     /// It has its final answer.
-    Settled(A),
+    Completed(A),
 }
 
 /// Why a question was not taken. Nothing has run for it.
@@ -49,38 +49,38 @@
     #[error("{0} requests are in flight or remembered, and no more can be")]
     Full(usize),
     /// An id or key that is empty or too long.
-    #[error("an id or key has 1 to {NAME_CAP} bytes, not {0}")]
-    Name(usize),
+    #[error("an id or key has 1 to {MAX_NAME_BYTES} bytes, not {0}")]
+    InvalidName(usize),
     /// The id is known with another key, or with none.
     #[error("this id was asked before with another key")]
-    OtherKey,
+    KeyMismatch,
 }
 
 /// How a claim ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum ExecutionEffect {
     /// Nothing of it has run: another request may use the key at once.
     None,
     /// It has run or may have: the key stays with this answer.
-    Perhaps,
+    Possible,
 }
 
 /// Which kind of front a claim's final answer came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Front {
+pub enum FrontEnd {
     /// This process carried the attempts.
-    Carried,
+    Proxied,
     /// A caller outside made them.
-    Outside,
+    External,
 }
 
 /// A final answer as it is remembered, without its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum FinalStatus {
     /// A backend's answer reached whoever asked.
     Served,
     /// Turned away: nothing has run, and trying again from this time on is harmless.
-    Refused(Micros),
+    Rejected(Micros),
     /// Failed, with no promise of its effect.
     Failed,
     /// Whoever held it has vanished: it may have run.
@@ -89,15 +89,15 @@
 
 /// What is remembered of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Remembered {
+pub struct CompletedRequest {
     /// Who had it.
-    pub front: Front,
+    pub front_end: FrontEnd,
     /// How it ended.
-    pub end: End,
+    pub status: FinalStatus,
 }
 
 /// The claims that all fronts of a process share. They live on the engine's thread.
-pub type Shared = Rc<RefCell<Claims<Remembered>>>;
+pub type SharedRegistry = Rc<RefCell<IdempotencyRegistry<CompletedRequest>>>;
 
 struct Entry<A> {
     serial: u64,
@@ -105,12 +105,12 @@
     id: Box<[u8]>,
     key: Option<(u8, Box<[u8]>)>,
     /// The final answer and when it is forgotten.
-    settled: Option<(A, Micros)>,
+    completed: Option<(A, Micros)>,
 }
 
 /// Claims by id, and by class and key.
-pub struct Claims<A> {
-    most: usize,
+pub struct IdempotencyRegistry<A> {
+    capacity: usize,
     entries: Slab<Entry<A>>,
     by_id: FxHashMap<Box<[u8]>, usize>,
     by_key: FxHashMap<(u8, Box<[u8]>), usize>,
@@ -120,12 +120,12 @@
     latest: Micros,
 }
 
-impl<A: Clone> Claims<A> {
+impl<A: Clone> IdempotencyRegistry<A> {
     /// An empty table for so many claims, those that are remembered too.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            most,
+            capacity,
             entries: Slab::new(),
             by_id: FxHashMap::default(),
             by_key: FxHashMap::default(),
@@ -145,68 +145,75 @@
         id: &[u8],
         class: u8,
         key: Option<&[u8]>,
-    ) -> Result<Claimed<A>, ClaimError> {
+    ) -> Result<ClaimStatus<A>, ClaimError> {
         self.forget(now);
         for name in [Some(id), key].into_iter().flatten() {
-            if name.is_empty() || name.len() > NAME_CAP {
-                return Err(ClaimError::Name(name.len()));
+            if name.is_empty() || name.len() > MAX_NAME_BYTES {
+                return Err(ClaimError::InvalidName(name.len()));
             }
         }
         let key: Option<(u8, Box<[u8]>)> = key.map(|key| (class, key.into()));
-        if let Some(&place) = self.by_id.get(id) {
-            if self.entries[place].key != key {
-                return Err(ClaimError::OtherKey);
+        if let Some(&slot) = self.by_id.get(id) {
+            if self.entries[slot].key != key {
+                return Err(ClaimError::KeyMismatch);
             }
-            return Ok(self.known(place, false));
+            return Ok(self.known(slot, false));
         }
-        if let Some(&place) = key.as_ref().and_then(|key| self.by_key.get(key)) {
-            return Ok(self.known(place, true));
+        if let Some(&slot) = key.as_ref().and_then(|key| self.by_key.get(key)) {
+            return Ok(self.known(slot, true));
         }
-        if self.entries.len() >= self.most {
-            return Err(ClaimError::Full(self.most));
+        if self.entries.len() >= self.capacity {
+            return Err(ClaimError::Full(self.capacity));
         }
         let serial = self.next_serial;
         self.next_serial += 1;
         let id: Box<[u8]> = id.into();
-        let place = self.entries.insert(Entry {
+        let slot = self.entries.insert(Entry {
             serial,
             since: self.latest,
             id: id.clone(),
             key: key.clone(),
-            settled: None,
+            completed: None,
         });
-        self.by_id.insert(id, place);
+        self.by_id.insert(id, slot);
         if let Some(key) = key {
-            self.by_key.insert(key, place);
+            self.by_key.insert(key, slot);
         }
-        Ok(Claimed::New(ClaimId { place, serial }))
+        Ok(ClaimStatus::New(ClaimId { slot, serial }))
     }
 
-    fn known(&self, place: usize, by_key: bool) -> Claimed<A> {
-        let entry = &self.entries[place];
-        match &entry.settled {
-            Some((answer, _)) => Claimed::Settled(answer.clone()),
+    fn known(&self, slot: usize, by_key: bool) -> ClaimStatus<A> {
+        let entry = &self.entries[slot];
+        match &entry.completed {
+            Some((response, _)) => ClaimStatus::Completed(response.clone()),
             None => {
-                let by = ClaimId { place, serial: entry.serial };
-                Claimed::Held { by, since: entry.since, by_key }
+                let owner = ClaimId { slot, serial: entry.serial };
+                ClaimStatus::InFlight { owner, since: entry.since, by_key }
             }
         }
     }
 
     /// The final answer of a claim, remembered for so long. False where it had one, or is not known: then nothing has
     /// changed.
-    pub fn settle(&mut self, now: Micros, claim: ClaimId, answer: A, effect: Effect, memory: Micros) -> bool {
+    pub fn complete(
+        &mut self,
+        now: Micros,
+        claim: ClaimId,
+        response: A,
+        effect: ExecutionEffect,
+        retention: Micros,
+    ) -> bool {
         self.forget(now);
-        let until = self.latest.saturating_add(memory);
-        let Some(entry) = self.entries.get_mut(claim.place).filter(|e| e.serial == claim.serial) else {
+        let until = self.latest.saturating_add(retention);
+        let Some(entry) = self.entries.get_mut(claim.slot).filter(|e| e.serial == claim.serial) else {
             return false;
         };
-        if entry.settled.is_some() {
+        if entry.completed.is_some() {
             return false;
         }
-        entry.settled = Some((answer, until));
+        entry.completed = Some((response, until));
         self.ends.push(Reverse((until, claim)));
-        if effect == Effect::None
+        if effect == ExecutionEffect::None
             && let Some(key) = &entry.key
         {
             self.by_key.remove(key);
@@ -219,12 +226,12 @@
         self.latest = self.latest.max(now);
         while self.ends.peek().is_some_and(|Reverse((until, _))| *until <= self.latest) {
             let Some(Reverse((_, claim))) = self.ends.pop() else { return };
-            let entry = self.entries.remove(claim.place);
+            let entry = self.entries.remove(claim.slot);
             debug_assert_eq!(entry.serial, claim.serial, "a claim ends once");
             self.by_id.remove(&entry.id);
             // After a claim without effect the key may be another's by now.
             if let Some(key) = entry.key
-                && self.by_key.get(&key) == Some(&claim.place)
+                && self.by_key.get(&key) == Some(&claim.slot)
             {
                 self.by_key.remove(&key);
             }
--- a/crates/request-engine/src/lease.rs
+++ b/crates/request-engine/src/lease.rs
@@ -13,20 +13,20 @@
 
 /// Settled leases whose end is remembered, so that a late report can be told from a doubled one. Older ones count
 /// as late.
-const REMEMBERED: usize = 4_096;
+const MAX_ENDED_LEASES: usize = 4_096;
 
 /// The id of a lease. Written as two hexadecimal numbers with a dash between, 33 characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseId {
     /// The life of the engine that granted it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its number in that life, from 1.
     pub serial: u64,
 }
 
 impl fmt::Display for LeaseId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:016x}-{:016x}", self.life, self.serial)
+        write!(f, "{:016x}-{:016x}", self.incarnation, self.serial)
     }
 }
 
@@ -43,9 +43,12 @@
         let digits = |part: &str| part.len() == 16 && part.bytes().all(|b| b.is_ascii_hexdigit());
         let number = |part: &str| -> Result<u64, ParseIntError> { u64::from_str_radix(part, 16) };
         let wrong = || ParseLeaseIdError(text.chars().take(64).collect());
-        let (life, serial) =
+        let (incarnation, serial) =
             text.split_once('-').filter(|(a, b)| digits(a) && digits(b)).ok_or_else(wrong)?;
-        Ok(Self { life: number(life).map_err(|_| wrong())?, serial: number(serial).map_err(|_| wrong())? })
+        Ok(Self {
+            incarnation: number(incarnation).map_err(|_| wrong())?,
+            serial: number(serial).map_err(|_| wrong())?,
+        })
     }
 }
 
@@ -63,7 +66,7 @@
     Late,
     /// Its outcome is known already.
     #[error("the lease's outcome was reported before")]
-    Doubled,
+    AlreadyReported,
     /// Only a session's lease is renewed, and only one that is not a session can become one.
     #[error("the lease is not in a state for this")]
     WrongState,
@@ -83,17 +86,17 @@
     /// Reports after the end.
     pub late: u64,
     /// Reports after a report.
-    pub doubled: u64,
+    pub duplicate: u64,
     /// Reports of another engine's or life's lease.
     pub foreign: u64,
     /// Reports of a lease that was never granted.
     pub unknown: u64,
     /// Reports that do not fit the lease's state.
-    pub misfit: u64,
+    pub wrong_state: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum LeaseEnd {
     Reported,
     Expired,
 }
@@ -122,48 +125,48 @@
 /// The leases that are out, and the ends of the latest that were.
 #[derive(Debug)]
 pub(crate) struct Leases {
-    life: u64,
+    incarnation: u64,
     next: u64,
-    most: usize,
+    capacity: usize,
     out: FxHashMap<u64, Lease>,
     /// By serial number modulo its length; empty until the first lease.
-    ended: Vec<(u64, End)>,
+    ended: Vec<(u64, LeaseEnd)>,
     pub(crate) counts: LeaseCounts,
 }
 
 impl Leases {
-    pub(crate) fn new(life: u64, most: usize) -> Self {
+    pub(crate) fn new(incarnation: u64, capacity: usize) -> Self {
         let counts = LeaseCounts::default();
-        Self { life, next: 1, most, out: FxHashMap::default(), ended: Vec::new(), counts }
+        Self { incarnation, next: 1, capacity, out: FxHashMap::default(), ended: Vec::new(), counts }
     }
 
     pub(crate) fn len(&self) -> usize {
         self.out.len()
     }
 
-    pub(crate) fn has_room(&self) -> bool {
-        self.out.len() < self.most
+    pub(crate) fn has_capacity(&self) -> bool {
+        self.out.len() < self.capacity
     }
 
     /// A new lease, or none at the bound.
     pub(crate) fn grant(&mut self, lease: Lease) -> Option<LeaseId> {
-        if !self.has_room() {
+        if !self.has_capacity() {
             return None;
         }
         if self.ended.is_empty() {
             // A serial number of 0 is never granted.
-            self.ended = vec![(0, End::Expired); REMEMBERED];
+            self.ended = vec![(0, LeaseEnd::Expired); MAX_ENDED_LEASES];
         }
         let serial = self.next;
         self.next += 1;
         let before = self.out.insert(serial, lease);
         assert!(before.is_none(), "the serial number {serial} was granted before");
         self.counts.granted += 1;
-        Some(LeaseId { life: self.life, serial })
+        Some(LeaseId { incarnation: self.incarnation, serial })
     }
 
     pub(crate) fn id(&self, serial: u64) -> LeaseId {
-        LeaseId { life: self.life, serial }
+        LeaseId { incarnation: self.incarnation, serial }
     }
 
     pub(crate) fn is_out(&self, serial: u64) -> bool {
@@ -180,22 +183,22 @@
 
     /// The lease of this id, if it is out at `now`; otherwise what is wrong, counted.
     pub(crate) fn find(&mut self, now: Micros, id: LeaseId) -> Result<&mut Lease, LeaseError> {
-        let error = self.fault(now, id);
+        let error = self.find_error(now, id);
         if let Some(error) = error {
             match error {
                 LeaseError::Foreign => self.counts.foreign += 1,
                 LeaseError::Unknown => self.counts.unknown += 1,
                 LeaseError::Late => self.counts.late += 1,
-                LeaseError::Doubled => self.counts.doubled += 1,
-                LeaseError::WrongState => self.counts.misfit += 1,
+                LeaseError::AlreadyReported => self.counts.duplicate += 1,
+                LeaseError::WrongState => self.counts.wrong_state += 1,
             }
             return Err(error);
         }
         self.out.get_mut(&id.serial).ok_or(LeaseError::Unknown)
     }
 
-    fn fault(&self, now: Micros, id: LeaseId) -> Option<LeaseError> {
-        if id.life != self.life {
+    fn find_error(&self, now: Micros, id: LeaseId) -> Option<LeaseError> {
+        if id.incarnation != self.incarnation {
             return Some(LeaseError::Foreign);
         }
         if id.serial == 0 || id.serial >= self.next {
@@ -205,14 +208,14 @@
             // The end counts from the clock, not from when its timer had its turn.
             return (now >= lease.expires).then_some(LeaseError::Late);
         }
-        let (serial, end) = self.ended[id.serial as usize % REMEMBERED];
-        let doubled = serial == id.serial && end == End::Reported;
-        Some(if doubled { LeaseError::Doubled } else { LeaseError::Late })
+        let (serial, end) = self.ended[id.serial as usize % MAX_ENDED_LEASES];
+        let duplicate = serial == id.serial && end == LeaseEnd::Reported;
+        Some(if duplicate { LeaseError::AlreadyReported } else { LeaseError::Late })
     }
 
     /// Settles a lease by its holder's report.
     pub(crate) fn reported(&mut self, serial: u64) -> Option<Lease> {
-        let lease = self.end(serial, End::Reported)?;
+        let lease = self.end(serial, LeaseEnd::Reported)?;
         self.counts.reported += 1;
         Some(lease)
     }
@@ -223,15 +226,15 @@
             Some(lease) if lease.expires > now => Err(lease.expires),
             Some(_) => {
                 self.counts.expired += 1;
-                Ok(self.end(serial, End::Expired))
+                Ok(self.end(serial, LeaseEnd::Expired))
             }
             None => Ok(None),
         }
     }
 
-    fn end(&mut self, serial: u64, end: End) -> Option<Lease> {
+    fn end(&mut self, serial: u64, end: LeaseEnd) -> Option<Lease> {
         let lease = self.out.remove(&serial)?;
-        self.ended[serial as usize % REMEMBERED] = (serial, end);
+        self.ended[serial as usize % MAX_ENDED_LEASES] = (serial, end);
         Some(lease)
     }
 
@@ -267,16 +270,16 @@
         let (a, b) = (leases.grant(lease()).expect("room"), leases.grant(lease()).expect("room"));
         assert_eq!(leases.grant(lease()), None, "the bound");
         assert!(leases.reported(a.serial).is_some() && leases.reported(a.serial).is_none());
-        assert_eq!(leases.find(10, a).err(), Some(LeaseError::Doubled));
+        assert_eq!(leases.find(10, a).err(), Some(LeaseError::AlreadyReported));
         assert_eq!(leases.find(100, b).err(), Some(LeaseError::Late), "its timer has not had its turn");
         assert!(matches!(leases.expire(100, b.serial), Ok(Some(_))));
         assert_eq!(leases.find(100, b).err(), Some(LeaseError::Late));
-        assert_eq!(leases.find(10, LeaseId { life: 8, ..a }).err(), Some(LeaseError::Foreign));
+        assert_eq!(leases.find(10, LeaseId { incarnation: 8, ..a }).err(), Some(LeaseError::Foreign));
         assert_eq!(leases.find(10, LeaseId { serial: 3, ..a }).err(), Some(LeaseError::Unknown));
         assert_eq!(leases.find(10, LeaseId { serial: 0, ..a }).err(), Some(LeaseError::Unknown));
         let counts = leases.counts;
         assert_eq!((counts.granted, counts.reported, counts.expired), (2, 1, 1));
-        assert_eq!((counts.late, counts.doubled, counts.foreign, counts.unknown), (2, 1, 1, 2));
+        assert_eq!((counts.late, counts.duplicate, counts.foreign, counts.unknown), (2, 1, 1, 2));
     }
 
     #[test]
@@ -284,17 +287,17 @@
         let mut leases = Leases::new(9, 2);
         let first = leases.grant(lease()).expect("room");
         leases.reported(first.serial);
-        for _ in 0..REMEMBERED * 3 {
+        for _ in 0..MAX_ENDED_LEASES * 3 {
             let id = leases.grant(lease()).expect("room");
             leases.reported(id.serial);
         }
-        assert_eq!((leases.len(), leases.ended.len()), (0, REMEMBERED));
+        assert_eq!((leases.len(), leases.ended.len()), (0, MAX_ENDED_LEASES));
         assert_eq!(leases.find(10, first).err(), Some(LeaseError::Late), "forgotten, and still not granted");
     }
 
     #[test]
     fn ids_read_back_as_written_and_nothing_else_is_taken() {
-        let id = LeaseId { life: u64::MAX, serial: 42 };
+        let id = LeaseId { incarnation: u64::MAX, serial: 42 };
         assert_eq!(id.to_string().parse(), Ok(id));
         for text in
             ["", "-", "1-2", "+00000000000000f-0000000000000001", "é", "0000000000000001-000000000000000g"]
--- a/crates/request-engine/src/outside.rs
+++ b/crates/request-engine/src/lease_events.rs
@@ -5,7 +5,7 @@
 //! afterwards. What can stand here at a time is bounded by what the engine may have open: an answer for each request,
 //! a grant and a revocation for each lease.
 
-use crate::engine::{Grant, Verdict};
+use crate::engine::{FinalOutcome, LeaseGrant};
 use crate::lease::LeaseId;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -13,40 +13,40 @@
 
 /// A front's name for one of its requests, never given twice in a life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct RequestHandle(pub u64);
 
 /// What the engine says.
 #[derive(Debug, PartialEq)]
-pub enum Word {
+pub enum LeaseEvent {
     /// The caller may make an attempt.
-    Granted(Ticket, Grant),
+    Granted(RequestHandle, LeaseGrant),
     /// A caller that has not begun to send must not.
-    Revoked(Ticket, LeaseId),
+    Revoked(RequestHandle, LeaseId),
     /// The final answer.
-    Answered(Ticket, Verdict<()>),
+    Completed(RequestHandle, FinalOutcome<()>),
 }
 
 /// Words that the front has not taken yet.
 #[derive(Debug, Default)]
-pub struct Inbox {
-    words: RefCell<VecDeque<Word>>,
+pub struct LeaseEventQueue {
+    words: RefCell<VecDeque<LeaseEvent>>,
     wake: Notify,
 }
 
-impl Inbox {
+impl LeaseEventQueue {
     /// Puts a word and wakes the front.
-    pub fn put(&self, word: Word) {
+    pub fn push(&self, word: LeaseEvent) {
         self.words.borrow_mut().push_back(word);
         self.wake.notify_one();
     }
 
     /// The oldest word.
-    pub fn take(&self) -> Option<Word> {
+    pub fn pop(&self) -> Option<LeaseEvent> {
         self.words.borrow_mut().pop_front()
     }
 
     /// Waits until there may be a word.
-    pub async fn waiting(&self) {
+    pub async fn wait(&self) {
         self.wake.notified().await;
     }
 }
--- a/crates/request-engine/src/terms.rs
+++ b/crates/request-engine/src/messages.rs
@@ -5,32 +5,32 @@
 use thiserror::Error;
 
 /// The front's types that travel through the engine.
-pub trait Exchange {
+pub trait MessageTypes {
     /// What a carried attempt sends, the same at every attempt.
-    type Work: Clone;
+    type OutboundRequest: Clone;
     /// Where the final answer goes.
-    type Reply;
+    type Responder;
     /// A backend's answer.
-    type Payload;
+    type Response;
 
     /// Whether this can be sent only once, since not all of it is kept.
-    fn goes_once(_work: &Self::Work) -> bool {
+    fn is_single_use(_work: &Self::OutboundRequest) -> bool {
         false
     }
 }
 
 /// Who makes the attempts of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Conduct<W> {
+pub enum Dispatch<W> {
     /// The engine's transport, with this.
-    Carried(W),
+    Proxied(W),
     /// A caller outside, under leases.
     Leased,
 }
 
 /// A request as a front took it.
 #[derive(Clone, Debug)]
-pub struct Arrival<W> {
+pub struct IncomingRequest<W> {
     /// Position of its class in the settings.
     pub class: u8,
     /// Position of its tenant in the settings.
@@ -38,24 +38,24 @@
     /// What it is about.
     pub key: Option<u64>,
     /// When it came, microseconds.
-    pub arrived: Micros,
+    pub arrived_at: Micros,
     /// How long from then on its client waits, microseconds.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// Expected work on a standard core, microseconds.
-    pub work: Option<Micros>,
+    pub expected_work: Option<Micros>,
     /// Whether the client marked it as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Who makes its attempts.
-    pub conduct: Conduct<W>,
+    pub dispatch: Dispatch<W>,
 }
 
 /// The final answer to a request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict<P> {
+pub enum FinalOutcome<P> {
     /// A backend's answer; `None` where the holder of a lease has it.
     Served(Option<P>),
     /// Turned away; trying again is harmless.
-    Refused {
+    Rejected {
         /// How long the client should stay away, microseconds; 0: no word.
         retry_after: Micros,
     },
@@ -65,26 +65,26 @@
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended<P> {
+pub struct AttemptEnd<P> {
     /// The outcome in the decisions' terms.
     pub outcome: Outcome,
     /// The answer, where the outcome is [`Outcome::Ok`].
-    pub payload: Option<P>,
+    pub response: Option<P>,
     /// The load report that came along, in the order of the settings; empty: none.
-    pub report: Vec<f32>,
+    pub load_report: Vec<f32>,
     /// The part of its time in which the attempt waited for its client; it says nothing of the backend.
-    pub waited: Micros,
+    pub client_wait: Micros,
 }
 
-impl<P> From<Outcome> for Ended<P> {
+impl<P> From<Outcome> for AttemptEnd<P> {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, payload: None, report: Vec::new(), waited: 0 }
+        Self { outcome, response: None, load_report: Vec::new(), client_wait: 0 }
     }
 }
 
 /// A lease as its holder is told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// Its id, a fencing token.
     pub lease: LeaseId,
     /// The request.
@@ -103,16 +103,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
     /// From when on it may not begin any more; `Micros::MAX`: never.
-    pub begin_by: Micros,
+    pub start_by: Micros,
     /// When to give it up.
     pub give_up_at: Micros,
 }
 
 /// What the engine wants done.
 #[derive(Debug, PartialEq)]
-pub enum Command<X: Exchange> {
-    /// Make an attempt; [`Engine::ended`](crate::engine::Engine::ended) is owed for it.
-    Start {
+pub enum Command<X: MessageTypes> {
+    /// Make an attempt; [`Engine::attempt_finished`](crate::engine::Engine::attempt_finished) is owed for it.
+    StartAttempt {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
@@ -122,53 +122,53 @@
         /// When it may begin, and when it ends.
         schedule: Schedule,
         /// What to send.
-        work: X::Work,
+        outbound_request: X::OutboundRequest,
     },
     /// Give an attempt up; its end is still owed.
-    Withdraw {
+    CancelAttempt {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u16,
     },
     /// Give an attempt up if no byte of it has left: its client has gone. Otherwise it goes on; its end is owed either way.
-    WithdrawUnsent {
+    CancelUnsentAttempt {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u16,
     },
-    /// Tell the front that its caller holds a lease; [`Engine::report`](crate::engine::Engine::report) is owed for it.
-    Grant(Grant),
+    /// Tell the front that its caller holds a lease; [`Engine::report_result`](crate::engine::Engine::report_result) is owed for it.
+    GrantLease(LeaseGrant),
     /// Ask a lease back: a holder that has not begun to send must not, and reports [`Outcome::Moot`].
-    Revoke {
+    RevokeLease {
         /// The request.
         request: RequestId,
         /// The lease.
         lease: LeaseId,
     },
     /// The final answer.
-    Answer {
+    Respond {
         /// The request.
         request: RequestId,
         /// Where it goes.
-        reply: X::Reply,
+        responder: X::Responder,
         /// What it is.
-        verdict: Verdict<X::Payload>,
+        outcome: FinalOutcome<X::Response>,
     },
     /// Ask discovery for changes from now on.
     Subscribe,
     /// Probe a backend.
-    Probe(BackendId),
+    CheckHealth(BackendId),
     /// Close the idle connections to a backend.
-    CloseIdle(BackendId),
+    CloseIdleConnections(BackendId),
     /// A line for the operators.
     Log(String),
 }
 
 /// What there may be at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct EngineLimits {
     /// Requests whose attempts have not all ended. A further one is not taken.
     pub requests: usize,
     /// Leases that are out. At the bound no request for leases is taken, and no further attempt granted.
@@ -190,23 +190,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Taken.
-    pub taken: u64,
+    pub admitted: u64,
     /// Not taken, at a bound.
-    pub overload: u64,
+    pub overloaded: u64,
     /// Answered by a backend.
     pub served: u64,
     /// Refused by the decisions.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed, those at the last moment too.
     pub failed: u64,
     /// Left open by the decisions until the last moment.
-    pub last_moment: u64,
+    pub deadline_failures: u64,
     /// Their client left.
-    pub gone: u64,
+    pub client_disconnected: u64,
     /// Attempts begun.
     pub attempts: u64,
     /// Ends of attempts that were not out.
-    pub stray: u64,
+    pub unmatched: u64,
     /// Ends of attempts by outcome, in the order of [`Outcome::ALL`].
     pub outcomes: [u64; Outcome::ALL.len()],
     /// Servers ejected because their requests failed.
--- a/crates/request-engine/src/open.rs
+++ b/crates/request-engine/src/open.rs
@@ -1,6 +1,6 @@
 //! What the engine keeps of a request that is open.
 
-use crate::terms::{Conduct, Exchange};
+use crate::messages::{Dispatch, MessageTypes};
 use balancer::api::{BackendId, Micros, RequestId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,16 +19,16 @@
     pub(crate) lease: u64,
 }
 
-pub(crate) struct Open<X: Exchange> {
-    pub(crate) conduct: Conduct<X::Work>,
+pub(crate) struct Open<X: MessageTypes> {
+    pub(crate) conduct: Dispatch<X::OutboundRequest>,
     /// `None` once the client has its final answer or has left.
-    pub(crate) reply: Option<X::Reply>,
+    pub(crate) reply: Option<X::Responder>,
     /// How often it may be sent.
     pub(crate) max_attempts: usize,
     pub(crate) attempts: Vec<Attempt>,
 }
 
-impl<X: Exchange> Open<X> {
+impl<X: MessageTypes> Open<X> {
     pub(crate) fn is_over(&self) -> bool {
         self.reply.is_none() && self.attempts.iter().all(|a| a.state == State::Ended)
     }
--- a/crates/request-engine/src/timers.rs
+++ b/crates/request-engine/src/timers.rs
@@ -8,13 +8,13 @@
 const MIN_SWEEP_SIZE: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
+pub(crate) enum TimerKind {
     /// A timer of the decisions.
     Decision(u32),
     /// The last moment for a request's answer.
-    LastMoment(RequestId),
+    ResponseDeadline(RequestId),
     /// The end of the lease with this serial number.
-    LeaseEnd(u64),
+    LeaseExpiry(u64),
 }
 
 /// Timers by due time. An entry whose cause has ended is not removed but passed over when it falls due; so that
@@ -22,16 +22,16 @@
 /// it has grown to twice what the last sweep left.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
-    heap: BinaryHeap<Reverse<(Micros, Due)>>,
+    heap: BinaryHeap<Reverse<(Micros, TimerKind)>>,
     sweep_at: usize,
 }
 
 impl Timers {
-    /// Adds an entry; `lives` tells whether an entry's cause still stands.
-    pub(crate) fn add(&mut self, at: Micros, due: Due, lives: impl Fn(Due) -> bool) {
-        self.heap.push(Reverse((at, due)));
+    /// Adds an entry; `is_active` tells whether an entry's cause still stands.
+    pub(crate) fn add(&mut self, at: Micros, kind: TimerKind, is_active: impl Fn(TimerKind) -> bool) {
+        self.heap.push(Reverse((at, kind)));
         if self.heap.len() > self.sweep_at.max(MIN_SWEEP_SIZE) {
-            self.heap.retain(|&Reverse((_, due))| lives(due));
+            self.heap.retain(|&Reverse((_, kind))| is_active(kind));
             self.sweep_at = self.heap.len() * 2;
         }
     }
@@ -41,9 +41,9 @@
     }
 
     /// Takes the first entry that is due at `now`.
-    pub(crate) fn pop(&mut self, now: Micros) -> Option<Due> {
+    pub(crate) fn pop(&mut self, now: Micros) -> Option<TimerKind> {
         self.next().filter(|&at| at <= now)?;
-        self.heap.pop().map(|Reverse((_, due))| due)
+        self.heap.pop().map(|Reverse((_, kind))| kind)
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/crates/request-engine/src/timers/tests.rs
+++ b/crates/request-engine/src/timers/tests.rs
@@ -4,12 +4,12 @@
 fn entries_fall_due_in_order_and_not_before_their_time() {
     let mut timers = Timers::default();
     for at in [30, 10, 20] {
-        timers.add(at, Due::Decision(at as u32), |_| true);
+        timers.add(at, TimerKind::Decision(at as u32), |_| true);
     }
     assert_eq!(timers.pop(9), None);
     assert_eq!(
         (timers.pop(20), timers.pop(20), timers.pop(20)),
-        (Some(Due::Decision(10)), Some(Due::Decision(20)), None)
+        (Some(TimerKind::Decision(10)), Some(TimerKind::Decision(20)), None)
     );
     assert_eq!(timers.next(), Some(30));
 }
@@ -18,7 +18,9 @@
 fn entries_whose_cause_has_ended_do_not_pile_up() {
     let mut timers = Timers::default();
     for request in 0..1_000_000 {
-        timers.add(1_000_000, Due::LastMoment(request), |due| due == Due::LastMoment(request));
+        timers.add(1_000_000, TimerKind::ResponseDeadline(request), |kind| {
+            kind == TimerKind::ResponseDeadline(request)
+        });
     }
     assert!(timers.len() <= MIN_SWEEP_SIZE + 1, "{} entries", timers.len());
 }
--- a/crates/request-engine/tests/random.rs
+++ b/crates/request-engine/tests/random.rs
@@ -67,7 +67,7 @@
 fn play(world: &mut World, step: &Step) {
     match *step {
         Step::Ask { class, leased, patience_ms } => {
-            let conduct = if leased { Conduct::Leased } else { Conduct::Carried(()) };
+            let conduct = if leased { Dispatch::Leased } else { Dispatch::Proxied(()) };
             world.ask_for(class, conduct, patience_ms * MS);
         }
         Step::End { which, outcome } => {
@@ -79,15 +79,19 @@
             let over = world.clients.values().flat_map(|c| &c.attempts).filter(|a| a.ran != Ran::Out);
             let over: Vec<_> = over.map(|a| (a.request, a.number, a.lease)).collect();
             let Some((request, number, lease)) = pick(&over, which) else { return };
-            let before = (world.engine.open(), world.engine.leases(), world.engine.counts().served);
+            let before =
+                (world.engine.open_requests(), world.engine.active_leases(), world.engine.counts().served);
             match lease {
-                None => world.engine.ended(world.now, request, number, OUTCOMES[outcome].into()),
+                None => world.engine.attempt_finished(world.now, request, number, OUTCOMES[outcome].into()),
                 Some(grant) => {
-                    let said = world.engine.report(world.now, grant.lease, OUTCOMES[outcome].into());
+                    let said = world.engine.report_result(world.now, grant.lease, OUTCOMES[outcome].into());
                     assert!(said.is_err(), "a second report was taken");
                 }
             }
-            assert_eq!(before, (world.engine.open(), world.engine.leases(), world.engine.counts().served));
+            assert_eq!(
+                before,
+                (world.engine.open_requests(), world.engine.active_leases(), world.engine.counts().served)
+            );
         }
         Step::Establish { which } => {
             if let Some(which) = pick(&world.out(), which) {
@@ -96,15 +100,15 @@
         }
         Step::Renew { which } => {
             if let Some(grant) = pick(&world.out(), which).and_then(|w| world.attempt(w).lease) {
-                let _ = world.engine.renew(world.now, grant.lease);
+                let _ = world.engine.renew_session(world.now, grant.lease);
             }
         }
         Step::Forge { life, serial } => {
-            let lease = LeaseId { life, serial };
+            let lease = LeaseId { incarnation: life, serial };
             let is_out =
                 world.out().iter().any(|w| world.attempt(*w).lease.is_some_and(|g| g.lease == lease));
             if !is_out {
-                assert!(world.engine.report(world.now, lease, Outcome::Ok.into()).is_err());
+                assert!(world.engine.report_result(world.now, lease, Outcome::Ok.into()).is_err());
             }
         }
         Step::Leave { which } => {
@@ -131,7 +135,7 @@
                 out.lease.is_none() && (out.request, out.number) == (request, attempt)
             });
             if !known {
-                world.engine.ended(world.now, request, attempt, OUTCOMES[outcome].into());
+                world.engine.attempt_finished(world.now, request, attempt, OUTCOMES[outcome].into());
             }
         }
     }
@@ -143,7 +147,7 @@
 
     #[test]
     fn the_rules_hold_whatever_is_told_in_whatever_order(steps in prop::collection::vec(step(), 1..250)) {
-        let mut world = World::new(settings(), Bounds { requests: 60, leases: 40 }, 0..9);
+        let mut world = World::new(settings(), EngineLimits { requests: 60, leases: 40 }, 0..9);
         for step in &steps {
             play(&mut world, step);
         }
--- a/crates/request-engine/tests/same_turn.rs
+++ b/crates/request-engine/tests/same_turn.rs
@@ -9,7 +9,7 @@
 /// A world with one carried request of this class, whose first attempt is out.
 fn carried(class: u8) -> (World, u32) {
     let mut world = World::new(settings(), World::roomy(), 0..10);
-    let client = world.ask(class, Conduct::Carried(())).expect("there is room");
+    let client = world.ask(class, Dispatch::Proxied(())).expect("there is room");
     assert!(world.attempt_is_out(client));
     (world, client)
 }
@@ -24,7 +24,11 @@
             world.now = world.clients[&client].end - LAST_MARGIN;
             if answer_first {
                 world.end((client, 0), Outcome::Ok).expect("a carried attempt");
-                assert_eq!(world.clients[&client].verdict, Some(Verdict::Served(Some(client))), "{class}");
+                assert_eq!(
+                    world.clients[&client].verdict,
+                    Some(FinalOutcome::Served(Some(client))),
+                    "{class}"
+                );
                 world.pass(0);
             } else {
                 world.pass(0);
@@ -57,9 +61,9 @@
         world.pass(10 * MS);
         world.end((client, 0), outcome).expect("a carried attempt");
         let further = world.attempt((client, 1)).clone();
-        world.engine.client_gone(world.now, further.request);
+        world.engine.client_disconnected(world.now, further.request);
         let orders: Vec<_> = std::iter::from_fn(|| world.engine.next_command()).collect();
-        let taken_back = Command::WithdrawUnsent { request: further.request, attempt: further.number };
+        let taken_back = Command::CancelUnsentAttempt { request: further.request, attempt: further.number };
         assert!(orders.contains(&taken_back), "{outcome:?}: {orders:?}");
     }
 }
--- a/crates/request-engine/tests/world/mod.rs
+++ b/crates/request-engine/tests/world/mod.rs
@@ -16,10 +16,10 @@
 #[derive(Debug, PartialEq)]
 pub struct Numbers;
 
-impl Exchange for Numbers {
-    type Work = ();
-    type Reply = u32;
-    type Payload = u32;
+impl MessageTypes for Numbers {
+    type OutboundRequest = ();
+    type Responder = u32;
+    type Response = u32;
 }
 
 fn class(effect: Idempotency) -> Class {
@@ -93,7 +93,7 @@
     pub sent_at: Micros,
     pub ran: Ran,
     pub session: bool,
-    pub lease: Option<Grant>,
+    pub lease: Option<LeaseGrant>,
     pub revoked: bool,
 }
 
@@ -101,7 +101,7 @@
 pub struct Client {
     pub class: u8,
     pub end: Micros,
-    pub verdict: Option<Verdict<u32>>,
+    pub verdict: Option<FinalOutcome<u32>>,
     pub gone: bool,
     pub attempts: Vec<Attempt>,
 }
@@ -117,13 +117,17 @@
 }
 
 impl World {
-    pub fn new(settings: Settings, bounds: Bounds, backends: impl IntoIterator<Item = BackendId>) -> Self {
+    pub fn new(
+        settings: Settings,
+        bounds: EngineLimits,
+        backends: impl IntoIterator<Item = BackendId>,
+    ) -> Self {
         Self::with_life(settings, bounds, backends, 0xfeed)
     }
 
     pub fn with_life(
         settings: Settings,
-        bounds: Bounds,
+        bounds: EngineLimits,
         backends: impl IntoIterator<Item = BackendId>,
         life: u64,
     ) -> Self {
@@ -142,13 +146,13 @@
         world
     }
 
-    pub fn roomy() -> Bounds {
-        Bounds { requests: 100_000, leases: 100_000 }
+    pub fn roomy() -> EngineLimits {
+        EngineLimits { requests: 100_000, leases: 100_000 }
     }
 
     pub fn full(&mut self, list: Vec<Backend>) {
         self.listed = list.iter().map(|b| (b.id, *b)).collect();
-        self.engine.membership(self.now, MembershipUpdate::Snapshot(&list));
+        self.engine.update_membership(self.now, MembershipUpdate::Snapshot(&list));
         self.obey();
     }
 
@@ -158,27 +162,27 @@
         } else {
             self.listed.insert(entry.id, entry);
         }
-        self.engine.membership(self.now, MembershipUpdate::Delta(&[entry]));
+        self.engine.update_membership(self.now, MembershipUpdate::Delta(&[entry]));
         self.obey();
     }
 
     /// A client asks; gives its number, or `None` where the engine takes no more.
-    pub fn ask(&mut self, class: u8, conduct: Conduct<()>) -> Option<u32> {
+    pub fn ask(&mut self, class: u8, conduct: Dispatch<()>) -> Option<u32> {
         self.ask_for(class, conduct, 2 * SECOND)
     }
 
-    pub fn ask_for(&mut self, class: u8, conduct: Conduct<()>, patience: Micros) -> Option<u32> {
+    pub fn ask_for(&mut self, class: u8, conduct: Dispatch<()>, patience: Micros) -> Option<u32> {
         let client = self.next_client;
         self.next_client += 1;
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             class,
             tenant: 0,
             key: None,
-            arrived: self.now,
-            patience,
-            work: None,
-            repeat: false,
-            conduct,
+            arrived_at: self.now,
+            timeout: patience,
+            expected_work: None,
+            is_retry: false,
+            dispatch: conduct,
         };
         let end = self.now + patience;
         let facts = Client { class, end, verdict: None, gone: false, attempts: Vec::new() };
@@ -198,13 +202,13 @@
         }
     }
 
-    pub fn lease(&mut self, class: u8) -> (u32, Option<Grant>) {
-        let client = self.ask(class, Conduct::Leased).expect("there is room");
+    pub fn lease(&mut self, class: u8) -> (u32, Option<LeaseGrant>) {
+        let client = self.ask(class, Dispatch::Leased).expect("there is room");
         (client, self.granted(client))
     }
 
     /// The latest lease of a client that is not settled.
-    pub fn granted(&self, client: u32) -> Option<Grant> {
+    pub fn granted(&self, client: u32) -> Option<LeaseGrant> {
         self.clients[&client].attempts.iter().rev().find(|a| a.ran == Ran::Out).and_then(|a| a.lease)
     }
 
@@ -229,14 +233,14 @@
     pub fn end(&mut self, which: (u32, u16), outcome: Outcome) -> Result<(), LeaseError> {
         let attempt = self.attempt(which).clone();
         let payload = (outcome == Outcome::Ok && attempt.lease.is_none()).then_some(which.0);
-        let ended = Ended { outcome, payload, report: Vec::new(), waited: 0 };
+        let ended = AttemptEnd { outcome, response: payload, load_report: Vec::new(), client_wait: 0 };
         // What the world then knows counts before the engine's commands are looked at.
         let accepted = match attempt.lease {
             None => {
-                self.engine.ended(self.now, attempt.request, attempt.number, ended);
+                self.engine.attempt_finished(self.now, attempt.request, attempt.number, ended);
                 Ok(())
             }
-            Some(grant) => self.engine.report(self.now, grant.lease, ended),
+            Some(grant) => self.engine.report_result(self.now, grant.lease, ended),
         };
         if accepted.is_ok() {
             self.mark(which, if outcome.never_executed() { Ran::Never } else { Ran::Maybe });
@@ -249,10 +253,10 @@
         let attempt = self.attempt(which).clone();
         let done = match attempt.lease {
             None => {
-                self.engine.established(self.now, attempt.request, attempt.number, which.0);
+                self.engine.session_established(self.now, attempt.request, attempt.number, which.0);
                 Ok(())
             }
-            Some(grant) => self.engine.establish(self.now, grant.lease).map(|_| ()),
+            Some(grant) => self.engine.establish_session(self.now, grant.lease).map(|_| ()),
         };
         if done.is_ok() {
             self.slot(which).session = true;
@@ -275,14 +279,14 @@
         facts.gone |= facts.verdict.is_none();
         let request =
             self.by_request.iter().find(|(_, c)| **c == client).map(|(r, _)| *r).expect("its request");
-        self.engine.client_gone(self.now, request);
+        self.engine.client_disconnected(self.now, request);
         self.obey();
     }
 
     /// Lets time pass from one due timer to the next.
     pub fn pass(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(due) = self.engine.next_due().filter(|&due| due <= end) {
+        while let Some(due) = self.engine.next_timer().filter(|&due| due <= end) {
             self.now = self.now.max(due);
             self.expire_leases();
             self.engine.advance(self.now);
@@ -298,7 +302,7 @@
         let now = self.now;
         let lately = self.clients.values_mut().rev().take_while(|c| now < c.end + LATELY);
         for attempt in lately.flat_map(|c| &mut c.attempts) {
-            let over = |g: Grant| now >= g.give_up_at + REPORT_GRACE;
+            let over = |g: LeaseGrant| now >= g.give_up_at + REPORT_GRACE;
             if attempt.ran == Ran::Out && !attempt.session && attempt.lease.is_some_and(over) {
                 attempt.ran = Ran::Maybe;
             }
@@ -316,11 +320,11 @@
     fn obey(&mut self) {
         while let Some(command) = self.engine.next_command() {
             match command {
-                Command::Start { request, attempt, backend, schedule, .. } => {
-                    assert!(schedule.begin_by > self.now, "it may not begin any more");
+                Command::StartAttempt { request, attempt, backend, schedule, .. } => {
+                    assert!(schedule.start_by > self.now, "it may not begin any more");
                     self.check_send(request, attempt, backend, schedule.give_up_at, None);
                 }
-                Command::Grant(grant) => {
+                Command::GrantLease(grant) => {
                     self.check_send(
                         grant.request,
                         grant.attempt,
@@ -329,13 +333,15 @@
                         Some(grant),
                     );
                 }
-                Command::Revoke { request, lease } => self.check_revoke(request, lease),
-                Command::Answer { reply, verdict, .. } => self.check_answer(reply, verdict),
-                Command::Withdraw { .. }
-                | Command::WithdrawUnsent { .. }
+                Command::RevokeLease { request, lease } => self.check_revoke(request, lease),
+                Command::Respond { responder: reply, outcome: verdict, .. } => {
+                    self.check_answer(reply, verdict)
+                }
+                Command::CancelAttempt { .. }
+                | Command::CancelUnsentAttempt { .. }
                 | Command::Subscribe
-                | Command::Probe(_)
-                | Command::CloseIdle(_)
+                | Command::CheckHealth(_)
+                | Command::CloseIdleConnections(_)
                 | Command::Log(_) => {}
             }
         }
@@ -347,7 +353,7 @@
         number: u16,
         backend: BackendId,
         give_up_at: Micros,
-        lease: Option<Grant>,
+        lease: Option<LeaseGrant>,
     ) {
         let client = self.by_request[&request];
         let listed = self.listed.get(&backend).copied();
@@ -394,12 +400,12 @@
         attempt.revoked = true;
     }
 
-    fn check_answer(&mut self, client: u32, verdict: Verdict<u32>) {
+    fn check_answer(&mut self, client: u32, verdict: FinalOutcome<u32>) {
         let classes = &self.classes;
         let facts = self.clients.get_mut(&client).expect("a client that is known");
         assert!(facts.verdict.is_none() && !facts.gone, "rule 1: client {client} is answered twice");
         assert!(self.now <= facts.end, "rule 1: client {client} is answered after its time");
-        if matches!(verdict, Verdict::Refused { .. }) {
+        if matches!(verdict, FinalOutcome::Rejected { .. }) {
             let may_have_run = facts.attempts.iter().any(|a| a.ran != Ran::Never);
             let safe = classes[usize::from(facts.class)].idempotency == Idempotency::Idempotent;
             assert!(safe || !may_have_run, "rule 2: refused what may have run");
@@ -415,9 +421,16 @@
         }
         self.pass(SESSION_LEASE + 4 * SECOND);
         self.check_answers();
-        assert_eq!((self.engine.open(), self.engine.leases()), (0, 0), "something is left open");
+        assert_eq!(
+            (self.engine.open_requests(), self.engine.active_leases()),
+            (0, 0),
+            "something is left open"
+        );
         let (counts, leases) = (self.engine.counts(), self.engine.lease_counts());
-        assert_eq!(counts.taken, counts.served + counts.refused + counts.failed + counts.gone);
+        assert_eq!(
+            counts.admitted,
+            counts.served + counts.rejected + counts.failed + counts.client_disconnected
+        );
         assert_eq!(leases.granted, leases.reported + leases.expired);
     }
 }
--- a/crates/testbed/benches/decision.rs
+++ b/crates/testbed/benches/decision.rs
@@ -2,7 +2,9 @@
 //!
 //! `cargo bench -p testbed`; prints the exponent of the curve from 100 to 10,000 boxes at the end.
 
-use balancer::api::{Action, Backend, Event, MembershipUpdate, Micros, Outcome, Readiness, Request, AttemptResult};
+use balancer::api::{
+    Action, AttemptResult, Backend, Event, MembershipUpdate, Micros, Outcome, Readiness, Request,
+};
 use balancer::balancer::Balancer;
 use criterion::{BenchmarkId, Criterion};
 use std::hint::black_box;
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -13,7 +13,8 @@
 use balancer::api::{Backend, BackendId, MembershipUpdate, Micros, Outcome, RequestId, SettingsError};
 use processes::Process;
 use request_engine::engine::{
-    Arrival, Bounds, Command, Conduct, Counts, Ended, Engine, Exchange, Grant, Overload, Verdict,
+    AttemptEnd, Command, Counts, Dispatch, Engine, EngineLimits, FinalOutcome, IncomingRequest, LeaseGrant,
+    MessageTypes, Overload,
 };
 use request_engine::lease::{LeaseCounts, LeaseId};
 use rustc_hash::FxHashMap;
@@ -29,15 +30,15 @@
 const CALLER_TIME: Micros = 500;
 const SLOW_CALLER: Micros = 600_000;
 /// What one engine may have open.
-const BOUNDS: Bounds = Bounds { requests: 20_000, leases: 5_000 };
+const BOUNDS: EngineLimits = EngineLimits { requests: 20_000, leases: 5_000 };
 
 struct Virtual;
 
-impl Exchange for Virtual {
+impl MessageTypes for Virtual {
     /// The client's number.
-    type Work = u64;
-    type Reply = u64;
-    type Payload = ();
+    type OutboundRequest = u64;
+    type Responder = u64;
+    type Response = ();
 }
 
 /// What came of a day.
@@ -179,7 +180,7 @@
     };
     for engine in &world.proxies {
         add(&mut report.counts, &mut report.leases, engine.counts(), engine.lease_counts());
-        report.left_open += engine.open() + engine.leases();
+        report.left_open += engine.open_requests() + engine.active_leases();
     }
     Ok(report)
 }
@@ -192,24 +193,24 @@
 }
 
 fn add(all: &mut Counts, all_leases: &mut LeaseCounts, one: Counts, leases: LeaseCounts) {
-    all.taken += one.taken;
-    all.overload += one.overload;
+    all.admitted += one.admitted;
+    all.overloaded += one.overloaded;
     all.served += one.served;
-    all.refused += one.refused;
+    all.rejected += one.rejected;
     all.failed += one.failed;
-    all.last_moment += one.last_moment;
-    all.gone += one.gone;
+    all.deadline_failures += one.deadline_failures;
+    all.client_disconnected += one.client_disconnected;
     all.attempts += one.attempts;
-    all.stray += one.stray;
+    all.unmatched += one.unmatched;
     all_leases.granted += leases.granted;
     all_leases.reported += leases.reported;
     all_leases.expired += leases.expired;
     all_leases.revoked += leases.revoked;
     all_leases.late += leases.late;
-    all_leases.doubled += leases.doubled;
+    all_leases.duplicate += leases.duplicate;
     all_leases.foreign += leases.foreign;
     all_leases.unknown += leases.unknown;
-    all_leases.misfit += leases.misfit;
+    all_leases.wrong_state += leases.wrong_state;
 }
 
 impl<'a> World<'a> {
@@ -246,7 +247,7 @@
         };
         world.first_list = (0..script.fleet.boxes).map(|b| world.entry(b)).collect();
         for proxy in 0..world.proxies.len() {
-            world.proxies[proxy].membership(START, MembershipUpdate::Snapshot(&world.first_list));
+            world.proxies[proxy].update_membership(START, MembershipUpdate::Snapshot(&world.first_list));
             world.obey(proxy);
         }
         for (i, event) in plan.processes.iter().enumerate() {
@@ -349,15 +350,15 @@
         let arrival = self.plan.arrivals[which];
         let leased = self.rng.f64() < self.script.traffic.leased;
         let client = which as u64;
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             class: arrival.class,
             tenant: arrival.tenant,
             key: None,
-            arrived: self.now,
-            patience: self.script.class[usize::from(arrival.class)].deadline_ms * 1_000,
-            work: None,
-            repeat: false,
-            conduct: if leased { Conduct::Leased } else { Conduct::Carried(client) },
+            arrived_at: self.now,
+            timeout: self.script.class[usize::from(arrival.class)].deadline_ms * 1_000,
+            expected_work: None,
+            is_retry: false,
+            dispatch: if leased { Dispatch::Leased } else { Dispatch::Proxied(client) },
         };
         if let Err(Overload::Requests(client) | Overload::Leases(client)) =
             self.proxies[proxy].admit(self.now, arrival, client)
@@ -382,36 +383,36 @@
     fn obey(&mut self, proxy: usize) {
         while let Some(command) = self.proxies[proxy].next_command() {
             match command {
-                Command::Start { request, attempt, backend, schedule, work: client } => {
+                Command::StartAttempt { request, attempt, backend, schedule, outbound_request: client } => {
                     let give_up_at = schedule.give_up_at;
                     let which = self.attempt(proxy, client, (request, attempt), backend, give_up_at);
                     let way = self.way(which);
                     self.after(way, Event::ToBox(which));
                     self.at(give_up_at, Event::GiveUp(which));
                 }
-                Command::Grant(grant) => self.granted(proxy, grant),
-                Command::Revoke { lease, .. } => {
+                Command::GrantLease(grant) => self.granted(proxy, grant),
+                Command::RevokeLease { lease, .. } => {
                     if let Some(&which) = self.by_lease.get(&lease) {
                         self.tries[which].revoked = true;
                     }
                 }
-                Command::Answer { reply, verdict, .. } => {
+                Command::Respond { responder: reply, outcome: verdict, .. } => {
                     let got = match verdict {
-                        Verdict::Served(_) => Got::Served,
-                        Verdict::Refused { .. } => Got::Refused,
-                        Verdict::Failed => Got::Failed,
+                        FinalOutcome::Served(_) => Got::Served,
+                        FinalOutcome::Rejected { .. } => Got::Refused,
+                        FinalOutcome::Failed => Got::Failed,
                     };
                     self.record.add(self.now, Seen::Answered { id: reply, got });
                 }
-                Command::Withdraw { .. }
-                | Command::WithdrawUnsent { .. }
+                Command::CancelAttempt { .. }
+                | Command::CancelUnsentAttempt { .. }
                 | Command::Subscribe
-                | Command::Probe(_)
-                | Command::CloseIdle(_)
+                | Command::CheckHealth(_)
+                | Command::CloseIdleConnections(_)
                 | Command::Log(_) => {}
             }
         }
-        if let Some(due) = self.proxies[proxy].next_due().map(|due| due.max(self.now))
+        if let Some(due) = self.proxies[proxy].next_timer().map(|due| due.max(self.now))
             && due < self.proxy_due[proxy]
         {
             self.proxy_due[proxy] = due;
@@ -419,10 +420,10 @@
         }
     }
 
-    fn granted(&mut self, proxy: usize, grant: Grant) {
-        let Grant { lease, request, attempt, backend, send_by, give_up_at } = grant;
+    fn granted(&mut self, proxy: usize, grant: LeaseGrant) {
+        let LeaseGrant { lease, request, attempt, backend, send_by, give_up_at } = grant;
         // A caller that has its answer already lets the lease run out.
-        let Some(&client) = self.proxies[proxy].reply(request) else { return };
+        let Some(&client) = self.proxies[proxy].responder(request) else { return };
         let which = self.attempt(proxy, client, (request, attempt), backend, give_up_at);
         (self.tries[which].lease, self.tries[which].send_by) = (Some(lease), send_by);
         self.by_lease.insert(lease, which);
@@ -466,17 +467,21 @@
         if attempt.life != self.processes[proxy].life || !self.processes[proxy].runs() {
             return;
         }
-        let ended =
-            Ended { outcome, payload: (outcome == Outcome::Ok).then_some(()), report: Vec::new(), waited: 0 };
+        let ended = AttemptEnd {
+            outcome,
+            response: (outcome == Outcome::Ok).then_some(()),
+            load_report: Vec::new(),
+            client_wait: 0,
+        };
         match lease {
-            None => self.proxies[proxy].ended(self.now, request, number, ended),
+            None => self.proxies[proxy].attempt_finished(self.now, request, number, ended),
             Some(lease) => {
                 self.by_lease.remove(&lease);
                 if self.rng.f64() < self.script.traffic.lost_reports {
                     return;
                 }
                 // A late one changes nothing, which the engine counts.
-                let _ = self.proxies[proxy].report(self.now, lease, ended);
+                let _ = self.proxies[proxy].report_result(self.now, lease, ended);
             }
         }
         self.obey(proxy);
--- a/crates/testbed/src/virtual_time/boxes.rs
+++ b/crates/testbed/src/virtual_time/boxes.rs
@@ -90,7 +90,7 @@
         let entry = self.entry(at_box);
         let ready = entry.readiness == Readiness::Ready;
         self.record.add(self.now, Seen::Told { proxy, at_box, ready });
-        self.proxies[proxy].membership(self.now, MembershipUpdate::Delta(&[entry]));
+        self.proxies[proxy].update_membership(self.now, MembershipUpdate::Delta(&[entry]));
         self.obey(proxy);
     }
 
--- a/crates/testbed/src/virtual_time/processes.rs
+++ b/crates/testbed/src/virtual_time/processes.rs
@@ -100,7 +100,8 @@
         self.proxy_due[proxy] = Micros::MAX;
         self.record.add(self.now, Seen::Restarted { proxy });
         if list == Known::Old {
-            self.proxies[proxy].membership(self.now, MembershipUpdate::CachedSnapshot(&self.first_list));
+            self.proxies[proxy]
+                .update_membership(self.now, MembershipUpdate::CachedSnapshot(&self.first_list));
             self.obey(proxy);
         }
         self.after(FIRST_LIST, Event::FirstList(proxy));
@@ -116,7 +117,7 @@
             let ready = entry.readiness == balancer::api::Readiness::Ready;
             self.record.add(self.now, Seen::Told { proxy, at_box, ready });
         }
-        self.proxies[proxy].membership(self.now, MembershipUpdate::Snapshot(&list));
+        self.proxies[proxy].update_membership(self.now, MembershipUpdate::Snapshot(&list));
         self.obey(proxy);
     }
 
