--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -133,6 +133,7 @@
     }
 
     /// How often a server was ejected.
+    #[must_use]
     pub fn ejections(&self) -> u64 {
         self.ejections
     }
--- a/crates/balancer/tests/module.rs
+++ b/crates/balancer/tests/module.rs
@@ -431,7 +431,7 @@
     actions.iter().any(|a| matches!(a, Action::CloseIdleConnections(_)))
 }
 
-/// kochi-main's idle_reap days: connections were dropped unseen while they rested, and each use of one lost a
+/// kochi-main's `idle_reap` days: connections were dropped unseen while they rested, and each use of one lost a
 /// request. After the first loss, one that rested as long is closed before the next send.
 #[test]
 fn a_connection_that_rested_as_long_as_one_that_lost_a_request_is_closed_first() {
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -58,7 +58,7 @@
     }
     for (place, (load, before)) in load.iter().zip(&before).enumerate().filter(|(place, _)| *place != lost) {
         let more = load - before;
-        assert!(more <= 35, "relay {place} got {more} of {} at once, 14 on average", before);
+        assert!(more <= 35, "relay {place} got {more} of {before} at once, 14 on average");
     }
     // Half a second holds them all, and none of its tenths more than a fifth of them.
     assert!(times.iter().all(|time| *time <= 1_000));
--- a/crates/external-processor/src/decision_service.rs
+++ b/crates/external-processor/src/decision_service.rs
@@ -512,10 +512,8 @@
         match (held.open, endpoint) {
             (Some(tag), Some(endpoint)) => {
                 let effect = self.effects[usize::from(held.class)];
-                let repeat = match held.once {
-                    true => Repeat::Never,
-                    false => repeat(effect, grant.attempt, self.max_attempts),
-                };
+                let repeat =
+                    if held.once { Repeat::Never } else { repeat(effect, grant.attempt, self.max_attempts) };
                 let send = Send { endpoint, grant, repeat };
                 (held.open, held.out) = (None, Some(send));
                 let asked = RequestRef { caller: held.owner, tag };
--- a/crates/external-processor/src/settings.rs
+++ b/crates/external-processor/src/settings.rs
@@ -239,9 +239,10 @@
                 return Err(senseless(key, format!("`{name}` stands in `{other}` as well")));
             }
         }
-        match self.envoy.metadata_namespace.is_empty() {
-            true => Err(senseless("envoy.metadata_namespace", "must not be empty".into())),
-            false => Ok(()),
+        if self.envoy.metadata_namespace.is_empty() {
+            Err(senseless("envoy.metadata_namespace", "must not be empty".into()))
+        } else {
+            Ok(())
         }
     }
 
--- a/crates/http-proxy/src/backend_pool.rs
+++ b/crates/http-proxy/src/backend_pool.rs
@@ -304,13 +304,14 @@
         if recall.is_start_cancelled() || call.is_forsaken().await {
             return Outcome::NotSent.into();
         }
-        let conn = match self.take_idle(&server) {
-            Some(conn) => Ok(conn),
-            None => tokio::select! {
+        let conn = if let Some(conn) = self.take_idle(&server) {
+            Ok(conn)
+        } else {
+            tokio::select! {
                 biased;
                 () = recall.start_cancelled() => return Outcome::NotSent.into(),
                 conn = self.dial(&server, give_up) => conn,
-            },
+            }
         };
         let mut conn = match conn {
             Ok(conn) => conn,
@@ -511,7 +512,9 @@
 
 impl From<io::Error> for NoConn {
     fn from(error: io::Error) -> Self {
-        use io::ErrorKind::*;
+        use io::ErrorKind::{
+            ConnectionAborted, ConnectionRefused, ConnectionReset, HostUnreachable, NotConnected, TimedOut,
+        };
         match error.kind() {
             ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut | NotConnected
             | HostUnreachable => Self::Backends,
--- a/crates/http-proxy/src/claim.rs
+++ b/crates/http-proxy/src/claim.rs
@@ -91,7 +91,7 @@
         let now = self.clock.now();
         match verdict {
             Some(FinalOutcome::Served(_)) => {
-                self.end(now, FinalStatus::Served, idempotency::ExecutionEffect::Possible)
+                self.end(now, FinalStatus::Served, idempotency::ExecutionEffect::Possible);
             }
             Some(&FinalOutcome::Rejected { retry_after }) => {
                 self.end(
@@ -101,7 +101,7 @@
                 );
             }
             Some(FinalOutcome::Failed) | None => {
-                self.end(now, FinalStatus::Failed, idempotency::ExecutionEffect::Possible)
+                self.end(now, FinalStatus::Failed, idempotency::ExecutionEffect::Possible);
             }
         }
     }
--- a/crates/http-proxy/src/connection.rs
+++ b/crates/http-proxy/src/connection.rs
@@ -369,7 +369,7 @@
         let polled = poll(&self.stream.borrow());
         match polled {
             Poll::Pending if self.connection.stuck.get().is_none() => {
-                self.connection.stuck.set(Some(Instant::now()))
+                self.connection.stuck.set(Some(Instant::now()));
             }
             Poll::Pending => {}
             Poll::Ready(_) => self.connection.stuck.set(None),
@@ -382,15 +382,12 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let ahead = self.connection.ahead.borrow_mut().take(buf.remaining());
-        let came = match ahead {
-            Some((bytes, came)) => {
-                buf.put_slice(&bytes);
-                came
-            }
-            None => {
-                ready!(socket_io::poll_read(&self.stream.borrow(), cx, buf))?;
-                self.connection.came(Instant::now())
-            }
+        let came = if let Some((bytes, came)) = ahead {
+            buf.put_slice(&bytes);
+            came
+        } else {
+            ready!(socket_io::poll_read(&self.stream.borrow(), cx, buf))?;
+            self.connection.came(Instant::now())
         };
         let bytes = &buf.filled()[before..];
         if !bytes.is_empty() {
--- a/crates/http-proxy/tests/outage.rs
+++ b/crates/http-proxy/tests/outage.rs
@@ -174,7 +174,7 @@
             for action in actions {
                 match action {
                     Action::SetTimer { delay: after, token } => {
-                        due.push(Reverse((now + after + self.late_by, which, Step::Timer(token))))
+                        due.push(Reverse((now + after + self.late_by, which, Step::Timer(token))));
                     }
                     Action::Subscribe => {
                         due.push(Reverse((proxy.turns.at(now, true), which, Step::Begins)));
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -17,8 +17,8 @@
 
 /// A load-balancing HTTP/1.1 proxy round one decision module.
 ///
-/// Without a command it serves. Its configuration is the JSON file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and
-/// EDGE_DISCOVERY fill in what the file leaves out. SIGHUP reads the file again, SIGTERM finishes what was taken and
+/// Without a command it serves. Its configuration is the JSON file that `EDGE_CONFIG` names; `EDGE_NAME`, `EDGE_LISTEN` and
+/// `EDGE_DISCOVERY` fill in what the file leaves out. SIGHUP reads the file again, SIGTERM finishes what was taken and
 /// ends with code 0.
 #[derive(Parser)]
 #[command(name = "load-balancing-proxy", version)]
--- a/crates/proxy-server/tests/faults/clocks.rs
+++ b/crates/proxy-server/tests/faults/clocks.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const TIME_LEFT: Duration = Duration::from_millis(5_000);
+const TIME_LEFT: Duration = Duration::from_secs(5);
 
 fn timed(class: &str, id: &str) -> String {
     request(class, id, if class == "read" { "" } else { "x" }).replace("15000", "5000")
--- a/crates/proxy-server/tests/proxy/crossings.rs
+++ b/crates/proxy-server/tests/proxy/crossings.rs
@@ -273,7 +273,7 @@
 fn an_answer_that_came_while_the_process_stood_goes_before_the_time_out() {
     /// A first attempt is given up after a quarter of this, and the process stands for longer than that.
     const AIM_US: u64 = 2_400_000;
-    const STANDS: Duration = Duration::from_millis(1_000);
+    const STANDS: Duration = Duration::from_secs(1);
     let discovery = Discovery::start();
     let (release, word) = channel::<()>();
     let word = std::sync::Arc::new(std::sync::Mutex::new(Some(word)));
--- a/crates/proxy-server/tests/proxy/leaving.rs
+++ b/crates/proxy-server/tests/proxy/leaving.rs
@@ -91,9 +91,9 @@
         leaver.send(&request(class, "leaver", if class == "read" { "" } else { "x" }));
         settle(&proxy);
         if resets {
-            reset(leaver)
+            reset(leaver);
         } else {
-            drop(leaver)
+            drop(leaver);
         }
         settle(&proxy);
         assert_eq!(slow.seen(&proxy), ["stays"], "{class}");
@@ -158,9 +158,9 @@
             let body = if class == "read" { "" } else { "x" };
             leaver.send(&request(class, &format!("leaver-{turn}"), body));
             if resets {
-                reset(leaver)
+                reset(leaver);
             } else {
-                drop(leaver)
+                drop(leaver);
             }
             proxy.signal("-CONT");
             settle(&proxy);
--- a/crates/proxy-server/tests/proxy/main.rs
+++ b/crates/proxy-server/tests/proxy/main.rs
@@ -249,9 +249,12 @@
         let shared = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
         let start = |bytes: Vec<u8>| {
             let first = std::sync::Arc::clone(&shared);
-            Backend::start(move |_| match first.swap(false, std::sync::atomic::Ordering::SeqCst) {
-                true => Reply::Write(bytes.clone()),
-                false => ok("good"),
+            Backend::start(move |_| {
+                if first.swap(false, std::sync::atomic::Ordering::SeqCst) {
+                    Reply::Write(bytes.clone())
+                } else {
+                    ok("good")
+                }
             })
         };
         let (one, two) = (start(bytes.to_vec()), start(bytes.to_vec()));
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -209,6 +209,7 @@
     }
 
     /// The decisions go on from what those of another process have learnt. Whether that fits them.
+    #[must_use]
     pub fn restore(&self, memory: &LearnedState) -> bool {
         self.drive(|engine, now| engine.restore(now, memory))
     }
@@ -274,7 +275,7 @@
             }
             Command::GrantLease(grant) => transport.grant_lease(engine.responder(grant.request), grant),
             Command::RevokeLease { request, lease } => {
-                transport.revoke_lease(engine.responder(request), lease)
+                transport.revoke_lease(engine.responder(request), lease);
             }
             Command::Respond { responder: reply, outcome: verdict, .. } => transport.respond(reply, verdict),
             Command::Subscribe => transport.subscribe(),
@@ -305,7 +306,7 @@
         tokio::task::spawn_local(async move {
             let ended = probing.await;
             handle.drive(|engine, now| {
-                engine.health_check_finished(now, backend, ended.outcome, &ended.load_report)
+                engine.health_check_finished(now, backend, ended.outcome, &ended.load_report);
             });
         });
     }
--- a/crates/request-engine/src/engine.rs
+++ b/crates/request-engine/src/engine.rs
@@ -520,12 +520,12 @@
                 Action::Fail { request } => self.answer(request, FinalOutcome::Failed),
                 Action::Cancel { request, attempt } => self.withdraw(request, attempt),
                 Action::SetTimer { delay: after, token } => {
-                    self.remind(now.saturating_add(after), TimerKind::Decision(token))
+                    self.remind(now.saturating_add(after), TimerKind::Decision(token));
                 }
                 Action::Subscribe => self.commands.push_back(Command::Subscribe),
                 Action::CheckHealth(backend) => self.commands.push_back(Command::CheckHealth(backend)),
                 Action::CloseIdleConnections(backend) => {
-                    self.commands.push_back(Command::CloseIdleConnections(backend))
+                    self.commands.push_back(Command::CloseIdleConnections(backend));
                 }
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
             }
--- a/crates/request-engine/src/idempotency.rs
+++ b/crates/request-engine/src/idempotency.rs
@@ -184,12 +184,11 @@
 
     fn known(&self, slot: usize, by_key: bool) -> ClaimStatus<A> {
         let entry = &self.entries[slot];
-        match &entry.completed {
-            Some((response, _)) => ClaimStatus::Completed(response.clone()),
-            None => {
-                let owner = ClaimId { slot, serial: entry.serial };
-                ClaimStatus::InFlight { owner, since: entry.since, by_key }
-            }
+        if let Some((response, _)) = &entry.completed {
+            ClaimStatus::Completed(response.clone())
+        } else {
+            let owner = ClaimId { slot, serial: entry.serial };
+            ClaimStatus::InFlight { owner, since: entry.since, by_key }
         }
     }
 
--- a/crates/request-engine/tests/world/mod.rs
+++ b/crates/request-engine/tests/world/mod.rs
@@ -335,7 +335,7 @@
                 }
                 Command::RevokeLease { request, lease } => self.check_revoke(request, lease),
                 Command::Respond { responder: reply, outcome: verdict, .. } => {
-                    self.check_answer(reply, verdict)
+                    self.check_answer(reply, verdict);
                 }
                 Command::CancelAttempt { .. }
                 | Command::CancelUnsentAttempt { .. }
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -74,12 +74,11 @@
         let (mut classes, mut places) = (old.classes.clone(), vec![None; old.classes.len()]);
         for (name, class) in names.iter().zip(&new.classes) {
             let same = self.named().find(|&(place, n)| n == name && classes[place] == *class);
-            match same.map(|(place, _)| place) {
-                Some(place) => places[place] = Some(name.clone()),
-                None => {
-                    classes.push(class.clone());
-                    places.push(Some(name.clone()));
-                }
+            if let Some(place) = same.map(|(place, _)| place) {
+                places[place] = Some(name.clone())
+            } else {
+                classes.push(class.clone());
+                places.push(Some(name.clone()));
             }
         }
         if classes.len() > MAX_CLASSES {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -334,7 +334,7 @@
                 self.record(67, &[&request.to_be_bytes(), &attempt.to_be_bytes()]);
             }
             Action::SetTimer { delay: after, token } => {
-                self.record(68, &[&micros(*after), &token.to_be_bytes()])
+                self.record(68, &[&micros(*after), &token.to_be_bytes()]);
             }
             Action::CheckHealth(backend) => self.record(69, &[&backend.to_be_bytes()]),
             Action::CloseIdleConnections(backend) => self.record(70, &[&backend.to_be_bytes()]),
--- a/crates/testbed/benches/decision.rs
+++ b/crates/testbed/benches/decision.rs
@@ -138,7 +138,7 @@
     for boxes in SIZES {
         let mut load = Load::new(boxes);
         group.bench_function(BenchmarkId::from_parameter(boxes), |b| {
-            b.iter(|| black_box(&mut load).request())
+            b.iter(|| black_box(&mut load).request());
         });
         assert!(load.sent * 2 > u64::from(load.next), "the load is served, not refused");
     }
--- a/crates/testbed/src/address.rs
+++ b/crates/testbed/src/address.rs
@@ -110,7 +110,7 @@
             assert_eq!((process_of(at_relay(process)), relayed(of_process(process))), (None, None));
             assert!(of_process(process).is_loopback() && at_relay(process).is_loopback());
         }
-        assert_eq!(process_of(Ipv4Addr::new(127, 0, 0, 1)), None);
+        assert_eq!(process_of(Ipv4Addr::LOCALHOST), None);
         assert_eq!(process_of(Ipv4Addr::new(10, 32, 0, 1)), None);
     }
 }
--- a/crates/testbed/src/callers.rs
+++ b/crates/testbed/src/callers.rs
@@ -108,9 +108,10 @@
             f,
             "{requests} requests, {callers} callers over the {protocol}, {open} open each, {boxes} boxes, "
         )?;
-        match *rate > 0.0 {
-            true => write!(f, "{rate} a second, seed {seed}"),
-            false => write!(f, "unpaced, seed {seed}"),
+        if *rate > 0.0 {
+            write!(f, "{rate} a second, seed {seed}")
+        } else {
+            write!(f, "unpaced, seed {seed}")
         }
     }
 }
@@ -408,9 +409,12 @@
         });
         let before = processor.used()?.0;
         let callers: Vec<_> = (0..campaign.callers)
-            .map(|number| match campaign.envoy {
-                true => tokio::spawn(envoy::live(Arc::clone(&shared), number)),
-                false => tokio::spawn(caller(&shared, number).live()),
+            .map(|number| {
+                if campaign.envoy {
+                    tokio::spawn(envoy::live(Arc::clone(&shared), number))
+                } else {
+                    tokio::spawn(caller(&shared, number).live())
+                }
             })
             .collect();
         let mut all = nothing_played();
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -194,13 +194,12 @@
                 let number = left.get();
                 left.set(number - 1);
                 turn = (turn + 1) % to.len();
-                let (mut stream, mut buffer) = match conns[turn].take() {
-                    Some(conn) => conn,
-                    None => {
-                        let stream = TcpStream::connect(to[turn]).await?;
-                        stream.set_nodelay(true)?;
-                        (stream, Vec::new())
-                    }
+                let (mut stream, mut buffer) = if let Some(conn) = conns[turn].take() {
+                    conn
+                } else {
+                    let stream = TcpStream::connect(to[turn]).await?;
+                    stream.set_nodelay(true)?;
+                    (stream, Vec::new())
                 };
                 let sent = Instant::now();
                 let request = format!(
@@ -361,15 +360,14 @@
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
     let kept = idle.borrow_mut()[index].pop().filter(SendRequest::is_ready);
-    let mut sender = match kept {
-        Some(sender) => sender,
-        None => {
-            let stream = TcpStream::connect(to).await?;
-            stream.set_nodelay(true)?;
-            let (sender, conn) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-            tokio::task::spawn_local(conn);
-            sender
-        }
+    let mut sender = if let Some(sender) = kept {
+        sender
+    } else {
+        let stream = TcpStream::connect(to).await?;
+        stream.set_nodelay(true)?;
+        let (sender, conn) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+        tokio::task::spawn_local(conn);
+        sender
     };
     let response = sender.send_request(Request::from_parts(head, Full::new(body))).await?;
     let (head, body) = response.into_parts();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -208,8 +208,8 @@
     /// For the random numbers of the stand-ins.
     #[arg(long, default_value_t = 20_261_202)]
     seed: u64,
-    /// Only this family (backends, tenants, config, classes, idle_clients, open_requests, rate, fleet, clients,
-    /// over_share), or quantities whose name holds this.
+    /// Only this family (backends, tenants, config, classes, `idle_clients`, `open_requests`, rate, fleet, clients,
+    /// `over_share`), or quantities whose name holds this.
     #[arg(long, default_value = "")]
     only: String,
     /// Sizes in place of the usual ones, with commas; for one family.
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -97,7 +97,7 @@
         let work_ms = match script.class[class].work {
             WorkSpec::Even => from + rng.f64() * (to - from),
             WorkSpec::Exponential => {
-                let mean = (from + to) / 2.0;
+                let mean = f64::midpoint(from, to);
                 (-(1.0 - rng.f64()).ln() * mean).min(mean * MAX_MEANS)
             }
         };
--- a/crates/testbed/src/scale/fleet/hollows.rs
+++ b/crates/testbed/src/scale/fleet/hollows.rs
@@ -33,12 +33,11 @@
         let name = self.program.name.clone();
         let failed = move |e| ScaleError::Words(name.clone(), e);
         let read = timeout(ANSWER_TIMEOUT, words::read(&mut self.stream, MAX_WORDS)).await;
-        match read.map_err(|e| failed(e.into()))?.map_err(&failed)? {
-            Some((_, answer)) => Ok(answer),
-            None => {
-                self.program.runs()?;
-                Err(failed(std::io::ErrorKind::UnexpectedEof.into()))
-            }
+        if let Some((_, answer)) = read.map_err(|e| failed(e.into()))?.map_err(&failed)? {
+            Ok(answer)
+        } else {
+            self.program.runs()?;
+            Err(failed(std::io::ErrorKind::UnexpectedEof.into()))
         }
     }
 }
--- a/crates/testbed/src/scale/slopes/fit.rs
+++ b/crates/testbed/src/scale/slopes/fit.rs
@@ -83,5 +83,5 @@
     let mut sorted = values.to_vec();
     sorted.sort_unstable_by(f64::total_cmp);
     let half = sorted.len() / 2;
-    Some(if sorted.len() % 2 == 1 { sorted[half] } else { (sorted[half - 1] + sorted[half]) / 2.0 })
+    Some(if sorted.len() % 2 == 1 { sorted[half] } else { f64::midpoint(sorted[half - 1], sorted[half]) })
 }
--- a/crates/testbed/src/scale/slopes/load.rs
+++ b/crates/testbed/src/scale/slopes/load.rs
@@ -115,16 +115,13 @@
             };
             let answered = answered.await;
             let mut seen = seen.borrow_mut();
-            match answered {
-                Ok((Some(bytes), took, at)) => {
-                    seen.times.push(took.as_secs_f64() * 1e6);
-                    seen.bytes += bytes as u64;
-                    idle.borrow_mut().push_back((conn.0, Some(at)));
-                }
-                Ok((None, ..)) | Err(_) => {
-                    seen.lost += 1;
-                    idle.borrow_mut().push_back((conn.0, None));
-                }
+            if let Ok((Some(bytes), took, at)) = answered {
+                seen.times.push(took.as_secs_f64() * 1e6);
+                seen.bytes += bytes as u64;
+                idle.borrow_mut().push_back((conn.0, Some(at)));
+            } else {
+                seen.lost += 1;
+                idle.borrow_mut().push_back((conn.0, None));
             }
         });
     }
--- a/crates/testbed/tests/cold_sums.rs
+++ b/crates/testbed/tests/cold_sums.rs
@@ -276,7 +276,7 @@
     ];
     let cold = use_of(&seen).expect("one started");
     assert_eq!((cold.starts, cold.asked, cold.refused), (1, 3, 1), "{cold:?}");
-    assert!((cold.used - (1.0 / first + 2.0 / second) / 2.0).abs() < 1e-9, "{cold:?}");
+    assert!((cold.used - f64::midpoint(1.0 / first, 2.0 / second)).abs() < 1e-9, "{cold:?}");
     assert!((cold.refused_part() - 1.0 / 3.0).abs() < 1e-9);
 }
 
