--- a/crates/golden-files/src/lib.rs
+++ b/crates/golden-files/src/lib.rs
@@ -9,6 +9,7 @@
 
 /// Variable of the environment that allows missing golden files to be written.
 const RECORD_VARIABLE: &str = "RECORD_GOLDEN";
+const HEX_DIGITS: &[u8; 16] = b"0123456789abcdef";
 
 /// The golden files of one crate.
 #[derive(Clone, Debug)]
@@ -63,7 +64,7 @@
     /// # Panics
     /// As [`GoldenFiles::assert_bytes`].
     pub fn assert_lines(&self, name: &str, lines: &[String]) {
-        let text: String = lines.iter().map(|line| format!("{line}\n")).collect();
+        let text = lines.join("\n") + "\n";
         self.assert_bytes(name, text.as_bytes());
     }
 }
@@ -71,5 +72,10 @@
 /// Lower-case hexadecimal digits of bytes.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+    let mut digits = String::with_capacity(2 * bytes.len());
+    for byte in bytes {
+        digits.push(char::from(HEX_DIGITS[usize::from(byte >> 4)]));
+        digits.push(char::from(HEX_DIGITS[usize::from(byte & 0x0f)]));
+    }
+    digits
 }
--- a/crates/testbed/src/callers.rs
+++ b/crates/testbed/src/callers.rs
@@ -288,7 +288,9 @@
                 self.played.kills += 1;
                 let mut lost: Vec<(u64, Pending)> = self.open.drain().collect();
                 lost.sort_unstable_by_key(|(tag, _)| *tag);
-                lost.into_iter().for_each(|(_, pending)| self.todo.push_front(pending.wanted));
+                for (_, pending) in lost {
+                    self.todo.push_front(pending.wanted);
+                }
                 life = Life::begin(self.shared.address).await?;
             }
         }
--- a/crates/testbed/src/fleet/day.rs
+++ b/crates/testbed/src/fleet/day.rs
@@ -109,7 +109,9 @@
     let rig_cpu_s = cpu_s(std::process::id()).unwrap_or(0.0) - own_before;
     let left = director.borrow_mut().terminate_all();
     let left = wait_for_end(left).await;
-    left.into_iter().for_each(|(proxy, process)| director.borrow_mut().has_ended(proxy, process));
+    for (proxy, process) in left {
+        director.borrow_mut().has_ended(proxy, process);
+    }
     let handed_on = director.borrow().folder.handed_on();
     let proxy_cpu_s = director.borrow_mut().cost()?;
     let (mut record, mut late) = (director.borrow_mut().record.take(), Vec::new());
--- a/crates/testbed/src/judge/tests.rs
+++ b/crates/testbed/src/judge/tests.rs
@@ -22,7 +22,9 @@
     let script = Script::parse(DAY, Path::new("day")).expect("a good script");
     let mut record = Record::default();
     record.add(0, Seen::Asked { id: 1, class, end: 500_000, proxy: 0 });
-    seen.iter().for_each(|&(at, seen)| record.add(at, seen));
+    for &(at, seen) in seen {
+        record.add(at, seen);
+    }
     judge(&script, &record, 0)
 }
 
--- a/crates/testbed/src/scale/figures.rs
+++ b/crates/testbed/src/scale/figures.rs
@@ -95,13 +95,13 @@
         // Which form is meant is seen first, so that what a row lacks is named.
         let value: serde_json::Value = serde_json::from_str(line).map_err(|e| e.to_string())?;
         if value.get("slope").is_some() || value.get("sizes").is_some() {
-            self.take_slope(serde_json::from_value(value).map_err(|e| e.to_string())?)
+            self.take_slope(&serde_json::from_value(value).map_err(|e| e.to_string())?)
         } else {
-            self.take_value(serde_json::from_value(value).map_err(|e| e.to_string())?)
+            self.take_value(&serde_json::from_value(value).map_err(|e| e.to_string())?)
         }
     }
 
-    fn take_slope(&mut self, row: Row) -> Result<(), String> {
+    fn take_slope(&mut self, row: &Row) -> Result<(), String> {
         let wrong = |problem: String| Err(format!("`{}` {problem}", row.quantity));
         let counts = [row.medians.len(), row.spread.len()];
         if row.sizes.len() < MIN_SIZES || counts != [row.sizes.len(); 2] {
@@ -139,7 +139,7 @@
         }
     }
 
-    fn take_value(&mut self, row: RawValue) -> Result<(), String> {
+    fn take_value(&mut self, row: &RawValue) -> Result<(), String> {
         let wrong = |problem: String| Err(format!("`{}` {problem}", row.quantity));
         let figures = self.0.entry(row.quantity.clone()).or_default();
         if figures.line.is_some() {
--- a/crates/testbed/src/scale/slopes/agent.rs
+++ b/crates/testbed/src/scale/slopes/agent.rs
@@ -76,11 +76,14 @@
     }
 }
 
+/// Second byte of the loopback addresses that have no listener: 127.192.0.0/10.
+const SILENT_NETWORK: u8 = 0xc0;
+
 /// Addresses of backends that nobody asks anything: none has a listener.
 pub(super) fn silent(count: usize) -> Vec<SocketAddr> {
     let address = |number: usize| {
         let [.., high, middle, low] = number.to_be_bytes();
-        SocketAddr::from((Ipv4Addr::new(127, 192 | high, middle, low), 3_000))
+        SocketAddr::from((Ipv4Addr::new(127, SILENT_NETWORK | high, middle, low), 3_000))
     };
     (0..count).map(address).collect()
 }
--- a/crates/testbed/src/scale/slopes/mod.rs
+++ b/crates/testbed/src/scale/slopes/mod.rs
@@ -223,15 +223,11 @@
 
     /// As it was given on the command line, without the programs' paths.
     fn command(&self) -> String {
-        let mut command = format!("testbed scale slopes --runs {} --seed {}", self.runs, self.seed);
-        if !self.only.is_empty() {
-            command += &format!(" --only {}", self.only);
-        }
-        if !self.sizes.is_empty() {
-            let sizes: Vec<String> = self.sizes.iter().map(usize::to_string).collect();
-            command += &format!(" --sizes {}", sizes.join(","));
-        }
-        command + &format!(" --seconds {}", self.seconds)
+        let sizes: Vec<String> = self.sizes.iter().map(usize::to_string).collect();
+        let only = if self.only.is_empty() { String::new() } else { format!(" --only {}", self.only) };
+        let sizes = if sizes.is_empty() { String::new() } else { format!(" --sizes {}", sizes.join(",")) };
+        let (runs, seed, seconds) = (self.runs, self.seed, self.seconds);
+        format!("testbed scale slopes --runs {runs} --seed {seed}{only}{sizes} --seconds {seconds}")
     }
 }
 
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -1,8 +1,8 @@
 //! Fault scripts: a fleet, its traffic, and at what second which part of it has what trouble. TOML.
 
-mod check;
 mod discovery;
 mod faults;
+mod validation;
 
 pub use discovery::{Discovery, DiscoveryMode};
 pub use faults::{Between, Known, LinkFault, ProcessFault, ProcessWhat, Way};
--- /dev/null
+++ b/crates/testbed/src/script/validation.rs
@@ -0,0 +1,181 @@
+//! Validation of a fault script: the first key whose value is out of range, by its name in the file.
+
+use super::{
+    ClassSpec, LinkFault, MAX_BOXES, MAX_PROXIES, MAX_REQUESTS, MAX_SECONDS, ProcessFault, ProcessWhat,
+    Script, ScriptError, Trouble, What,
+};
+
+/// The most waves of one fault of processes.
+const MAX_WAVES: f64 = 1_000.0;
+/// The most stalls per second of one fault, over all processes.
+const MAX_STALLS_PER_S: f64 = 5_000.0;
+/// The most request classes of one script.
+const MAX_CLASSES: usize = 64;
+/// The shortest time between the end of a stall and the next one of the same fault, seconds.
+const MIN_STALL_GAP_S: f64 = 0.001;
+
+fn invalid(field: impl Into<String>, problem: impl Into<String>) -> Result<(), ScriptError> {
+    Err(ScriptError::Value(field.into(), problem.into()))
+}
+
+fn within(field: &str, value: f64, min: f64, max: f64) -> Result<(), ScriptError> {
+    if value.is_finite() && (min..=max).contains(&value) {
+        return Ok(());
+    }
+    invalid(field, format!("{value} does not lie in {min}..={max}"))
+}
+
+fn fractions(parts: &[(&str, f64)]) -> Result<(), ScriptError> {
+    for (name, part) in parts {
+        within(name, *part, 0.0, 1.0)?;
+    }
+    Ok(())
+}
+
+impl Script {
+    /// Checks that all of the script can be played.
+    ///
+    /// # Errors
+    /// The first key whose value is out of range, and why.
+    pub fn check(&self) -> Result<(), ScriptError> {
+        within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
+        self.check_fleet()?;
+        self.check_discovery()?;
+        self.check_traffic()?;
+        self.check_classes()?;
+        for (index, trouble) in self.trouble.iter().enumerate() {
+            self.check_backend_fault(index, trouble)?;
+        }
+        for (index, process) in self.process.iter().enumerate() {
+            self.check_process_fault(index, process)?;
+        }
+        for (index, link) in self.link.iter().enumerate() {
+            self.check_link_fault(index, link)?;
+        }
+        Ok(())
+    }
+
+    fn check_fleet(&self) -> Result<(), ScriptError> {
+        let fleet = &self.fleet;
+        within("fleet.boxes", fleet.boxes as f64, 1.0, MAX_BOXES as f64)?;
+        within("fleet.proxies", fleet.proxies as f64, 1.0, MAX_PROXIES as f64)?;
+        within("fleet.zones", f64::from(fleet.zones), 1.0, 64.0)?;
+        within("fleet.cells", f64::from(fleet.cells), 1.0, 1_000.0)?;
+        within("fleet.cores", fleet.cores, 0.01, 1_000.0)?;
+        within("fleet.holds", fleet.holds, 1.0, 1_000.0)?;
+        within("fleet.cold_from", fleet.cold_from, 0.01, 1.0)?;
+        within("fleet.cold_s", fleet.cold_s, 0.0, 600.0)?;
+        within("fleet.clock_behind_s", fleet.clock_behind_s, -86_400.0, 86_400.0)?;
+        within("fleet.told_cold_s", fleet.told_cold_s.unwrap_or(fleet.cold_s), 0.0, 600.0)?;
+        within("fleet.cross_zone_ms", fleet.cross_zone_ms, 0.0, 1_000.0)?;
+        within("fleet.news_s", fleet.news_s, 0.0, 60.0)?;
+        within("fleet.front_notice_s", fleet.front_notice_s, 0.0, 60.0)?;
+        if fleet.speeds.len() > MAX_BOXES {
+            return invalid("fleet.speeds", format!("{} speeds; at most {MAX_BOXES}", fleet.speeds.len()));
+        }
+        for (index, &speed) in fleet.speeds.iter().enumerate() {
+            within(&format!("fleet.speeds[{index}]"), speed, 0.01, 100.0)?;
+        }
+        Ok(())
+    }
+
+    fn check_discovery(&self) -> Result<(), ScriptError> {
+        let discovery = &self.discovery;
+        within("discovery.call_ms[0]", discovery.call_ms[0], 0.0, discovery.call_ms[1])?;
+        within("discovery.call_ms[1]", discovery.call_ms[1], 0.0, 60_000.0)?;
+        within("discovery.fails_after_ms", discovery.fails_after_ms, 0.0, 60_000.0)
+    }
+
+    fn check_traffic(&self) -> Result<(), ScriptError> {
+        let traffic = &self.traffic;
+        within("traffic.skew", traffic.skew, 0.0, 3.0)?;
+        within("traffic.per_s", traffic.per_s, 0.1, MAX_REQUESTS / self.seconds)?;
+        fractions(&[
+            ("traffic.leased", traffic.leased),
+            ("traffic.lost_reports", traffic.lost_reports),
+            ("traffic.slow_callers", traffic.slow_callers),
+            ("traffic.first_tenant", traffic.first_tenant),
+            ("traffic.busy_proxies", traffic.busy_proxies),
+            ("traffic.busy_share", traffic.busy_share),
+            ("traffic.first_zone", traffic.first_zone),
+        ])
+    }
+
+    fn check_classes(&self) -> Result<(), ScriptError> {
+        let count = self.class.len();
+        if !(1..=MAX_CLASSES).contains(&count) {
+            return invalid("class", format!("{count} classes; 1 to {MAX_CLASSES} are possible"));
+        }
+        for (index, class) in self.class.iter().enumerate() {
+            check_class(index, class)?;
+        }
+        if self.class.iter().all(|class| class.share == 0.0) {
+            return invalid("class", "no class has a share of the traffic");
+        }
+        Ok(())
+    }
+
+    fn check_zone(&self, field: &str, zone: Option<u16>) -> Result<(), ScriptError> {
+        let zones = self.fleet.zones;
+        if zone.is_some_and(|zone| zone >= zones) {
+            return invalid(field, format!("there are {zones} zones, from 0"));
+        }
+        Ok(())
+    }
+
+    fn check_backend_fault(&self, index: usize, fault: &Trouble) -> Result<(), ScriptError> {
+        let field = |name: &str| format!("trouble[{index}].{name}");
+        within(&field("at_s"), fault.at_s, 0.0, self.seconds)?;
+        within(&field("for_s"), fault.for_s, 0.0, MAX_SECONDS)?;
+        within(&field("part"), fault.part, 0.0, 1.0)?;
+        let (min_degree, max_degree) = if fault.what == What::Slow { (1.0, 100.0) } else { (0.0, 1.0) };
+        if fault.what.has_degree() {
+            within(&field("degree"), fault.degree, min_degree, max_degree)?;
+        }
+        self.check_zone(&field("zone"), fault.zone)
+    }
+
+    fn check_process_fault(&self, index: usize, fault: &ProcessFault) -> Result<(), ScriptError> {
+        let field = |name: &str| format!("process[{index}].{name}");
+        within(&field("at_s"), fault.at_s, 0.0, self.seconds)?;
+        within(&field("for_s"), fault.for_s, 0.0, MAX_SECONDS)?;
+        within(&field("part"), fault.part, 0.0, 1.0)?;
+        within(&field("waves"), f64::from(fault.waves), 1.0, MAX_WAVES)?;
+        within(&field("wave_s"), fault.wave_s, 0.0, MAX_SECONDS)?;
+        if fault.every_s == 0.0 {
+            return Ok(());
+        }
+        if fault.what != ProcessWhat::Stall {
+            return invalid(field("every_s"), "only a `stall` comes again");
+        }
+        // As often as all of them can be signalled, and with a moment between two of them.
+        let signalling_s = self.fleet.proxies as f64 * fault.part / MAX_STALLS_PER_S;
+        within(&field("every_s"), fault.every_s, signalling_s.max(fault.for_s + MIN_STALL_GAP_S), MAX_SECONDS)
+    }
+
+    fn check_link_fault(&self, index: usize, fault: &LinkFault) -> Result<(), ScriptError> {
+        let field = |name: &str| format!("link[{index}].{name}");
+        within(&field("at_s"), fault.at_s, 0.0, self.seconds)?;
+        within(&field("for_s"), fault.for_s, 0.0, MAX_SECONDS)?;
+        within(&field("part"), fault.part, 0.0, 1.0)?;
+        within(&field("drop"), fault.drop, 0.0, 1.0)?;
+        within(&field("duplicate"), fault.duplicate, 0.0, 1.0)?;
+        within(&field("reorder"), fault.reorder, 0.0, 1.0)?;
+        within(&field("delay_ms"), fault.delay_ms, 0.0, 60_000.0)?;
+        within(&field("spread_ms"), fault.spread_ms, 0.0, 60_000.0)?;
+        within(&field("kbytes_s"), fault.kbytes_s, 0.0, 1e6)?;
+        self.check_zone(&field("zone"), fault.zone)
+    }
+}
+
+fn check_class(index: usize, class: &ClassSpec) -> Result<(), ScriptError> {
+    let field = |name: &str| format!("class[{index}].{name}");
+    within(&field("share"), class.share, 0.0, 1e6)?;
+    within(&field("work_ms[0]"), class.work_ms[0], 0.01, class.work_ms[1])?;
+    within(&field("work_ms[1]"), class.work_ms[1], 0.01, 60_000.0)?;
+    within(&field("aim_ms"), class.aim_ms as f64, 1.0, class.deadline_ms as f64)?;
+    within(&field("deadline_ms"), class.deadline_ms as f64, 1.0, 60_000.0)?;
+    within(&field("worth"), class.worth, 0.0, 1e6)?;
+    within(&field("late_worth"), class.late_worth, 0.0, 1.0)?;
+    within(&field("key_s"), class.key_s, 0.0, 3_600.0)
+}
--- a/crates/testbed/src/sockets/shard.rs
+++ b/crates/testbed/src/sockets/shard.rs
@@ -72,7 +72,9 @@
         let agents = self.agents.clone();
         tokio::task::spawn_local(async move {
             while let Some(at_box) = news.recv().await {
-                agents.iter().for_each(|agent| Rc::clone(agent).news(at_box));
+                for agent in &agents {
+                    Rc::clone(agent).news(at_box);
+                }
             }
         });
         Ok(())
@@ -131,7 +133,9 @@
             if !agents.is_empty() {
                 shared.board.set_discovery_down(begins);
             }
-            agents.iter().for_each(|agent| agent.look());
+            for agent in &agents {
+                agent.look();
+            }
             continue;
         }
         for stand_in in boxes.iter().filter(|b| struck.contains(&b.index())) {
