--- a/crates/admin/src/command/tests.rs
+++ b/crates/admin/src/command/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn calls_are_read_with_any_end_and_any_blanks() {
+fn parses_commands_with_any_line_end_and_blanks() {
     for line in ["readyz", "readyz\n", "readyz\r\n", "  readyz \t\n"] {
         assert_eq!(ConsoleCommand::parse(line.as_bytes()), Ok(ConsoleCommand::Ready), "{line:?}");
     }
@@ -17,44 +17,47 @@
 }
 
 #[test]
-fn what_is_no_call_is_told_what_is_wrong() {
+fn reports_why_a_line_is_not_a_command() {
     let cases: [(&[u8], CommandError); 10] = [
         (b"", CommandError::Empty),
         (b" \r\n", CommandError::Empty),
-        (b"READYZ\n", CommandError::Unknown),
-        (b"GET / HTTP/1.1\r\n", CommandError::Unknown),
-        (b"exclude\n", CommandError::NoId("exclude ID")),
-        (b"include  \n", CommandError::NoId("include ID")),
-        (b"exclude a b\n", CommandError::TooManyWords("exclude ID")),
-        (b"readyz now\n", CommandError::TooManyWords("readyz")),
-        (b"exclude \xff\n", CommandError::NoText),
-        (b"exclude a\0b\n", CommandError::Control(0)),
+        (b"READYZ\n", CommandError::UnknownCommand),
+        (b"GET / HTTP/1.1\r\n", CommandError::UnknownCommand),
+        (b"exclude\n", CommandError::MissingId("exclude ID")),
+        (b"include  \n", CommandError::MissingId("include ID")),
+        (b"exclude a b\n", CommandError::TooManyArguments("exclude ID")),
+        (b"readyz now\n", CommandError::TooManyArguments("readyz")),
+        (b"exclude \xff\n", CommandError::NotUtf8),
+        (b"exclude a\0b\n", CommandError::ControlCharacter(0)),
     ];
     for (line, error) in cases {
         assert_eq!(ConsoleCommand::parse(line), Err(error), "{line:?}");
     }
-    let long = format!("exclude {}\n", "x".repeat(ID_CAP + 1));
-    assert_eq!(ConsoleCommand::parse(long.as_bytes()), Err(CommandError::LongId(ID_CAP + 1)));
-    assert_eq!(ConsoleCommand::parse(&[b'x'; LINE_CAP + 1]), Err(CommandError::TooLong));
+    let long = format!("exclude {}\n", "x".repeat(MAX_BACKEND_ID_BYTES + 1));
+    assert_eq!(
+        ConsoleCommand::parse(long.as_bytes()),
+        Err(CommandError::IdTooLong(MAX_BACKEND_ID_BYTES + 1))
+    );
+    assert_eq!(ConsoleCommand::parse(&[b'x'; MAX_LINE_BYTES + 1]), Err(CommandError::TooLong));
 }
 
 proptest! {
     #[test]
-    fn any_bytes_give_a_call_or_one_line_of_failure(line in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn any_bytes_parse_or_give_one_line_of_failure(line in proptest::collection::vec(any::<u8>(), 0..600)) {
         match ConsoleCommand::parse(&line) {
             Ok(ConsoleCommand::Exclude(id) | ConsoleCommand::Include(id)) => {
-                prop_assert!(!id.is_empty() && id.len() <= ID_CAP && !id.contains([' ', '\t', '\r', '\n']));
+                prop_assert!(!id.is_empty() && id.len() <= MAX_BACKEND_ID_BYTES && !id.contains([' ', '\t', '\r', '\n']));
             }
             Ok(ConsoleCommand::Ready) => {}
             Err(error) => {
-                let answer = ConsoleResponse::from(error).to_string();
-                prop_assert!(answer.starts_with("FAILURE ") && !answer.contains(['\r', '\n']));
+                let response = ConsoleResponse::from(error).to_string();
+                prop_assert!(response.starts_with("FAILURE ") && !response.contains(['\r', '\n']));
             }
         }
     }
 
     #[test]
-    fn an_id_comes_through_as_it_was_said(id in "[!-~]{1,256}") {
+    fn ids_are_parsed_unchanged(id in "[!-~]{1,256}") {
         prop_assert_eq!(ConsoleCommand::parse(format!("exclude {id}\r\n").as_bytes()), Ok(ConsoleCommand::Exclude(id.clone())));
         prop_assert_eq!(ConsoleCommand::parse(format!("include {id}").as_bytes()), Ok(ConsoleCommand::Include(id)));
     }
--- a/crates/admin/src/console.rs
+++ b/crates/admin/src/console.rs
@@ -1,13 +1,14 @@
-//! The console: one line to a connection, one line back.
+//! The console server: one command line per connection, one response line back.
 //!
-//! Callers that say nothing, or never finish, hold a bounded number of descriptors for a bounded time, and the one that has
-//! been at it longest gives way to the next: nobody keeps anybody out.
+//! Idle or unfinished connections hold a bounded number of descriptors for a bounded time. At the bound the oldest
+//! connection is closed in favour of a new one, so that idle clients cannot lock operators out.
 
-use crate::command::{ConsoleCommand, ConsoleResponse, LINE_CAP};
+use crate::command::{ConsoleCommand, ConsoleResponse, MAX_LINE_BYTES};
 use socket_io::Stream;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::future::Future;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,85 +16,103 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// Callers at a time.
+/// Connections open at a time.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a caller may take for its line, and for taking its answer.
-const CALLER_TIME: Duration = Duration::from_secs(10);
-/// How long and how much a connection is read on behind its answer: what comes late must not reset the answer away.
-const LINGER: Duration = Duration::from_millis(100);
-const LINGER_BYTES: usize = 64 * 1024;
-/// A pause where no connection can be accepted, out of descriptors, say.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// How long a client may take to send its line, and again to receive the response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a connection is still read after its response: unread input would make the kernel reset the connection, and the
+/// client could lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(100);
+/// How many bytes are read after the response.
+const MAX_LINGER_BYTES: usize = 64 * 1024;
+/// The pause after a failed accept, for example for want of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Those that are connected, the longest first, each with what ends it.
-type Callers = Rc<RefCell<VecDeque<(u64, AbortHandle)>>>;
+struct OpenConnection {
+    id: u64,
+    task: AbortHandle,
+}
+
+/// The open connections, oldest first.
+type OpenConnections = Rc<RefCell<VecDeque<OpenConnection>>>;
 
-/// Answers callers for as long as the process runs. Runs within a `LocalSet`.
+/// Accepts connections and answers each one's command by `execute`, for as long as the process runs.
+/// Has to run within a `LocalSet`.
 pub async fn serve<F: Future<Output = ConsoleResponse> + 'static>(
     listener: TcpListener,
-    answer: impl Fn(ConsoleCommand) -> F + Clone + 'static,
+    execute: impl Fn(ConsoleCommand) -> F + Clone + 'static,
 ) {
-    let callers = Callers::default();
-    let mut number = 0_u64;
+    let connections = OpenConnections::default();
+    let mut last_id = 0_u64;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_BACKOFF).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if callers.borrow().len() >= MAX_CONNECTIONS
-            && let Some((_, oldest)) = callers.borrow_mut().pop_front()
-        {
-            oldest.abort();
-        }
-        number += 1;
-        let (own, all, answer) = (number, Rc::clone(&callers), answer.clone());
+        close_oldest_at_bound(&connections);
+        last_id += 1;
+        let id = last_id;
+        let (open, execute) = (Rc::clone(&connections), execute.clone());
         let task = tokio::task::spawn_local(async move {
-            let _ = timeout(2 * CALLER_TIME, attend(stream, answer)).await;
-            all.borrow_mut().retain(|(number, _)| *number != own);
+            let _ = timeout(2 * REQUEST_TIMEOUT, serve_connection(stream, execute)).await;
+            open.borrow_mut().retain(|connection| connection.id != id);
         });
-        callers.borrow_mut().push_back((number, task.abort_handle()));
+        connections.borrow_mut().push_back(OpenConnection { id, task: task.abort_handle() });
+    }
+}
+
+fn close_oldest_at_bound(connections: &OpenConnections) {
+    let mut connections = connections.borrow_mut();
+    if connections.len() >= MAX_CONNECTIONS
+        && let Some(oldest) = connections.pop_front()
+    {
+        oldest.task.abort();
     }
 }
 
-async fn attend<F: Future<Output = ConsoleResponse>>(
+async fn serve_connection<F: Future<Output = ConsoleResponse>>(
     stream: TcpStream,
-    answer: impl Fn(ConsoleCommand) -> F,
+    execute: impl Fn(ConsoleCommand) -> F,
 ) {
     let _ = stream.set_nodelay(true);
     let mut stream = Stream::from(stream);
     let mut line = Vec::with_capacity(64);
-    let answer = match timeout(CALLER_TIME, read_line(&mut stream, &mut line)).await {
-        Err(_) => ConsoleResponse::Failure(format!("no whole line within {} s", CALLER_TIME.as_secs())),
-        // Whoever has gone hears nothing.
+    let response = match timeout(REQUEST_TIMEOUT, read_line(&mut stream, &mut line)).await {
+        Err(_) => ConsoleResponse::Failure(format!("no whole line within {} s", REQUEST_TIMEOUT.as_secs())),
         Ok(Err(_)) => return,
         Ok(Ok(())) => match ConsoleCommand::parse(&line) {
-            Ok(call) => answer(call).await,
+            Ok(command) => execute(command).await,
             Err(error) => error.into(),
         },
     };
-    if stream.write_all(format!("{answer}\n").as_bytes()).await.is_err() || stream.shutdown().await.is_err() {
-        return;
+    if send_response(&mut stream, &response).await.is_ok() {
+        let _ = timeout(LINGER_TIMEOUT, discard_input(&mut stream)).await;
     }
-    let _ = timeout(LINGER, async {
-        let (mut rest, mut read) = ([0; 1_024], 0);
-        while read < LINGER_BYTES {
-            match stream.read(&mut rest).await {
-                Ok(0) | Err(_) => return,
-                Ok(n) => read += n,
-            }
+}
+
+async fn send_response(stream: &mut Stream, response: &ConsoleResponse) -> io::Result<()> {
+    stream.write_all(format!("{response}\n").as_bytes()).await?;
+    stream.shutdown().await
+}
+
+async fn discard_input(stream: &mut Stream) {
+    let (mut buffer, mut total) = ([0; 1_024], 0);
+    while total < MAX_LINGER_BYTES {
+        match stream.read(&mut buffer).await {
+            Ok(0) | Err(_) => return,
+            Ok(n) => total += n,
         }
-    })
-    .await;
+    }
 }
 
-/// Reads up to the line's end, the end of the stream, or just beyond the bound, whichever comes first.
-async fn read_line(stream: &mut Stream, line: &mut Vec<u8>) -> std::io::Result<()> {
-    while line.len() <= LINE_CAP {
-        let mut piece = [0; LINE_CAP + 1];
-        let read = stream.read(&mut piece).await?;
-        let end = piece[..read].iter().position(|&byte| byte == b'\n');
-        line.extend_from_slice(&piece[..end.map_or(read, |end| end + 1)]);
-        if read == 0 || end.is_some() {
+/// Reads up to the line end, the end of the stream, or one byte beyond [`MAX_LINE_BYTES`], whichever comes first.
+async fn read_line(stream: &mut Stream, line: &mut Vec<u8>) -> io::Result<()> {
+    while line.len() <= MAX_LINE_BYTES {
+        let mut buffer = [0; MAX_LINE_BYTES + 1];
+        let read = stream.read(&mut buffer).await?;
+        let line_end = buffer[..read].iter().position(|&byte| byte == b'\n');
+        line.extend_from_slice(&buffer[..line_end.map_or(read, |end| end + 1)]);
+        if read == 0 || line_end.is_some() {
             break;
         }
     }
--- a/crates/admin/src/exclusion_store.rs
+++ b/crates/admin/src/exclusion_store.rs
@@ -1,9 +1,10 @@
-//! Where bans outlive a process: one file in the temporary folder, whole or not at all.
+//! Persistence of exclusions: one file in the temporary folder, replaced atomically.
 //!
-//! Each change reads the file again under a lock, for a second process of the same proxy may have written it, and replaces
-//! it by rename. What can't be read is set aside and said, not guessed over.
+//! Each change reads the file again under an advisory lock, since another process of the same proxy may have written it, and
+//! replaces it by rename. A damaged file is set aside and reported.
 
-use crate::exclusions::{Exclusions, Micros, TooManyExclusions};
+use crate::exclusions::{Exclusions, TooManyExclusions};
+use crate::file_names::file_name_part;
 use crate::machine_time::MachineTime;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -15,197 +16,210 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-/// The form of the file. Another one is not read.
-const VERSION: u32 = 1;
-/// The largest file that is read, in bytes: all bans with the longest ids that there may be.
-const FILE_CAP: u64 = 4 << 20;
-/// How long the lock is waited for: its holder writes a small file. The caller's second has to hold that and the answer.
-const LOCK_TRIES: u32 = 60;
-const LOCK_STEP: Duration = Duration::from_millis(5);
-/// How long a disk may take for a change, so that the caller is answered in its second also where the lock was waited for.
+/// The version of the file's format; a file of another one is not read.
+const FORMAT_VERSION: u32 = 1;
+/// The largest file that is read, in bytes: [`MAX_EXCLUSIONS`](crate::exclusions::MAX_EXCLUSIONS) entries with the longest
+/// ids fit.
+const MAX_FILE_BYTES: u64 = 4 << 20;
+/// Attempts to lock the file. With [`WRITE_TIMEOUT`] they stay within the second in which a console command is answered.
+const MAX_LOCK_ATTEMPTS: u32 = 60;
+const LOCK_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// How long the disk may take for a change.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(550);
 
-/// Why bans could not be read or kept.
+/// Why exclusions could not be read or persisted.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// A call of the file system failed.
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
-    /// The file is there and is none of ours, or not whole.
+    /// The file's content is not valid.
     #[error("{0} is damaged: {1}")]
-    Damaged(PathBuf, String),
+    Damaged(PathBuf, ParseError),
     /// Another process holds the lock.
     #[error("{0} is held by another process")]
-    Busy(PathBuf),
-    /// The disk takes too long. What it was given stays given.
+    Locked(PathBuf),
+    /// The write took longer than [`WRITE_TIMEOUT`]. It may still complete.
     #[error("{0} was not written within {ms} ms; the change may hold yet", ms = WRITE_TIMEOUT.as_millis())]
-    Slow(PathBuf),
-    /// The bound on bans.
+    WriteTimeout(PathBuf),
+    /// The bound on exclusions is reached.
     #[error(transparent)]
     TooManyExclusions(#[from] TooManyExclusions),
 }
 
+/// Why a file's content is not valid.
+#[derive(Debug, Error)]
+pub enum ParseError {
+    /// It is not the JSON of this format.
+    #[error("{0}")]
+    Malformed(#[from] serde_json::Error),
+    /// It is of this other format version.
+    #[error("version {0} is not {FORMAT_VERSION}")]
+    Version(u32),
+    /// Its entries exceed the bounds of [`Exclusions::is_within_bounds`].
+    #[error("more or longer ids than there may be")]
+    OutOfBounds,
+}
+
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Kept {
+struct ExclusionsDocument {
     version: u32,
-    bans: Exclusions,
+    #[serde(rename = "bans")]
+    exclusions: Exclusions,
 }
 
-/// Tells one state of the file from the next: each is a file of its own.
-pub type FileVersion = (u64, i64, i64, u64);
+/// Identifies one version of the file: each is a file of its own, put in place by rename.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FileVersion {
+    inode: u64,
+    modified_seconds: i64,
+    modified_nanoseconds: i64,
+    /// In bytes.
+    size: u64,
+}
 
-/// The file and the lock beside it.
+/// The file of exclusions and the lock file beside it.
 #[derive(Clone, Debug)]
 pub struct ExclusionStore {
     path: PathBuf,
-    lock: PathBuf,
+    lock_path: PathBuf,
     time: MachineTime,
 }
 
-/// The longest part of a proxy's name that stands in a file's name as it is.
-const PLAIN_NAME: usize = 64;
-
-/// The name of a proxy as part of a file's name, each its own: one that is long or holds other characters than letters,
-/// digits, `-` and `_` is told from its likes by a hash behind a point, which no plain name has.
-pub(crate) fn file_name(name: &str) -> String {
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_".contains(c);
-    if name.len() <= PLAIN_NAME && name.chars().all(is_plain) {
-        return name.to_owned();
-    }
-    let plain = name.chars().take(PLAIN_NAME).map(|c| if is_plain(c) { c } else { '_' });
-    format!("{}.{:016x}", plain.collect::<String>(), fingerprint([name]))
-}
-
-/// FNV-1a, 64 bits, over some texts with their ends: the same in every build.
-#[must_use]
-pub fn fingerprint<'a>(texts: impl IntoIterator<Item = &'a str>) -> u64 {
-    let bytes = texts.into_iter().flat_map(|text| text.bytes().chain([0xff]));
-    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
-}
-
-/// Reads the text of a file.
+/// Parses the content of a file.
 ///
 /// # Errors
-/// What is wrong with it.
-pub fn parse(text: &[u8]) -> Result<Exclusions, String> {
-    let kept: Kept = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    if kept.version != VERSION {
-        return Err(format!("version {} is not {VERSION}", kept.version));
+/// Where it is malformed, of another format version, or beyond the bounds.
+pub fn parse(text: &[u8]) -> Result<Exclusions, ParseError> {
+    let document: ExclusionsDocument = serde_json::from_slice(text)?;
+    if document.version != FORMAT_VERSION {
+        return Err(ParseError::Version(document.version));
+    }
+    if document.exclusions.is_within_bounds() {
+        Ok(document.exclusions)
+    } else {
+        Err(ParseError::OutOfBounds)
     }
-    if kept.bans.is_bounded() { Ok(kept.bans) } else { Err("more or longer ids than there may be".into()) }
 }
 
 impl ExclusionStore {
-    /// The store of the proxy of this name, whose process counts its time so. Nothing is read yet.
+    /// The store of the proxy `name` in `folder`; `time` converts the times that it holds. Nothing is read yet.
     #[must_use]
     pub fn new(folder: &Path, name: &str, time: MachineTime) -> Self {
-        let name = file_name(name);
+        let name = file_name_part(name);
         Self {
             time,
             path: folder.join(format!("haventrack-{name}.bans.json")),
-            lock: folder.join(format!("haventrack-{name}.bans.lock")),
+            lock_path: folder.join(format!("haventrack-{name}.bans.lock")),
         }
     }
 
-    /// The bans that were kept; none where there is no file.
+    /// The persisted exclusions, in process time; none where there is no file.
     ///
     /// # Errors
-    /// Where the file can't be read or is damaged.
+    /// Where the file cannot be read or is damaged.
     pub fn load(&self) -> Result<Exclusions, StoreError> {
         let mut text = Vec::new();
         match File::open(&self.path) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Exclusions::default()),
-            Err(error) => return Err(self.io(error)),
-            Ok(file) => file.take(FILE_CAP).read_to_end(&mut text).map_err(|e| self.io(e))?,
+            Err(error) => return Err(self.io_error(error)),
+            Ok(file) => file.take(MAX_FILE_BYTES).read_to_end(&mut text).map_err(|e| self.io_error(e))?,
         };
-        let bans = parse(&text).map_err(|problem| StoreError::Damaged(self.path.clone(), problem))?;
-        Ok(bans.with_times(|at| self.time.of_process(at)))
+        let exclusions = parse(&text).map_err(|error| StoreError::Damaged(self.path.clone(), error))?;
+        Ok(exclusions.map_times(|at| self.time.to_process_time(at)))
     }
 
-    /// Which state of the file there is; `None` where there is none.
+    /// The present version of the file; `None` where there is no file.
     #[must_use]
-    pub fn stamp(&self) -> Option<FileVersion> {
+    pub fn version(&self) -> Option<FileVersion> {
         let meta = fs::metadata(&self.path).ok()?;
-        Some((meta.ino(), meta.mtime(), meta.mtime_nsec(), meta.size()))
+        Some(FileVersion {
+            inode: meta.ino(),
+            modified_seconds: meta.mtime(),
+            modified_nanoseconds: meta.mtime_nsec(),
+            size: meta.size(),
+        })
     }
 
-    /// Makes a change and keeps it. `held` is what the caller holds, which counts where the file is damaged; that one is
-    /// set aside, and `damaged` is told. Gives what holds now.
+    /// Applies a change to the persisted exclusions and writes them; returns the new exclusions and the change's result.
     ///
-    /// The disk is waited for on another thread, which holds the lock until it has done with the change.
+    /// A damaged file is set aside and reported to `on_damaged`; the change is then applied to `current`. The write runs on
+    /// another thread, which holds the lock until it is done.
     ///
     /// # Errors
-    /// Where it can't be kept; then the change has not been made, but for [`StoreError::Slow`]: it is made late, or never.
+    /// Where the change is rejected or cannot be written. Nothing has changed then, except after
+    /// [`StoreError::WriteTimeout`]: the write may still complete.
     pub async fn change<R>(
         &self,
-        held: &Exclusions,
+        current: &Exclusions,
         change: impl FnOnce(&mut Exclusions) -> Result<R, TooManyExclusions>,
-        damaged: impl FnOnce(StoreError),
+        on_damaged: impl FnOnce(StoreError),
     ) -> Result<(Exclusions, R), StoreError> {
-        let lock = self.locked().await?;
-        let mut bans = match self.load() {
-            Ok(bans) => bans,
+        let lock = self.acquire_lock().await?;
+        let mut exclusions = match self.load() {
+            Ok(exclusions) => exclusions,
             Err(error @ StoreError::Damaged(..)) => {
-                self.set_aside().map_err(|e| self.io(e))?;
-                damaged(error);
-                held.clone()
+                self.set_aside_damaged().map_err(|e| self.io_error(e))?;
+                on_damaged(error);
+                current.clone()
             }
             Err(error) => return Err(error),
         };
-        let result = change(&mut bans)?;
-        let kept = bans.with_times(|at| self.time.of_machine(at));
-        let text = serde_json::to_vec(&Kept { version: VERSION, bans: kept });
-        let text = text.map_err(|e| self.io(e.into()))?;
+        let result = change(&mut exclusions)?;
+        self.write(&exclusions, lock).await?;
+        Ok((exclusions, result))
+    }
+
+    /// Writes the exclusions in machine time, and releases the lock when the write is done.
+    async fn write(&self, exclusions: &Exclusions, lock: File) -> Result<(), StoreError> {
+        let exclusions = exclusions.map_times(|at| self.time.to_machine_time(at));
+        let document = ExclusionsDocument { version: FORMAT_VERSION, exclusions };
+        let text = serde_json::to_vec(&document).map_err(|e| self.io_error(e.into()))?;
         let path = self.path.clone();
-        let writing = spawn_blocking(move || {
-            let written = write(&path, &text);
+        let write_task = spawn_blocking(move || {
+            let written = replace_file(&path, &text);
             drop(lock);
             written
         });
-        match timeout(WRITE_TIMEOUT, writing).await {
-            Err(_) => Err(StoreError::Slow(self.path.clone())),
-            Ok(Err(panicked)) => Err(self.io(io::Error::other(panicked))),
-            Ok(Ok(written)) => written.map_err(|e| self.io(e)).map(|()| (bans, result)),
+        match timeout(WRITE_TIMEOUT, write_task).await {
+            Err(_) => Err(StoreError::WriteTimeout(self.path.clone())),
+            Ok(Err(panicked)) => Err(self.io_error(io::Error::other(panicked))),
+            Ok(Ok(written)) => written.map_err(|e| self.io_error(e)),
         }
     }
 
-    /// Keeps a damaged file for whoever looks into it, out of the way.
-    fn set_aside(&self) -> io::Result<()> {
+    /// Renames a damaged file, so that it can be examined and does not block changes.
+    fn set_aside_damaged(&self) -> io::Result<()> {
         fs::rename(&self.path, self.path.with_extension("damaged"))
     }
 
-    async fn locked(&self) -> Result<File, StoreError> {
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(&self.lock);
-        let file = file.map_err(|e| StoreError::Io(self.lock.clone(), e))?;
-        for _ in 0..LOCK_TRIES {
+    async fn acquire_lock(&self) -> Result<File, StoreError> {
+        let lock_error = |error| StoreError::Io(self.lock_path.clone(), error);
+        let file = OpenOptions::new().create(true).truncate(false).write(true).open(&self.lock_path);
+        let file = file.map_err(lock_error)?;
+        for _ in 0..MAX_LOCK_ATTEMPTS {
             match file.try_lock() {
                 Ok(()) => return Ok(file),
-                Err(TryLockError::WouldBlock) => sleep(LOCK_STEP).await,
-                Err(TryLockError::Error(error)) => return Err(StoreError::Io(self.lock.clone(), error)),
+                Err(TryLockError::WouldBlock) => sleep(LOCK_RETRY_DELAY).await,
+                Err(TryLockError::Error(error)) => return Err(lock_error(error)),
             }
         }
-        Err(StoreError::Busy(self.lock.clone()))
+        Err(StoreError::Locked(self.lock_path.clone()))
     }
 
-    fn io(&self, error: io::Error) -> StoreError {
+    fn io_error(&self, error: io::Error) -> StoreError {
         StoreError::Io(self.path.clone(), error)
     }
 }
 
-/// Replaces a file whole, durably. One that is whole and that the disk does not confirm takes its place all the same: other
-/// processes read it, and it is written again until the disk does.
-fn write(path: &Path, text: &[u8]) -> io::Result<()> {
-    let new = path.with_extension("new");
-    let mut file = File::create(&new)?;
+/// Replaces a file atomically and syncs its data. A complete file whose sync failed is put in place all the same: other
+/// processes read it, and the caller repeats the write until the sync succeeds.
+fn replace_file(path: &Path, text: &[u8]) -> io::Result<()> {
+    let new_path = path.with_extension("new");
+    let mut file = File::create(&new_path)?;
     file.write_all(text)?;
     let synced = file.sync_data();
-    fs::rename(&new, path)?;
+    fs::rename(&new_path, path)?;
     synced
 }
-
-/// How long a call back is remembered: longer than any backend takes to warm up, with what lists are late.
-pub const REINCLUSION_RETENTION: Micros = 120_000_000;
-
-#[cfg(test)]
-mod tests;
--- a/crates/admin/src/exclusions.rs
+++ b/crates/admin/src/exclusions.rs
@@ -1,117 +1,123 @@
-//! Which backends the staff has taken out, and which it has called back of late. Pure: no I/O, no clock.
+//! The backends that operators have excluded, and those re-included recently. Pure: no I/O, no clock.
 //!
-//! A ban is by id and knows nothing of any list: it holds while the backend is gone, when it returns, and in the process
-//! that replaces this one. It is a state and not a count: two calls out need one call back.
+//! An exclusion is by backend id and independent of discovery: it holds while the backend is absent, when it returns, and in
+//! the process that replaces this one. It is a state and not a count: two exclusions need one re-inclusion.
 
+use crate::command::MAX_BACKEND_ID_BYTES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 use thiserror::Error;
 
-/// Backends that may be out, or be remembered as called back, at a time. Far above any fleet that staff works through by
-/// hand; it bounds the file and the memory.
+/// Backends that may be excluded, and re-inclusions that are recorded, at a time. Bounds the file and the memory.
 pub const MAX_EXCLUSIONS: usize = 4_096;
+/// How long a re-inclusion is recorded, microseconds: longer than any backend's slow start with a late discovery update.
+pub const REINCLUSION_RETENTION: Micros = 120_000_000;
 
 /// A point in time, microseconds since the Unix epoch.
 pub type Micros = u64;
 
-/// No further backend can be taken out.
+/// [`MAX_EXCLUSIONS`] backends are excluded; no further one can be.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("{MAX_EXCLUSIONS} backends are out already")]
 pub struct TooManyExclusions;
 
-/// The bans that hold, and the calls back.
+/// The excluded backends and the recent re-inclusions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Exclusions {
-    /// Since when each backend is out.
-    out: BTreeMap<String, Micros>,
-    /// When each backend was called back. Staff restarts a backend while it is out, so it returns cold, and discovery may
-    /// tell so only later.
-    back: BTreeMap<String, Micros>,
+    /// Since when each backend is excluded.
+    #[serde(rename = "out")]
+    excluded: BTreeMap<String, Micros>,
+    /// When each backend was re-included. Operators restart a backend while it is excluded, so it returns without warm
+    /// caches, and discovery may report the restart only later.
+    #[serde(rename = "back")]
+    reincluded: BTreeMap<String, Micros>,
 }
 
 impl Exclusions {
-    /// Takes a backend out. Whether that is new.
+    /// Excludes a backend. Returns whether it was not excluded before.
     ///
     /// # Errors
-    /// At the bound; then nothing has changed.
+    /// At [`MAX_EXCLUSIONS`]; then nothing has changed.
     pub fn exclude(&mut self, id: &str, now: Micros) -> Result<bool, TooManyExclusions> {
-        let full = self.out.len() >= MAX_EXCLUSIONS;
-        match self.out.entry(id.to_owned()) {
+        let is_full = self.excluded.len() >= MAX_EXCLUSIONS;
+        match self.excluded.entry(id.to_owned()) {
             Entry::Occupied(_) => Ok(false),
-            Entry::Vacant(_) if full => Err(TooManyExclusions),
-            Entry::Vacant(place) => {
-                place.insert(now);
-                self.back.remove(id);
+            Entry::Vacant(_) if is_full => Err(TooManyExclusions),
+            Entry::Vacant(entry) => {
+                entry.insert(now);
+                self.reincluded.remove(id);
                 Ok(true)
             }
         }
     }
 
-    /// Calls a backend back. Whether it was out.
+    /// Re-includes a backend. Returns whether it was excluded. At [`MAX_EXCLUSIONS`] the oldest record of a re-inclusion is
+    /// dropped.
     pub fn include(&mut self, id: &str, now: Micros) -> bool {
-        if self.out.remove(id).is_none() {
+        if self.excluded.remove(id).is_none() {
             return false;
         }
-        if self.back.len() >= MAX_EXCLUSIONS
-            && let Some(oldest) = self.back.iter().min_by_key(|(_, at)| **at).map(|(id, _)| id.clone())
+        if self.reincluded.len() >= MAX_EXCLUSIONS
+            && let Some(oldest) = self.reincluded.iter().min_by_key(|(_, at)| **at).map(|(id, _)| id.clone())
         {
-            self.back.remove(&oldest);
+            self.reincluded.remove(&oldest);
         }
-        self.back.insert(id.to_owned(), now);
+        self.reincluded.insert(id.to_owned(), now);
         true
     }
 
-    /// The same with other times.
+    /// A copy with each point in time converted by `convert`.
     #[must_use]
-    pub fn with_times(&self, time: impl Fn(Micros) -> Micros) -> Self {
-        let all =
-            |ids: &BTreeMap<String, Micros>| ids.iter().map(|(id, &at)| (id.clone(), time(at))).collect();
-        Self { out: all(&self.out), back: all(&self.back) }
+    pub fn map_times(&self, convert: impl Fn(Micros) -> Micros) -> Self {
+        let map_all =
+            |ids: &BTreeMap<String, Micros>| ids.iter().map(|(id, &at)| (id.clone(), convert(at))).collect();
+        Self { excluded: map_all(&self.excluded), reincluded: map_all(&self.reincluded) }
     }
 
-    /// Whether nothing new may go to this backend.
+    /// Whether this backend is excluded.
     #[must_use]
-    pub fn is_out(&self, id: &str) -> bool {
-        self.out.contains_key(id)
+    pub fn is_excluded(&self, id: &str) -> bool {
+        self.excluded.contains_key(id)
     }
 
-    /// When it was called back, as far as that is remembered.
+    /// When this backend was re-included, if that is still recorded.
     #[must_use]
-    pub fn called_back(&self, id: &str) -> Option<Micros> {
-        self.back.get(id).copied()
+    pub fn reincluded_at(&self, id: &str) -> Option<Micros> {
+        self.reincluded.get(id).copied()
     }
 
-    /// Forgets the calls back before `before`: backends that returned then are warm.
-    pub fn forget(&mut self, before: Micros) {
-        self.back.retain(|_, at| *at >= before);
+    /// Drops the records of re-inclusions before `before`: those backends have completed their slow start.
+    pub fn forget_reincluded_before(&mut self, before: Micros) {
+        self.reincluded.retain(|_, at| *at >= before);
     }
 
-    /// The backends that are out, in order of their ids.
-    pub fn out(&self) -> impl ExactSizeIterator<Item = &str> {
-        self.out.keys().map(String::as_str)
+    /// The ids of the excluded backends, sorted.
+    pub fn excluded_ids(&self) -> impl ExactSizeIterator<Item = &str> {
+        self.excluded.keys().map(String::as_str)
     }
 
-    /// The backends whose state differs in `other`, each once.
+    /// The ids of the backends whose state differs in `other`, sorted, each once.
     #[must_use]
-    pub fn changed(&self, other: &Self) -> Vec<String> {
-        let state = |bans: &Self, id: &str| (bans.is_out(id), bans.called_back(id));
-        let ids = [&self.out, &self.back, &other.out, &other.back].into_iter().flat_map(BTreeMap::keys);
+    pub fn differing_ids(&self, other: &Self) -> Vec<String> {
+        let state = |exclusions: &Self, id: &str| (exclusions.is_excluded(id), exclusions.reincluded_at(id));
+        let maps = [&self.excluded, &self.reincluded, &other.excluded, &other.reincluded];
+        let ids = maps.into_iter().flat_map(BTreeMap::keys);
         let mut ids: Vec<_> = ids.filter(|id| state(self, id) != state(other, id)).cloned().collect();
         ids.sort_unstable();
         ids.dedup();
         ids
     }
 
-    /// Whether what was read keeps to the bounds.
+    /// Whether the number of entries is within [`MAX_EXCLUSIONS`] and each id within [`MAX_BACKEND_ID_BYTES`].
     #[must_use]
-    pub fn is_bounded(&self) -> bool {
-        let fits = |ids: &BTreeMap<String, Micros>| {
+    pub fn is_within_bounds(&self) -> bool {
+        let is_bounded = |ids: &BTreeMap<String, Micros>| {
             ids.len() <= MAX_EXCLUSIONS
-                && ids.keys().all(|id| !id.is_empty() && id.len() <= crate::command::ID_CAP)
+                && ids.keys().all(|id| !id.is_empty() && id.len() <= MAX_BACKEND_ID_BYTES)
         };
-        fits(&self.out) && fits(&self.back)
+        is_bounded(&self.excluded) && is_bounded(&self.reincluded)
     }
 }
 
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -8,6 +8,8 @@
 pub mod console;
 pub mod exclusion_store;
 pub mod exclusions;
+mod file_names;
+pub mod fingerprint;
 pub mod machine_time;
 pub mod process_replacement;
 pub mod process_status;
--- a/crates/admin/src/machine_time.rs
+++ b/crates/admin/src/machine_time.rs
@@ -1,16 +1,16 @@
-//! The time that all processes of a machine share and that no step of the wall clock moves.
+//! A clock that all processes of a machine share and that steps of the wall clock do not move.
 //!
-//! Each process counts its own time from what the wall clock showed when it began. What one process keeps for the next is
-//! written by the machine's monotonic clock, and read back as the time of whoever reads it.
+//! Each process counts its own time from the wall clock at its start. Persisted points in time are converted to the machine's
+//! monotonic clock when written, and to the reader's process time when read.
 
 use crate::exclusions::Micros;
 use nix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// How a process's own time stands to the machine's.
+/// The offset between the process's time and the machine's monotonic clock: both as they were at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MachineTime {
-    own: Micros,
+    process: Micros,
     machine: Micros,
 }
 
@@ -20,23 +20,27 @@
 }
 
 impl MachineTime {
-    /// For a process whose own time is `now`.
+    /// The offset of a process whose time is `now`.
     #[must_use]
     pub fn new(now: Micros) -> Self {
-        Self { own: now, machine: monotonic() }
+        Self { process: now, machine: monotonic() }
     }
 
-    /// A moment of the process as the machine counts it.
+    /// Converts process time to machine time, in microseconds.
     #[must_use]
-    pub fn of_machine(&self, own: Micros) -> Micros {
-        (self.machine + own).saturating_sub(self.own)
+    pub fn to_machine_time(&self, process: Micros) -> Micros {
+        (self.machine + process).saturating_sub(self.process)
     }
 
-    /// A moment of the machine as the process counts it. One that has not come yet was written before the machine started, or
-    /// by an older version that kept the wall clock's time: how old it is is not known, and it counts as the process's begin.
+    /// Converts machine time to process time, in microseconds. A time in the future was written before the machine's last
+    /// start, or by an older version that stored wall-clock time: its age is unknown, and it counts as the process's start.
     #[must_use]
-    pub fn of_process(&self, machine: Micros) -> Micros {
-        if machine > monotonic() { self.own } else { (self.own + machine).saturating_sub(self.machine) }
+    pub fn to_process_time(&self, machine: Micros) -> Micros {
+        if machine > monotonic() {
+            self.process
+        } else {
+            (self.process + machine).saturating_sub(self.machine)
+        }
     }
 }
 
--- a/crates/admin/src/machine_time/tests.rs
+++ b/crates/admin/src/machine_time/tests.rs
@@ -3,17 +3,17 @@
 const HOUR: Micros = 3_600_000_000;
 
 #[test]
-fn processes_whose_wall_clocks_differ_read_the_same_age() {
+fn processes_with_different_wall_clocks_read_the_same_age() {
     let machine = monotonic();
-    let old = MachineTime { own: 2 * HOUR, machine };
-    let new = MachineTime { own: HOUR, machine: machine + 500 };
-    let kept = old.of_machine(2 * HOUR - 300);
-    assert_eq!(new.of_process(kept), HOUR - 800);
+    let old = MachineTime { process: 2 * HOUR, machine };
+    let new = MachineTime { process: HOUR, machine: machine + 500 };
+    let stored = old.to_machine_time(2 * HOUR - 300);
+    assert_eq!(new.to_process_time(stored), HOUR - 800);
 }
 
 #[test]
-fn a_time_that_has_not_come_counts_as_the_begin_of_the_process() {
+fn a_future_time_counts_as_the_process_start() {
     let time = MachineTime::new(HOUR);
-    assert_eq!(time.of_process(monotonic() + HOUR), HOUR);
-    assert_eq!(time.of_process(1_796_000_000_000_000), HOUR, "kept by the wall clock");
+    assert_eq!(time.to_process_time(monotonic() + HOUR), HOUR);
+    assert_eq!(time.to_process_time(1_796_000_000_000_000), HOUR, "stored as wall-clock time");
 }
--- a/crates/admin/src/process_replacement.rs
+++ b/crates/admin/src/process_replacement.rs
@@ -1,8 +1,9 @@
-//! Who else is a process of this proxy, told by locked files, and to whom the kernel gives new connections.
+//! Instance slots and connection steering. Each process of one proxy holds an advisory lock on one slot file; the process
+//! that is ready last receives the new connections.
 //!
-//! A lock ends with its process however that ends, so files that a killed process left behind say nothing.
+//! The kernel releases a lock when its process ends, however it ends, so a slot file without a lock is free.
 
-use crate::exclusion_store::file_name;
+use crate::file_names::file_name_part;
 use nix::libc::{sock_filter, sock_fprog};
 use nix::sys::socket::setsockopt;
 use nix::sys::socket::sockopt::AttachReusePortCbpf;
@@ -11,18 +12,19 @@
 use std::os::fd::AsFd;
 use std::path::{Path, PathBuf};
 
-/// Processes of one proxy that there may be at a time: one that serves, one that ends, one that begins, and one more for
-/// a replacement that follows right upon another.
+/// Processes of one proxy at a time: one that serves, one that drains, one that starts, and one more for a replacement that
+/// follows immediately.
 pub const MAX_PROCESSES: usize = 4;
-/// Return a constant: the one instruction of the filter (`BPF_RET | BPF_K`).
-const RETURN: u16 = 0x06;
+/// The opcode of the filter's only instruction, `BPF_RET | BPF_K`: return a constant.
+const BPF_RETURN_CONSTANT: u16 = 0x06;
 
-/// This process's place among those of its proxy, until it is dropped.
+/// This process's slot among the processes of its proxy. Dropping it releases the slot.
 #[derive(Debug)]
 pub struct InstanceSlot {
+    /// The slot files, by slot index.
     paths: Vec<PathBuf>,
-    own: usize,
-    _locked: File,
+    own_index: usize,
+    _lock: File,
 }
 
 fn try_lock(path: &Path) -> io::Result<Option<File>> {
@@ -35,38 +37,38 @@
 }
 
 impl InstanceSlot {
-    /// Takes a place.
+    /// Acquires the first free slot of the proxy `name` in `folder`.
     ///
     /// # Errors
-    /// Where the folder can't be written to, or all places are taken.
-    pub fn take(folder: &Path, name: &str) -> io::Result<Self> {
-        let name = file_name(name);
-        let path = |place: usize| folder.join(format!("haventrack-{name}.process-{place}.lock"));
+    /// Where the slot files cannot be opened or locked, or all [`MAX_PROCESSES`] slots are taken.
+    pub fn acquire(folder: &Path, name: &str) -> io::Result<Self> {
+        let name = file_name_part(name);
+        let path = |index: usize| folder.join(format!("haventrack-{name}.process-{index}.lock"));
         let paths: Vec<_> = (0..MAX_PROCESSES).map(path).collect();
-        for (own, path) in paths.iter().enumerate() {
-            if let Some(locked) = try_lock(path)? {
-                return Ok(Self { paths, own, _locked: locked });
+        for (own_index, path) in paths.iter().enumerate() {
+            if let Some(lock) = try_lock(path)? {
+                return Ok(Self { paths, own_index, _lock: lock });
             }
         }
         Err(io::Error::other(format!("{MAX_PROCESSES} processes of this proxy run already")))
     }
 
-    /// How many other processes of this proxy there are. What can't be looked at counts as none.
+    /// The number of other processes of this proxy. A slot file that cannot be examined counts as free.
     #[must_use]
-    pub fn peers(&self) -> usize {
-        let others = self.paths.iter().enumerate().filter(|(place, _)| *place != self.own);
-        // A place that nobody ever took has no file, and none is made for it.
+    pub fn peer_count(&self) -> usize {
+        let others = self.paths.iter().enumerate().filter(|(index, _)| *index != self.own_index);
+        // A slot that was never taken has no file, and examining it must not create one.
         others.filter(|(_, path)| path.exists() && matches!(try_lock(path), Ok(None))).count()
     }
 }
 
-/// Has the kernel give all new connections to the listener of this place among those of its address.
+/// Makes the kernel hand all new connections of the listener's address to the listener with this index.
 ///
 /// # Errors
-/// Where the kernel does not take the filter: it then goes on choosing by its hash.
-pub fn steer(listener: &impl AsFd, place: usize) -> io::Result<()> {
-    let place = u32::try_from(place).unwrap_or(u32::MAX);
-    let mut filter = [sock_filter { code: RETURN, jt: 0, jf: 0, k: place }];
+/// Where the kernel rejects the filter; it then goes on selecting a listener by its hash.
+pub fn steer_new_connections(listener: &impl AsFd, listener_index: usize) -> io::Result<()> {
+    let constant = u32::try_from(listener_index).unwrap_or(u32::MAX);
+    let mut filter = [sock_filter { code: BPF_RETURN_CONSTANT, jt: 0, jf: 0, k: constant }];
     let program = sock_fprog { len: 1, filter: filter.as_mut_ptr() };
     Ok(setsockopt(listener, AttachReusePortCbpf, &program)?)
 }
--- a/crates/admin/src/process_status.rs
+++ b/crates/admin/src/process_status.rs
@@ -1,77 +1,76 @@
-//! What a process of the proxy is at a moment, beside others of the same proxy, and what follows from that: whether it is
-//! ready, where new connections go, which part of the limits is its own. Pure: no I/O, no clock.
+//! The state of this process beside the other processes of the same proxy, and what follows from it: readiness, where new
+//! connections are steered, and this process's quota of each limit. Pure: no I/O, no clock.
 //!
-//! New connections are steered by a number: the kernel keeps the listeners of one address in the order in which they began
-//! to listen, and a filter names one of them. A number that no listener has leaves the choice to the kernel's hash, so
-//! that a stale one can misplace a connection but lose none.
+//! The kernel numbers the listeners of one address in the order in which they began to listen, and a socket filter selects
+//! one of them by its index. With an index that no listener has, the kernel falls back to its hash: a stale index can
+//! misdirect a connection but never lose one.
 
 use crate::command::ConsoleResponse;
 
-/// What this process is at the moment.
+/// The state of this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// It holds a list of backends.
-    held: bool,
-    /// It has been told to end.
-    draining: bool,
-    /// Processes of this proxy beside it.
-    peers: usize,
-    /// Where new connections were last steered by this process.
-    steered: Option<usize>,
+    has_backend_list: bool,
+    is_draining: bool,
+    /// Other running processes of this proxy.
+    peer_count: usize,
+    /// The listener index to which this process last steered new connections.
+    steered_to: Option<usize>,
 }
 
 impl ProcessStatus {
-    /// It holds a list of backends: from now on it can serve. Whether that is news.
-    pub fn holds_list(&mut self) -> bool {
-        !std::mem::replace(&mut self.held, true)
+    /// Records that a backend list was received: the process can serve. Returns whether it is the first one.
+    pub fn set_backend_list_received(&mut self) -> bool {
+        !std::mem::replace(&mut self.has_backend_list, true)
     }
 
-    /// It has been told to end: it serves what still comes, and is not ready any more.
-    pub fn drains(&mut self) {
-        self.draining = true;
+    /// Records that the process was ordered to end: it finishes its requests and is not ready any more.
+    pub fn begin_draining(&mut self) {
+        self.is_draining = true;
     }
 
-    /// So many processes of this proxy are there beside it. Whether that is news.
-    pub fn beside(&mut self, peers: usize) -> bool {
-        std::mem::replace(&mut self.peers, peers) != peers
+    /// Records the number of other processes of this proxy. Returns whether it changed.
+    pub fn set_peer_count(&mut self, peer_count: usize) -> bool {
+        std::mem::replace(&mut self.peer_count, peer_count) != peer_count
     }
 
-    /// Whether it serves and will go on.
+    /// Whether the process has a backend list and is not draining.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.held && !self.draining
+        self.has_backend_list && !self.is_draining
     }
 
-    /// The answer to `readyz`.
+    /// The response to `readyz`.
     #[must_use]
-    pub fn readiness(&self) -> ConsoleResponse {
-        match (self.held, self.draining) {
+    pub fn readiness_response(&self) -> ConsoleResponse {
+        match (self.has_backend_list, self.is_draining) {
             (_, true) => ConsoleResponse::Failure("this process was told to end".into()),
             (false, _) => ConsoleResponse::Failure("no list of backends is held yet".into()),
             (true, false) => ConsoleResponse::Success("serving".into()),
         }
     }
 
-    /// Which listener new connections have to be steered to now, if this process has to see to that: itself once it is
-    /// ready. It came last, so its place is behind those that were there; when it is left alone it is the first, and the
-    /// next process to come gets nothing before that one in turn is ready.
+    /// The listener index to which this process has to steer new connections now, if that changed and the process is ready.
+    ///
+    /// The process started last, so its listener's index is the number of its peers. Once it is alone its index is 0, and a
+    /// successor gets no connections before it is ready and steers them itself.
     pub fn steer(&mut self) -> Option<usize> {
         if !self.is_ready() {
             return None;
         }
-        // Whoever is the elder does not take the connections back when a younger one comes.
-        let place = match self.steered {
-            None => self.peers,
-            Some(_) if self.peers == 0 => 0,
-            Some(place) => place,
+        // A process with a successor keeps its index: it must not reclaim connections from the successor.
+        let listener_index = match self.steered_to {
+            None => self.peer_count,
+            Some(_) if self.peer_count == 0 => 0,
+            Some(current) => current,
         };
-        (self.steered.replace(place) != Some(place)).then_some(place)
+        (self.steered_to.replace(listener_index) != Some(listener_index)).then_some(listener_index)
     }
 
-    /// This process's part of a limit that holds for all processes of the proxy together.
+    /// This process's quota of a limit that holds for all processes of the proxy together; at least 1.
     #[must_use]
-    pub fn part(&self, limit: usize) -> usize {
-        (limit / (self.peers + 1)).max(1)
+    pub fn quota_of(&self, limit: usize) -> usize {
+        (limit / (self.peer_count + 1)).max(1)
     }
 }
 
--- a/crates/admin/src/snapshot_file.rs
+++ b/crates/admin/src/snapshot_file.rs
@@ -1,9 +1,10 @@
-//! What a process has learnt, as the one that takes its place reads it: one file in the temporary folder, replaced whole.
+//! The snapshot of learned limits that a process leaves for its successor: one file in the temporary folder, replaced
+//! atomically.
 //!
-//! It is no more than a better start. One that is absent, old, cut, senseless or of another version means a plain one.
+//! It only improves the successor's start: one that is absent, old, damaged or of another version is ignored.
 
-use crate::exclusion_store::file_name;
 use crate::exclusions::Micros;
+use crate::file_names::file_name_part;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -11,142 +12,210 @@
 use thiserror::Error;
 use tokio::task::spawn_blocking;
 
-/// The form of the file. Another one is not read.
-const VERSION: u32 = 2;
-/// The largest file that is written or read, in bytes; thousands of servers fit in.
-const FILE_CAP: usize = 1 << 20;
-/// What is older tells too little, microseconds: limits follow a load that changes within seconds.
-const FRESH: Micros = 5_000_000;
+/// The version of the file's format; a file of another one is not read.
+const FORMAT_VERSION: u32 = 2;
+/// The largest file that is written or read, in bytes; thousands of backends fit.
+const MAX_FILE_BYTES: usize = 1 << 20;
+/// The oldest snapshot that is restored, microseconds: limits follow a load that changes within seconds.
+const MAX_SNAPSHOT_AGE: Micros = 5_000_000;
 
-/// The limit of one server.
+/// The learned limit of one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredLimit {
-    /// Its number, the same in every process.
+    /// The backend's number, the same in every process.
     pub backend: u32,
-    /// When its process started, microseconds since the Unix epoch.
-    pub started: Option<Micros>,
-    /// The limit.
+    /// When the backend's process started, microseconds since the Unix epoch.
+    #[serde(rename = "started")]
+    pub started_at: Option<Micros>,
+    /// Concurrent requests.
     pub limit: f64,
-    /// It is its kind's.
-    pub common: bool,
+    /// Whether the limit is the one shared by the backend's machine kind.
+    #[serde(rename = "common")]
+    pub is_shared: bool,
 }
 
-/// What was learnt.
+/// The learned limit of one machine kind; stored as a pair.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, bool)", into = "(f64, bool)")]
+pub struct StoredKindLimit {
+    /// Concurrent requests.
+    pub limit: f64,
+    /// Whether the limit is still doubling.
+    pub is_doubling: bool,
+}
+
+impl From<(f64, bool)> for StoredKindLimit {
+    fn from((limit, is_doubling): (f64, bool)) -> Self {
+        Self { limit, is_doubling }
+    }
+}
+
+impl From<StoredKindLimit> for (f64, bool) {
+    fn from(kind: StoredKindLimit) -> Self {
+        (kind.limit, kind.is_doubling)
+    }
+}
+
+/// The learned latency of one request class on one machine kind; stored as a triple.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(u32, f64, Option<f64>)", into = "(u32, f64, Option<f64>)")]
+pub struct StoredLatency {
+    /// The number of samples.
+    pub samples: u32,
+    /// The mean, microseconds.
+    pub mean: f64,
+    /// The latency without queueing, microseconds.
+    pub baseline: Option<f64>,
+}
+
+impl From<(u32, f64, Option<f64>)> for StoredLatency {
+    fn from((samples, mean, baseline): (u32, f64, Option<f64>)) -> Self {
+        Self { samples, mean, baseline }
+    }
+}
+
+impl From<StoredLatency> for (u32, f64, Option<f64>) {
+    fn from(latency: StoredLatency) -> Self {
+        (latency.samples, latency.mean, latency.baseline)
+    }
+}
+
+/// The learned state as the file holds it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredLearnedState {
-    /// Of the servers.
-    pub servers: Vec<StoredLimit>,
-    /// Of the kinds of machines: limit, and whether it still doubles.
-    pub kinds: Vec<(f64, bool)>,
-    /// Of the classes on them: samples, mean and uncrowded latency.
-    pub latencies: Vec<(u32, f64, Option<f64>)>,
-    /// The most requests served in a second.
-    pub peak: f64,
-    /// The part of the requests that is refused.
-    pub refused: f64,
+    /// The backends' limits.
+    #[serde(rename = "servers")]
+    pub backends: Vec<StoredLimit>,
+    /// The machine kinds' limits.
+    #[serde(rename = "kinds")]
+    pub machine_kinds: Vec<StoredKindLimit>,
+    /// The latencies of request classes on machine kinds.
+    pub latencies: Vec<StoredLatency>,
+    /// The most requests served in one second.
+    #[serde(rename = "peak")]
+    pub peak_rate: f64,
+    /// The fraction of requests that is rejected, 0 to 1.
+    #[serde(rename = "refused")]
+    pub rejected_fraction: f64,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Kept {
+struct SnapshotDocument {
     version: u32,
-    /// Whose classes, kinds and zones the figures are of.
-    of: u64,
-    at: Micros,
-    learnt: StoredLearnedState,
+    /// The fingerprint of the configuration's classes, kinds and zones.
+    #[serde(rename = "of")]
+    configuration: u64,
+    #[serde(rename = "at")]
+    written_at: Micros,
+    #[serde(rename = "learnt")]
+    learned: StoredLearnedState,
 }
 
-/// Why a snapshot is not gone on from.
+/// Why a snapshot could not be written or restored.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
     /// A call of the file system failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// It is not what is written here.
+    /// It is not the JSON of this format.
     #[error("not readable: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Its form is another.
-    #[error("version {0} is not {VERSION}")]
+    /// It is of this other format version.
+    #[error("version {0} is not {FORMAT_VERSION}")]
     Version(u32),
-    /// It was written too long ago, or by a clock that is ahead.
-    #[error("it is not of the last {} s", FRESH / 1_000_000)]
-    Old,
-    /// It is of a configuration with other classes, kinds or zones.
+    /// It is older than [`MAX_SNAPSHOT_AGE`], or from the future.
+    #[error("it is not of the last {} s", MAX_SNAPSHOT_AGE / 1_000_000)]
+    Expired,
+    /// It belongs to a configuration with other classes, kinds or zones.
     #[error("it is of another configuration")]
-    Another,
-    /// A figure makes no sense.
+    OtherConfiguration,
+    /// The value of this key is out of range.
     #[error("`{0}` makes no sense")]
-    Senseless(&'static str),
-    /// It is larger than there is room for.
-    #[error("larger than {FILE_CAP} bytes")]
+    InvalidValue(&'static str),
+    /// It is larger than [`MAX_FILE_BYTES`].
+    #[error("larger than {MAX_FILE_BYTES} bytes")]
     TooLarge,
 }
 
-/// Reads the text of a snapshot of this configuration at a time.
+/// Parses a snapshot of this configuration, given by its fingerprint, at the time `now`.
 ///
 /// # Errors
-/// Why it can't be gone on from.
-pub fn parse(text: &[u8], own: u64, now: Micros) -> Result<StoredLearnedState, SnapshotError> {
-    let Kept { version, of, at, learnt } = serde_json::from_slice(text)?;
-    if version != VERSION {
-        return Err(SnapshotError::Version(version));
+/// Where it is malformed, of another version or configuration, expired, or holds values out of range.
+pub fn parse(text: &[u8], configuration: u64, now: Micros) -> Result<StoredLearnedState, SnapshotError> {
+    let document: SnapshotDocument = serde_json::from_slice(text)?;
+    if document.version != FORMAT_VERSION {
+        return Err(SnapshotError::Version(document.version));
     }
-    if of != own {
-        return Err(SnapshotError::Another);
+    if document.configuration != configuration {
+        return Err(SnapshotError::OtherConfiguration);
     }
-    if at > now || now - at > FRESH {
-        return Err(SnapshotError::Old);
+    if document.written_at > now || now - document.written_at > MAX_SNAPSHOT_AGE {
+        return Err(SnapshotError::Expired);
     }
-    let check = |good: bool, what| if good { Ok(()) } else { Err(SnapshotError::Senseless(what)) };
-    let positive = |figure: f64| figure.is_finite() && figure > 0.0;
-    check(learnt.servers.iter().all(|s| positive(s.limit)), "servers.limit")?;
-    check(learnt.kinds.iter().all(|k| positive(k.0)), "kinds")?;
-    let latency = |l: &(u32, f64, Option<f64>)| positive(l.1) && l.2.is_none_or(positive);
-    check(learnt.latencies.iter().all(latency), "latencies")?;
-    check(learnt.peak.is_finite() && learnt.peak >= 0.0, "peak")?;
-    check((0.0..=1.0).contains(&learnt.refused), "refused")?;
-    Ok(learnt)
+    check_values(&document.learned)?;
+    Ok(document.learned)
 }
 
-/// The file of a proxy.
+fn check_values(learned: &StoredLearnedState) -> Result<(), SnapshotError> {
+    let check = |valid: bool, key| if valid { Ok(()) } else { Err(SnapshotError::InvalidValue(key)) };
+    let is_positive = |value: f64| value.is_finite() && value > 0.0;
+    let is_valid_latency =
+        |latency: &StoredLatency| is_positive(latency.mean) && latency.baseline.is_none_or(is_positive);
+    check(learned.backends.iter().all(|backend| is_positive(backend.limit)), "servers.limit")?;
+    check(learned.machine_kinds.iter().all(|kind| is_positive(kind.limit)), "kinds")?;
+    check(learned.latencies.iter().all(is_valid_latency), "latencies")?;
+    check(learned.peak_rate.is_finite() && learned.peak_rate >= 0.0, "peak")?;
+    check((0.0..=1.0).contains(&learned.rejected_fraction), "refused")
+}
+
+/// The snapshot file of a proxy.
 #[derive(Clone, Debug)]
-pub struct SnapshotFile(PathBuf);
+pub struct SnapshotFile {
+    path: PathBuf,
+}
 
 impl SnapshotFile {
-    /// The snapshot of the proxy of this name. Nothing is read yet.
+    /// The snapshot file of the proxy `name` in `folder`. Nothing is read yet.
     #[must_use]
     pub fn new(folder: &Path, name: &str) -> Self {
-        Self(folder.join(format!("haventrack-{}.learnt.json", file_name(name))))
+        Self { path: folder.join(format!("haventrack-{}.learnt.json", file_name_part(name))) }
     }
 
-    /// Writes what was learnt until now in a configuration, on a thread that may wait for the disk: to rename over a file can take as long
-    /// as to write it there.
+    /// Writes the learned state of a configuration, given by its fingerprint. Runs on a blocking thread: a rename over a file
+    /// can take as long as the write.
     ///
     /// # Errors
-    /// Where that fails; the one before stays.
-    pub async fn write(&self, of: u64, now: Micros, learnt: StoredLearnedState) -> Result<(), SnapshotError> {
-        let text = serde_json::to_vec(&Kept { version: VERSION, of, at: now, learnt })?;
-        if text.len() > FILE_CAP {
+    /// Where the state is too large or the write fails; the previous snapshot remains.
+    pub async fn write(
+        &self,
+        configuration: u64,
+        now: Micros,
+        learned: StoredLearnedState,
+    ) -> Result<(), SnapshotError> {
+        let document = SnapshotDocument { version: FORMAT_VERSION, configuration, written_at: now, learned };
+        let text = serde_json::to_vec(&document)?;
+        if text.len() > MAX_FILE_BYTES {
             return Err(SnapshotError::TooLarge);
         }
-        let path = self.0.clone();
-        // Two processes may write at once.
-        let new = path.with_extension(format!("new-{}", std::process::id()));
-        let write = move || {
-            File::create(&new)?.write_all(&text)?;
-            fs::rename(&new, &path)
+        let path = self.path.clone();
+        // Two processes may write at once: each has a temporary file of its own.
+        let new_path = path.with_extension(format!("new-{}", std::process::id()));
+        let replace_file = move || {
+            File::create(&new_path)?.write_all(&text)?;
+            fs::rename(&new_path, &path)
         };
-        Ok(spawn_blocking(write).await.map_err(io::Error::other)??)
+        Ok(spawn_blocking(replace_file).await.map_err(io::Error::other)??)
     }
 
-    /// What another process of this configuration has learnt.
+    /// The state that another process with this configuration has learned.
     ///
     /// # Errors
-    /// Why there is nothing to go on from.
-    pub fn read(&self, own: u64, now: Micros) -> Result<StoredLearnedState, SnapshotError> {
+    /// Where the file cannot be read, or [`parse`] rejects it.
+    pub fn read(&self, configuration: u64, now: Micros) -> Result<StoredLearnedState, SnapshotError> {
         let mut text = Vec::new();
-        File::open(&self.0)?.take(FILE_CAP as u64).read_to_end(&mut text)?;
-        parse(&text, own, now)
+        File::open(&self.path)?.take(MAX_FILE_BYTES as u64).read_to_end(&mut text)?;
+        parse(&text, configuration, now)
     }
 }
 
--- a/crates/admin/src/snapshot_file/tests.rs
+++ b/crates/admin/src/snapshot_file/tests.rs
@@ -1,69 +1,80 @@
 use super::*;
 use proptest::prelude::*;
 
-const OWN: u64 = 0x51;
+/// The fingerprint of the configuration.
+const CONFIGURATION: u64 = 0x51;
 const NOW: Micros = 1_796_148_000_000_000;
 
-fn learnt() -> StoredLearnedState {
+fn learned() -> StoredLearnedState {
     StoredLearnedState {
-        servers: vec![
-            StoredLimit { backend: 7, started: None, limit: 1.25, common: true },
-            StoredLimit { backend: u32::MAX, started: Some(NOW), limit: 0.8, common: false },
+        backends: vec![
+            StoredLimit { backend: 7, started_at: None, limit: 1.25, is_shared: true },
+            StoredLimit { backend: u32::MAX, started_at: Some(NOW), limit: 0.8, is_shared: false },
         ],
-        kinds: vec![(2.5, false)],
-        latencies: vec![(16, 31_000.5, Some(24_000.0)), (0, 135_000.0, None)],
-        peak: 210.5,
-        refused: 0.125,
+        machine_kinds: vec![StoredKindLimit { limit: 2.5, is_doubling: false }],
+        latencies: vec![
+            StoredLatency { samples: 16, mean: 31_000.5, baseline: Some(24_000.0) },
+            StoredLatency { samples: 0, mean: 135_000.0, baseline: None },
+        ],
+        peak_rate: 210.5,
+        rejected_fraction: 0.125,
     }
 }
 
-fn text(version: u32, at: Micros, learnt: StoredLearnedState) -> String {
-    serde_json::to_string(&Kept { version, of: OWN, at, learnt }).expect("text")
+fn text(version: u32, written_at: Micros, learned: StoredLearnedState) -> String {
+    let document = SnapshotDocument { version, configuration: CONFIGURATION, written_at, learned };
+    serde_json::to_string(&document).expect("text")
 }
 
 #[test]
-fn what_was_written_is_read_while_it_is_fresh() {
-    let whole = text(VERSION, NOW, learnt());
-    assert_eq!(parse(whole.as_bytes(), OWN, NOW + FRESH).expect("fresh"), learnt());
-    assert!(matches!(parse(whole.as_bytes(), OWN, NOW + FRESH + 1), Err(SnapshotError::Old)));
+fn reads_a_snapshot_until_it_expires() {
+    let complete = text(FORMAT_VERSION, NOW, learned());
+    assert_eq!(parse(complete.as_bytes(), CONFIGURATION, NOW + MAX_SNAPSHOT_AGE).expect("fresh"), learned());
+    assert!(matches!(
+        parse(complete.as_bytes(), CONFIGURATION, NOW + MAX_SNAPSHOT_AGE + 1),
+        Err(SnapshotError::Expired)
+    ));
     assert!(
-        matches!(parse(whole.as_bytes(), OWN, NOW - 1), Err(SnapshotError::Old)),
-        "another's clock is ahead"
+        matches!(parse(complete.as_bytes(), CONFIGURATION, NOW - 1), Err(SnapshotError::Expired)),
+        "written by a clock that is ahead"
     );
-    assert!(matches!(parse(whole.as_bytes(), OWN + 1, NOW), Err(SnapshotError::Another)));
-    let other = text(VERSION + 1, NOW, learnt());
-    assert!(matches!(parse(other.as_bytes(), OWN, NOW), Err(SnapshotError::Version(3))));
+    assert!(matches!(
+        parse(complete.as_bytes(), CONFIGURATION + 1, NOW),
+        Err(SnapshotError::OtherConfiguration)
+    ));
+    let other = text(FORMAT_VERSION + 1, NOW, learned());
+    assert!(matches!(parse(other.as_bytes(), CONFIGURATION, NOW), Err(SnapshotError::Version(3))));
 }
 
 #[test]
-fn figures_that_make_no_sense_are_named() {
-    let senseless = |change: fn(&mut StoredLearnedState)| {
-        let mut learnt = learnt();
-        change(&mut learnt);
-        match parse(text(VERSION, NOW, learnt).as_bytes(), OWN, NOW) {
-            Err(SnapshotError::Senseless(what)) => what,
+fn names_the_key_of_an_invalid_value() {
+    let invalid_key = |change: fn(&mut StoredLearnedState)| {
+        let mut learned = learned();
+        change(&mut learned);
+        match parse(text(FORMAT_VERSION, NOW, learned).as_bytes(), CONFIGURATION, NOW) {
+            Err(SnapshotError::InvalidValue(key)) => key,
             other => panic!("{other:?}"),
         }
     };
-    assert_eq!(senseless(|l| l.servers[0].limit = 0.0), "servers.limit");
-    assert_eq!(senseless(|l| l.kinds[0].0 = -1.0), "kinds");
-    assert_eq!(senseless(|l| l.latencies[0].1 = 0.0), "latencies");
-    assert_eq!(senseless(|l| l.latencies[0].2 = Some(-3.0)), "latencies");
-    assert_eq!(senseless(|l| l.peak = -1.0), "peak");
-    assert_eq!(senseless(|l| l.refused = 1.5), "refused");
+    assert_eq!(invalid_key(|learned| learned.backends[0].limit = 0.0), "servers.limit");
+    assert_eq!(invalid_key(|learned| learned.machine_kinds[0].limit = -1.0), "kinds");
+    assert_eq!(invalid_key(|learned| learned.latencies[0].mean = 0.0), "latencies");
+    assert_eq!(invalid_key(|learned| learned.latencies[0].baseline = Some(-3.0)), "latencies");
+    assert_eq!(invalid_key(|learned| learned.peak_rate = -1.0), "peak");
+    assert_eq!(invalid_key(|learned| learned.rejected_fraction = 1.5), "refused");
 }
 
 proptest! {
     #[test]
-    fn a_cut_or_spoilt_snapshot_never_panics_and_a_cut_one_is_never_taken(
-        part in 0.0_f64..1.0, at in any::<prop::sample::Index>(), byte in any::<u8>(),
+    fn rejects_truncated_snapshots_and_never_panics_on_damaged_ones(
+        length_fraction in 0.0_f64..1.0, at in any::<prop::sample::Index>(), byte in any::<u8>(),
     ) {
-        let whole = text(VERSION, NOW, learnt()).into_bytes();
-        let cut = (whole.len() as f64 * part) as usize;
-        prop_assert!(parse(&whole[..cut], OWN, NOW).is_err());
-        let mut spoilt = whole.clone();
-        let at = at.index(whole.len());
-        spoilt[at] = byte;
-        let _ = parse(&spoilt, OWN, NOW);
+        let complete = text(FORMAT_VERSION, NOW, learned()).into_bytes();
+        let length = (complete.len() as f64 * length_fraction) as usize;
+        prop_assert!(parse(&complete[..length], CONFIGURATION, NOW).is_err());
+        let mut damaged = complete.clone();
+        let at = at.index(complete.len());
+        damaged[at] = byte;
+        let _ = parse(&damaged, CONFIGURATION, NOW);
     }
 }
--- a/crates/admin/src/unpersisted.rs
+++ b/crates/admin/src/unpersisted.rs
@@ -1,78 +1,84 @@
-//! Changes of bans that are in force and that no disk has taken yet. Pure: no I/O, no clock.
+//! Changes of exclusions that are in force and not yet persisted. Pure: no I/O, no clock.
 //!
-//! What an operator was promised binds at once, whatever the disk says, and is owed to the file until the file has it.
+//! An operator's command takes effect at once, whatever the state of the disk, and is queued here until the file holds it.
 
 use crate::exclusions::{Exclusions, Micros, TooManyExclusions};
 use std::collections::VecDeque;
 
-/// One change.
+/// A change of the exclusions: the backend's id and when the change was requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// Nothing new to this backend.
+pub enum ExclusionChange {
+    /// Excludes the backend.
     Exclude(String, Micros),
-    /// This backend may serve again.
+    /// Re-includes the backend.
     Include(String, Micros),
 }
 
-impl Change {
+impl ExclusionChange {
     fn id(&self) -> &str {
         match self {
             Self::Exclude(id, _) | Self::Include(id, _) => id,
         }
     }
 
-    /// Makes it. Whether anything changed.
+    /// Applies the change. Returns whether the backend's state changed.
     ///
     /// # Errors
-    /// At the bound on bans; then nothing has changed.
-    pub fn apply(&self, bans: &mut Exclusions) -> Result<bool, TooManyExclusions> {
+    /// At the bound on exclusions; then nothing has changed.
+    pub fn apply(&self, exclusions: &mut Exclusions) -> Result<bool, TooManyExclusions> {
         match self {
-            Self::Exclude(id, at) => bans.exclude(id, *at),
-            Self::Include(id, at) => Ok(bans.include(id, *at)),
+            Self::Exclude(id, at) => exclusions.exclude(id, *at),
+            Self::Include(id, at) => Ok(exclusions.include(id, *at)),
         }
     }
 }
 
-/// Changes in the order in which they were asked for, each with its number.
+#[derive(Debug)]
+struct SequencedChange {
+    sequence: u64,
+    change: ExclusionChange,
+}
+
+/// The unpersisted changes, in the order in which they were requested.
 #[derive(Debug, Default)]
 pub struct UnpersistedChanges {
-    changes: VecDeque<(u64, Change)>,
-    last: u64,
+    changes: VecDeque<SequencedChange>,
+    last_sequence: u64,
 }
 
 impl UnpersistedChanges {
-    /// One more. Earlier ones of the same backend are no more than its past.
-    pub fn push(&mut self, change: Change) {
-        self.changes.retain(|(_, earlier)| earlier.id() != change.id());
-        self.last += 1;
-        self.changes.push_back((self.last, change));
+    /// Adds a change. It replaces an earlier one of the same backend.
+    pub fn push(&mut self, change: ExclusionChange) {
+        self.changes.retain(|earlier| earlier.change.id() != change.id());
+        self.last_sequence += 1;
+        self.changes.push_back(SequencedChange { sequence: self.last_sequence, change });
     }
 
-    /// Whether the file has all of them.
+    /// Whether the file holds all changes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// The number of the last one.
+    /// The sequence number of the last change.
     #[must_use]
-    pub fn last(&self) -> u64 {
-        self.last
+    pub fn last_sequence(&self) -> u64 {
+        self.last_sequence
     }
 
-    /// The file has those up to this number.
-    pub fn kept(&mut self, last: u64) {
-        self.changes.retain(|(number, _)| *number > last);
+    /// Drops the changes up to and including this sequence number: the file holds them.
+    pub fn mark_persisted(&mut self, last_sequence: u64) {
+        self.changes.retain(|change| change.sequence > last_sequence);
     }
 
-    /// Makes all of them.
+    /// Applies all changes.
     ///
     /// # Errors
-    /// At the bound on bans; those behind the one that is too many are made all the same.
-    pub fn apply(&self, bans: &mut Exclusions) -> Result<(), TooManyExclusions> {
+    /// At the bound on exclusions. The changes after the rejected one are applied all the same.
+    pub fn apply(&self, exclusions: &mut Exclusions) -> Result<(), TooManyExclusions> {
         let mut result = Ok(());
-        for (_, change) in &self.changes {
-            result = result.and(change.apply(bans).map(|_| ()));
+        for SequencedChange { change, .. } in &self.changes {
+            result = result.and(change.apply(exclusions).map(|_| ()));
         }
         result
     }
--- a/crates/admin/src/unpersisted/tests.rs
+++ b/crates/admin/src/unpersisted/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
 
 #[test]
-fn what_the_file_lacks_is_laid_over_it_until_it_is_there() {
-    let mut pending = UnpersistedChanges::default();
-    pending.push(Change::Exclude("a".into(), 5));
-    let first = pending.last();
-    pending.push(Change::Exclude("b".into(), 6));
-    let mut read = Exclusions::default();
-    assert_eq!(pending.apply(&mut read), Ok(()));
-    assert!(read.is_out("a") && read.is_out("b"));
-    pending.kept(first);
-    let mut read = Exclusions::default();
-    assert_eq!(pending.apply(&mut read), Ok(()));
-    assert!(!read.is_out("a") && read.is_out("b"));
-    pending.kept(pending.last());
-    assert!(pending.is_empty());
+fn applies_changes_until_they_are_persisted() {
+    let mut unpersisted_changes = UnpersistedChanges::default();
+    unpersisted_changes.push(ExclusionChange::Exclude("a".into(), 5));
+    let first = unpersisted_changes.last_sequence();
+    unpersisted_changes.push(ExclusionChange::Exclude("b".into(), 6));
+    let mut exclusions = Exclusions::default();
+    assert_eq!(unpersisted_changes.apply(&mut exclusions), Ok(()));
+    assert!(exclusions.is_excluded("a") && exclusions.is_excluded("b"));
+    unpersisted_changes.mark_persisted(first);
+    let mut exclusions = Exclusions::default();
+    assert_eq!(unpersisted_changes.apply(&mut exclusions), Ok(()));
+    assert!(!exclusions.is_excluded("a") && exclusions.is_excluded("b"));
+    unpersisted_changes.mark_persisted(unpersisted_changes.last_sequence());
+    assert!(unpersisted_changes.is_empty());
 }
 
 #[test]
-fn the_last_change_of_a_backend_counts() {
-    let mut pending = UnpersistedChanges::default();
-    pending.push(Change::Exclude("a".into(), 5));
-    let asked = pending.last();
-    pending.push(Change::Include("a".into(), 6));
-    // The file took the first while the second was asked for.
-    pending.kept(asked);
-    let mut read = Exclusions::default();
-    assert_eq!(read.exclude("a", 5), Ok(true));
-    assert_eq!(pending.apply(&mut read), Ok(()));
-    assert_eq!((read.is_out("a"), read.called_back("a")), (false, Some(6)));
+fn replaces_earlier_changes_of_the_same_backend() {
+    let mut unpersisted_changes = UnpersistedChanges::default();
+    unpersisted_changes.push(ExclusionChange::Exclude("a".into(), 5));
+    let first = unpersisted_changes.last_sequence();
+    unpersisted_changes.push(ExclusionChange::Include("a".into(), 6));
+    // The first change is persisted after the second one was requested.
+    unpersisted_changes.mark_persisted(first);
+    let mut exclusions = Exclusions::default();
+    assert_eq!(exclusions.exclude("a", 5), Ok(true));
+    assert_eq!(unpersisted_changes.apply(&mut exclusions), Ok(()));
+    assert_eq!((exclusions.is_excluded("a"), exclusions.reincluded_at("a")), (false, Some(6)));
 }
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,10 +1,12 @@
-//! Golden files of what processes of one proxy store for each other, and of the console's calls.
+//! Golden files of what processes of one proxy store for each other, and of the console's commands and responses.
 
 use admin::command::{ConsoleCommand, ConsoleResponse};
 use admin::exclusion_store::ExclusionStore;
 use admin::machine_time::MachineTime;
 use admin::process_replacement::InstanceSlot;
-use admin::snapshot_file::{SnapshotFile, StoredLearnedState, StoredLimit, parse as parse_learned};
+use admin::snapshot_file::{
+    SnapshotFile, StoredKindLimit, StoredLatency, StoredLearnedState, StoredLimit, parse as parse_learned,
+};
 use golden_files::GoldenFiles;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -35,43 +37,50 @@
 }
 
 #[tokio::test]
-async fn the_exclusions_file_keeps_its_bytes() {
+async fn exclusions_file_bytes_are_stable() {
     let directory = directory("exclusions");
     let store = ExclusionStore::new(&directory, "n3", MachineTime::default());
     let none = store.load().expect("no file");
-    let (excluded, _) = store.change(&none, |bans| bans.exclude("s-a", 7), |_| ()).await.expect("written");
     let (excluded, _) =
-        store.change(&excluded, |bans| bans.exclude("s-b", 8), |_| ()).await.expect("written");
-    store.change(&excluded, |bans| Ok(bans.include("s-a", 9)), |_| ()).await.expect("written");
+        store.change(&none, |exclusions| exclusions.exclude("s-a", 7), |_| ()).await.expect("written");
+    let (excluded, _) =
+        store.change(&excluded, |exclusions| exclusions.exclude("s-b", 8), |_| ()).await.expect("written");
+    store.change(&excluded, |exclusions| Ok(exclusions.include("s-a", 9)), |_| ()).await.expect("written");
     let written = fs::read(directory.join("haventrack-n3.bans.json")).expect("the file");
     golden().assert_bytes("haventrack-n3.bans.json", &written);
 }
 
 #[test]
-fn an_exclusions_file_of_an_older_process_is_read() {
+fn reads_the_exclusions_file_of_an_older_process() {
     let directory = directory("older");
     let path = directory.join("haventrack-n3.bans.json");
     fs::write(path, golden().read("haventrack-n3.bans.json")).expect("written");
-    let bans = ExclusionStore::new(&directory, "n3", MachineTime::default()).load().expect("readable");
-    assert_eq!(bans.out().collect::<Vec<_>>(), ["s-b"]);
-    assert_eq!(bans.called_back("s-a"), Some(9));
+    let exclusions = ExclusionStore::new(&directory, "n3", MachineTime::default()).load().expect("readable");
+    assert_eq!(exclusions.excluded_ids().collect::<Vec<_>>(), ["s-b"]);
+    assert_eq!(exclusions.reincluded_at("s-a"), Some(9));
 }
 
 fn learned() -> StoredLearnedState {
     StoredLearnedState {
-        servers: vec![
-            StoredLimit { backend: 7, started: None, limit: 1.25, common: true },
-            StoredLimit { backend: u32::MAX, started: Some(SNAPSHOT_TIME), limit: 0.8, common: false },
+        backends: vec![
+            StoredLimit { backend: 7, started_at: None, limit: 1.25, is_shared: true },
+            StoredLimit { backend: u32::MAX, started_at: Some(SNAPSHOT_TIME), limit: 0.8, is_shared: false },
+        ],
+        machine_kinds: vec![
+            StoredKindLimit { limit: 2.5, is_doubling: false },
+            StoredKindLimit { limit: 40.0, is_doubling: true },
+        ],
+        latencies: vec![
+            StoredLatency { samples: 16, mean: 31_000.5, baseline: Some(24_000.0) },
+            StoredLatency { samples: 0, mean: 135_000.0, baseline: None },
         ],
-        kinds: vec![(2.5, false), (40.0, true)],
-        latencies: vec![(16, 31_000.5, Some(24_000.0)), (0, 135_000.0, None)],
-        peak: 210.5,
-        refused: 0.125,
+        peak_rate: 210.5,
+        rejected_fraction: 0.125,
     }
 }
 
 #[tokio::test]
-async fn the_snapshot_of_learned_limits_keeps_its_bytes_and_is_read() {
+async fn learned_limits_file_bytes_are_stable_and_readable() {
     let directory = directory("learned");
     let snapshot = SnapshotFile::new(&directory, "n3");
     snapshot.write(CONFIGURATION, SNAPSHOT_TIME, learned()).await.expect("written");
@@ -81,23 +90,23 @@
     assert_eq!(parse_learned(&stored, CONFIGURATION, SNAPSHOT_TIME).expect("readable"), learned());
 }
 
-/// Processes of two versions find one another by these names.
+/// Processes of two versions share these files.
 #[tokio::test]
-async fn files_of_a_proxy_keep_their_names() {
+async fn file_names_are_stable() {
     let directory = directory("names");
     for name in ["n3", "kw-proxy_7", "n.1", "", &"n".repeat(65)] {
         let store = ExclusionStore::new(&directory, name, MachineTime::default());
         let none = store.load().expect("no file");
-        store.change(&none, |bans| bans.exclude("s-a", 7), |_| ()).await.expect("written");
+        store.change(&none, |exclusions| exclusions.exclude("s-a", 7), |_| ()).await.expect("written");
         SnapshotFile::new(&directory, name).write(1, 2, learned()).await.expect("written");
-        let _first = InstanceSlot::take(&directory, name).expect("free");
-        let _second = InstanceSlot::take(&directory, name).expect("free");
+        let _first = InstanceSlot::acquire(&directory, name).expect("free");
+        let _second = InstanceSlot::acquire(&directory, name).expect("free");
     }
     golden().assert_lines("file-names.txt", &file_names(&directory));
 }
 
 #[test]
-fn calls_of_the_console_keep_their_words() {
+fn console_commands_and_responses_are_stable() {
     let calls = ["readyz", "exclude s-a", "include s-a"].map(|line| ConsoleCommand::parse(line.as_bytes()));
     assert_eq!(
         calls,
--- a/crates/http-proxy/src/backend_list.rs
+++ b/crates/http-proxy/src/backend_list.rs
@@ -41,14 +41,14 @@
     /// Whether anybody has this name: a backend that is listed, or one that is out and will be remembered.
     #[must_use]
     pub fn knows(&self, name: &str) -> bool {
-        self.listed.contains_key(name) || self.bans.is_out(name)
+        self.listed.contains_key(name) || self.bans.is_excluded(name)
     }
 
     /// Backends that are listed as ready and are not out.
     #[must_use]
     pub fn serving(&self) -> usize {
         let ready = self.listed.iter().filter(|(_, l)| l.backend.readiness == Readiness::Ready);
-        ready.filter(|(name, _)| !self.bans.is_out(name)).count()
+        ready.filter(|(name, _)| !self.bans.is_excluded(name)).count()
     }
 
     /// Takes a list, and gives it as the decisions are to see it.
@@ -82,18 +82,18 @@
 
     /// Other bans hold from now on. Gives the entries that look otherwise for that.
     pub fn govern(&mut self, bans: Exclusions) -> Vec<ListedBackend> {
-        let changed = self.bans.changed(&bans);
+        let changed = self.bans.differing_ids(&bans);
         self.bans = bans;
         changed.iter().filter_map(|name| Some(self.governed(name, *self.listed.get(name)?))).collect()
     }
 
     fn governed(&self, name: &str, mut listed: ListedBackend) -> ListedBackend {
         let backend = &mut listed.backend;
-        if self.bans.is_out(name) && backend.readiness == Readiness::Ready {
+        if self.bans.is_excluded(name) && backend.readiness == Readiness::Ready {
             backend.readiness = Readiness::Draining;
         }
         // A start that the list tells later still counts: it is a further one.
-        if let Some(back) = self.bans.called_back(name) {
+        if let Some(back) = self.bans.reincluded_at(name) {
             backend.started_at = Some(backend.started_at.map_or(back, |started: Micros| started.max(back)));
         }
         listed
@@ -185,7 +185,7 @@
                 told.extend(news.iter().map(|l| (l.backend.id, l.backend.readiness)));
                 for name in ["a", "b", "c", "d"] {
                     let seen = told.get(&entry(name, phase, None).listed.backend.id);
-                    if backend_list.bans().is_out(name) {
+                    if backend_list.bans().is_excluded(name) {
                         prop_assert_ne!(seen, Some(&Readiness::Ready));
                     } else if backend_list.listed.get(name).is_some_and(|l| l.backend.readiness == Readiness::Ready) {
                         prop_assert_eq!(seen, Some(&Readiness::Ready));
--- a/crates/proxy-server/src/admin_handler.rs
+++ b/crates/proxy-server/src/admin_handler.rs
@@ -5,9 +5,9 @@
 use admin::command::{ConsoleCommand, ConsoleResponse};
 use admin::exclusion_store::StoreError;
 use admin::exclusions::{Exclusions, TooManyExclusions};
-use admin::process_replacement::steer;
+use admin::process_replacement::steer_new_connections;
 use admin::process_status::ProcessStatus;
-use admin::unpersisted::Change;
+use admin::unpersisted::ExclusionChange;
 use http_proxy::backend_list::BackendList;
 use http_proxy::clients::ClientConnections;
 use http_proxy::log::{FailureLog, log};
@@ -85,7 +85,7 @@
         let answer = match call {
             ConsoleCommand::Ready => {
                 self.look_round();
-                return self.stand.borrow().readiness();
+                return self.stand.borrow().readiness_response();
             }
             ConsoleCommand::Exclude(id) => self.exclude(&id).await,
             ConsoleCommand::Include(id) => self.include(&id).await,
@@ -98,7 +98,7 @@
         if !self.backend_list.borrow().knows(id) {
             return ConsoleResponse::Failure(format!("no backend is called {id}"));
         }
-        match self.change(Change::Exclude(id.to_owned(), self.clock.now())).await {
+        match self.change(ExclusionChange::Exclude(id.to_owned(), self.clock.now())).await {
             Ok(Changed { new, unkept }) => {
                 let still = self.backend_list.borrow().serving();
                 let was = if new { "is" } else { "was already" };
@@ -112,7 +112,7 @@
         if !self.backend_list.borrow().knows(id) {
             return ConsoleResponse::Failure(format!("no backend is called {id}"));
         }
-        match self.change(Change::Include(id.to_owned(), self.clock.now())).await {
+        match self.change(ExclusionChange::Include(id.to_owned(), self.clock.now())).await {
             Ok(Changed { new: true, unkept }) => ConsoleResponse::Success(format!("{id} may serve{unkept}")),
             Ok(Changed { new: false, unkept }) => {
                 ConsoleResponse::Success(format!("{id} was not out{unkept}"))
@@ -123,7 +123,7 @@
 
     /// Changes the bans: in force at once, since that is owed from the call on whatever the disk does, and then kept, so that
     /// it outlives this process.
-    async fn change(self: &Rc<Self>, change: Change) -> Result<Changed, TooManyExclusions> {
+    async fn change(self: &Rc<Self>, change: ExclusionChange) -> Result<Changed, TooManyExclusions> {
         let mut bans = self.backend_list.borrow().bans().clone();
         let new = self.files.change(&mut bans, change)?;
         self.govern(bans);
@@ -158,8 +158,8 @@
     }
 
     fn govern(&self, bans: Exclusions) {
-        let out = bans.out().collect::<Vec<_>>().join(" ");
-        if self.backend_list.borrow().bans().changed(&bans).is_empty() {
+        let out = bans.excluded_ids().collect::<Vec<_>>().join(" ");
+        if self.backend_list.borrow().bans().differing_ids(&bans).is_empty() {
             return;
         }
         log(format_args!("out of service now: {}", if out.is_empty() { "none" } else { &out }));
@@ -188,7 +188,7 @@
 
     /// From now on this process ends.
     pub fn drains(&self) {
-        self.stand.borrow_mut().drains();
+        self.stand.borrow_mut().begin_draining();
     }
 
     /// Goes on from what the process has learnt whose place this one takes, now that there is a list to apply it to.
@@ -203,16 +203,16 @@
     fn look_round(&self) {
         let mut stand = self.stand.borrow_mut();
         let peers = self.files.peers();
-        if stand.beside(peers) {
+        if stand.set_peer_count(peers) {
             log(format_args!("{peers} further processes of this proxy run"));
-            self.clients.allow(stand.part(self.sockets.clients));
-            self.handle.transport().backend_pool.allow(stand.part(self.sockets.backends));
+            self.clients.allow(stand.quota_of(self.sockets.clients));
+            self.handle.transport().backend_pool.allow(stand.quota_of(self.sockets.backends));
         }
-        if self.held.get() && stand.holds_list() && peers > 0 {
+        if self.held.get() && stand.set_backend_list_received() && peers > 0 {
             self.go_on();
         }
         if let Some(place) = stand.steer() {
-            match steer(&*self.listener, place) {
+            match steer_new_connections(&*self.listener, place) {
                 Ok(()) => log(format_args!("new connections come here, as listener {place}")),
                 Err(error) => log(format_args!("new connections are not steered: {error}")),
             }
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -1,6 +1,6 @@
 //! At SIGHUP the configuration is read again and takes the place of the present one as a whole, or not at all.
 
-use admin::exclusion_store::fingerprint;
+use admin::fingerprint::fingerprint;
 use balancer::api::{Micros, Settings};
 use http_proxy::classes::Classes as ClientClasses;
 use http_proxy::clients::ClientConnections;
--- a/crates/proxy-server/src/lib.rs
+++ b/crates/proxy-server/src/lib.rs
@@ -2,5 +2,6 @@
 
 mod admin_handler;
 mod config_reload;
+mod learned_state;
 mod persistence;
 pub mod server;
--- a/crates/proxy-server/src/persistence.rs
+++ b/crates/proxy-server/src/persistence.rs
@@ -1,13 +1,14 @@
 //! What a process keeps in the temporary folder for the others of its proxy, and finds there: bans, its place among them, and
 //! what was learnt. A disk that refuses for a moment is asked again.
 
-use admin::exclusion_store::{ExclusionStore, FileVersion, REINCLUSION_RETENTION, StoreError};
-use admin::exclusions::{Exclusions, TooManyExclusions};
+use crate::learned_state::{from_stored, to_stored};
+use admin::exclusion_store::{ExclusionStore, FileVersion, StoreError};
+use admin::exclusions::{Exclusions, REINCLUSION_RETENTION, TooManyExclusions};
 use admin::machine_time::MachineTime;
 use admin::process_replacement::InstanceSlot;
-use admin::snapshot_file::{SnapshotError, SnapshotFile, StoredLearnedState, StoredLimit};
-use admin::unpersisted::{Change, UnpersistedChanges};
-use balancer::api::{LearnedKindLimit, LearnedLatency, LearnedLimit, LearnedState, Micros};
+use admin::snapshot_file::{SnapshotError, SnapshotFile};
+use admin::unpersisted::{ExclusionChange, UnpersistedChanges};
+use balancer::api::{LearnedState, Micros};
 use http_proxy::log::{FailureLog, log};
 use socket_io::retry;
 use std::cell::{Cell, RefCell};
@@ -56,10 +57,10 @@
         let end = Instant::now() + OPEN_TIMEOUT;
         let store = ExclusionStore::new(folder, name, MachineTime::new(now));
         let (seen, bans) = Self::first_bans(&store, end).await;
-        if bans.out().len() > 0 {
-            log(format_args!("out of service: {}", bans.out().collect::<Vec<_>>().join(" ")));
+        if bans.excluded_ids().len() > 0 {
+            log(format_args!("out of service: {}", bans.excluded_ids().collect::<Vec<_>>().join(" ")));
         }
-        let seat = retry::until(end, retry::is_of_disk, || InstanceSlot::take(folder, name)).await?;
+        let seat = retry::until(end, retry::is_of_disk, || InstanceSlot::acquire(folder, name)).await?;
         let files = Self {
             store,
             seen: Cell::new(seen),
@@ -79,7 +80,7 @@
     /// all the same, and is waited for; beyond that the process begins with none and goes on trying.
     async fn first_bans(store: &ExclusionStore, end: Instant) -> (Option<Option<FileVersion>>, Exclusions) {
         loop {
-            let stamp = store.stamp();
+            let stamp = store.version();
             match store.load() {
                 Ok(bans) => return (Some(stamp), bans),
                 Err(StoreError::Io(_, error)) if retry::is_of_disk(&error) && Instant::now() < end => {
@@ -96,14 +97,14 @@
 
     /// The processes of this proxy beside this one.
     pub fn peers(&self) -> usize {
-        self.seat.peers()
+        self.seat.peer_count()
     }
 
     /// Makes a change of these bans, which the file is owed from now on. Whether anything changed.
     ///
     /// # Errors
     /// At the bound on bans; then nothing has changed.
-    pub fn change(&self, bans: &mut Exclusions, change: Change) -> Result<bool, TooManyExclusions> {
+    pub fn change(&self, bans: &mut Exclusions, change: ExclusionChange) -> Result<bool, TooManyExclusions> {
         let changed = change.apply(bans)?;
         self.pending.borrow_mut().push(change);
         Ok(changed)
@@ -121,14 +122,14 @@
     /// Where the file still lacks it.
     pub async fn keep_pending(&self, held: &Exclusions, now: Micros) -> Result<Exclusions, StoreError> {
         let _turn = self.writing.lock().await;
-        let last = self.pending.borrow().last();
+        let last = self.pending.borrow().last_sequence();
         let change = |bans: &mut Exclusions| {
-            bans.forget(now.saturating_sub(REINCLUSION_RETENTION));
+            bans.forget_reincluded_before(now.saturating_sub(REINCLUSION_RETENTION));
             self.pending.borrow().apply(bans)
         };
         let damaged = |error| log(format_args!("set aside: {error}"));
         let (bans, ()) = self.store.change(held, change, damaged).await?;
-        self.pending.borrow_mut().kept(last);
+        self.pending.borrow_mut().mark_persisted(last);
         Ok(self.with_pending(bans))
     }
 
@@ -141,7 +142,7 @@
 
     /// The bans that hold, where the file has changed since it was read last.
     pub fn news(&self) -> Option<Exclusions> {
-        let stamp = self.store.stamp();
+        let stamp = self.store.version();
         if self.seen.get() == Some(stamp) {
             return None;
         }
@@ -167,7 +168,7 @@
             return;
         }
         let (snapshot, keeping) = (Rc::clone(&self.snapshot), Rc::clone(&self.keeping));
-        let (of, learnt, unkept) = (self.of.get(), to_keep(memory()), Rc::clone(&self.unkept));
+        let (of, learnt, unkept) = (self.of.get(), to_stored(memory()), Rc::clone(&self.unkept));
         tokio::task::spawn_local(async move {
             if let Err(error) = snapshot.write(of, now, learnt).await {
                 unkept.note(&error);
@@ -181,43 +182,6 @@
     /// # Errors
     /// Why there is nothing to go on from.
     pub fn learnt(&self, now: Micros) -> Result<LearnedState, SnapshotError> {
-        self.snapshot.read(self.of.get(), now).map(to_adopt)
-    }
-}
-
-/// The learned state in the form in which it is stored.
-fn to_keep(state: LearnedState) -> StoredLearnedState {
-    let server = |learned: LearnedLimit| StoredLimit {
-        backend: learned.backend,
-        started: learned.started_at,
-        limit: learned.limit,
-        common: learned.is_shared,
-    };
-    let latency = |learned: LearnedLatency| (learned.samples, learned.mean, learned.baseline);
-    StoredLearnedState {
-        servers: state.backends.into_iter().map(server).collect(),
-        kinds: state.machine_kinds.into_iter().map(|kind| (kind.limit, kind.is_doubling)).collect(),
-        latencies: state.latencies.into_iter().map(latency).collect(),
-        peak: state.peak_rate,
-        refused: state.rejected_fraction,
-    }
-}
-
-/// The learned state as a balancer restores it.
-fn to_adopt(stored: StoredLearnedState) -> LearnedState {
-    let backend = |server: StoredLimit| LearnedLimit {
-        backend: server.backend,
-        started_at: server.started,
-        limit: server.limit,
-        is_shared: server.common,
-    };
-    let kind = |(limit, is_doubling)| LearnedKindLimit { limit, is_doubling };
-    let latency = |(samples, mean, baseline)| LearnedLatency { samples, mean, baseline };
-    LearnedState {
-        backends: stored.servers.into_iter().map(backend).collect(),
-        machine_kinds: stored.kinds.into_iter().map(kind).collect(),
-        latencies: stored.latencies.into_iter().map(latency).collect(),
-        peak_rate: stored.peak,
-        rejected_fraction: stored.refused,
+        self.snapshot.read(self.of.get(), now).map(from_stored)
     }
 }
