--- a/crates/proxy-server/src/admin_handler.rs
+++ b/crates/proxy-server/src/admin_handler.rs
@@ -1,11 +1,12 @@
-//! What the operators on call asks of this process, and what it has to know of the others of its proxy: bans kept and followed,
-//! new connections steered, limits shared. The decisions are in `admin` and `http_proxy::backend_list`.
+//! Execution of console commands, and coordination with the other processes of the same proxy. The decisions are in `admin`
+//! and in `http_proxy::backend_list`.
+
+mod peers;
 
 use crate::persistence::PersistentState;
 use admin::command::{ConsoleCommand, ConsoleResponse};
 use admin::exclusion_store::StoreError;
 use admin::exclusions::{Exclusions, TooManyExclusions};
-use admin::process_replacement::steer_new_connections;
 use admin::process_status::ProcessStatus;
 use admin::unpersisted::ExclusionChange;
 use http_proxy::backend_list::BackendList;
@@ -17,205 +18,151 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::time::{sleep, timeout};
-
-/// How long a caller waits for the disk: its second has to hold that and the answer.
-const KEPT_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often the other processes and what they have written are looked at: well within the second after which a ban that
-/// was said to either binds both.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+use tokio::time::timeout;
 
-/// At every how manieth look what was learnt is kept: each second.
-const KEEP_EVERY: u32 = 10;
+/// How long a command waits for the disk. With this wait it is still answered within a second.
+const PERSIST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How many connections this process may hold, as long as it is alone.
+/// The connections that this process may have open while it is alone; divided among the processes of the proxy.
 #[derive(Clone, Copy, Debug)]
-pub struct Sockets {
+pub(crate) struct ConnectionLimits {
     /// With clients.
-    pub clients: usize,
+    pub(crate) clients: usize,
     /// With backends.
-    pub backends: usize,
+    pub(crate) backends: usize,
+}
+
+/// The parts of the process that the admin handler reads and controls.
+pub(crate) struct AdminContext {
+    pub(crate) state: PersistentState,
+    pub(crate) backend_list: Rc<RefCell<BackendList>>,
+    /// Set once a backend list was received.
+    pub(crate) has_backend_list: Rc<Cell<bool>>,
+    pub(crate) handle: Handle,
+    pub(crate) listener: Rc<TcpListener>,
+    pub(crate) clients: Rc<ClientConnections>,
+    pub(crate) limits: ConnectionLimits,
 }
 
-/// The operators's side of this process.
-pub struct AdminHandler {
-    files: PersistentState,
-    stand: RefCell<ProcessStatus>,
-    backend_list: Rc<RefCell<BackendList>>,
-    held: Rc<Cell<bool>>,
-    handle: Handle,
+/// Executes console commands and follows the other processes of this proxy.
+pub(crate) struct AdminHandler {
+    context: AdminContext,
+    status: RefCell<ProcessStatus>,
     clock: Clock,
-    listener: Rc<TcpListener>,
-    clients: Rc<ClientConnections>,
-    sockets: Sockets,
-    unkept: FailureLog,
+    persist_failures: FailureLog,
 }
 
-/// What came of a change.
-struct Changed {
-    /// Whether anything changed.
-    new: bool,
-    /// What the caller is told where the disk has not taken it.
-    unkept: String,
+/// The result of an accepted change.
+struct ChangeOutcome {
+    /// Whether the backend's state changed.
+    is_new: bool,
+    /// What the response adds where the change is not persisted yet; empty otherwise.
+    persistence_note: String,
 }
 
 impl AdminHandler {
-    /// The operators's side, before anything was asked.
+    /// Creates the handler, and counts the other processes for the first time.
     #[must_use]
-    pub fn new(
-        files: PersistentState,
-        backend_list: Rc<RefCell<BackendList>>,
-        held: Rc<Cell<bool>>,
-        handle: Handle,
-        listener: Rc<TcpListener>,
-        clients: Rc<ClientConnections>,
-        sockets: Sockets,
-    ) -> Rc<Self> {
-        let clock = handle.clock();
-        let stand = RefCell::default();
-        let unkept = FailureLog::of("a change of bans is in force and not kept");
-        let admin_handler =
-            Self { files, stand, backend_list, held, handle, clock, listener, clients, sockets, unkept };
-        admin_handler.look_round();
+    pub(crate) fn new(context: AdminContext) -> Rc<Self> {
+        let admin_handler = Self {
+            clock: context.handle.clock(),
+            context,
+            status: RefCell::default(),
+            persist_failures: FailureLog::of("a change of exclusions is in force and not persisted"),
+        };
+        admin_handler.update_status();
         Rc::new(admin_handler)
     }
 
-    /// Answers a call.
-    pub async fn answer(self: Rc<Self>, call: ConsoleCommand) -> ConsoleResponse {
-        let answer = match call {
+    /// Executes a command.
+    pub(crate) async fn execute(self: Rc<Self>, command: ConsoleCommand) -> ConsoleResponse {
+        let response = match command {
             ConsoleCommand::Ready => {
-                self.look_round();
-                return self.stand.borrow().readiness_response();
+                self.update_status();
+                return self.status.borrow().readiness_response();
             }
             ConsoleCommand::Exclude(id) => self.exclude(&id).await,
             ConsoleCommand::Include(id) => self.include(&id).await,
         };
-        log(format_args!("console: {answer}"));
-        answer
+        log(format_args!("console: {response}"));
+        response
+    }
+
+    /// Records that this process is draining.
+    pub(crate) fn begin_draining(&self) {
+        self.status.borrow_mut().begin_draining();
     }
 
     async fn exclude(self: &Rc<Self>, id: &str) -> ConsoleResponse {
-        if !self.backend_list.borrow().knows(id) {
-            return ConsoleResponse::Failure(format!("no backend is called {id}"));
+        if !self.context.backend_list.borrow().knows(id) {
+            return unknown_backend(id);
         }
         match self.change(ExclusionChange::Exclude(id.to_owned(), self.clock.now())).await {
-            Ok(Changed { new, unkept }) => {
-                let still = self.backend_list.borrow().serving();
-                let was = if new { "is" } else { "was already" };
-                ConsoleResponse::Success(format!("{id} {was} out; {still} backends serve{unkept}"))
+            Ok(ChangeOutcome { is_new, persistence_note }) => {
+                let serving = self.context.backend_list.borrow().serving();
+                let verb = if is_new { "is" } else { "was already" };
+                ConsoleResponse::Success(format!(
+                    "{id} {verb} out; {serving} backends serve{persistence_note}"
+                ))
             }
             Err(error) => ConsoleResponse::Failure(format!("{id} is not taken out: {error}")),
         }
     }
 
     async fn include(self: &Rc<Self>, id: &str) -> ConsoleResponse {
-        if !self.backend_list.borrow().knows(id) {
-            return ConsoleResponse::Failure(format!("no backend is called {id}"));
+        if !self.context.backend_list.borrow().knows(id) {
+            return unknown_backend(id);
         }
         match self.change(ExclusionChange::Include(id.to_owned(), self.clock.now())).await {
-            Ok(Changed { new: true, unkept }) => ConsoleResponse::Success(format!("{id} may serve{unkept}")),
-            Ok(Changed { new: false, unkept }) => {
-                ConsoleResponse::Success(format!("{id} was not out{unkept}"))
+            Ok(ChangeOutcome { is_new: true, persistence_note }) => {
+                ConsoleResponse::Success(format!("{id} may serve{persistence_note}"))
+            }
+            Ok(ChangeOutcome { is_new: false, persistence_note }) => {
+                ConsoleResponse::Success(format!("{id} was not out{persistence_note}"))
             }
             Err(error) => ConsoleResponse::Failure(format!("{id} is not called back: {error}")),
         }
     }
 
-    /// Changes the bans: in force at once, since that is owed from the call on whatever the disk does, and then kept, so that
+    /// Changes the exclusions: the change is in force at once, whatever the state of the disk, and is then persisted so that
     /// it outlives this process.
-    async fn change(self: &Rc<Self>, change: ExclusionChange) -> Result<Changed, TooManyExclusions> {
-        let mut bans = self.backend_list.borrow().bans().clone();
-        let new = self.files.change(&mut bans, change)?;
-        self.govern(bans);
-        // It goes on where the caller has gone, or its second is over.
+    async fn change(self: &Rc<Self>, change: ExclusionChange) -> Result<ChangeOutcome, TooManyExclusions> {
+        let mut exclusions = self.context.backend_list.borrow().bans().clone();
+        let is_new = self.context.state.change(&mut exclusions, change)?;
+        self.apply(exclusions);
+        // A task of its own, so that it goes on after the client has disconnected or the wait has ended.
         let admin_handler = Rc::clone(self);
-        let kept = tokio::task::spawn_local(async move { admin_handler.keep_pending().await });
-        let unkept = match timeout(KEPT_TIMEOUT, kept).await {
+        let persisting = tokio::task::spawn_local(async move { admin_handler.persist_changes().await });
+        let persistence_note = match timeout(PERSIST_TIMEOUT, persisting).await {
             Ok(Ok(Ok(()))) => String::new(),
             Ok(Ok(Err(error))) => format!("; not kept yet, and tried again: {error}"),
             Ok(Err(_)) | Err(_) => "; not kept yet, and tried again".to_owned(),
         };
-        Ok(Changed { new, unkept })
+        Ok(ChangeOutcome { is_new, persistence_note })
     }
 
-    async fn keep_pending(&self) -> Result<(), StoreError> {
-        let held = self.backend_list.borrow().bans().clone();
-        let bans = self.files.keep_pending(&held, self.clock.now()).await?;
-        self.govern(bans);
+    async fn persist_changes(&self) -> Result<(), StoreError> {
+        let current = self.context.backend_list.borrow().bans().clone();
+        let exclusions = self.context.state.persist_changes(&current, self.clock.now()).await?;
+        self.apply(exclusions);
         Ok(())
     }
 
-    /// Tries on until the file has all that is in force.
-    async fn keep_trying(self: Rc<Self>) {
-        loop {
-            sleep(LOOK_INTERVAL).await;
-            if self.files.owes()
-                && let Err(error) = self.keep_pending().await
-            {
-                self.unkept.note(&error);
-            }
-        }
-    }
-
-    fn govern(&self, bans: Exclusions) {
-        let out = bans.excluded_ids().collect::<Vec<_>>().join(" ");
-        if self.backend_list.borrow().bans().differing_ids(&bans).is_empty() {
+    /// Puts these exclusions in force.
+    fn apply(&self, exclusions: Exclusions) {
+        let backend_list = &self.context.backend_list;
+        if backend_list.borrow().bans().differing_ids(&exclusions).is_empty() {
             return;
         }
-        log(format_args!("out of service now: {}", if out.is_empty() { "none" } else { &out }));
-        let changed = self.backend_list.borrow_mut().govern(bans);
+        let ids = exclusions.excluded_ids().collect::<Vec<_>>().join(" ");
+        log(format_args!("excluded backends now: {}", if ids.is_empty() { "none" } else { &ids }));
+        let changed = backend_list.borrow_mut().govern(exclusions);
         if !changed.is_empty() {
-            update_backends(&self.handle, Scope::Delta, &changed);
-        }
-    }
-
-    /// Looks at the other processes, for as long as this one runs.
-    pub async fn follow(self: Rc<Self>) {
-        tokio::task::spawn_local(Rc::clone(&self).keep_trying());
-        let mut looks = 0_u32;
-        loop {
-            sleep(LOOK_INTERVAL).await;
-            self.look_round();
-            looks += 1;
-            if looks.is_multiple_of(KEEP_EVERY) && self.stand.borrow().is_ready() {
-                self.files.keep(self.clock.now(), || self.handle.learned_state());
-            }
-            if let Some(bans) = self.files.news() {
-                self.govern(bans);
-            }
-        }
-    }
-
-    /// From now on this process ends.
-    pub fn drains(&self) {
-        self.stand.borrow_mut().begin_draining();
-    }
-
-    /// Goes on from what the process has learnt whose place this one takes, now that there is a list to apply it to.
-    fn go_on(&self) {
-        match self.files.learnt(self.clock.now()).map(|learnt| self.handle.restore(&learnt)) {
-            Ok(true) => log(format_args!("goes on from the limits that were learnt")),
-            Ok(false) => log(format_args!("learns limits anew: classes or kinds are others")),
-            Err(error) => log(format_args!("learns limits anew: {error}")),
+            update_backends(&self.context.handle, Scope::Delta, &changed);
         }
     }
+}
 
-    fn look_round(&self) {
-        let mut stand = self.stand.borrow_mut();
-        let peers = self.files.peers();
-        if stand.set_peer_count(peers) {
-            log(format_args!("{peers} further processes of this proxy run"));
-            self.clients.allow(stand.quota_of(self.sockets.clients));
-            self.handle.transport().backend_pool.allow(stand.quota_of(self.sockets.backends));
-        }
-        if self.held.get() && stand.set_backend_list_received() && peers > 0 {
-            self.go_on();
-        }
-        if let Some(place) = stand.steer() {
-            match steer_new_connections(&*self.listener, place) {
-                Ok(()) => log(format_args!("new connections come here, as listener {place}")),
-                Err(error) => log(format_args!("new connections are not steered: {error}")),
-            }
-        }
-    }
+fn unknown_backend(id: &str) -> ConsoleResponse {
+    ConsoleResponse::Failure(format!("no backend is called {id}"))
 }
--- /dev/null
+++ b/crates/proxy-server/src/admin_handler/peers.rs
@@ -0,0 +1,84 @@
+//! Coordination with the other processes of the same proxy: shared exclusions and learned limits, quotas, and the steering of
+//! new connections.
+
+use super::AdminHandler;
+use admin::process_replacement::steer_new_connections;
+use http_proxy::log::log;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// How often the other processes and their files are polled. An exclusion accepted by one process has to be in force in the
+/// others within a second.
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The learned limits are persisted at every such number of polls: each second.
+const POLLS_PER_SNAPSHOT: u32 = 10;
+
+impl AdminHandler {
+    /// Polls the other processes, for as long as this one runs.
+    pub(crate) async fn follow_peers(self: Rc<Self>) {
+        tokio::task::spawn_local(Rc::clone(&self).retry_persisting());
+        let mut polls = 0_u32;
+        loop {
+            sleep(PEER_POLL_INTERVAL).await;
+            self.update_status();
+            polls += 1;
+            if polls.is_multiple_of(POLLS_PER_SNAPSHOT) && self.status.borrow().is_ready() {
+                let handle = &self.context.handle;
+                self.context.state.write_snapshot(self.clock.now(), || handle.learned_state());
+            }
+            if let Some(exclusions) = self.context.state.reload_if_changed() {
+                self.apply(exclusions);
+            }
+        }
+    }
+
+    /// Retries to persist the changes in force until the file holds them, for as long as this process runs.
+    async fn retry_persisting(self: Rc<Self>) {
+        loop {
+            sleep(PEER_POLL_INTERVAL).await;
+            if self.context.state.has_unpersisted_changes()
+                && let Err(error) = self.persist_changes().await
+            {
+                self.persist_failures.note(&error);
+            }
+        }
+    }
+
+    /// Updates this process's status, and what depends on it: the quotas, the restored limits and the steering.
+    pub(super) fn update_status(&self) {
+        let mut status = self.status.borrow_mut();
+        let peer_count = self.context.state.peer_count();
+        if status.set_peer_count(peer_count) {
+            log(format_args!("{peer_count} other processes of this proxy are running"));
+            let limits = self.context.limits;
+            self.context.clients.allow(status.quota_of(limits.clients));
+            self.context.handle.transport().backend_pool.allow(status.quota_of(limits.backends));
+        }
+        if self.context.has_backend_list.get() && status.set_backend_list_received() && peer_count > 0 {
+            self.restore_learned_limits();
+        }
+        if let Some(listener_index) = status.steer() {
+            self.steer_to(listener_index);
+        }
+    }
+
+    /// Restores the limits that the replaced process has learned. Needs a backend list to apply them to.
+    fn restore_learned_limits(&self) {
+        let context = &self.context;
+        match context.state.read_snapshot(self.clock.now()).map(|learned| context.handle.restore(&learned)) {
+            Ok(true) => log(format_args!("restored learned limits from the snapshot")),
+            Ok(false) => log(format_args!("learned limits were not restored: classes or kinds differ")),
+            Err(error) => log(format_args!("learned limits were not restored: {error}")),
+        }
+    }
+
+    fn steer_to(&self, listener_index: usize) {
+        match steer_new_connections(&*self.context.listener, listener_index) {
+            Ok(()) => {
+                log(format_args!("steering new connections to this process, listener {listener_index}"));
+            }
+            Err(error) => log(format_args!("new connections could not be steered: {error}")),
+        }
+    }
+}
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -1,4 +1,4 @@
-//! At SIGHUP the configuration is read again and takes the place of the present one as a whole, or not at all.
+//! Reloads the configuration at SIGHUP: it is replaced as a whole, or not at all.
 
 use admin::fingerprint::fingerprint;
 use balancer::api::{Micros, Settings};
@@ -18,90 +18,98 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// For how long a configuration that can't be read is tried, and how often. What discovery has counts as told 4 s after the
-/// signal.
+/// How long an unreadable configuration is retried. Discovery's state is expected to be in force 4 s after the signal.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The present configuration, and where another one goes.
-pub struct ConfigReload {
-    /// The configuration that the process started with, of which some holds until it ends.
-    start: Value,
+/// The configuration in force, and the parts that a reload updates.
+pub(crate) struct ConfigReload {
+    /// The configuration at the process's start; some settings apply until the process ends.
+    initial_shape: Value,
     shape: Value,
     settings: Settings,
     classes: ClassIndices,
-    /// What the settings name, as the process started with it.
+    /// The names in the configuration at the process's start.
     names: NameIndex,
-    /// The fingerprint of what is learnt of.
-    learns: Rc<Cell<u64>>,
+    /// The fingerprint of the classes, kinds and zones to which learned limits belong.
+    fingerprint: Rc<Cell<u64>>,
     handle: Handle,
-    /// The longest that a client waits, of the classes that hold.
-    longest: Rc<Cell<Micros>>,
+    /// The longest deadline of the classes in force, microseconds.
+    longest_deadline: Rc<Cell<Micros>>,
 }
 
 impl ConfigReload {
-    /// The configuration that the proxy starts with. `learns` is kept at the fingerprint of what is learnt of.
+    /// Starts from this configuration. `configuration_fingerprint` is set, and updated at each reload.
     ///
     /// # Errors
-    /// Where its classes can't be told apart.
-    pub fn new(
-        shape: Value,
-        settings: Settings,
-        names: NameIndex,
+    /// Where the classes cannot be indexed.
+    pub(crate) fn new(
+        config: &Config,
         handle: Handle,
-        learns: Rc<Cell<u64>>,
+        configuration_fingerprint: Rc<Cell<u64>>,
     ) -> Result<Self, ReloadError> {
-        let classes = ClassIndices::new(&names.classes)?;
-        learns.set(learnt_of(&classes, &names));
-        let longest = Rc::new(Cell::new(longest(&classes, &settings)));
-        Ok(Self { start: shape.clone(), shape, settings, classes, names, learns, handle, longest })
+        let classes = ClassIndices::new(&config.names.classes)?;
+        configuration_fingerprint.set(learning_fingerprint(&classes, &config.names));
+        let longest_deadline = Rc::new(Cell::new(longest_deadline(&classes, &config.settings)));
+        Ok(Self {
+            initial_shape: config.shape.clone(),
+            shape: config.shape.clone(),
+            settings: config.settings.clone(),
+            classes,
+            names: config.names.clone(),
+            fingerprint: configuration_fingerprint,
+            handle,
+            longest_deadline,
+        })
     }
 
-    /// The classes as clients name them.
+    /// The classes by the names that clients use.
     #[must_use]
-    pub fn client_classes(&self, now: Micros) -> ClientClasses {
+    pub(crate) fn client_classes(&self, now: Micros) -> ClientClasses {
         let mut classes = ClientClasses::default();
         classes.hold(now, &self.settings, self.classes.named());
         classes
     }
 
-    /// The longest that a client waits.
+    /// The longest deadline of the classes in force, microseconds; updated at each reload.
     #[must_use]
-    pub fn longest(&self) -> Rc<Cell<Micros>> {
-        Rc::clone(&self.longest)
+    pub(crate) fn longest_deadline(&self) -> Rc<Cell<Micros>> {
+        Rc::clone(&self.longest_deadline)
     }
 
-    /// Reads the configuration again at each SIGHUP, for as long as the proxy runs. Serving goes on meanwhile; a file that
-    /// can't be used changes nothing.
-    pub async fn follow(
+    /// Reloads the configuration at each signal, for as long as the proxy runs. A configuration that cannot be used changes
+    /// nothing.
+    pub(crate) async fn follow(
         mut self,
         mut reload: Signal,
         discovery: watch::Sender<SocketAddr>,
         clients: Rc<ClientConnections>,
     ) {
         while reload.recv().await.is_some() {
-            match self.renew_once_readable(&clients).await {
+            match self.reload_with_retry(&clients).await {
                 Ok(address) => {
-                    discovery.send_if_modified(|now| std::mem::replace(now, address) != address);
+                    discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
+                }
+                Err(error) => {
+                    log(format_args!("reload failed, the previous configuration remains in force: {error}"));
                 }
-                Err(error) => log(format_args!("kept the old configuration: {error}")),
             }
         }
     }
 
-    /// A file that can't be read for a moment is read again: what it says counts from the signal on.
-    async fn renew_once_readable(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
+    /// Retries while the file cannot be read: its content is due from the signal on.
+    async fn reload_with_retry(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
         let end = Instant::now() + READ_TIMEOUT;
         loop {
-            match self.renew(clients) {
+            match self.reload(clients) {
                 Err(ConfigError::Unreadable(..)) if Instant::now() < end => sleep(READ_RETRY_DELAY).await,
-                renewed => return renewed,
+                result => return result,
             }
         }
     }
 
-    /// Everything is read and checked before anything changes; then all of it changes in one step.
-    fn renew(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
+    /// Reads and checks the complete configuration before it changes anything. Returns discovery's address.
+    fn reload(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
         let config = Config::again(&self.shape)?;
         let mut classes = self.classes.clone();
         let settings = classes.renew(&self.settings, &config.settings, &config.names.classes);
@@ -112,36 +120,40 @@
             .backend_pool
             .retune(config.dial_timeout, settings.permissions.idle_connection_timeout);
         clients.classes().borrow_mut().hold(self.handle.clock().now(), &settings, classes.named());
-        self.longest.set(longest(&classes, &settings));
-        self.learns.set(learnt_of(&classes, &self.names));
-        if settings != self.settings {
+        self.longest_deadline.set(longest_deadline(&classes, &settings));
+        self.fingerprint.set(learning_fingerprint(&classes, &self.names));
+        self.log_changes(&config, &settings, &classes);
+        (self.classes, self.settings, self.shape) = (classes, settings, config.shape);
+        Ok(config.discovery)
+    }
+
+    fn log_changes(&self, config: &Config, settings: &Settings, classes: &ClassIndices) {
+        if *settings != self.settings {
             let names: Vec<_> = classes.named().map(|(_, name)| name).collect();
             let attempts = settings.permissions.max_attempts;
-            log(format_args!("settings now: classes {}; {attempts} attempts", names.join(" ")));
+            log(format_args!("settings in force: classes {}; {attempts} attempts", names.join(" ")));
         }
-        let kept = restart_only_keys(&self.start, &config.shape);
-        if !kept.is_empty() {
-            log(format_args!("these stay as they were until a restart: {}", kept.join(" ")));
+        let unapplied = restart_only_keys(&self.initial_shape, &config.shape);
+        if !unapplied.is_empty() {
+            log(format_args!("settings that require a restart were not applied: {}", unapplied.join(" ")));
         }
-        log(format_args!("read the configuration again: discovery is at {}", config.discovery));
-        (self.classes, self.settings, self.shape) = (classes, settings, config.shape);
-        Ok(config.discovery)
+        log(format_args!("reloaded the configuration: discovery is at {}", config.discovery));
     }
 }
 
-/// The longest that a client of the classes that hold waits. Whoever ends the process goes by these, and what came under
-/// others before has its answer by then as well.
-fn longest(classes: &ClassIndices, settings: &Settings) -> Micros {
-    let held = classes.named().filter_map(|(place, _)| settings.classes.get(place));
-    held.map(|class| class.deadline).max().unwrap_or_default()
+/// The longest deadline of the classes in force, microseconds. Requests of classes that were removed earlier have their
+/// responses before it as well.
+fn longest_deadline(classes: &ClassIndices, settings: &Settings) -> Micros {
+    let in_force = classes.named().filter_map(|(index, _)| settings.classes.get(index));
+    in_force.map(|class| class.deadline).max().unwrap_or_default()
 }
 
-/// Limits and latencies are learnt by class, kind and zone: figures of others by the same places are another's.
-fn learnt_of(classes: &ClassIndices, names: &NameIndex) -> u64 {
-    let classes = classes.named().flat_map(|(place, name)| [place.to_string(), name.to_owned()]);
-    let others = [&names.kinds, &names.zones]
+/// The fingerprint of all by which limits and latencies are learned: classes with their indices, kinds and zones.
+fn learning_fingerprint(classes: &ClassIndices, names: &NameIndex) -> u64 {
+    let classes = classes.named().flat_map(|(index, name)| [index.to_string(), name.to_owned()]);
+    let kinds_and_zones = [&names.kinds, &names.zones]
         .into_iter()
         .flat_map(|list| std::iter::once(String::new()).chain(list.iter().cloned()));
-    let all: Vec<String> = classes.chain(others).collect();
-    fingerprint(all.iter().map(String::as_str))
+    let texts: Vec<String> = classes.chain(kinds_and_zones).collect();
+    fingerprint(texts.iter().map(String::as_str))
 }
--- a/crates/proxy-server/src/lib.rs
+++ b/crates/proxy-server/src/lib.rs
@@ -1,7 +1,9 @@
-//! The proxy's program as a library: [`server`] puts the fronts round one engine and takes them down again in order.
+//! The proxy server as a library: [`server`] assembles the front ends around one request engine, serves, and drains them.
+#![forbid(unsafe_code)]
 
 mod admin_handler;
 mod config_reload;
+pub mod error;
 mod learned_state;
 mod persistence;
 pub mod server;
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -1,17 +1,19 @@
-//! The proxy's program: arguments, signals, exit code.
+//! The proxy server's executable: arguments, signals, exit code.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use external_processor::settings::Settings as ExternalProcessor;
+use external_processor::settings::{Settings as ExternalProcessor, SettingsError};
 use http_proxy::config::{Config, ConfigError};
 use http_proxy::log::{self, log};
+use proxy_server::error::ProxyServerError;
 use proxy_server::server::{self, FrontEnds};
 use socket_io::retry;
-use std::error::Error;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::thread;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
@@ -42,66 +44,89 @@
     },
 }
 
-/// The signals that do not end the process.
+/// Why the executable failed.
+#[derive(Debug, Error)]
+enum ProgramError {
+    /// The runtime could not be built, or the signals not be handled.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The configuration is unreadable or not valid.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The external processor's settings are unreadable or not valid.
+    #[error(transparent)]
+    ExternalProcessor(#[from] SettingsError),
+    /// The proxy could not start, or ended early.
+    #[error(transparent)]
+    Server(#[from] ProxyServerError),
+}
+
+/// The signals that the process handles.
 struct Signals {
     stop: Signal,
     reload: Signal,
 }
 
 impl Signals {
-    /// Takes them over. Until then either ends the process, so this comes before anything else.
-    fn install() -> std::io::Result<Self> {
+    /// Installs the handlers. Until then each of the signals ends the process, so this comes before anything else.
+    fn install() -> io::Result<Self> {
         Ok(Self { stop: signal(SignalKind::terminate())?, reload: signal(SignalKind::hangup())? })
     }
 }
 
-/// Threads that may wait for a disk, so that serving does not: one keeps what was learnt, and bans are kept one at a time.
+/// Threads for blocking calls to the disk: one writes learned limits, one exclusions.
 const DISK_THREADS: usize = 2;
-/// Their stacks, bytes: they write a file.
-const DISK_STACK: usize = 128 << 10;
+/// The stack of such a thread, bytes; it writes one file.
+const DISK_THREAD_STACK: usize = 128 << 10;
 
-/// How long an ending process waits for whoever reads its log.
-const LOG_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long an ending process waits until its log has been read.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// For how long the first calls of a process are made again where they fail for a moment.
-const FIRST_TIMEOUT: Duration = Duration::from_secs(3);
-const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How long the calls of a starting process are retried after transient errors.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(3);
+const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Makes one of the first calls, before there is anything to serve, until it succeeds or fails for good.
-fn first<T, E>(mut call: impl FnMut() -> Result<T, E>, is_passing: impl Fn(&E) -> bool) -> Result<T, E> {
-    let end = Instant::now() + FIRST_TIMEOUT;
+/// Retries a call of the startup, before there is anything to serve, until it succeeds or fails permanently. Blocks.
+fn retry_at_startup<T, E>(
+    mut call: impl FnMut() -> Result<T, E>,
+    is_transient: impl Fn(&E) -> bool,
+) -> Result<T, E> {
+    let end = Instant::now() + STARTUP_TIMEOUT;
     loop {
         match call() {
-            Err(error) if is_passing(&error) && Instant::now() < end => thread::sleep(FIRST_RETRY_DELAY),
-            done => return done,
+            Err(error) if is_transient(&error) && Instant::now() < end => thread::sleep(STARTUP_RETRY_DELAY),
+            result => return result,
         }
     }
 }
 
-fn serve(extproc: Option<&Path>) -> Result<(), Box<dyn Error>> {
+fn is_transient_config_error(error: &ConfigError) -> bool {
+    matches!(error, ConfigError::Unreadable(_, error) if retry::is_of_disk(error))
+}
+
+fn serve(external_processor: Option<&Path>) -> Result<(), ProgramError> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
-    builder.max_blocking_threads(DISK_THREADS).thread_stack_size(DISK_STACK);
-    let runtime = first(|| builder.enable_all().build(), retry::is_local)?;
-    let served = LocalSet::new().block_on(&runtime, async {
+    builder.max_blocking_threads(DISK_THREADS).thread_stack_size(DISK_THREAD_STACK);
+    let runtime = retry_at_startup(|| builder.enable_all().build(), retry::is_local)?;
+    let result = LocalSet::new().block_on(&runtime, async {
         let Signals { mut stop, reload } = Signals::install()?;
         let stop = async move {
             stop.recv().await;
         };
-        let extproc = extproc.map(ExternalProcessor::from_file).transpose()?;
-        let is_passing = |error: &ConfigError| matches!(error, ConfigError::Unreadable(_, error) if retry::is_of_disk(error));
-        let fronts = FrontEnds { http: first(Config::from_env, is_passing)?, extproc };
-        server::serve(fronts, stop, Some(reload), |_, _| ()).await?;
+        let external_processor = external_processor.map(ExternalProcessor::from_file).transpose()?;
+        let http = retry_at_startup(Config::from_env, is_transient_config_error)?;
+        server::serve(FrontEnds { http, external_processor }, stop, Some(reload), |_, _| ()).await?;
         Ok(())
     });
-    // A disk that does not answer keeps nobody from ending.
+    // A blocked disk must not keep the process from ending.
     runtime.shutdown_background();
-    served
+    result
 }
 
-fn check(path: &Path, extproc: Option<&Path>) -> Result<(), Box<dyn Error>> {
+fn check(path: &Path, external_processor: Option<&Path>) -> Result<(), ProgramError> {
     let config = Config::from_file(path)?;
-    let extproc = extproc
-        .map(|path| Ok::<_, Box<dyn Error>>((path, ExternalProcessor::from_file(path)?)))
+    let external_processor = external_processor
+        .map(|path| Ok::<_, SettingsError>((path, ExternalProcessor::from_file(path)?)))
         .transpose()?;
     let settings = &config.settings;
     println!("{}: good", path.display());
@@ -116,10 +141,10 @@
         "  at most {} connections from clients and {} to backends, {} bytes of large bodies",
         config.client_sockets, config.backend_sockets, config.large_bodies
     );
-    if let Some((path, extproc)) = extproc {
-        let bounds = &extproc.bounds;
+    if let Some((path, settings)) = external_processor {
+        let bounds = &settings.bounds;
         println!("{}: good", path.display());
-        println!("  answers callers on {}, on {} connections", extproc.listen, bounds.connections);
+        println!("  answers callers on {}, on {} connections", settings.listen, bounds.connections);
         println!("  at most {} leases, {} requests held or remembered", bounds.leases, bounds.remembered);
     }
     Ok(())
@@ -127,17 +152,17 @@
 
 fn main() -> ExitCode {
     let Arguments { extproc, command } = Arguments::parse();
-    let done = match command {
+    let result = match command {
         None => serve(extproc.as_deref()),
         Some(Command::Check { config, extproc }) => check(&config, extproc.as_deref()),
     };
-    let code = match done {
+    let code = match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log(format_args!("load-balancing-proxy: {error}"));
             ExitCode::FAILURE
         }
     };
-    log::flush(LOG_TIMEOUT);
+    log::flush(LOG_FLUSH_TIMEOUT);
     code
 }
--- a/crates/proxy-server/src/persistence.rs
+++ b/crates/proxy-server/src/persistence.rs
@@ -1,5 +1,5 @@
-//! What a process keeps in the temporary folder for the others of its proxy, and finds there: bans, its place among them, and
-//! what was learnt. A disk that refuses for a moment is asked again.
+//! The state that the processes of one proxy share in the temporary folder: exclusions, instance slots and learned limits.
+//! Transient errors of the disk are retried.
 
 use crate::learned_state::{from_stored, to_stored};
 use admin::exclusion_store::{ExclusionStore, FileVersion, StoreError};
@@ -19,169 +19,211 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, sleep};
 
-/// For how long a process that begins waits for a disk that refuses to give what was kept. Its yes is due within 6 s.
+/// How long a starting process retries a disk that fails. Its readiness is due within 6 s.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(4);
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The bans as files keep them, and this process's place among those of its proxy.
-pub struct PersistentState {
+/// Which version of the exclusions' file was read last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum LastRead {
+    /// None: the file could not be read.
+    Failed,
+    /// There was no file.
+    Absent,
+    /// This one.
+    Version(FileVersion),
+}
+
+impl From<Option<FileVersion>> for LastRead {
+    fn from(version: Option<FileVersion>) -> Self {
+        version.map_or(Self::Absent, Self::Version)
+    }
+}
+
+/// Exclusions as read at a process's start.
+struct InitialExclusions {
+    exclusions: Exclusions,
+    last_read: LastRead,
+}
+
+/// The files that this process shares with its peers, and its instance slot.
+pub(crate) struct PersistentState {
     store: ExclusionStore,
-    /// Which state of the store was read last; none where it could not be read.
-    seen: Cell<Option<Option<FileVersion>>>,
-    /// Changes that are in force and that the file lacks.
-    pending: RefCell<UnpersistedChanges>,
-    /// One at a time writes them.
+    last_read: Cell<LastRead>,
+    /// Changes that are in force and not in the file.
+    unpersisted: RefCell<UnpersistedChanges>,
+    /// Serialises writes of the exclusions.
     writing: Mutex<()>,
-    seat: InstanceSlot,
+    instance_slot: InstanceSlot,
     snapshot: Rc<SnapshotFile>,
-    /// Whose classes, kinds and zones are learnt of.
-    of: Rc<Cell<u64>>,
-    /// Whether a snapshot is being written. The disk may take its time: nothing waits for it, and only one is under way.
-    keeping: Rc<Cell<bool>>,
-    unkept: Rc<FailureLog>,
-    unread: FailureLog,
+    /// The fingerprint of the classes, kinds and zones in force.
+    configuration: Rc<Cell<u64>>,
+    /// Whether a snapshot is being written. Nothing waits for it, and only one is written at a time.
+    is_writing_snapshot: Rc<Cell<bool>>,
+    snapshot_failures: Rc<FailureLog>,
+    read_failures: FailureLog,
+}
+
+/// The opened state, with the exclusions that it held.
+pub(crate) struct OpenedState {
+    pub(crate) state: PersistentState,
+    pub(crate) exclusions: Exclusions,
 }
 
 impl PersistentState {
-    /// Takes the place and reads what was kept. `of` is the fingerprint of the configuration, which may change. A damaged
-    /// file is told and counts as none.
+    /// Acquires an instance slot and reads the exclusions. `configuration` holds the configuration's fingerprint, which a
+    /// reload may change. A damaged file is logged and counts as empty.
     ///
     /// # Errors
-    /// Where there is no place to be had.
-    pub async fn open(
+    /// Where no instance slot can be acquired.
+    pub(crate) async fn open(
         folder: &Path,
         name: &str,
         now: Micros,
-        of: Rc<Cell<u64>>,
-    ) -> io::Result<(Self, Exclusions)> {
+        configuration: Rc<Cell<u64>>,
+    ) -> io::Result<OpenedState> {
         let end = Instant::now() + OPEN_TIMEOUT;
         let store = ExclusionStore::new(folder, name, MachineTime::new(now));
-        let (seen, bans) = Self::first_bans(&store, end).await;
-        if bans.excluded_ids().len() > 0 {
-            log(format_args!("out of service: {}", bans.excluded_ids().collect::<Vec<_>>().join(" ")));
+        let InitialExclusions { exclusions, last_read } = load_with_retry(&store, end).await;
+        if exclusions.excluded_ids().len() > 0 {
+            let ids = exclusions.excluded_ids().collect::<Vec<_>>().join(" ");
+            log(format_args!("excluded backends at start: {ids}"));
         }
-        let seat = retry::until(end, retry::is_of_disk, || InstanceSlot::acquire(folder, name)).await?;
-        let files = Self {
+        let acquire = || InstanceSlot::acquire(folder, name);
+        let instance_slot = retry::until(end, retry::is_of_disk, acquire).await?;
+        let state = Self {
             store,
-            seen: Cell::new(seen),
-            pending: RefCell::default(),
+            last_read: Cell::new(last_read),
+            unpersisted: RefCell::default(),
             writing: Mutex::default(),
-            seat,
+            instance_slot,
             snapshot: Rc::new(SnapshotFile::new(folder, name)),
-            of,
-            keeping: Rc::default(),
-            unkept: Rc::new(FailureLog::of("what was learnt is not kept")),
-            unread: FailureLog::of("the bans stay as they were"),
+            configuration,
+            is_writing_snapshot: Rc::default(),
+            snapshot_failures: Rc::new(FailureLog::of("learned limits were not persisted")),
+            read_failures: FailureLog::of("exclusions were not reloaded"),
         };
-        Ok((files, bans))
+        Ok(OpenedState { state, exclusions })
     }
 
-    /// The bans that a process begins with, and which state of the file they are. What can't be read for a moment is owed
-    /// all the same, and is waited for; beyond that the process begins with none and goes on trying.
-    async fn first_bans(store: &ExclusionStore, end: Instant) -> (Option<Option<FileVersion>>, Exclusions) {
-        loop {
-            let stamp = store.version();
-            match store.load() {
-                Ok(bans) => return (Some(stamp), bans),
-                Err(StoreError::Io(_, error)) if retry::is_of_disk(&error) && Instant::now() < end => {
-                    sleep(OPEN_RETRY_DELAY).await;
-                }
-                Err(error) => {
-                    log(format_args!("no backend is out, since the bans can't be read: {error}"));
-                    let seen = matches!(error, StoreError::Damaged(..)).then_some(stamp);
-                    return (seen, Exclusions::default());
-                }
-            }
-        }
-    }
-
-    /// The processes of this proxy beside this one.
-    pub fn peers(&self) -> usize {
-        self.seat.peer_count()
+    /// The number of other processes of this proxy.
+    pub(crate) fn peer_count(&self) -> usize {
+        self.instance_slot.peer_count()
     }
 
-    /// Makes a change of these bans, which the file is owed from now on. Whether anything changed.
+    /// Applies a change to these exclusions, and queues it for the file. Returns whether the backend's state changed.
     ///
     /// # Errors
-    /// At the bound on bans; then nothing has changed.
-    pub fn change(&self, bans: &mut Exclusions, change: ExclusionChange) -> Result<bool, TooManyExclusions> {
-        let changed = change.apply(bans)?;
-        self.pending.borrow_mut().push(change);
+    /// At the bound on exclusions; then nothing has changed.
+    pub(crate) fn change(
+        &self,
+        exclusions: &mut Exclusions,
+        change: ExclusionChange,
+    ) -> Result<bool, TooManyExclusions> {
+        let changed = change.apply(exclusions)?;
+        self.unpersisted.borrow_mut().push(change);
         Ok(changed)
     }
 
-    /// Whether the file lacks a change that is in force.
-    pub fn owes(&self) -> bool {
-        !self.pending.borrow().is_empty()
+    /// Whether a change that is in force is not in the file.
+    pub(crate) fn has_unpersisted_changes(&self) -> bool {
+        !self.unpersisted.borrow().is_empty()
     }
 
-    /// Has the file take what it lacks, over whatever another process has written there. `held` counts where the file is
-    /// damaged. Gives the bans that hold now.
+    /// Writes the unpersisted changes over the file's present content; over `current` where the file is damaged. Returns the
+    /// exclusions in force.
     ///
     /// # Errors
-    /// Where the file still lacks it.
-    pub async fn keep_pending(&self, held: &Exclusions, now: Micros) -> Result<Exclusions, StoreError> {
-        let _turn = self.writing.lock().await;
-        let last = self.pending.borrow().last_sequence();
-        let change = |bans: &mut Exclusions| {
-            bans.forget_reincluded_before(now.saturating_sub(REINCLUSION_RETENTION));
-            self.pending.borrow().apply(bans)
+    /// Where the file could not be written; the changes remain queued.
+    pub(crate) async fn persist_changes(
+        &self,
+        current: &Exclusions,
+        now: Micros,
+    ) -> Result<Exclusions, StoreError> {
+        let _guard = self.writing.lock().await;
+        let last_sequence = self.unpersisted.borrow().last_sequence();
+        let change = |exclusions: &mut Exclusions| {
+            exclusions.forget_reincluded_before(now.saturating_sub(REINCLUSION_RETENTION));
+            self.unpersisted.borrow().apply(exclusions)
         };
-        let damaged = |error| log(format_args!("set aside: {error}"));
-        let (bans, ()) = self.store.change(held, change, damaged).await?;
-        self.pending.borrow_mut().mark_persisted(last);
-        Ok(self.with_pending(bans))
+        let on_damaged = |error| log(format_args!("set aside a damaged file: {error}"));
+        let (exclusions, ()) = self.store.change(current, change, on_damaged).await?;
+        self.unpersisted.borrow_mut().mark_persisted(last_sequence);
+        Ok(self.with_unpersisted_changes(exclusions))
     }
 
-    fn with_pending(&self, mut bans: Exclusions) -> Exclusions {
-        if let Err(error) = self.pending.borrow().apply(&mut bans) {
-            log(format_args!("not all changes of bans hold: {error}"));
+    fn with_unpersisted_changes(&self, mut exclusions: Exclusions) -> Exclusions {
+        if let Err(error) = self.unpersisted.borrow().apply(&mut exclusions) {
+            log(format_args!("not all changes of exclusions were applied: {error}"));
         }
-        bans
+        exclusions
     }
 
-    /// The bans that hold, where the file has changed since it was read last.
-    pub fn news(&self) -> Option<Exclusions> {
-        let stamp = self.store.version();
-        if self.seen.get() == Some(stamp) {
+    /// The exclusions in force, if the file has changed since it was read last.
+    pub(crate) fn reload_if_changed(&self) -> Option<Exclusions> {
+        let version = LastRead::from(self.store.version());
+        if self.last_read.get() == version {
             return None;
         }
         match self.store.load() {
-            Ok(bans) => {
-                self.seen.set(Some(stamp));
-                Some(self.with_pending(bans))
+            Ok(exclusions) => {
+                self.last_read.set(version);
+                Some(self.with_unpersisted_changes(exclusions))
             }
             Err(error) => {
-                // Damage stays until the file is another one; all else may be over a moment later.
+                // Damage lasts until the file is replaced; any other error may be transient.
                 if matches!(error, StoreError::Damaged(..)) {
-                    self.seen.set(Some(stamp));
+                    self.last_read.set(version);
                 }
-                self.unread.note(&error);
+                self.read_failures.note(&error);
                 None
             }
         }
     }
 
-    /// Has what was learnt kept, unless the one before is still being written.
-    pub fn keep(&self, now: Micros, memory: impl FnOnce() -> LearnedState) {
-        if self.keeping.replace(true) {
+    /// Starts to write a snapshot of the learned limits, unless the previous one is still being written.
+    pub(crate) fn write_snapshot(&self, now: Micros, learned_state: impl FnOnce() -> LearnedState) {
+        if self.is_writing_snapshot.replace(true) {
             return;
         }
-        let (snapshot, keeping) = (Rc::clone(&self.snapshot), Rc::clone(&self.keeping));
-        let (of, learnt, unkept) = (self.of.get(), to_stored(memory()), Rc::clone(&self.unkept));
+        let snapshot = Rc::clone(&self.snapshot);
+        let is_writing = Rc::clone(&self.is_writing_snapshot);
+        let configuration = self.configuration.get();
+        let learned = to_stored(learned_state());
+        let failures = Rc::clone(&self.snapshot_failures);
         tokio::task::spawn_local(async move {
-            if let Err(error) = snapshot.write(of, now, learnt).await {
-                unkept.note(&error);
+            if let Err(error) = snapshot.write(configuration, now, learned).await {
+                failures.note(&error);
             }
-            keeping.set(false);
+            is_writing.set(false);
         });
     }
 
-    /// What another process of this proxy has learnt.
+    /// The limits that another process of this proxy has learned.
     ///
     /// # Errors
-    /// Why there is nothing to go on from.
-    pub fn learnt(&self, now: Micros) -> Result<LearnedState, SnapshotError> {
-        self.snapshot.read(self.of.get(), now).map(from_stored)
+    /// Where there is no snapshot of this configuration that is recent and valid.
+    pub(crate) fn read_snapshot(&self, now: Micros) -> Result<LearnedState, SnapshotError> {
+        self.snapshot.read(self.configuration.get(), now).map(from_stored)
+    }
+}
+
+/// Loads the exclusions of a starting process. Transient errors are retried until `end`; after that the process starts
+/// without exclusions and reads the file later.
+async fn load_with_retry(store: &ExclusionStore, end: Instant) -> InitialExclusions {
+    loop {
+        let version = LastRead::from(store.version());
+        match store.load() {
+            Ok(exclusions) => return InitialExclusions { exclusions, last_read: version },
+            Err(StoreError::Io(_, error)) if retry::is_of_disk(&error) && Instant::now() < end => {
+                sleep(OPEN_RETRY_DELAY).await;
+            }
+            Err(error) => {
+                log(format_args!("exclusions could not be read, starting without any: {error}"));
+                let is_damaged = matches!(error, StoreError::Damaged(..));
+                let last_read = if is_damaged { version } else { LastRead::Failed };
+                return InitialExclusions { exclusions: Exclusions::default(), last_read };
+            }
+        }
     }
 }
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -1,393 +1,268 @@
-//! One real proxy from its configuration to its end.
+//! Starts a proxy from its configuration, serves, and drains it.
 
-use crate::admin_handler::{AdminHandler, Sockets};
+mod client_front_end;
+mod console;
+mod discovery;
+mod drain;
+mod engine;
+mod grpc_front_end;
+mod listener;
+
+use crate::admin_handler::{AdminContext, AdminHandler, ConnectionLimits};
 use crate::config_reload::ConfigReload;
-use crate::persistence::PersistentState;
-use admin::console;
-use balancer::api::{Micros, Settings, SettingsError};
-use external_processor::bridge::{self, Bridge};
-use external_processor::decision_request::RequestCatalog;
-use external_processor::server::{self, RunningServer, ServerContext};
-use external_processor::{decision_service, settings as extproc};
-use http_proxy::backend_list::BackendList;
-use http_proxy::backend_pool::BackendPool;
-use http_proxy::clients::{ClientConnections, Completed, Phase};
+use crate::error::ProxyServerError;
+use crate::persistence::{OpenedState, PersistentState};
+use admin::exclusions::Exclusions;
+use balancer::api::Micros;
+use client_front_end::{ClientFrontEnd, ClientFrontEndOptions};
+use discovery::DiscoveryParts;
+use drain::Drain;
+use engine::EngineParts;
+use external_processor::server::ServerError;
+use external_processor::settings::Settings as ExternalProcessorSettings;
+use grpc_front_end::GrpcFrontEnd;
+use http_proxy::clients::ClientConnections;
 use http_proxy::config::Config;
-use http_proxy::discovery::{DiscoveryWatcher, ListTranslator};
+use http_proxy::discovery::DiscoveryWatcher;
 use http_proxy::log::log;
-use http_proxy::name_index::NameIndex;
-use http_proxy::poll_schedule::PollSchedule;
-use http_proxy::stall_detector::StallDetector;
-use http_proxy::transport::{Handle, ProxyTransport};
+use http_proxy::transport::Handle;
+use listener::ClientListener;
 use request_engine::driver::clock::Clock;
-use request_engine::engine::{Engine, EngineLimits};
-use request_engine::idempotency::{self, IdempotencyRegistry};
-use request_engine::lease_events::LeaseEventQueue;
-use settings::reload::ReloadError;
-use socket_io::retry;
+use request_engine::idempotency::{IdempotencyRegistry, SharedRegistry};
 use std::cell::{Cell, RefCell};
+use std::env;
 use std::future::Future;
-use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
-use thiserror::Error;
-use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::Signal;
-use tokio::sync::{mpsc, watch};
-use tokio::time::{Instant, sleep, timeout_at};
-
-/// The kernel's queue of connections that are not accepted yet.
-const BACKLOG: u32 = 1_024;
-/// For how long a listener that can't be had for a moment is asked for again.
-const LISTEN_TIMEOUT: Duration = Duration::from_secs(4);
-/// After SIGTERM, connections still come for a while: how long the proxy goes on at the least, and how long
-/// nobody must have connected.
-const MIN_DRAIN: Duration = Duration::from_millis(800);
-/// New connections come for so long after SIGTERM; with short deadlines the process goes on for that and the deadline.
-const CONNECTIONS_COME: Duration = Duration::from_millis(400);
-const DRAIN_QUIET: Duration = Duration::from_millis(300);
-const DRAIN_STEP: Duration = Duration::from_millis(50);
-/// How soon the listener's queue is looked at again where a look failed.
-const LOOK_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Requests that may be open for each client connection that there may be. Attempts of clients that have left go on.
-const OPEN_PER_CLIENT: usize = 8;
-/// The longest deadline that an ending process is given the time for. The platform kills it 0.7 s after that.
-const DRAIN_LONGEST: Duration = Duration::from_secs(3);
-/// How long beyond that everything has its answer, and the process ends with clients still connected: in between, answers
-/// are written and taken.
-const ANSWER_SLACK: Duration = Duration::from_millis(450);
-const DRAIN_SLACK: Duration = Duration::from_millis(550);
-
-/// `shared`: another process of the same proxy may listen at the same address.
-fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // A restarted proxy takes its old address although connections of the old process linger.
-    socket.set_reuseaddr(true)?;
-    if shared {
-        socket.set_reuseport(true)?;
-    }
-    socket.bind(address)?;
-    socket.listen(BACKLOG)
-}
-
-/// Why the program ended, or could not begin.
-#[derive(Debug, Error)]
-pub enum ProxyServerError {
-    /// Its address can't be had.
-    #[error("cannot listen on {0}: {1}")]
-    Listen(SocketAddr, io::Error),
-    /// The bans and the other processes can't be followed.
-    #[error("{0}: {1}")]
-    PersistentState(PathBuf, io::Error),
-    /// The settings make no sense.
-    #[error("{0}")]
-    Settings(#[from] SettingsError),
-    /// The classes can't be told apart.
-    #[error("{0}")]
-    Classes(#[from] ReloadError),
-    /// The external processor can't begin.
-    #[error("external processor: {0}")]
-    ExternalProcessor(#[from] server::ServerError),
-    /// The engine panicked.
-    #[error("the engine ended: {0}")]
-    Engine(String),
-}
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+use tokio::time::Instant;
 
-/// What the program serves.
+/// The configurations of the front ends that one process serves.
 #[derive(Debug)]
 pub struct FrontEnds {
-    /// The proxy for clients.
+    /// The HTTP proxy's, and everything that the front ends share.
     pub http: Config,
-    /// The external processor, if it is switched on.
-    pub extproc: Option<extproc::Settings>,
+    /// The external processor's, if it is enabled.
+    pub external_processor: Option<ExternalProcessorSettings>,
 }
 
 impl From<Config> for FrontEnds {
     fn from(http: Config) -> Self {
-        Self { http, extproc: None }
+        Self { http, external_processor: None }
     }
 }
 
-/// What is told once the listeners are open.
+/// The addresses on which a started proxy listens.
 #[derive(Clone, Copy, Debug)]
-pub struct Listening {
-    /// Where clients connect.
+pub struct BoundAddresses {
+    /// For HTTP clients.
     pub clients: SocketAddr,
-    /// Where callers of the external processor connect.
-    pub callers: Option<SocketAddr>,
-    /// Where the operators's calls come.
+    /// For clients of the external processor, if it is enabled.
+    pub external_processor: Option<SocketAddr>,
+    /// For console commands, if a console is configured.
     pub console: Option<SocketAddr>,
 }
 
-/// The external processor: its desk on this thread, its services on theirs.
-struct ExternalProcessor {
-    bridge: Bridge<ProxyTransport>,
-    services: RunningServer,
-}
-
-impl ExternalProcessor {
-    fn start(
-        settings: &extproc::Settings,
-        decisions: &Settings,
-        names: &NameIndex,
-        claims: idempotency::SharedRegistry,
-        handle: &Handle,
-    ) -> Result<Self, server::ServerError> {
-        let (safe_memory, unsafe_memory) = settings.memories();
-        let bounds =
-            decision_service::Bounds { per_caller: settings.bounds.per_caller, safe_memory, unsafe_memory };
-        let carrier = handle.transport();
-        let backend_pool = Rc::clone(&carrier.backend_pool);
-        let endpoints = Box::new(move |backend| backend_pool.address(backend));
-        let inbox = Rc::clone(&carrier.outside);
-        let bridge = Bridge::new(decisions, bounds, claims, handle.clone(), inbox, endpoints);
-        let (way, ends) = bridge::way(settings.bounds.queue);
-        let subject = ServerContext {
-            catalogue: RequestCatalog::new(decisions, &names.classes, &names.tenants),
-            load_fields: names.report.clone(),
-            clock: handle.clock(),
-            way,
-        };
-        let services = server::start(settings.clone(), subject)?;
-        tokio::task::spawn_local(bridge.clone().run(ends));
-        Ok(Self { bridge, services })
-    }
-
-    /// Takes no request any more, and waits for what callers hold.
-    async fn drain(&self, longest: Duration) {
-        self.bridge.drain();
-        self.services.drain();
-        let end = Instant::now() + longest + DRAIN_SLACK;
-        while self.bridge.held() > 0 && Instant::now() < end {
-            sleep(DRAIN_STEP).await;
-        }
-        let counts = self.bridge.counts();
-        log(format_args!("external processor: {} held at the end, {counts:?}", self.bridge.held()));
-    }
-}
-
-/// Serves until `stop`, and then until all that was taken is answered. `reload` tells when to read the configuration
-/// again; `started` is told once the listener is open.
+/// Serves until `stop` completes, and then drains: it returns when all requests have their responses or their time is over.
+///
+/// Each signal of `reload` reloads the configuration. `on_started` is called once all listeners are open. Has to run within a
+/// `LocalSet`.
 ///
 /// # Errors
-/// Where it can't begin, or the engine ends early.
+/// Where the proxy cannot start, or the engine ends early.
 pub async fn serve(
-    fronts: impl Into<FrontEnds>,
+    front_ends: impl Into<FrontEnds>,
     stop: impl Future<Output = ()>,
     reload: Option<Signal>,
-    started: impl FnOnce(&Handle, Listening),
+    on_started: impl FnOnce(&Handle, BoundAddresses),
 ) -> Result<(), ProxyServerError> {
     let clock = Clock::start();
-    let FrontEnds { http: config, extproc } = fronts.into();
-    let settings = config.settings;
-    let asked = settings.discovery_on_request;
-    let backend_pool = BackendPool::new(
-        config.backend_sockets,
-        config.dial_timeout,
-        settings.permissions.idle_connection_timeout,
-        config.names.report.clone(),
-    );
-    let learns = Rc::<Cell<u64>>::default();
-    // The place among the processes of this proxy comes before the listener: whoever listens is seen.
-    let (files, bans) = match config.console {
-        Some(_) => {
-            let folder = std::env::temp_dir();
-            let opened = PersistentState::open(&folder, &config.name, clock.now(), Rc::clone(&learns)).await;
-            let (files, bans) = opened.map_err(|error| ProxyServerError::PersistentState(folder, error))?;
-            (Some(files), bans)
-        }
-        None => Default::default(),
-    };
-    let unheard = |error| ProxyServerError::Listen(config.listen, error);
-    let listens = || listen(config.listen, config.console.is_some());
-    let listener = retry::until(Instant::now() + LISTEN_TIMEOUT, retry::is_local, listens).await;
-    let listener = Rc::new(listener.map_err(unheard)?);
-    let opened = Instant::now();
-    let monitor = StallDetector::new(opened);
-    let address = listener.local_addr().map_err(unheard)?;
-    log(format_args!("{} listens on {address}", config.name));
-    // Each client connection carries one request, and one whose client has left may run on for a while.
-    let leases = extproc.as_ref().map_or(0, |e| e.bounds.leases);
-    let requests = config.client_sockets * OPEN_PER_CLIENT + leases;
-    let bounds = EngineLimits { requests, leases };
-    let engine = Engine::new(settings.clone(), bounds, config.seed, config.seed ^ clock.now(), clock.now())?;
-    let (subscribe, subscriptions) = mpsc::unbounded_channel();
-    let report_by_probe = settings.load_report_by_health_check;
-    let outside = Rc::new(LeaseEventQueue::default());
-    let carrier =
-        ProxyTransport { backend_pool: Rc::clone(&backend_pool), subscribe, report_by_probe, outside };
-    let handle = Handle::new(engine, clock, carrier);
-    // Clients' requests are held beside those of callers, so that both fronts share the table.
-    let claims = extproc.as_ref().map(|e| shared_claims(e.bounds.remembered));
-    let extproc = match (&extproc, &claims) {
-        (Some(own), Some(claims)) => {
-            Some(ExternalProcessor::start(own, &settings, &config.names, Rc::clone(claims), &handle)?)
+    let front_ends = front_ends.into();
+    let accept_immediately = front_ends.http.settings.discovery_on_request;
+    let (server, watcher) = Server::start(front_ends, clock, reload).await?;
+    on_started(&server.handle, server.addresses);
+    let engine_task = server.spawn_tasks(watcher, accept_immediately);
+    let result = tokio::select! {
+        ended = engine_task => Err(ProxyServerError::EngineEnded(ended)),
+        () = stop => {
+            server.drain().await;
+            Ok(())
         }
-        _ => None,
     };
-    let held = Rc::new(Cell::new(false));
-    let translator = ListTranslator::new(clock, &config.names, &settings.safety);
-    let (discovery, addresses) = watch::channel(config.discovery);
-    let asks = asked.then(|| {
-        (
-            subscriptions,
-            PollSchedule::of(
-                settings.instance_index,
-                settings.instance_count,
-                settings.safety.max_poll_interval,
-            ),
-        )
-    });
-    let backend_list = Rc::new(RefCell::new(BackendList::new(bans)));
-    let mut watcher = DiscoveryWatcher::new(
-        addresses,
-        translator,
-        Rc::clone(&backend_list),
-        handle.clone(),
-        Rc::clone(&held),
-        asks,
-    );
-    watcher.start_from(config.known);
-    let heard = watcher.heard();
-    let config_reload =
-        ConfigReload::new(config.shape, settings.clone(), config.names.clone(), handle.clone(), learns)?;
-    let (phase, phases) = watch::channel(Phase::Running);
-    let most = config.client_sockets;
-    let clients = ClientConnections::new(
-        handle.clone(),
-        clock,
-        config_reload.client_classes(clock.now()),
-        &config.names,
-        Rc::clone(&held),
-        phases,
-        most,
-        config.large_bodies,
-        claims,
-        Rc::clone(&monitor),
-    );
-    let sockets = Sockets { clients: most, backends: config.backend_sockets };
-    let admin_handler = files.map(|files| {
-        let (listener, clients) = (Rc::clone(&listener), Rc::clone(&clients));
-        AdminHandler::new(files, backend_list, held, handle.clone(), listener, clients, sockets)
-    });
-    let console = match (config.console, &admin_handler) {
-        (Some(console), Some(admin_handler)) => Some(open_console(console, admin_handler).await?),
-        _ => None,
-    };
-    if let Some(console) = console {
-        log(format_args!("{} answers operators on {console}", config.name));
+    if let Some(grpc_front_end) = server.grpc_front_end {
+        grpc_front_end.end();
     }
+    result
+}
 
-    let longest = config_reload.longest();
-    // Kept alive to the end: a watch whose sender is gone ends.
-    let _discovery = match reload {
-        Some(reload) => {
-            tokio::task::spawn_local(config_reload.follow(reload, discovery, Rc::clone(&clients)));
-            None
+/// The parts of a started proxy that live until it has drained.
+struct Server {
+    handle: Handle,
+    addresses: BoundAddresses,
+    listener: ClientListener,
+    client_front_end: ClientFrontEnd,
+    grpc_front_end: Option<GrpcFrontEnd>,
+    admin_handler: Option<Rc<AdminHandler>>,
+    /// The longest deadline of the classes in force, microseconds.
+    longest_deadline: Rc<Cell<Micros>>,
+    /// The sender for discovery's address where no reload owns it: the watcher's channel has to stay open.
+    _discovery_address: Option<watch::Sender<SocketAddr>>,
+}
+
+impl Server {
+    /// Opens all listeners and assembles the parts, up to the point where only the background tasks have to be spawned.
+    async fn start(
+        front_ends: FrontEnds,
+        clock: Clock,
+        reload: Option<Signal>,
+    ) -> Result<(Self, DiscoveryWatcher), ProxyServerError> {
+        let FrontEnds { http: mut config, external_processor } = front_ends;
+        let fingerprint = Rc::<Cell<u64>>::default();
+        // The instance slot comes before the listener: a process that listens is visible to its peers.
+        let (state, exclusions) = open_persistent_state(&config, clock, &fingerprint).await?;
+        let listener = ClientListener::open(&config).await?;
+        let EngineParts { handle, poll_requests } =
+            EngineParts::create(&config, external_processor.as_ref(), clock)?;
+        // Requests of both front ends share one registry.
+        let registry =
+            external_processor.as_ref().map(|settings| shared_registry(settings.bounds.remembered));
+        let grpc_front_end =
+            start_grpc_front_end(external_processor.as_ref(), registry.as_ref(), &config, &handle)?;
+        let DiscoveryParts { watcher, backend_list, has_backend_list, address_sender } =
+            DiscoveryParts::create(&mut config, exclusions, poll_requests, &handle);
+        let config_reload = ConfigReload::new(&config, handle.clone(), fingerprint)?;
+        let client_front_end = ClientFrontEnd::create(ClientFrontEndOptions {
+            config: &config,
+            handle: &handle,
+            classes: config_reload.client_classes(clock.now()),
+            has_backend_list: Rc::clone(&has_backend_list),
+            registry,
+            stall_detector: Rc::clone(&listener.stall_detector),
+        });
+        let admin_handler = state.map(|state| {
+            AdminHandler::new(AdminContext {
+                state,
+                backend_list,
+                has_backend_list,
+                handle: handle.clone(),
+                listener: Rc::clone(&listener.socket),
+                clients: Rc::clone(&client_front_end.connections),
+                limits: ConnectionLimits { clients: config.client_sockets, backends: config.backend_sockets },
+            })
+        });
+        let console = console::open(&config, admin_handler.as_ref()).await?;
+        let longest_deadline = config_reload.longest_deadline();
+        let clients = Rc::clone(&client_front_end.connections);
+        let discovery_address = follow_reloads(config_reload, reload, address_sender, clients);
+        let external_processor = grpc_front_end.as_ref().map(GrpcFrontEnd::address);
+        if let Some(address) = external_processor {
+            log(format_args!("{} answers callers on {address}", config.name));
         }
-        None => Some(discovery),
-    };
-    let callers = extproc.as_ref().map(|e| e.services.address);
-    if let Some(callers) = callers {
-        log(format_args!("{} answers callers on {callers}", config.name));
+        let server = Self {
+            addresses: BoundAddresses { clients: listener.address, external_processor, console },
+            handle,
+            listener,
+            client_front_end,
+            grpc_front_end,
+            admin_handler,
+            longest_deadline,
+            _discovery_address: discovery_address,
+        };
+        Ok((server, watcher))
     }
-    started(&handle, Listening { clients: address, callers, console });
-    let ending = handle.clone();
-    let engine = tokio::task::spawn_local(handle.run());
-    tokio::task::spawn_local(watcher.run());
-    tokio::task::spawn_local(backend_pool.sweep());
-    tokio::task::spawn_local(Rc::clone(&monitor).run());
-    let accepting = Rc::clone(&clients).accept(Rc::clone(&listener), opened);
-    tokio::task::spawn_local(async move {
-        // What an agent has counts as told: a request that was sent by an older list might go to a backend that leaves.
-        // Until the agent has answered, or failed to, clients wait in the kernel's queue.
-        if !asked {
-            heard.notified().await;
-        }
-        accepting.await;
-    });
-    let served = tokio::select! {
-        ended = engine => Err(ProxyServerError::Engine(format!("{ended:?}"))),
-        () = stop => {
-            if let Some(admin_handler) = &admin_handler {
-                admin_handler.drains();
+
+    /// Spawns the engine and all that runs beside it. Returns the engine's task, which ends only by a fault.
+    fn spawn_tasks(&self, watcher: DiscoveryWatcher, accept_immediately: bool) -> JoinHandle<()> {
+        let first_response = watcher.heard();
+        let engine_task = tokio::task::spawn_local(self.handle.clone().run());
+        tokio::task::spawn_local(watcher.run());
+        tokio::task::spawn_local(Rc::clone(&self.handle.transport().backend_pool).sweep());
+        tokio::task::spawn_local(Rc::clone(&self.listener.stall_detector).run());
+        let clients = Rc::clone(&self.client_front_end.connections);
+        let accepting = clients.accept(Rc::clone(&self.listener.socket), self.listener.opened_at);
+        tokio::task::spawn_local(async move {
+            // What a discovery agent already holds counts as known: a request routed by an older list could reach a backend
+            // that is leaving. Until the agent's first response or failure, clients wait in the kernel's queue.
+            if !accept_immediately {
+                first_response.notified().await;
             }
-            let longest = Duration::from_micros(longest.get());
-            // The signal may have come at any moment of a time in which this process stood.
-            let began = monitor.earliest(Instant::now());
-            let drained = drain(&clients, &ending, &listener, &phase, began, longest);
-            match &extproc {
-                Some(extproc) => {
-                    tokio::join!(drained, extproc.drain(longest));
-                }
-                None => drained.await,
+            accepting.await;
+        });
+        engine_task
+    }
+
+    /// Finishes the requests of both front ends.
+    async fn drain(&self) {
+        if let Some(admin_handler) = &self.admin_handler {
+            admin_handler.begin_draining();
+        }
+        let longest_deadline = Duration::from_micros(self.longest_deadline.get());
+        let drain = Drain {
+            clients: &self.client_front_end.connections,
+            handle: &self.handle,
+            listener: &self.listener.socket,
+            phase: &self.client_front_end.phase,
+            // The signal may have come at any moment of a stall of this process.
+            began: self.listener.stall_detector.earliest(Instant::now()),
+            longest_deadline,
+        };
+        match &self.grpc_front_end {
+            Some(grpc_front_end) => {
+                tokio::join!(drain.run(), grpc_front_end.drain(longest_deadline));
             }
-            Ok(())
+            None => drain.run().await,
         }
-    };
-    if let Some(extproc) = extproc {
-        extproc.services.end();
     }
-    served
 }
 
-/// Answers the operators's calls from now on; gives where.
-async fn open_console(
-    address: SocketAddr,
-    admin_handler: &Rc<AdminHandler>,
-) -> Result<SocketAddr, ProxyServerError> {
-    let unheard = |error| ProxyServerError::Listen(address, error);
-    let listener =
-        retry::until(Instant::now() + LISTEN_TIMEOUT, retry::is_local, || listen(address, false)).await;
-    let listener = listener.map_err(unheard)?;
-    let address = listener.local_addr().map_err(unheard)?;
-    let answers = Rc::clone(admin_handler);
-    tokio::task::spawn_local(console::serve(listener, move |call| Rc::clone(&answers).answer(call)));
-    tokio::task::spawn_local(Rc::clone(admin_handler).follow());
-    Ok(address)
+/// The state shared with other processes of this proxy; none for a proxy without a console, which is not replaced while it
+/// serves.
+async fn open_persistent_state(
+    config: &Config,
+    clock: Clock,
+    fingerprint: &Rc<Cell<u64>>,
+) -> Result<(Option<PersistentState>, Exclusions), ProxyServerError> {
+    if config.console.is_none() {
+        return Ok((None, Exclusions::default()));
+    }
+    let folder = env::temp_dir();
+    let opened = PersistentState::open(&folder, &config.name, clock.now(), Rc::clone(fingerprint)).await;
+    let OpenedState { state, exclusions } =
+        opened.map_err(|error| ProxyServerError::PersistentState(folder, error))?;
+    Ok((Some(state), exclusions))
 }
 
-fn shared_claims(most: usize) -> idempotency::SharedRegistry {
-    Rc::new(RefCell::new(IdempotencyRegistry::new(most)))
+/// Starts the external processor if it is enabled.
+fn start_grpc_front_end(
+    settings: Option<&ExternalProcessorSettings>,
+    registry: Option<&SharedRegistry>,
+    config: &Config,
+    handle: &Handle,
+) -> Result<Option<GrpcFrontEnd>, ServerError> {
+    let (Some(settings), Some(registry)) = (settings, registry) else {
+        return Ok(None);
+    };
+    GrpcFrontEnd::start(settings, config, Rc::clone(registry), handle).map(Some)
 }
 
-/// Finishes what was taken, and what still comes. Whatever hangs then, everything that came has its answer before the
-/// platform's patience ends: what comes late has less time for it.
-async fn drain(
-    clients: &Rc<ClientConnections>,
-    handle: &Handle,
-    listener: &TcpListener,
-    phase: &watch::Sender<Phase>,
-    began: Instant,
-    longest: Duration,
-) {
-    let longest = longest.min(DRAIN_LONGEST);
-    let least = MIN_DRAIN.min(longest + CONNECTIONS_COME);
-    handle.set_response_deadline(handle.clock().at(began) + micros(longest + ANSWER_SLACK));
-    let _ = phase.send(Phase::Draining);
-    while began.elapsed() < least || (clients.quiet() < DRAIN_QUIET && began.elapsed() < longest) {
-        sleep(DRAIN_STEP).await;
-    }
-    let _ = phase.send(Phase::Closing);
-    let end = began + longest + DRAIN_SLACK;
-    loop {
-        while clients.open() > 0 {
-            if timeout_at(end, clients.one_ended()).await.is_err() {
-                return;
-            }
-        }
-        // The exit resets what stands in the listener's queue. Nothing comes between this look and the exit but what the
-        // kernel completes in that moment.
-        match clients.take_completed(listener) {
-            Completed::Taken => {}
-            Completed::Failed if Instant::now() < end => sleep(LOOK_RETRY_DELAY).await,
-            Completed::None | Completed::Failed => return,
-        }
-    }
+fn shared_registry(capacity: usize) -> SharedRegistry {
+    Rc::new(RefCell::new(IdempotencyRegistry::new(capacity)))
 }
 
-fn micros(span: Duration) -> Micros {
-    Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX)
+/// Spawns the task that reloads the configuration at each signal; without signals, returns the address sender, which has to
+/// be kept.
+fn follow_reloads(
+    config_reload: ConfigReload,
+    reload: Option<Signal>,
+    discovery_address: watch::Sender<SocketAddr>,
+    clients: Rc<ClientConnections>,
+) -> Option<watch::Sender<SocketAddr>> {
+    let Some(reload) = reload else {
+        return Some(discovery_address);
+    };
+    tokio::task::spawn_local(config_reload.follow(reload, discovery_address, clients));
+    None
 }
--- /dev/null
+++ b/crates/proxy-server/src/server/client_front_end.rs
@@ -0,0 +1,49 @@
+//! The HTTP front end for clients.
+
+use http_proxy::classes::Classes;
+use http_proxy::clients::{ClientConnections, Phase};
+use http_proxy::config::Config;
+use http_proxy::stall_detector::StallDetector;
+use http_proxy::transport::Handle;
+use request_engine::idempotency::SharedRegistry;
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+/// What the client front end is made of.
+pub(super) struct ClientFrontEndOptions<'a> {
+    pub(super) config: &'a Config,
+    pub(super) handle: &'a Handle,
+    pub(super) classes: Classes,
+    pub(super) has_backend_list: Rc<Cell<bool>>,
+    /// The requests in flight, shared with the external processor if it is enabled.
+    pub(super) registry: Option<SharedRegistry>,
+    pub(super) stall_detector: Rc<StallDetector>,
+}
+
+/// The client connections, and the phase that controls them.
+pub(super) struct ClientFrontEnd {
+    pub(super) connections: Rc<ClientConnections>,
+    pub(super) phase: watch::Sender<Phase>,
+}
+
+impl ClientFrontEnd {
+    pub(super) fn create(options: ClientFrontEndOptions<'_>) -> Self {
+        let ClientFrontEndOptions { config, handle, classes, has_backend_list, registry, stall_detector } =
+            options;
+        let (phase, phases) = watch::channel(Phase::Running);
+        let connections = ClientConnections::new(
+            handle.clone(),
+            handle.clock(),
+            classes,
+            &config.names,
+            has_backend_list,
+            phases,
+            config.client_sockets,
+            config.large_bodies,
+            registry,
+            stall_detector,
+        );
+        Self { connections, phase }
+    }
+}
--- /dev/null
+++ b/crates/proxy-server/src/server/console.rs
@@ -0,0 +1,29 @@
+//! The console's listener and tasks.
+
+use super::listener::{Sharing, open_listener};
+use crate::admin_handler::AdminHandler;
+use crate::error::ProxyServerError;
+use admin::console;
+use http_proxy::config::Config;
+use http_proxy::log::log;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// Starts the console and the polling of peers, if a console is configured. Returns the console's address.
+///
+/// # Errors
+/// Where the address cannot be listened on.
+pub(super) async fn open(
+    config: &Config,
+    admin_handler: Option<&Rc<AdminHandler>>,
+) -> Result<Option<SocketAddr>, ProxyServerError> {
+    let (Some(address), Some(admin_handler)) = (config.console, admin_handler) else {
+        return Ok(None);
+    };
+    let (listener, address) = open_listener(address, Sharing::Exclusive).await?;
+    let executor = Rc::clone(admin_handler);
+    tokio::task::spawn_local(console::serve(listener, move |command| Rc::clone(&executor).execute(command)));
+    tokio::task::spawn_local(Rc::clone(admin_handler).follow_peers());
+    log(format_args!("{} answers operators on {address}", config.name));
+    Ok(Some(address))
+}
--- /dev/null
+++ b/crates/proxy-server/src/server/grpc_front_end.rs
@@ -0,0 +1,76 @@
+//! The external processor: its decision service on this thread, its gRPC services on threads of their own.
+
+use super::drain::{DRAIN_POLL_INTERVAL, DRAIN_SLACK};
+use external_processor::bridge::{self, Bridge};
+use external_processor::decision_request::RequestCatalog;
+use external_processor::decision_service;
+use external_processor::server::{self, RunningServer, ServerContext, ServerError};
+use external_processor::settings::Settings as ExternalProcessorSettings;
+use http_proxy::config::Config;
+use http_proxy::log::log;
+use http_proxy::transport::{Handle, ProxyTransport};
+use request_engine::idempotency::SharedRegistry;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+/// The running external processor.
+pub(super) struct GrpcFrontEnd {
+    bridge: Bridge<ProxyTransport>,
+    services: RunningServer,
+}
+
+impl GrpcFrontEnd {
+    /// Starts the gRPC services, and the task that connects them to the engine.
+    ///
+    /// # Errors
+    /// Where the services cannot start.
+    pub(super) fn start(
+        settings: &ExternalProcessorSettings,
+        config: &Config,
+        registry: SharedRegistry,
+        handle: &Handle,
+    ) -> Result<Self, ServerError> {
+        let (safe_memory, unsafe_memory) = settings.memories();
+        let bounds =
+            decision_service::Bounds { per_caller: settings.bounds.per_caller, safe_memory, unsafe_memory };
+        let transport = handle.transport();
+        let backend_pool = Rc::clone(&transport.backend_pool);
+        let endpoints = Box::new(move |backend| backend_pool.address(backend));
+        let lease_events = Rc::clone(&transport.outside);
+        let bridge = Bridge::new(&config.settings, bounds, registry, handle.clone(), lease_events, endpoints);
+        let (way, receivers) = bridge::way(settings.bounds.queue);
+        let context = ServerContext {
+            catalogue: RequestCatalog::new(&config.settings, &config.names.classes, &config.names.tenants),
+            load_fields: config.names.report.clone(),
+            clock: handle.clock(),
+            way,
+        };
+        let services = server::start(settings.clone(), context)?;
+        tokio::task::spawn_local(bridge.clone().run(receivers));
+        Ok(Self { bridge, services })
+    }
+
+    pub(super) fn address(&self) -> SocketAddr {
+        self.services.address
+    }
+
+    /// Rejects new requests, and waits for those in flight, at most for the longest deadline and a slack.
+    pub(super) async fn drain(&self, longest_deadline: Duration) {
+        self.bridge.drain();
+        self.services.drain();
+        let end = Instant::now() + longest_deadline + DRAIN_SLACK;
+        while self.bridge.held() > 0 && Instant::now() < end {
+            sleep(DRAIN_POLL_INTERVAL).await;
+        }
+        let in_flight = self.bridge.held();
+        let counts = self.bridge.counts();
+        log(format_args!("external processor: {in_flight} requests in flight after draining, {counts:?}"));
+    }
+
+    /// Ends the gRPC services.
+    pub(super) fn end(self) {
+        self.services.end();
+    }
+}
--- /dev/null
+++ b/crates/proxy-server/src/server/listener.rs
@@ -0,0 +1,76 @@
+//! Listening sockets.
+
+use crate::error::ProxyServerError;
+use http_proxy::config::Config;
+use http_proxy::log::log;
+use http_proxy::stall_detector::StallDetector;
+use socket_io::retry;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::time::Instant;
+
+/// The length of the kernel's queue of connections that are not accepted yet.
+const BACKLOG: u32 = 1_024;
+/// How long opening a listener is retried after local, transient errors.
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// Whether other processes of the same proxy may listen at the same address.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Sharing {
+    Exclusive,
+    Shared,
+}
+
+/// The listener for HTTP clients.
+pub(super) struct ClientListener {
+    pub(super) socket: Rc<TcpListener>,
+    pub(super) address: SocketAddr,
+    pub(super) opened_at: Instant,
+    /// Detects stalls of this process from the moment at which it began to listen.
+    pub(super) stall_detector: Rc<StallDetector>,
+}
+
+impl ClientListener {
+    /// Opens the configured address. Only a proxy with a console shares it, since only such a one is replaced while it serves.
+    ///
+    /// # Errors
+    /// Where the address cannot be listened on.
+    pub(super) async fn open(config: &Config) -> Result<Self, ProxyServerError> {
+        let sharing = if config.console.is_some() { Sharing::Shared } else { Sharing::Exclusive };
+        let (socket, address) = open_listener(config.listen, sharing).await?;
+        let opened_at = Instant::now();
+        log(format_args!("{} listens on {address}", config.name));
+        let stall_detector = StallDetector::new(opened_at);
+        Ok(Self { socket: Rc::new(socket), address, opened_at, stall_detector })
+    }
+}
+
+/// Listens on an address, with retries for [`LISTEN_TIMEOUT`]. Returns the listener and its actual address.
+///
+/// # Errors
+/// The last error, with the address that was requested.
+pub(super) async fn open_listener(
+    address: SocketAddr,
+    sharing: Sharing,
+) -> Result<(TcpListener, SocketAddr), ProxyServerError> {
+    let listen_error = |error| ProxyServerError::Listen(address, error);
+    let end = Instant::now() + LISTEN_TIMEOUT;
+    let listener = retry::until(end, retry::is_local, || listen(address, sharing)).await;
+    let listener = listener.map_err(listen_error)?;
+    let bound = listener.local_addr().map_err(listen_error)?;
+    Ok((listener, bound))
+}
+
+fn listen(address: SocketAddr, sharing: Sharing) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    // A restarted proxy reuses its address although connections of the previous process linger.
+    socket.set_reuseaddr(true)?;
+    if sharing == Sharing::Shared {
+        socket.set_reuseport(true)?;
+    }
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
+}
--- a/crates/proxy-server/tests/day/main.rs
+++ b/crates/proxy-server/tests/day/main.rs
@@ -115,9 +115,9 @@
     assert_eq!(served(&mut fresh, "fresh", 20), "b".repeat(20), "the ban was there from the start");
     // Said to the new process, it binds the old one as well.
     assert!(call(new_console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
-    old.wait_for_log("out of service now: none");
+    old.wait_for_log("excluded backends now: none");
     assert!(call(new_console, "exclude s-b\n").starts_with("SUCCESS"));
-    old.wait_for_log("out of service now: s-b");
+    old.wait_for_log("excluded backends now: s-b");
     while b.rest() > 0 {}
     let answer = kept.ask(&request("read", "kept-last", ""));
     assert!(answer.body != b"b", "{}", answer.head);
@@ -219,11 +219,11 @@
         let (mut new, _) = Proxy::start_in(&folder, name, &config);
         new.wait_for_log(words)
     };
-    successor("reads", "goes on from the limits that were learnt");
+    successor("reads", "restored learned limits from the snapshot");
     // One of another proxy has another name, and this one can't be read at all.
     fs::remove_file(&file).expect("the file is there");
     fs::create_dir(&file).expect("a folder in its place");
-    assert!(successor("cannot-read", "learns limits anew").contains("directory"));
+    assert!(successor("cannot-read", "learned limits were not restored").contains("directory"));
     assert_eq!(old.client().ask(&request("read", "after", "")).status(), 200);
 }
 
@@ -293,7 +293,7 @@
     // Only one attempt from now on; "lift" becomes unsafe, "view" is new, "read" goes.
     let second = with_settings(&discovery, &[("lift", "fragile"), ("view", "retryable")], 1);
     proxy.reload(&second.to_string());
-    proxy.wait_for_log("settings now: classes lift view; 1 attempts");
+    proxy.wait_for_log("settings in force: classes lift view; 1 attempts");
     word.send(()).expect("the backend waits");
     let got = open.receive();
     assert!(got.status() == 200 && got.body == b"later", "it came under four attempts: {}", got.head);
@@ -342,14 +342,14 @@
     let mut client = proxy.client();
     for (n, (file, named)) in files.iter().enumerate() {
         proxy.reload(file);
-        let line = proxy.wait_for_log("kept the old configuration");
+        let line = proxy.wait_for_log("reload failed, the previous configuration remains in force");
         assert!(line.contains(named), "{named}: {line}");
         assert_eq!(client.ask(&asked("read", &n.to_string(), "GET", false)).status(), 200, "{named}");
         assert_eq!(client.ask(&asked("view", &n.to_string(), "GET", false)).status(), 400, "{named}");
         client = proxy.client();
     }
     proxy.reload(&whole);
-    proxy.wait_for_log("settings now: classes lift view; 4 attempts");
+    proxy.wait_for_log("settings in force: classes lift view; 4 attempts");
     assert_eq!(proxy.client().ask(&asked("view", "last", "GET", false)).status(), 200);
 }
 
--- a/crates/proxy-server/tests/faults/ending.rs
+++ b/crates/proxy-server/tests/faults/ending.rs
@@ -25,7 +25,7 @@
     let mut proxy = Proxy::start_with("shorter", with_deadline("shorter", &discovery, 2_500));
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     proxy.reload(&with_deadline("shorter", &discovery, 300).to_string());
-    proxy.wait_for_log("read the configuration again");
+    proxy.wait_for_log("reloaded the configuration");
     // Clients that did not know yet are long through.
     std::thread::sleep(Duration::from_millis(3_100));
     let mut clients: Vec<_> = (0..3).map(|_| proxy.client()).collect();
--- a/crates/proxy-server/tests/proxy/crossings.rs
+++ b/crates/proxy-server/tests/proxy/crossings.rs
@@ -22,11 +22,11 @@
     let mut changed = config("idle-limit", &discovery);
     changed["settings"]["permissions"]["connIdleUs"] = 0.into();
     proxy.reload(&changed.to_string());
-    proxy.wait_for_log("read the configuration again");
+    proxy.wait_for_log("reloaded the configuration");
     let (third, fourth) = (ask(&proxy, "3"), ask(&proxy, "4"));
     assert!(third != second && fourth != third, "{second} {third} {fourth}");
     proxy.reload(&config("idle-limit", &discovery).to_string());
-    proxy.wait_for_log("read the configuration again");
+    proxy.wait_for_log("reloaded the configuration");
     let (fifth, sixth) = (ask(&proxy, "5"), ask(&proxy, "6"));
     assert_eq!(fifth, sixth);
 }
@@ -41,16 +41,16 @@
     changed["settings"]["kinds"] = serde_json::json!(["n"]);
     for _ in 0..2 {
         proxy.reload(&changed.to_string());
-        let line = proxy.wait_for_log("stay as they were");
+        let line = proxy.wait_for_log("settings that require a restart were not applied");
         assert!(line.contains("settings.failureDomains settings.kinds"), "{line}");
-        proxy.wait_for_log("read the configuration again");
+        proxy.wait_for_log("reloaded the configuration");
     }
     // What holds again is not named any more.
     proxy.reload(&config("stays", &discovery).to_string());
-    proxy.wait_for_log("read the configuration again");
+    proxy.wait_for_log("reloaded the configuration");
     proxy.terminate();
     let log = proxy.rest_of_log();
-    assert!(!log.contains("stay as they were"), "{log}");
+    assert!(!log.contains("settings that require a restart were not applied"), "{log}");
 }
 
 /// Where a backend breaks off.
@@ -254,7 +254,7 @@
     let mut changed = proxy_config;
     changed["settings"]["classes"][1]["effect"] = "fragile".into();
     proxy.reload(&changed.to_string());
-    proxy.wait_for_log("read the configuration again");
+    proxy.wait_for_log("reloaded the configuration");
     release.send(()).expect("the backend waits");
     assert_eq!(before.receive().body, b"again", "it came under a key");
     // Without a key it fits only what the class is now.
--- a/crates/proxy-server/tests/proxy/ending.rs
+++ b/crates/proxy-server/tests/proxy/ending.rs
@@ -215,7 +215,7 @@
                 proxy.signal("-CONT");
             }
             if !signals.contains(&"-TERM") {
-                proxy.wait_for_log("read the configuration again");
+                proxy.wait_for_log("reloaded the configuration");
                 proxy.terminate();
             }
             while proxy.client().ask(UP).status() == 200 {}
--- a/crates/proxy-server/tests/proxy/list.rs
+++ b/crates/proxy-server/tests/proxy/list.rs
@@ -182,7 +182,7 @@
     before.next();
     // A file that can't be used leaves all as it was.
     proxy.reload("{");
-    proxy.wait_for_log("kept the old configuration");
+    proxy.wait_for_log("reload failed, the previous configuration remains in force");
     assert_eq!(proxy.client().ask(&request("read", "2", "")).body, b"before");
     for turn in 0..2 {
         let (from, to, name) = if turn == 0 { (&old, &new, "s-2") } else { (&new, &old, "s-3") };
--- a/crates/testbed/src/callers/processor.rs
+++ b/crates/testbed/src/callers/processor.rs
@@ -6,7 +6,7 @@
 use external_processor::settings::Settings;
 use http_proxy::config::Config;
 use http_proxy::transport::Handle;
-use proxy_server::server::{self, FrontEnds, Listening};
+use proxy_server::server::{self, BoundAddresses, FrontEnds};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -39,7 +39,7 @@
 /// one, without an account.
 pub(super) enum Processor {
     Process { middle: Middle, files: [PathBuf; 2] },
-    Thread { listening: Listening, stop: Option<oneshot::Sender<()>>, thread: Option<JoinHandle<()>> },
+    Thread { listening: BoundAddresses, stop: Option<oneshot::Sender<()>>, thread: Option<JoinHandle<()>> },
 }
 
 impl Drop for Processor {
@@ -87,7 +87,7 @@
         let wrong = |e: &dyn fmt::Display| CallersError::Process(CostError::Middle(e.to_string()));
         let http = Config::parse(config.as_bytes(), |_| None).map_err(|e| wrong(&e))?;
         let extproc = Settings::parse(EXTPROC, Path::new("extproc.toml")).map_err(|e| wrong(&e))?;
-        let fronts = FrontEnds { http, extproc: Some(extproc) };
+        let fronts = FrontEnds { http, external_processor: Some(extproc) };
         let (stop, stopped) = oneshot::channel::<()>();
         let (told, heard) = std::sync::mpsc::channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -110,7 +110,7 @@
     pub(super) fn callers(&self) -> Result<SocketAddr, CallersError> {
         let callers = match self {
             Self::Process { middle, .. } => middle.second,
-            Self::Thread { listening, .. } => listening.callers,
+            Self::Thread { listening, .. } => listening.external_processor,
         };
         callers.ok_or_else(|| {
             CallersError::Process(CostError::Middle("the program tells no address for callers".into()))
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -3,7 +3,7 @@
 use super::SocketsError;
 use crate::script::Script;
 use http_proxy::config::Config;
-use proxy_server::server::{self, Listening};
+use proxy_server::server::{self, BoundAddresses};
 use request_engine::engine::Counts;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
         let config = Config::parse(config.to_string().as_bytes(), |_| None).map_err(|e| e.to_string())?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        let started = move |handle: &http_proxy::transport::Handle, listening: Listening| {
+        let started = move |handle: &http_proxy::transport::Handle, listening: BoundAddresses| {
             let _ = told.send(listening.clients);
             let handle = handle.clone();
             tokio::task::spawn_local(async move {
