--- a/crates/proxy-server/tests/bodies/main.rs
+++ b/crates/proxy-server/tests/bodies/main.rs
@@ -1,13 +1,16 @@
 //! Large and slow messages, and the forms that HTTP/1.1 gives them, on loopback sockets.
 
-#[path = "../proxy/rig.rs"]
-mod rig;
+#[path = "../support/mod.rs"]
+mod support;
 
-use rig::{Backend, Client, Discovery, PATIENCE, Proxy, Reply, Seen, answer, config, entry, ok, request};
 use std::io::{BufRead, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::{fs, thread};
+use support::{
+    Backend, BackendAction, Client, Discovery, HttpMessage, Proxy, TEST_TIMEOUT, config, entry, ok, request,
+    response_bytes,
+};
 
 const MEGABYTE: usize = 1 << 20;
 
@@ -15,13 +18,13 @@
 fn proxy(name: &str, memory_mb: u64, discovery: &Discovery, backend: SocketAddr) -> Proxy {
     let mut config = config(name, discovery);
     config["limits"]["memory_mb"] = memory_mb.into();
-    let proxy = Proxy::start_with(name, config);
+    let proxy = Proxy::start_with_config(name, &config);
     discovery.post(true, &[entry("s-1", backend, "active", 0)]);
     proxy
 }
 
 /// A backend that answers a request by this function, with its connection in hand.
-fn by_hand(serve: impl Fn(Seen, &mut TcpStream) + Send + Clone + 'static) -> SocketAddr {
+fn by_hand(serve: impl Fn(HttpMessage, &mut TcpStream) + Send + Clone + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -29,7 +32,7 @@
             let (Ok(mut stream), serve) = (stream, serve.clone()) else { return };
             thread::spawn(move || {
                 let mut reader = std::io::BufReader::new(stream.try_clone().expect("a clone"));
-                while let Some(request) = rig::read_message(&mut reader) {
+                while let Some(request) = support::read_message(&mut reader) {
                     serve(request, &mut stream);
                 }
             });
@@ -68,7 +71,7 @@
 #[test]
 fn a_chunked_request_passes_with_extensions_trailers_and_any_cut() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|request| Reply::Write(answer("200 OK", "", &request.body)));
+    let backend = Backend::start(|request| BackendAction::Write(response_bytes("200 OK", "", &request.body)));
     let proxy = proxy("chunked", 192, &discovery, backend.address);
     let body = pattern(50_000);
     for (id, cut) in [1_000, 4_096, 50_000].into_iter().enumerate() {
@@ -78,11 +81,11 @@
         client.stream.write_all(&chunked(&pieces, ";a=\"b\"", "X-Trail: 1\r\n")).expect("the proxy reads");
         let got = client.receive();
         assert!((got.status(), got.body == body) == (200, true), "{}", got.head);
-        let seen = backend.next();
-        assert!(seen.header("transfer-encoding").is_none() && seen.header("x-trail").is_none());
+        let received = backend.next_request();
+        assert!(received.header("transfer-encoding").is_none() && received.header("x-trail").is_none());
         // The connection goes on.
-        assert_eq!(client.ask(&request("charge", &format!("d{id}"), "x")).body, b"x");
-        backend.next();
+        assert_eq!(client.exchange(&request("charge", &format!("d{id}"), "x")).body, b"x");
+        backend.next_request();
     }
 }
 
@@ -99,46 +102,46 @@
     ];
     for (id, body) in bodies.into_iter().enumerate() {
         let mut client = proxy.client();
-        let got = client.ask(&format!("{}{body}", chunked_head("charge", &format!("b{id}"))));
+        let got = client.exchange(&format!("{}{body}", chunked_head("charge", &format!("b{id}"))));
         assert_eq!(got.status(), 400, "{body:?}");
-        assert!(client.ends_cleanly());
+        assert!(client.is_closed_cleanly());
     }
     let other = request("charge", "gzip", "").replace("Content-Length: 0", "Transfer-Encoding: gzip");
-    assert_eq!(proxy.client().ask(&other).status(), 400);
-    assert_eq!(backend.rest(), 0);
+    assert_eq!(proxy.client().exchange(&other).status(), 400);
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 #[test]
 fn the_forms_of_a_request_come_down_to_one() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|request| Reply::Write(answer("200 OK", "", &request.body)));
+    let backend = Backend::start(|request| BackendAction::Write(response_bytes("200 OK", "", &request.body)));
     let proxy = proxy("forms", 192, &discovery, backend.address);
     // Absolute form: a backend is no proxy and gets path and query.
     let absolute = request("read", "1", "").replace("GET /read", "GET http://app.svc/read");
-    assert_eq!(proxy.client().ask(&absolute).status(), 200);
-    assert_eq!(backend.next().first_line(), "GET /read?key=7f3a HTTP/1.1");
+    assert_eq!(proxy.client().exchange(&absolute).status(), 200);
+    assert_eq!(backend.next_request().first_line(), "GET /read?key=7f3a HTTP/1.1");
     // A client that waits for the word before it sends its body.
     let mut client = proxy.client();
     let waits = request("charge", "2", "hello").replace("Host:", "Expect: 100-continue\r\nHost:");
     let (head, body) = waits.split_at(waits.len() - 5);
     client.send(head);
     assert_eq!(client.receive().first_line(), "HTTP/1.1 100 Continue");
-    assert_eq!(client.ask(body).body, b"hello");
-    assert!(backend.next().header("expect").is_none());
+    assert_eq!(client.exchange(body).body, b"hello");
+    assert!(backend.next_request().header("expect").is_none());
     // HTTP/1.0: the connection ends behind the answer.
     let old = request("read", "3", "").replace("HTTP/1.1", "HTTP/1.0");
     let mut client = proxy.client();
-    assert_eq!(client.ask(&old).status(), 200);
-    assert!(client.ends_cleanly());
+    assert_eq!(client.exchange(&old).status(), 200);
+    assert!(client.is_closed_cleanly());
     // Two requests at once are answered in turn.
     let mut client = proxy.client();
     client.send(&format!("{}{}", request("charge", "4", "first"), request("charge", "5", "second")));
     assert_eq!((client.receive().body, client.receive().body), (b"first".to_vec(), b"second".to_vec()));
     // Headers that speak of one connection end there.
     let named = request("read", "6", "").replace("Host:", "Connection: X-Own\r\nX-Own: 1\r\nHost:");
-    assert_eq!(proxy.client().ask(&named).status(), 200);
-    let seen: Vec<_> = (0..4).map(|_| backend.next()).collect();
-    assert!(seen[3].header("x-own").is_none(), "{}", seen[3].head);
+    assert_eq!(proxy.client().exchange(&named).status(), 200);
+    let received: Vec<_> = (0..4).map(|_| backend.next_request()).collect();
+    assert!(received[3].header("x-own").is_none(), "{}", received[3].head);
     let head = request("read", "7", "").replace("GET", "HEAD");
     let mut client = proxy.client();
     client.send(&head);
@@ -181,7 +184,7 @@
 #[test]
 fn a_body_that_is_not_kept_goes_out_once() {
     let discovery = Discovery::start();
-    let (told, seen) = channel();
+    let (told, received) = channel();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -199,10 +202,10 @@
     let writing = thread::spawn(move || writer.write_all(&pattern(8 * MEGABYTE)).is_ok());
     let got = client.receive();
     assert_eq!(got.status(), 503, "{}", got.head);
-    seen.recv_timeout(PATIENCE).expect("one attempt");
+    received.recv_timeout(TEST_TIMEOUT).expect("one attempt");
     drop(client);
     let _ = writing.join();
-    assert!(seen.try_recv().is_err(), "there is no second one");
+    assert!(received.try_recv().is_err(), "there is no second one");
 }
 
 /// What the backend gives goes on at once; it is not waited for.
@@ -229,7 +232,10 @@
                 .write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n").as_bytes())
                 .expect("the proxy reads");
             piece(stream, &body[..100_000]);
-            word.lock().expect("the word").recv_timeout(PATIENCE).expect("the client has the first bytes");
+            word.lock()
+                .expect("the word")
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("the client has the first bytes");
             piece(stream, &body[100_000..]);
             if framing.starts_with('T') {
                 stream.write_all(b"0\r\n\r\n").expect("the proxy reads");
@@ -253,8 +259,8 @@
         let head_end = got.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
         let head = String::from_utf8_lossy(&got[..head_end]).into_owned();
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
-        let seen = rig::read_message(&mut got.chain(&mut client.reader)).expect("a whole answer");
-        assert!(seen.body == pattern(300_000), "{head}");
+        let received = support::read_message(&mut got.chain(&mut client.reader)).expect("a whole answer");
+        assert!(received.body == pattern(300_000), "{head}");
     }
 }
 
@@ -281,7 +287,7 @@
         let _ = client.reader.read_to_end(&mut got);
         assert!(got.starts_with(b"HTTP/1.1 200"));
         assert!(got.len() < 200_000 && !got.ends_with(b"0\r\n\r\n"), "{} bytes", got.len());
-        attempts.recv_timeout(PATIENCE).expect("one attempt");
+        attempts.recv_timeout(TEST_TIMEOUT).expect("one attempt");
         assert!(attempts.try_recv().is_err(), "there is no second one");
     }
 }
@@ -312,7 +318,7 @@
                     client.reader.read_exact(&mut first).expect("a status");
                     if &first == b"HTTP/1.1 200" {
                         begun.send(()).expect("the test waits");
-                        let _ = word.recv_timeout(PATIENCE);
+                        let _ = word.recv_timeout(TEST_TIMEOUT);
                         let mut read = 0;
                         let mut piece = vec![0; 64 * 1024];
                         while read < SIZE {
@@ -329,7 +335,7 @@
         })
         .collect();
     for _ in 0..READERS {
-        all_begun.recv_timeout(PATIENCE).expect("every reader has begun");
+        all_begun.recv_timeout(TEST_TIMEOUT).expect("every reader has begun");
     }
     let held = peak_memory(proxy.child.id());
     assert!(held < 16 * MEGABYTE, "{held} bytes for {READERS} answers of {SIZE}");
--- a/crates/proxy-server/tests/extproc/main.rs
+++ b/crates/proxy-server/tests/external_processor/main.rs
@@ -1,8 +1,8 @@
 //! The external processor over loopback sockets: the program itself, stand-in callers that time out, vanish, lie and
 //! flood, and the HTTP front beside them.
 
-#[path = "../proxy/rig.rs"]
-mod rig;
+#[path = "../support/mod.rs"]
+mod support;
 
 use envoy_types::pb::envoy::config::core::v3::{HeaderMap, HeaderValue};
 use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_client::ExternalProcessorClient;
@@ -14,12 +14,12 @@
 use external_processor::generated as pb;
 use external_processor::generated::answer::Answer;
 use external_processor::generated::decisions_client::DecisionsClient;
-use rig::*;
 use serde_json::Value;
 use std::future::Future;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::channel;
+use support::*;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use tokio_stream::wrappers::ReceiverStream;
@@ -29,7 +29,7 @@
 /// Runs a test's calls; one that waits for what never comes is ended.
 fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(async { timeout(PATIENCE, test).await.expect("in time") })
+    runtime.block_on(async { timeout(TEST_TIMEOUT, test).await.expect("in time") })
 }
 
 /// The proxy with its external processor, before boxes that never are connected to.
@@ -49,7 +49,7 @@
 
 fn both(name: &str, settings: &str, members: &[Value]) -> Both {
     let discovery = Discovery::start();
-    let (proxy, callers) = Proxy::start_with_callers(name, config(name, &discovery), settings);
+    let (proxy, callers) = Proxy::start_with_external_processor(name, &config(name, &discovery), settings);
     discovery.post(true, members);
     Both { proxy, callers, discovery }
 }
@@ -243,13 +243,13 @@
     let (release, word) = channel();
     let mut word = Some(word);
     let backend = Backend::start(move |_| match word.take() {
-        Some(word) => Reply::After(word, Box::new(ok("first"))),
+        Some(word) => BackendAction::WaitThen(word, Box::new(ok("first"))),
         None => ok("later"),
     });
     let both = both("ep-ways", "", &[entry("b0", backend.address, "active", 0)]);
     let mut client = both.proxy.client();
     client.send(&request("submit", "k1", "x"));
-    backend.next();
+    backend.next_request();
     run(async {
         // A client of the HTTP front holds it.
         let mut caller = plain(both.callers).await;
@@ -268,13 +268,13 @@
 
         // And a caller holds one that the others want.
         let lease = send(ask(&mut caller, decide("submit", "k2")).await).lease;
-        assert_eq!(both.proxy.client().ask(&request("submit", "k2", "x")).status(), 503);
+        assert_eq!(both.proxy.client().exchange(&request("submit", "k2", "x")).status(), 503);
         assert_eq!(immediate(envoy_once(both.callers, &head("submit", "k2")).await).0, 503);
         let served = tell(&mut caller, report(&lease, pb::Outcome::Served)).await;
         assert_eq!(end(&served), (pb::End::Served, false));
-        assert_eq!(both.proxy.client().ask(&request("submit", "k2", "x")).status(), 409);
+        assert_eq!(both.proxy.client().exchange(&request("submit", "k2", "x")).status(), 409);
     });
-    assert_eq!(backend.rest(), 0, "the box saw one submit");
+    assert_eq!(backend.take_request_count(), 0, "the box saw one submit");
 }
 
 #[test]
@@ -398,7 +398,7 @@
         let idle: Vec<TcpStream> =
             (0..16).map(|_| TcpStream::connect(both.callers).expect("a connection")).collect();
         for mut beyond in &idle[8..] {
-            beyond.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+            beyond.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
             let ended = beyond.read(&mut [0; 64]);
             assert!(!matches!(&ended, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock), "{ended:?}");
         }
@@ -420,8 +420,11 @@
 #[test]
 fn settings_that_make_no_sense_are_told_and_nothing_starts() {
     let discovery = Discovery::start();
-    let bad =
-        launch_with_callers("ep-bad", &config("ep-bad", &discovery).to_string(), "[bounds]\nqueue = 0\n");
+    let bad = spawn_with_external_processor(
+        "ep-bad",
+        &config("ep-bad", &discovery).to_string(),
+        "[bounds]\nqueue = 0\n",
+    );
     let output = bad.wait_with_output().expect("it ends");
     assert!(!output.status.success());
     let log = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/crates/proxy-server/tests/faults/clocks.rs
+++ b/crates/proxy-server/tests/faults/clocks.rs
@@ -1,7 +1,7 @@
 //! Deadlines where the process stood, where requests waited, and wall clocks that step.
 
-use crate::inject::{Fault, Faults};
-use crate::rig::*;
+use crate::fault_injection::{Fault, Faults};
+use crate::support::*;
 use crate::{Pair, SLACK, id_of, sleep_until, time_left};
 use serde_json::json;
 use std::collections::HashMap;
@@ -17,11 +17,11 @@
 /// How much longer the deadlines of these requests were than what their clients had left.
 fn too_long(backend: &Backend, sent: &HashMap<String, Instant>) -> Vec<(String, Duration)> {
     let mut out = Vec::new();
-    while let Ok(seen) = backend.seen.recv_timeout(Duration::from_millis(500)) {
-        let id = id_of(&seen);
+    while let Ok(received) = backend.requests.recv_timeout(Duration::from_millis(500)) {
+        let id = id_of(&received);
         let Some(sent) = sent.get(&id) else { continue };
-        let left = TIME_LEFT.saturating_sub(seen.at.saturating_duration_since(*sent));
-        out.push((id, time_left(&seen).saturating_sub(left)));
+        let left = TIME_LEFT.saturating_sub(received.received_at.saturating_duration_since(*sent));
+        out.push((id, time_left(&received).saturating_sub(left)));
     }
     out
 }
@@ -32,11 +32,12 @@
 fn a_deadline_is_never_longer_than_the_client_waits_although_the_process_stood() {
     for stood in [300, 800] {
         let discovery = Discovery::start();
-        let backend = Backend::start(|_| Reply::Later(Duration::from_millis(50), Box::new(ok("late"))));
+        let backend =
+            Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(50), Box::new(ok("late"))));
         let name = format!("stood-{stood}");
         let proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
         let mut clients: Vec<_> = (0..2).map(|_| proxy.client()).collect();
-        clients.iter_mut().for_each(|client| assert_eq!(client.ask(crate::ending::UP).status(), 200));
+        clients.iter_mut().for_each(|client| assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200));
         proxy.signal("-STOP");
         clients.extend((0..2).map(|_| proxy.client()));
         let mut sent = HashMap::new();
@@ -57,7 +58,8 @@
 #[test]
 fn the_deadline_of_a_pipelined_request_counts_from_its_last_byte() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| Reply::Later(Duration::from_millis(400), Box::new(ok("late"))));
+    let backend =
+        Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(400), Box::new(ok("late"))));
     let proxy = Proxy::start("behind", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     let ids = ["one", "two", "three"];
@@ -80,7 +82,7 @@
     let backend = Backend::start(|_| ok("fine"));
     let mut config = config("waits", &discovery);
     config["known"]["members"] = json!([entry("s-1", backend.address, "active", 0)]);
-    let proxy = Proxy::start_with("waits", config);
+    let proxy = Proxy::start_with_config("waits", &config);
     let mut client = proxy.client();
     client.send(&timed("charge", "1"));
     let sent = HashMap::from([("1".to_owned(), Instant::now())]);
@@ -97,7 +99,7 @@
         let pair = Pair::new();
         let discovery = &pair.discovery;
         let name = format!("step{step}");
-        let (folder, faults) = (folder(&name), Faults::new(&name));
+        let (folder, faults) = (empty_folder(&name), Faults::new(&name));
         let mut config = config("n7", discovery);
         config["console"] = json!("127.0.0.1:0");
         // So cold that nothing at all goes there at first, and warm after two seconds.
@@ -106,17 +108,19 @@
         let (old, console) = Launch::new("old", &config.to_string()).in_folder(&folder).start_with_console();
         pair.post();
         assert!(pair.reaches_a(&old, "before", 20) > 0, "it serves");
-        assert!(call(console, "exclude s-a\n").starts_with("SUCCESS"));
-        assert!(call(console, "include s-a\n").starts_with("SUCCESS"));
+        assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
+        assert!(send_command(console, "include s-a\n").starts_with("SUCCESS"));
         let back = Instant::now();
         faults.set(Fault::WallSeconds, step);
         config["listen"] = json!(old.address.to_string());
-        let launch = Launch::new("new", &config.to_string()).in_folder(&folder).with(faults.environment(1));
+        let launch = Launch::new("new", &config.to_string())
+            .in_folder(&folder)
+            .with_environment(faults.environment(1));
         let (new, console) = launch.start_with_console();
-        while !call(console, "readyz\n").starts_with("SUCCESS") {}
+        while !send_command(console, "readyz\n").starts_with("SUCCESS") {}
         drop(old);
         let mut client = new.client();
-        let mut ask = |id: String| client.ask(&request("read", &id, "")).body == b"a";
+        let mut ask = |id: String| client.exchange(&request("read", &id, "")).body == b"a";
         let early = (0..20).filter(|n| ask(format!("early-{step}-{n}"))).count();
         let soon = back.elapsed() < Duration::from_millis(500);
         assert!(!soon || early <= 1, "{step} s: {early} of 20 within half a second");
--- a/crates/proxy-server/tests/faults/lists.rs
+++ b/crates/proxy-server/tests/faults/discovery_lists.rs
@@ -1,7 +1,7 @@
 //! Lists that come slowly, and entries that make no sense.
 
 use crate::Pair;
-use crate::rig::*;
+use crate::support::*;
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
 use std::net::TcpListener;
@@ -27,7 +27,7 @@
                     if asked.first_line().contains(&format!("after={}&", list["revision"])) {
                         thread::sleep(Duration::from_millis(500));
                     }
-                    let text = answer("200 OK", "", list.to_string().as_bytes());
+                    let text = response_bytes("200 OK", "", list.to_string().as_bytes());
                     for piece in text.chunks(text.len() / 10 + 1) {
                         if stream.write_all(piece).is_err() {
                             return;
@@ -49,9 +49,9 @@
     let list = Arc::new(Mutex::new(json!({"revision": 1, "complete": true, "members": members})));
     let mut config = config("slow-list", &pair.discovery);
     config["discovery"] = json!(slow_agent(Arc::clone(&list), Duration::from_millis(1_500)).to_string());
-    let proxy = Proxy::start_with("slow-list", config);
+    let proxy = Proxy::start_with_config("slow-list", &config);
     let began = Instant::now();
-    while proxy.client().ask(crate::ending::UP).status() != 200 {
+    while proxy.client().exchange(HEALTH_REQUEST).status() != 200 {
         assert!(began.elapsed() < Duration::from_secs(8), "no list was taken");
         thread::sleep(Duration::from_millis(20));
     }
@@ -96,10 +96,10 @@
         for mut stream in listener.incoming().flatten() {
             let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
             while let Some(asked) = read_message(&mut reader) {
-                counted.lock().expect("the calls").push(asked.at);
+                counted.lock().expect("the calls").push(asked.received_at);
                 let whole = !asked.first_line().contains("after=");
                 let list = json!({"revision": 1, "complete": whole, "members": []});
-                if stream.write_all(&answer("200 OK", "", list.to_string().as_bytes())).is_err() {
+                if stream.write_all(&response_bytes("200 OK", "", list.to_string().as_bytes())).is_err() {
                     break;
                 }
             }
@@ -108,7 +108,7 @@
     let discovery = Discovery::start();
     let mut config = config("at-once", &discovery);
     config["discovery"] = json!(address.to_string());
-    let _proxy = Proxy::start_with("at-once", config);
+    let _proxy = Proxy::start_with_config("at-once", &config);
     thread::sleep(Duration::from_secs(2));
     let calls = calls.lock().expect("the calls").clone();
     assert!(calls.len() > 8 && calls.len() < 100, "{} calls in 2 s", calls.len());
@@ -146,7 +146,7 @@
         while !asks.is_finished() {
             let mut list = members.clone();
             list.push(good.clone());
-            discovery.post_unheard(true, &list);
+            discovery.post_without_waiting(true, &list);
             thread::sleep(Duration::from_millis(200));
         }
     });
--- a/crates/proxy-server/tests/faults/disk.rs
+++ b/crates/proxy-server/tests/faults/disk.rs
@@ -1,9 +1,9 @@
 //! The folder that lasts, while its disk refuses: what was taken on is still owed.
 
-use crate::inject::{Fault, Faults};
-use crate::rig::*;
+use crate::fault_injection::{Fault, Faults};
+use crate::support::*;
 use crate::{Pair, sleep_until};
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::thread;
@@ -14,19 +14,10 @@
 const BINDS_WITHIN: Duration = Duration::from_secs(1);
 const GRACE: Duration = Duration::from_millis(1_050);
 
-fn with_console(discovery: &Discovery, listen: Option<SocketAddr>) -> Value {
-    let mut config = config("n7", discovery);
-    config["console"] = json!("127.0.0.1:0");
-    if let Some(listen) = listen {
-        config["listen"] = json!(listen.to_string());
-    }
-    config
-}
-
 fn start(folder: &Path, name: &str, config: &Value, faults: &Faults) -> (Proxy, SocketAddr) {
     Launch::new(name, &config.to_string())
         .in_folder(folder)
-        .with(faults.environment(SEED))
+        .with_environment(faults.environment(SEED))
         .start_with_console()
 }
 
@@ -43,13 +34,13 @@
 fn ban_while(fault: Fault) -> Result<(), String> {
     let pair = Pair::new();
     let name = format!("refuses-{fault:?}");
-    let (folder, faults) = (folder(&name), Faults::new(&name));
-    let (old, console) = start(&folder, "old", &with_console(&pair.discovery, None), &faults);
+    let (folder, faults) = (empty_folder(&name), Faults::new(&name));
+    let (old, console) = start(&folder, "old", &config_with_console(&pair.discovery, None), &faults);
     pair.post();
     assert!(pair.reaches_a(&old, "before", 20) > 0, "it serves");
     faults.set(fault, 1_000);
     let asked = Instant::now();
-    let answer = call(console, "exclude s-a\n");
+    let answer = send_command(console, "exclude s-a\n");
     sleep_until(asked + BINDS_WITHIN + GRACE);
     let late = pair.reaches_a(&old, "refused", 40);
     if late > 0 {
@@ -58,14 +49,15 @@
     faults.set(fault, 0);
     // The disk is well again. What is replaced a moment later still owes the ban.
     thread::sleep(Duration::from_secs(1));
-    let (new, console) = start(&folder, "new", &with_console(&pair.discovery, Some(old.address)), &faults);
-    while !call(console, "readyz\n").starts_with("SUCCESS") {}
+    let (new, console) =
+        start(&folder, "new", &config_with_console(&pair.discovery, Some(old.address)), &faults);
+    while !send_command(console, "readyz\n").starts_with("SUCCESS") {}
     drop(old);
     let late = pair.reaches_a(&new, "replaced", 40);
     if late > 0 {
         return Err(format!("{fault:?}: {late} of 40 over a replacement; the answer was {answer}"));
     }
-    let answer = call(console, "include s-a\n");
+    let answer = send_command(console, "include s-a\n");
     if !answer.starts_with("SUCCESS") {
         return Err(format!("{fault:?}: {answer}"));
     }
@@ -78,27 +70,28 @@
     for fault in [Fault::FileRead, Fault::FileOpen] {
         let pair = Pair::new();
         let name = format!("unread-{fault:?}");
-        let (folder, faults) = (folder(&name), Faults::new(&name));
-        let (old, console) = start(&folder, "old", &with_console(&pair.discovery, None), &faults);
+        let (folder, faults) = (empty_folder(&name), Faults::new(&name));
+        let (old, console) = start(&folder, "old", &config_with_console(&pair.discovery, None), &faults);
         pair.post();
-        assert!(call(console, "exclude s-a\n").starts_with("SUCCESS"));
+        assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
         drop(old);
         let fails = Faults::new(&format!("{name}-new"));
         if matches!(fault, Fault::FileRead) {
             fails.set(fault, 1_000);
         }
         let began = Instant::now();
-        let launch = Launch::new("new", &with_console(&pair.discovery, None).to_string());
+        let launch = Launch::new("new", &config_with_console(&pair.discovery, None).to_string());
         let (new, console) = thread::scope(|scope| {
             let healed = scope.spawn(|| {
                 sleep_until(began + Duration::from_millis(1_200));
                 fails.set(fault, 0);
             });
-            let started = launch.in_folder(&folder).with(fails.environment(SEED)).start_with_console();
+            let started =
+                launch.in_folder(&folder).with_environment(fails.environment(SEED)).start_with_console();
             healed.join().expect("it heals");
             started
         });
-        while !call(console, "readyz\n").starts_with("SUCCESS") {}
+        while !send_command(console, "readyz\n").starts_with("SUCCESS") {}
         assert!(began.elapsed() < Duration::from_secs(6), "the yes is due within 6 s");
         assert_eq!(pair.reaches_a(&new, "start", 40), 0, "{fault:?}");
         drop(new);
--- a/crates/proxy-server/tests/faults/inject.c
+++ b/crates/proxy-server/tests/faults/inject.c
@@ -18,7 +18,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The order of the words is that of `Fault` in inject.rs. */
+/* The order of the words is that of `Fault` in fault_injection.rs. */
 enum {
     SHORT_READ, INTERRUPTED_READ, SHORT_WRITE, INTERRUPTED_WRITE, ACCEPT, SOCKET, CONNECT, CONNECT_LOCAL, WAIT,
     SYNC, FILE_WRITE, FILE_OPEN, FILE_READ, FILE_RENAME, WALL_SECONDS, LISTEN, WORDS
--- a/crates/proxy-server/tests/faults/bodies.rs
+++ b/crates/proxy-server/tests/faults/interrupted_messages.rs
@@ -1,6 +1,6 @@
 //! Requests that stop half way, requests that come together, answers that break off.
 
-use crate::rig::*;
+use crate::support::*;
 use std::io::Read;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -40,12 +40,13 @@
 #[test]
 fn requests_that_were_sent_together_all_have_answers_while_the_process_ends() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| Reply::Later(Duration::from_millis(30), Box::new(ok("fine"))));
+    let backend =
+        Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(30), Box::new(ok("fine"))));
     let proxy = Proxy::start("together", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut kept = proxy.client();
-    assert_eq!(kept.ask(crate::ending::UP).status(), 200);
+    assert_eq!(kept.exchange(HEALTH_REQUEST).status(), 200);
     proxy.terminate();
-    while proxy.client().ask(crate::ending::UP).status() == 200 {}
+    while proxy.client().exchange(HEALTH_REQUEST).status() == 200 {}
     let mut clients = [kept, proxy.client()];
     for (number, client) in clients.iter_mut().enumerate() {
         let all: String = (0..4).map(|turn| request("charge", &format!("p-{number}-{turn}"), "x")).collect();
@@ -64,7 +65,7 @@
     let half =
         [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n".to_vec(), vec![b'y'; 0x20000]];
     let half = [half.concat(), b"\r\n5\r\nno".to_vec()].concat();
-    let backend = Backend::start(move |_| Reply::WriteAndClose(half.clone()));
+    let backend = Backend::start(move |_| BackendAction::WriteAndClose(half.clone()));
     let proxy = Proxy::start("old-form", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x").replace("HTTP/1.1", "HTTP/1.0"));
--- a/crates/proxy-server/tests/faults/main.rs
+++ b/crates/proxy-server/tests/faults/main.rs
@@ -1,25 +1,25 @@
 //! The terms of the pages at their extremes: calls of the system that fail, clocks that step, disks that refuse, processes
 //! that stand, and two of these inside one window. The judge of each test is the clause that it names.
 
-mod bodies;
-mod calls;
 mod clocks;
+mod discovery_lists;
 mod disk;
-mod ending;
-mod inject;
-mod lists;
-#[path = "../proxy/rig.rs"]
-mod rig;
+mod fault_injection;
+mod interrupted_messages;
+mod retry_windows;
+mod shutdown;
 mod soak;
-mod windows;
+#[path = "../support/mod.rs"]
+mod support;
+mod system_calls;
 
-use rig::{Backend, Client, Discovery, Proxy, Seen, entry, ok, read_message, request};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
+use support::{Backend, Client, Discovery, HttpMessage, Proxy, entry, ok, read_message, request};
 
 /// How late an attempt may begin, and how much too long its deadline may be: the slack of the pages.
 const SLACK: Duration = Duration::from_millis(150);
@@ -75,10 +75,10 @@
         return None;
     }
     let got = read_message(&mut kept.reader);
-    if got.as_ref().is_none_or(|seen| seen.header("connection") == Some("close")) {
+    if got.as_ref().is_none_or(|received| received.header("connection") == Some("close")) {
         *client = None;
     }
-    got.map(|seen| seen.status())
+    got.map(|received| received.status())
 }
 
 /// So many clients at a time, each with so many requests one after another, two in five on new connections.
@@ -103,8 +103,8 @@
         .collect();
     let answers: Vec<_> = clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
     let mut runs = HashMap::new();
-    for seen in backends.iter().flat_map(|backend| backend.seen.try_iter()) {
-        *runs.entry(id_of(&seen)).or_default() += 1;
+    for received in backends.iter().flat_map(|backend| backend.requests.try_iter()) {
+        *runs.entry(id_of(&received)).or_default() += 1;
     }
     Played { answers, runs }
 }
@@ -133,22 +133,24 @@
 
     /// How many of so many requests, one after another, backend `a` gets.
     fn reaches_a(&self, proxy: &Proxy, name: &str, count: usize) -> usize {
-        self.a.rest();
+        self.a.take_request_count();
         let mut client = proxy.client();
         for n in 0..count {
-            assert_eq!(client.ask(&request("read", &format!("{name}-{n}"), "")).status(), 200);
+            assert_eq!(client.exchange(&request("read", &format!("{name}-{n}"), "")).status(), 200);
         }
-        self.a.rest()
+        self.a.take_request_count()
     }
 }
 
-fn id_of(seen: &Seen) -> String {
-    seen.header("x-correlation-id").expect("an id").to_owned()
+fn id_of(received: &HttpMessage) -> String {
+    received.header("x-correlation-id").expect("an id").to_owned()
 }
 
 /// The deadline that a backend was told.
-fn time_left(seen: &Seen) -> Duration {
-    Duration::from_millis(seen.header("x-time-left-ms").expect("the time left").parse().expect("a number"))
+fn time_left(received: &HttpMessage) -> Duration {
+    Duration::from_millis(
+        received.header("x-time-left-ms").expect("the time left").parse().expect("a number"),
+    )
 }
 
 /// Waits until a moment.
--- a/crates/proxy-server/tests/faults/windows.rs
+++ b/crates/proxy-server/tests/faults/retry_windows.rs
@@ -1,6 +1,6 @@
 //! Windows in which a repeat may be sent.
 
-use crate::rig::*;
+use crate::support::*;
 use crate::{SLACK, id_of};
 use serde_json::json;
 use std::thread;
@@ -12,23 +12,23 @@
 fn a_repeat_whose_connection_came_up_after_the_window_is_not_sent() {
     const WINDOW: Duration = Duration::from_millis(400);
     let discovery = Discovery::start();
-    let first = Backend::start(|_| Reply::WriteAndClose(Vec::new()));
-    let (late, filler) = full_listener();
+    let first = Backend::start(|_| BackendAction::WriteAndClose(Vec::new()));
+    let (late, filler) = listener_with_full_queue();
     let address = late.local_addr().expect("an address");
     let mut config = config("window", &discovery);
     for class in config["settings"]["classes"].as_array_mut().expect("classes") {
         class["keyTtlUs"] = json!(WINDOW.as_micros() as u64);
         class["group"] = json!("all");
     }
-    let proxy = Proxy::start_with("window", config);
+    let proxy = Proxy::start_with_config("window", &config);
     let members = [entry("s-a", first.address, "active", 0), entry("s-0", address, "active", 0)];
     discovery.post(true, &members);
     // The one that breaks off is preferred, and the other one is asked after it.
     let mut client = proxy.client();
     client.send(&request("submit", "1", "x"));
     let mut began = std::collections::HashMap::new();
-    while let Ok(seen) = first.seen.recv_timeout(Duration::from_millis(300)) {
-        began.entry(id_of(&seen)).or_insert(seen.at);
+    while let Ok(received) = first.requests.recv_timeout(Duration::from_millis(300)) {
+        began.entry(id_of(&received)).or_insert(received.received_at);
     }
     assert!(!began.is_empty(), "an attempt may have run");
     // The queue is emptied long after the window.
@@ -43,11 +43,11 @@
         };
         stream.set_nonblocking(false).expect("it waits");
         stream.set_read_timeout(Some(Duration::from_millis(300))).expect("a time-out");
-        if let Some(seen) = read_message(&mut std::io::BufReader::new(stream))
-            && let Some(first) = began.get(&id_of(&seen))
+        if let Some(received) = read_message(&mut std::io::BufReader::new(stream))
+            && let Some(first) = began.get(&id_of(&received))
         {
-            let after = seen.at.saturating_duration_since(*first);
-            assert!(after <= WINDOW + SLACK, "{} was sent again after {after:?}", id_of(&seen));
+            let after = received.received_at.saturating_duration_since(*first);
+            assert!(after <= WINDOW + SLACK, "{} was sent again after {after:?}", id_of(&received));
         }
     }
 }
--- a/crates/proxy-server/tests/faults/ending.rs
+++ b/crates/proxy-server/tests/faults/shutdown.rs
@@ -1,30 +1,20 @@
 //! The end of a process: settings that changed before it, and calls that fail meanwhile.
 
-use crate::inject::{Fault, Faults};
-use crate::rig::*;
+use crate::fault_injection::{Fault, Faults};
+use crate::support::*;
 use std::time::{Duration, Instant};
 
-pub const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 /// When the platform kills a process that was told to end: so long after the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
-fn with_deadline(name: &str, discovery: &Discovery, millis: u64) -> serde_json::Value {
-    let mut config = config(name, discovery);
-    for class in config["settings"]["classes"].as_array_mut().expect("classes") {
-        class["aimUs"] = (millis * 500).into();
-        class["deadlineUs"] = (millis * 1_000).into();
-    }
-    config
-}
-
 /// "SIGKILL may come the longest deadline + 0.7 s after SIGTERM": the longest of the settings that hold.
 #[test]
 fn a_process_ends_in_the_time_of_the_settings_that_hold() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| Reply::Hang);
-    let mut proxy = Proxy::start_with("shorter", with_deadline("shorter", &discovery, 2_500));
+    let backend = Backend::start(|_| BackendAction::Hang);
+    let mut proxy = Proxy::start_with_config("shorter", &config_with_deadline("shorter", &discovery, 2_500));
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    proxy.reload(&with_deadline("shorter", &discovery, 300).to_string());
+    proxy.reload(&config_with_deadline("shorter", &discovery, 300).to_string());
     proxy.wait_for_log("reloaded the configuration");
     // Clients that did not know yet are long through.
     std::thread::sleep(Duration::from_millis(3_100));
@@ -48,12 +38,13 @@
 fn the_listeners_queue_is_emptied_although_accepts_fail() {
     for turn in 0..4 {
         let discovery = Discovery::start();
-        let backend = Backend::start(|_| Reply::Hang);
+        let backend = Backend::start(|_| BackendAction::Hang);
         let name = format!("queue-{turn}");
         let faults = Faults::new(&name);
-        let mut config = with_deadline(&name, &discovery, 500);
+        let mut config = config_with_deadline(&name, &discovery, 500);
         config["limits"]["sockets"] = 48.into();
-        let mut proxy = Launch::new(&name, &config.to_string()).with(faults.environment(turn + 1)).start();
+        let mut proxy =
+            Launch::new(&name, &config.to_string()).with_environment(faults.environment(turn + 1)).start();
         discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
         faults.set(Fault::Accept, 500);
         let clients = (0..60).map(|id| {
--- a/crates/proxy-server/tests/faults/soak.rs
+++ b/crates/proxy-server/tests/faults/soak.rs
@@ -4,8 +4,8 @@
 //!
 //! `SOAK_SEEDS=60 cargo test -p proxy-server --test faults soak` plays more of them; `SOAK_FROM` begins elsewhere.
 
-use crate::inject::{Fault, Faults};
-use crate::rig::*;
+use crate::fault_injection::{Fault, Faults};
+use crate::support::*;
 use crate::{id_of, sleep_until, time_left};
 use fastrand::Rng;
 use serde_json::{Value, json};
@@ -74,20 +74,20 @@
 /// A backend that serves, and now and then resets, turns away or hangs.
 fn backend(seed: u64, hangs_from: Option<Instant>, turned_away: TurnedAway) -> Backend {
     let mut rng = Rng::with_seed(seed);
-    Backend::start(move |seen| {
+    Backend::start(move |received| {
         let work = Duration::from_millis(rng.u64(2..25));
         let hangs = hangs_from.is_some_and(|from| Instant::now() >= from);
         let then = match rng.u32(0..40) {
-            _ if hangs => return Reply::Hang,
-            0 => return Reply::WriteAndClose(Vec::new()),
+            _ if hangs => return BackendAction::Hang,
+            0 => return BackendAction::WriteAndClose(Vec::new()),
             1 => {
-                turned_away.lock().expect("the list").push(id_of(seen));
-                Reply::Write(answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""))
+                turned_away.lock().expect("the list").push(id_of(received));
+                BackendAction::Write(response_bytes("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""))
             }
-            2 => return Reply::Hang,
+            2 => return BackendAction::Hang,
             _ => ok("served"),
         };
-        Reply::Later(work, Box::new(then))
+        BackendAction::DelayThen(work, Box::new(then))
     })
 }
 
@@ -115,7 +115,7 @@
                 break;
             }
             let Ok(stream) = TcpStream::connect(address) else { continue };
-            stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
             kept = Some(Client {
                 reader: std::io::BufReader::new(stream.try_clone().expect("a clone")),
                 stream,
@@ -135,8 +135,8 @@
         }
         let sent = Instant::now();
         let got = read_message(&mut connection.reader);
-        let answer = got.as_ref().map(|seen| (seen.status(), Instant::now()));
-        if got.is_none_or(|seen| seen.header("connection") == Some("close")) {
+        let answer = got.as_ref().map(|received| (received.status(), Instant::now()));
+        if got.is_none_or(|received| received.header("connection") == Some("close")) {
             kept = None;
         }
         let ended = Instant::now();
@@ -188,7 +188,7 @@
 
 struct Outcome {
     asked: Vec<Asked>,
-    seen: Vec<(usize, Seen)>,
+    received: Vec<(usize, HttpMessage)>,
     turned_away: Vec<String>,
     drained: (usize, Instant),
     /// When the process was told to end, and when it had.
@@ -216,7 +216,8 @@
     if rng.bool() {
         config["limits"]["sockets"] = json!(128);
     }
-    let mut proxy = Launch::new(&name, &config.to_string()).with(faults.environment(seed)).start();
+    let mut proxy =
+        Launch::new(&name, &config.to_string()).with_environment(faults.environment(seed)).start();
     discovery.post(true, &members);
     let soak = Soak {
         rng: rng.fork(),
@@ -249,11 +250,14 @@
         soak.stop.store(true, Ordering::Release);
         done
     });
-    let log = proxy.rest_of_log();
-    let seen = backends.iter().enumerate().flat_map(|(n, b)| b.seen.try_iter().map(move |seen| (n, seen)));
+    let log = proxy.remaining_log();
+    let received = backends
+        .iter()
+        .enumerate()
+        .flat_map(|(n, b)| b.requests.try_iter().map(move |received| (n, received)));
     Outcome {
         asked: asked.into_inner().expect("the list"),
-        seen: seen.collect(),
+        received: received.collect(),
         turned_away: std::mem::take(&mut turned_away.lock().expect("the list")),
         log,
         drained: (drains, drained),
@@ -276,7 +280,7 @@
     let at = |ms: u64| soak.began + Duration::from_millis(ms);
     sleep_until(at(rng.u64(100..500)));
     members[drains]["phase"] = json!("leaving");
-    discovery.post_unheard(true, members);
+    discovery.post_without_waiting(true, members);
     let drained = Instant::now();
     let stand = |proxy: &Proxy, ms: u64| {
         proxy.signal("-STOP");
@@ -287,7 +291,7 @@
     sleep_until(at(rng.u64(600..1_300)));
     stand(proxy, rng.u64(20..140));
     // The same settings, discovery elsewhere and back, and a broken file, in a row.
-    next.post_unheard(true, members);
+    next.post_without_waiting(true, members);
     config["discovery"] = json!(next.address.to_string());
     proxy.reload(&config.to_string());
     proxy.reload("{ broken");
@@ -355,25 +359,26 @@
     }
     let sent: HashMap<_, _> = played.asked.iter().map(|asked| (asked.id.as_str(), asked)).collect();
     let mut runs: HashMap<String, Vec<Instant>> = HashMap::new();
-    for (number, seen) in &played.seen {
-        let id = id_of(seen);
+    for (number, received) in &played.received {
+        let id = id_of(received);
         if let Some(asked) = sent.get(id.as_str()) {
-            let left = asked.patience.saturating_sub(seen.at.saturating_duration_since(asked.sent));
-            if time_left(seen) > left + DEADLINE_SLACK {
-                out.push(format!("{id} was told {:?} and had {left:?}", time_left(seen)));
+            let left =
+                asked.patience.saturating_sub(received.received_at.saturating_duration_since(asked.sent));
+            if time_left(received) > left + DEADLINE_SLACK {
+                out.push(format!("{id} was told {:?} and had {left:?}", time_left(received)));
             }
             // What was read and then closed with no answer is lost, whatever connection it came on.
             if asked.answer.is_none() && asked.taken {
                 out.push(format!("{id} reached a backend and had no answer"));
             }
         }
-        if *number == played.drained.0 && seen.at > played.drained.1 + GRACE {
+        if *number == played.drained.0 && received.received_at > played.drained.1 + GRACE {
             out.push(format!(
                 "{id} reached a drained backend {:?} after the word",
-                seen.at - played.drained.1
+                received.received_at - played.drained.1
             ));
         }
-        runs.entry(id).or_default().push(seen.at);
+        runs.entry(id).or_default().push(received.received_at);
     }
     for (id, runs) in runs {
         let turned_away = played.turned_away.iter().filter(|turned| **turned == id).count();
--- a/crates/proxy-server/tests/faults/calls.rs
+++ b/crates/proxy-server/tests/faults/system_calls.rs
@@ -1,7 +1,7 @@
 //! Calls of the system that fail in the ways that Linux documents.
 
-use crate::inject::{Fault, Faults};
-use crate::rig::*;
+use crate::fault_injection::{Fault, Faults};
+use crate::support::*;
 use crate::{SLACK, play, sleep_until};
 use serde_json::{Value, json};
 use std::thread;
@@ -22,7 +22,7 @@
     let (backends, members) = backends(4);
     let injected = Faults::new(name);
     let config = config(name, &discovery).to_string();
-    let proxy = Launch::new(name, &config).with(injected.environment(SEED)).start();
+    let proxy = Launch::new(name, &config).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
     faults.iter().for_each(|&(fault, often)| injected.set(fault, often));
     let played = play(proxy.address, &backends, 6, requests);
@@ -82,15 +82,15 @@
     let (backends, members) = backends(4);
     let injected = Faults::new("local");
     let config = config("local", &discovery).to_string();
-    let mut proxy = Launch::new("local", &config).with(injected.environment(SEED)).start();
+    let mut proxy = Launch::new("local", &config).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
     injected.set(Fault::ConnectLocal, 1_000);
     let played = play(proxy.address, &backends, 4, 20);
     injected.set(Fault::ConnectLocal, 0);
     assert!(played.unanswered().is_empty());
-    assert_eq!(proxy.client().ask(&request("read", "after", "")).status(), 200);
+    assert_eq!(proxy.client().exchange(&request("read", "after", "")).status(), 200);
     proxy.terminate();
-    let log = proxy.rest_of_log();
+    let log = proxy.remaining_log();
     assert!(!log.contains("ejected"), "{log}");
 }
 
@@ -101,7 +101,7 @@
     let (backends, members) = backends(1);
     let injected = Faults::new("log");
     let config = config("log", &discovery).to_string();
-    let mut proxy = Launch::new("log", &config).with(injected.environment(SEED)).start();
+    let mut proxy = Launch::new("log", &config).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
     let began = Instant::now();
     injected.set(Fault::Accept, 900);
@@ -111,7 +111,7 @@
     injected.set(Fault::Accept, 0);
     let seconds = began.elapsed().as_secs() as usize;
     proxy.terminate();
-    let lines = proxy.rest_of_log().lines().filter(|line| line.contains("accept")).count();
+    let lines = proxy.remaining_log().lines().filter(|line| line.contains("accept")).count();
     assert!(lines <= 2 * (seconds + 1), "{lines} lines in {seconds} s");
 }
 
@@ -123,9 +123,10 @@
     let injected = Faults::new("console");
     let mut config = config("console", &discovery);
     config["console"] = json!("127.0.0.1:0");
-    let folder = folder("console-short");
-    let launch =
-        Launch::new("console", &config.to_string()).in_folder(&folder).with(injected.environment(SEED));
+    let folder = empty_folder("console-short");
+    let launch = Launch::new("console", &config.to_string())
+        .in_folder(&folder)
+        .with_environment(injected.environment(SEED));
     let (_proxy, console) = launch.start_with_console();
     discovery.post(true, &members);
     for often in [300, 900] {
@@ -134,7 +135,7 @@
         for turn in 0..20 {
             let began = Instant::now();
             let line = if turn % 2 == 0 { "exclude s-1\n" } else { "include s-1\n" };
-            assert!(call(console, line).starts_with("SUCCESS"));
+            assert!(send_command(console, line).starts_with("SUCCESS"));
             assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
         }
     }
@@ -147,7 +148,7 @@
     let (backends, mut members) = backends(2);
     let injected = Faults::new("drain");
     let config = config("drain", &discovery).to_string();
-    let proxy = Launch::new("drain", &config).with(injected.environment(SEED)).start();
+    let proxy = Launch::new("drain", &config).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
     play(proxy.address, &[], 2, 10).keeps_the_rules();
     injected.set(Fault::ShortRead, 500);
@@ -155,12 +156,12 @@
     injected.set(Fault::ConnectLocal, 300);
     members[0]["phase"] = json!("leaving");
     let told = Instant::now();
-    discovery.post_unheard(false, &members[..1]);
+    discovery.post_without_waiting(false, &members[..1]);
     sleep_until(told + Duration::from_millis(7_050));
-    assert!(backends[0].rest() > 0, "it served before");
-    backends[1].rest();
+    assert!(backends[0].take_request_count() > 0, "it served before");
+    backends[1].take_request_count();
     play(proxy.address, &backends[1..], 2, 10).keeps_the_rules();
-    assert_eq!(backends[0].rest(), 0);
+    assert_eq!(backends[0].take_request_count(), 0);
 }
 
 /// The first calls of a process may fail for a moment as well.
@@ -174,17 +175,22 @@
         injected.set(fault, 1_000);
         let mut config = config(&name, &discovery);
         config["console"] = json!("127.0.0.1:0");
-        let (text, folder) = (config.to_string(), folder(&name));
+        let (text, folder) = (config.to_string(), empty_folder(&name));
         let environment = injected.environment(SEED);
         let starts = thread::spawn({
             let name = name.clone();
-            move || Launch::new(&name, &text).in_folder(&folder).with(environment).start_with_console()
+            move || {
+                Launch::new(&name, &text)
+                    .in_folder(&folder)
+                    .with_environment(environment)
+                    .start_with_console()
+            }
         });
         thread::sleep(Duration::from_millis(600));
         injected.set(fault, 0);
         let (proxy, _console) = starts.join().unwrap_or_else(|_| panic!("{fault:?}: it did not start"));
         discovery.post(true, &members);
-        assert_eq!(proxy.client().ask(&request("read", "1", "")).status(), 200);
+        assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
     }
 }
 
@@ -195,7 +201,8 @@
     let (_backends, members) = backends(1);
     let injected = Faults::new("reload");
     let mut config = config("reload", &discovery);
-    let proxy = Launch::new("reload", &config.to_string()).with(injected.environment(SEED)).start();
+    let proxy =
+        Launch::new("reload", &config.to_string()).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
     injected.set(Fault::FileOpen, 1_000);
     config["discovery"] = json!(next.address.to_string());
--- a/crates/proxy-server/tests/golden_process/main.rs
+++ b/crates/proxy-server/tests/golden_process/main.rs
@@ -1,26 +1,22 @@
 //! Golden files of the running program: the console's answers, the files that it stores, what `check` prints, and the
 //! bytes that clients and backends see.
 
-#[path = "../proxy/rig.rs"]
-mod rig;
+#[path = "../support/mod.rs"]
+mod support;
 
 use golden_files::GoldenFiles;
-use rig::{Backend, Client, Discovery, Proxy, call, config, entry, folder, ok, request};
 use serde_json::{Value, json};
 use std::fs;
 use std::path::Path;
 use std::process::Command;
+use support::{
+    Backend, Client, Discovery, Proxy, config_with_console, empty_folder, entry, ok, request, send_command,
+};
 
 fn golden() -> GoldenFiles {
     GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn with_console(discovery: &Discovery) -> Value {
-    let mut config = config("n7", discovery);
-    config["console"] = json!("127.0.0.1:0");
-    config
-}
-
 /// Each run of digits longer than a count becomes `N`: times and ports differ from run to run.
 fn without_times(text: &str) -> String {
     let mut result = String::new();
@@ -50,11 +46,13 @@
 fn answers_of_the_console_and_stored_files_keep_their_form() {
     let discovery = Discovery::start();
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
-    let directory = folder("golden-console");
-    let (mut proxy, console) = Proxy::start_in(&directory, "golden-console", &with_console(&discovery));
+    let directory = empty_folder("golden-console");
+    let (mut proxy, console) =
+        Proxy::start_with_console(&directory, "golden-console", &config_with_console(&discovery, None));
     let mut lines = Vec::new();
-    let mut ask =
-        |line: &str| lines.push(format!("{line}: {}", call(console, &format!("{line}\n")).trim_end()));
+    let mut ask = |line: &str| {
+        lines.push(format!("{line}: {}", send_command(console, &format!("{line}\n")).trim_end()))
+    };
     ask("readyz");
     discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
     for line in [
@@ -89,16 +87,17 @@
 fn exclusions_that_an_older_version_stored_bind_a_new_process() {
     let discovery = Discovery::start();
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
-    let directory = folder("golden-older");
+    let directory = empty_folder("golden-older");
     let older = r#"{"version":1,"bans":{"out":{"s-a":7},"back":{}}}"#;
     fs::write(directory.join("haventrack-n7.bans.json"), older).expect("written");
-    let (proxy, console) = Proxy::start_in(&directory, "golden-older", &with_console(&discovery));
+    let (proxy, console) =
+        Proxy::start_with_console(&directory, "golden-older", &config_with_console(&discovery, None));
     discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
     let mut client = proxy.client();
     for n in 0..20 {
-        assert_eq!(client.ask(&request("read", &format!("golden-{n}"), "")).body, b"b");
+        assert_eq!(client.exchange(&request("read", &format!("golden-{n}"), "")).body, b"b");
     }
-    assert!(call(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
+    assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
     let stored = fs::read_to_string(directory.join("haventrack-n7.bans.json")).expect("the file");
     let stored: Value = serde_json::from_str(&stored).expect("JSON");
     assert_eq!(stored["version"], 1);
@@ -107,35 +106,35 @@
 }
 
 /// The head of a message without its date, and its body.
-fn described(seen: &rig::Seen) -> String {
+fn described(received: &support::HttpMessage) -> String {
     let is_dated = |line: &&str| line.starts_with("date: ");
-    let head: Vec<&str> = seen.head.split("\r\n").filter(|line| !is_dated(line)).collect();
-    format!("{}{}", head.join("\n"), String::from_utf8_lossy(&seen.body))
+    let head: Vec<&str> = received.head.split("\r\n").filter(|line| !is_dated(line)).collect();
+    format!("{}{}", head.join("\n"), String::from_utf8_lossy(&received.body))
 }
 
 #[test]
 fn bytes_for_clients_and_backends_keep_their_form() {
     let discovery = Discovery::start();
     let mut texts = Vec::new();
-    let proxy = Proxy::start_bare("golden-bytes", &discovery);
+    let proxy = Proxy::start_without_list("golden-bytes", &discovery);
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-    texts.push(described(&Client::connect(proxy.address).ask(&get("/up"))));
+    texts.push(described(&Client::connect(proxy.address).exchange(&get("/up"))));
     let backend = Backend::start(|_| ok("served"));
     discovery.post(true, &[entry("s-a", backend.address, "active", 0)]);
-    texts.push(described(&Client::connect(proxy.address).ask(&get("/up"))));
-    texts.push(described(&Client::connect(proxy.address).ask(&request("submit", "golden", "body"))));
-    let seen = described(&backend.next());
+    texts.push(described(&Client::connect(proxy.address).exchange(&get("/up"))));
+    texts.push(described(&Client::connect(proxy.address).exchange(&request("submit", "golden", "body"))));
+    let received = described(&backend.next_request());
     let host_is_an_address = backend.address.to_string();
-    texts.push(without_times(&seen.replace(&host_is_an_address, "BACKEND")));
+    texts.push(without_times(&received.replace(&host_is_an_address, "BACKEND")));
     let no_time =
         "GET /read HTTP/1.1\r\nX-Correlation-Id: i\r\nX-Service-Class: read\r\nX-Time-Left-Ms: x\r\n\r\n";
     for bad in
         [&get("/nothing"), "NOTHING\r\n\r\n", no_time, "GET /read HTTP/1.1\r\nX-Service-Class: none\r\n\r\n"]
     {
-        texts.push(described(&Client::connect(proxy.address).ask(bad)));
+        texts.push(described(&Client::connect(proxy.address).exchange(bad)));
     }
     discovery.post(true, &[]);
-    texts.push(described(&Client::connect(proxy.address).ask(&request("charge", "late", ""))));
+    texts.push(described(&Client::connect(proxy.address).exchange(&request("charge", "late", ""))));
     golden().assert_lines("http.txt", &texts);
 }
 
--- a/crates/proxy-server/tests/day/main.rs
+++ b/crates/proxy-server/tests/operations/main.rs
@@ -1,9 +1,8 @@
 //! Day-to-day service on loopback sockets: the console, bans of backends, the replacement of the process.
 
-#[path = "../proxy/rig.rs"]
-mod rig;
+#[path = "../support/mod.rs"]
+mod support;
 
-use rig::{Backend, Client, Discovery, Proxy, call, config, entry, folder, ok, request};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -12,20 +11,14 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::{fs, thread};
-
-/// A configuration with a console; `listen` is the address of the process that is replaced.
-fn with_console(discovery: &Discovery, listen: Option<SocketAddr>) -> Value {
-    let mut config = config("n7", discovery);
-    config["console"] = json!("127.0.0.1:0");
-    if let Some(listen) = listen {
-        config["listen"] = json!(listen.to_string());
-    }
-    config
-}
+use support::{
+    Backend, Client, Discovery, Proxy, config, config_with_console, empty_folder, entry, ok, request,
+    send_command,
+};
 
 /// Calls until the answer begins so: the process may not have heard of its list yet.
 fn wait_until(console: SocketAddr, line: &str, begins: &str) {
-    while !call(console, line).starts_with(begins) {
+    while !send_command(console, line).starts_with(begins) {
         thread::yield_now();
     }
 }
@@ -40,7 +33,7 @@
 
 /// Who serves so many requests on one connection.
 fn served(client: &mut Client, name: &str, count: usize) -> String {
-    let answers = (0..count).map(|n| client.ask(&request("read", &format!("{name}-{n}"), "")));
+    let answers = (0..count).map(|n| client.exchange(&request("read", &format!("{name}-{n}"), "")));
     answers.map(|answer| String::from_utf8(answer.body).expect("text")).collect()
 }
 
@@ -48,21 +41,22 @@
 fn readiness_is_told_of_this_process() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let (mut proxy, console) = Proxy::start_in(&folder("ready"), "ready", &with_console(&discovery, None));
-    assert!(call(console, "readyz\n").starts_with("FAILURE no list"));
+    let (mut proxy, console) =
+        Proxy::start_with_console(&empty_folder("ready"), "ready", &config_with_console(&discovery, None));
+    assert!(send_command(console, "readyz\n").starts_with("FAILURE no list"));
     discovery.post(true, &list(&a, &b));
-    assert!(call(console, "readyz\n").starts_with("SUCCESS"));
+    assert!(send_command(console, "readyz\n").starts_with("SUCCESS"));
     // A request that is open keeps the process from ending.
     let (word, wait) = std::sync::mpsc::channel();
     let mut wait = Some(wait);
     let slow = Backend::start(move |_| match wait.take() {
-        Some(wait) => rig::Reply::After(wait, Box::new(ok("slow"))),
+        Some(wait) => support::BackendAction::WaitThen(wait, Box::new(ok("slow"))),
         None => ok("quick"),
     });
     discovery.post(true, &[entry("s-c", slow.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("read", "open", ""));
-    slow.next();
+    slow.next_request();
     proxy.terminate();
     wait_until(console, "readyz\n", "FAILURE this process was told to end");
     word.send(()).expect("the backend waits");
@@ -75,12 +69,13 @@
 fn a_backend_that_is_out_gets_nothing_until_it_is_called_back() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let (proxy, console) = Proxy::start_in(&folder("ban"), "ban", &with_console(&discovery, None));
+    let (proxy, console) =
+        Proxy::start_with_console(&empty_folder("ban"), "ban", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     let mut client = proxy.client();
-    assert!(call(console, "exclude s-none\n").starts_with("FAILURE no backend is called s-none"));
-    assert!(call(console, "exclude s-a\n").starts_with("SUCCESS"));
-    assert!(call(console, "exclude s-a\n").starts_with("SUCCESS"));
+    assert!(send_command(console, "exclude s-none\n").starts_with("FAILURE no backend is called s-none"));
+    assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
+    assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
     assert_eq!(served(&mut client, "out", 40), "b".repeat(40));
     // Whatever the list says: told as active again, gone, back.
     discovery.post(false, &[entry("s-a", a.address, "active", 0)]);
@@ -89,58 +84,61 @@
     discovery.post(false, &[entry("s-a", a.address, "active", 77_000)]);
     assert_eq!(served(&mut client, "back", 20), "b".repeat(20));
     // Two calls out need one call back.
-    assert!(call(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
-    assert!(call(console, "exclude s-b\n").starts_with("SUCCESS"));
+    assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
+    assert!(send_command(console, "exclude s-b\n").starts_with("SUCCESS"));
     // It is taken for cold, so that it may have to be waited for.
     let mut tries = 0..50;
-    let again = tries.any(|n| client.ask(&request("read", &format!("again-{n}"), "")).body == b"a");
+    let again = tries.any(|n| client.exchange(&request("read", &format!("again-{n}"), "")).body == b"a");
     assert!(again, "it serves again");
-    assert!(call(console, "include s-a\n").starts_with("SUCCESS s-a was not out"));
-    assert!(call(console, "include s-none\n").starts_with("FAILURE"));
+    assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a was not out"));
+    assert!(send_command(console, "include s-none\n").starts_with("FAILURE"));
 }
 
 #[test]
 fn a_ban_outlives_the_process_and_binds_both_while_there_are_two() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let folder = folder("outlives");
-    let (mut old, old_console) = Proxy::start_in(&folder, "old", &with_console(&discovery, None));
+    let folder = empty_folder("outlives");
+    let (mut old, old_console) =
+        Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
-    assert!(call(old_console, "exclude s-a\n").starts_with("SUCCESS"));
+    assert!(send_command(old_console, "exclude s-a\n").starts_with("SUCCESS"));
     let mut kept = old.client();
     assert_eq!(served(&mut kept, "kept", 3), "bbb");
-    let (new, new_console) = Proxy::start_in(&folder, "new", &with_console(&discovery, Some(old.address)));
+    let (new, new_console) =
+        Proxy::start_with_console(&folder, "new", &config_with_console(&discovery, Some(old.address)));
     wait_until(new_console, "readyz\n", "SUCCESS");
     let mut fresh = new.client();
     assert_eq!(served(&mut fresh, "fresh", 20), "b".repeat(20), "the ban was there from the start");
     // Said to the new process, it binds the old one as well.
-    assert!(call(new_console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
+    assert!(send_command(new_console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
     old.wait_for_log("excluded backends now: none");
-    assert!(call(new_console, "exclude s-b\n").starts_with("SUCCESS"));
+    assert!(send_command(new_console, "exclude s-b\n").starts_with("SUCCESS"));
     old.wait_for_log("excluded backends now: s-b");
-    while b.rest() > 0 {}
-    let answer = kept.ask(&request("read", "kept-last", ""));
+    while b.take_request_count() > 0 {}
+    let answer = kept.exchange(&request("read", "kept-last", ""));
     assert!(answer.body != b"b", "{}", answer.head);
     old.terminate();
     drop(kept);
     assert!(old.wait().success());
-    assert_eq!(b.rest(), 0);
+    assert_eq!(b.take_request_count(), 0);
 }
 
 #[test]
 fn a_new_process_that_dies_before_it_is_ready_changes_nothing() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let folder = folder("dies");
-    let (old, console) = Proxy::start_in(&folder, "old", &with_console(&discovery, None));
+    let folder = empty_folder("dies");
+    let (old, console) = Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     wait_until(console, "readyz\n", "SUCCESS");
     let silent = Discovery::start();
     for n in 0..3 {
-        let (new, new_console) = Proxy::start_in(&folder, "new", &with_console(&silent, Some(old.address)));
-        assert!(call(new_console, "readyz\n").starts_with("FAILURE"));
+        let (new, new_console) =
+            Proxy::start_with_console(&folder, "new", &config_with_console(&silent, Some(old.address)));
+        assert!(send_command(new_console, "readyz\n").starts_with("FAILURE"));
         for m in 0..20 {
-            let answer = old.client().ask(&request("read", &format!("beside-{n}-{m}"), ""));
+            let answer = old.client().exchange(&request("read", &format!("beside-{n}-{m}"), ""));
             assert_eq!(answer.status(), 200, "{}", answer.head);
         }
         drop(new);
@@ -154,8 +152,8 @@
 fn a_replacement_refuses_and_resets_nothing() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let folder = folder("replaced");
-    let (mut old, console) = Proxy::start_in(&folder, "p0", &with_console(&discovery, None));
+    let folder = empty_folder("replaced");
+    let (mut old, console) = Proxy::start_with_console(&folder, "p0", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     wait_until(console, "readyz\n", "SUCCESS");
     let (address, stop, asked) =
@@ -170,7 +168,7 @@
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    let answer = client.ask(&request("read", &format!("load-{number}-{n}"), ""));
+                    let answer = client.exchange(&request("read", &format!("load-{number}-{n}"), ""));
                     assert_eq!(answer.status(), 200, "{}", answer.head);
                     asked.fetch_add(1, Ordering::Relaxed);
                     // Half of them come anew each time; the others go when they are told to.
@@ -189,7 +187,8 @@
     };
     for name in ["p1", "p2"] {
         go_on(200);
-        let (new, console) = Proxy::start_in(&folder, name, &with_console(&discovery, Some(address)));
+        let (new, console) =
+            Proxy::start_with_console(&folder, name, &config_with_console(&discovery, Some(address)));
         wait_until(console, "readyz\n", "SUCCESS");
         old.terminate();
         go_on(200);
@@ -206,8 +205,8 @@
 fn a_new_process_goes_on_from_what_the_old_one_has_learnt() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let folder = folder("learnt");
-    let (old, console) = Proxy::start_in(&folder, "old", &with_console(&discovery, None));
+    let folder = empty_folder("learnt");
+    let (old, console) = Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     wait_until(console, "readyz\n", "SUCCESS");
     let file = folder.join("haventrack-n7.learnt.json");
@@ -215,8 +214,8 @@
         thread::yield_now();
     }
     let successor = |name: &str, words: &str| {
-        let config = with_console(&discovery, Some(old.address));
-        let (mut new, _) = Proxy::start_in(&folder, name, &config);
+        let config = config_with_console(&discovery, Some(old.address));
+        let (mut new, _) = Proxy::start_with_console(&folder, name, &config);
         new.wait_for_log(words)
     };
     successor("reads", "restored learned limits from the snapshot");
@@ -224,25 +223,26 @@
     fs::remove_file(&file).expect("the file is there");
     fs::create_dir(&file).expect("a folder in its place");
     assert!(successor("cannot-read", "learned limits were not restored").contains("directory"));
-    assert_eq!(old.client().ask(&request("read", "after", "")).status(), 200);
+    assert_eq!(old.client().exchange(&request("read", "after", "")).status(), 200);
 }
 
 #[test]
 fn a_damaged_store_is_told_and_the_process_starts() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let folder = folder("damaged");
+    let folder = empty_folder("damaged");
     fs::write(folder.join("haventrack-n7.bans.json"), "{\"version\":1,\"bans\":{\"out\":{\"s-a\":1")
         .expect("written");
-    let (mut proxy, console) = Proxy::start_in(&folder, "damaged", &with_console(&discovery, None));
+    let (mut proxy, console) =
+        Proxy::start_with_console(&folder, "damaged", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
-    assert!(call(console, "exclude s-b\n").starts_with("SUCCESS"));
+    assert!(send_command(console, "exclude s-b\n").starts_with("SUCCESS"));
     assert!(folder.join("haventrack-n7.bans.damaged").exists());
     let mut client = proxy.client();
     assert_eq!(served(&mut client, "damaged", 10), "a".repeat(10));
     drop(client);
     proxy.terminate();
-    assert!(proxy.rest_of_log().contains("set aside"));
+    assert!(proxy.remaining_log().contains("set aside"));
 }
 
 /// A configuration whose classes and attempts are these.
@@ -277,13 +277,16 @@
     let start = || {
         let wait = Arc::clone(&wait);
         Backend::start(move |_| match wait.lock().expect("the word").take() {
-            Some(wait) => rig::Reply::After(wait, Box::new(rig::Reply::WriteAndClose(Vec::new()))),
+            Some(wait) => support::BackendAction::WaitThen(
+                wait,
+                Box::new(support::BackendAction::WriteAndClose(Vec::new())),
+            ),
             None => ok("later"),
         })
     };
     let (a, b) = (start(), start());
     let first = with_settings(&discovery, &[("read", "retryable"), ("lift", "dedup")], 4);
-    let mut proxy = Proxy::start_with("retune", first);
+    let mut proxy = Proxy::start_with_config("retune", &first);
     discovery.post(true, &list(&a, &b));
     let mut open = proxy.client();
     open.send(&asked("read", "open", "GET", false));
@@ -298,8 +301,8 @@
     let got = open.receive();
     assert!(got.status() == 200 && got.body == b"later", "it came under four attempts: {}", got.head);
     let mut client = proxy.client();
-    assert_eq!(client.ask(&asked("view", "1", "GET", false)).status(), 200);
-    assert_eq!(client.ask(&asked("lift", "2", "POST", false)).status(), 200, "it needs no key any more");
+    assert_eq!(client.exchange(&asked("view", "1", "GET", false)).status(), 200);
+    assert_eq!(client.exchange(&asked("lift", "2", "POST", false)).status(), 200, "it needs no key any more");
 }
 
 #[test]
@@ -307,7 +310,7 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let good = with_settings(&discovery, &[("read", "retryable"), ("lift", "dedup")], 4);
-    let mut proxy = Proxy::start_with("broken-file", good.clone());
+    let mut proxy = Proxy::start_with_config("broken-file", &good.clone());
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     // Each of them would drop "read", if it were taken.
     let next = with_settings(&discovery, &[("view", "retryable"), ("lift", "dedup")], 4);
@@ -344,13 +347,13 @@
         proxy.reload(file);
         let line = proxy.wait_for_log("reload failed, the previous configuration remains in force");
         assert!(line.contains(named), "{named}: {line}");
-        assert_eq!(client.ask(&asked("read", &n.to_string(), "GET", false)).status(), 200, "{named}");
-        assert_eq!(client.ask(&asked("view", &n.to_string(), "GET", false)).status(), 400, "{named}");
+        assert_eq!(client.exchange(&asked("read", &n.to_string(), "GET", false)).status(), 200, "{named}");
+        assert_eq!(client.exchange(&asked("view", &n.to_string(), "GET", false)).status(), 400, "{named}");
         client = proxy.client();
     }
     proxy.reload(&whole);
     proxy.wait_for_log("settings in force: classes lift view; 4 attempts");
-    assert_eq!(proxy.client().ask(&asked("view", "last", "GET", false)).status(), 200);
+    assert_eq!(proxy.client().exchange(&asked("view", "last", "GET", false)).status(), 200);
 }
 
 /// A request that may not be sent twice is open in the old process when it is told to end: it ends there, once.
@@ -360,27 +363,29 @@
     let (word, wait) = std::sync::mpsc::channel::<()>();
     let mut wait = Some(wait);
     let backend = Backend::start(move |_| match wait.take() {
-        Some(wait) => rig::Reply::After(wait, Box::new(ok("first"))),
+        Some(wait) => support::BackendAction::WaitThen(wait, Box::new(ok("first"))),
         None => ok("later"),
     });
-    let folder = folder("open");
-    let (mut old, console) = Proxy::start_in(&folder, "old", &with_console(&discovery, None));
+    let folder = empty_folder("open");
+    let (mut old, console) =
+        Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
     discovery.post(true, &[entry("s-a", backend.address, "active", 0)]);
     wait_until(console, "readyz\n", "SUCCESS");
     let mut client = old.client();
     client.send(&request("submit", "keyed", "x"));
-    assert_eq!(backend.next().header("idempotency-key"), Some("keyed"));
-    let (new, new_console) = Proxy::start_in(&folder, "new", &with_console(&discovery, Some(old.address)));
+    assert_eq!(backend.next_request().header("idempotency-key"), Some("keyed"));
+    let (new, new_console) =
+        Proxy::start_with_console(&folder, "new", &config_with_console(&discovery, Some(old.address)));
     wait_until(new_console, "readyz\n", "SUCCESS");
     old.terminate();
     wait_until(console, "readyz\n", "FAILURE");
     // What comes now is the new one's.
-    assert_eq!(new.client().ask(&request("read", "other", "")).body, b"later");
+    assert_eq!(new.client().exchange(&request("read", "other", "")).body, b"later");
     word.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"first");
     assert!(old.wait().success());
-    assert_eq!(backend.next().header("x-correlation-id"), Some("other"));
-    assert_eq!(backend.rest(), 0, "nothing was sent twice");
+    assert_eq!(backend.next_request().header("x-correlation-id"), Some("other"));
+    assert_eq!(backend.take_request_count(), 0, "nothing was sent twice");
 }
 
 /// Connections at rest close at the end, but none that has begun to say something.
@@ -388,12 +393,13 @@
 fn a_head_that_has_begun_is_answered_while_the_process_ends() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let (mut proxy, console) = Proxy::start_in(&folder("half"), "half", &with_console(&discovery, None));
+    let (mut proxy, console) =
+        Proxy::start_with_console(&empty_folder("half"), "half", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     wait_until(console, "readyz\n", "SUCCESS");
     let (mut resting, mut heading) = (proxy.client(), proxy.client());
     for (client, id) in [(&mut resting, "1"), (&mut heading, "2")] {
-        assert_eq!(client.ask(&request("read", id, "")).status(), 200);
+        assert_eq!(client.exchange(&request("read", id, "")).status(), 200);
     }
     proxy.terminate();
     wait_until(console, "readyz\n", "FAILURE");
@@ -401,11 +407,11 @@
     let (begun, rest) = whole.split_at(30);
     // It begins when the other one rests for so long that it is about to close.
     heading.send(begun);
-    assert!(resting.ends_cleanly(), "it is at rest");
+    assert!(resting.is_closed_cleanly(), "it is at rest");
     heading.send(rest);
     let got = heading.receive();
     assert_eq!((got.status(), got.header("connection")), (200, Some("close")), "{}", got.head);
-    assert!(heading.ends_cleanly());
+    assert!(heading.is_closed_cleanly());
     drop((resting, heading));
     assert!(proxy.wait().success());
 }
@@ -415,7 +421,8 @@
 fn the_console_answers_beside_a_full_load() {
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let (proxy, console) = Proxy::start_in(&folder("load"), "load", &with_console(&discovery, None));
+    let (proxy, console) =
+        Proxy::start_with_console(&empty_folder("load"), "load", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     wait_until(console, "readyz\n", "SUCCESS");
     let stop = Arc::new(AtomicBool::new(false));
@@ -425,7 +432,7 @@
             thread::spawn(move || {
                 let mut client = Client::connect(address);
                 (0..).take_while(|_| !stop.load(Ordering::Relaxed)).for_each(|n| {
-                    client.ask(&request("read", &format!("busy-{number}-{n}"), ""));
+                    client.exchange(&request("read", &format!("busy-{number}-{n}"), ""));
                 });
             })
         })
@@ -433,7 +440,7 @@
     let slowest = (0..60).map(|n| {
         let began = std::time::Instant::now();
         let line = ["readyz\n", "exclude s-a\n", "include s-a\n"][n % 3];
-        assert!(call(console, line).starts_with("SUCCESS"), "{line}");
+        assert!(send_command(console, line).starts_with("SUCCESS"), "{line}");
         began.elapsed()
     });
     let slowest = slowest.max();
@@ -447,10 +454,10 @@
 fn a_crowd_that_takes_every_descriptor_keeps_nobody_out() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let mut proxy = Proxy::start_limited("few-descriptors", &config("n9", &discovery), 40);
+    let mut proxy = Proxy::start_with_descriptor_limit("few-descriptors", &config("n9", &discovery), 40);
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     let mut working = proxy.client();
-    assert_eq!(working.ask(&request("read", "before", "")).status(), 200);
+    assert_eq!(working.exchange(&request("read", "before", "")).status(), 200);
     let good = request("read", "half", "");
     let crowd: Vec<_> = (0..120)
         .map(|n| {
@@ -463,13 +470,13 @@
         })
         .collect();
     for n in 0..20 {
-        let got = proxy.client().ask(&request("read", &format!("within-{n}"), ""));
+        let got = proxy.client().exchange(&request("read", &format!("within-{n}"), ""));
         assert_eq!(got.status(), 200, "{}", got.head);
     }
     drop(crowd);
-    assert_eq!(proxy.client().ask(&request("read", "after", "")).status(), 200);
+    assert_eq!(proxy.client().exchange(&request("read", "after", "")).status(), 200);
     proxy.terminate();
-    assert!(proxy.rest_of_log().contains("accept: "), "the shortage was there");
+    assert!(proxy.remaining_log().contains("accept: "), "the shortage was there");
     assert!(proxy.wait().success());
 }
 
@@ -494,10 +501,11 @@
 
 #[test]
 fn a_disk_that_does_not_answer_holds_up_neither_requests_nor_the_end() {
-    let folder = folder("disk");
+    let folder = empty_folder("disk");
     let discovery = Discovery::start();
     let (a, b) = backends();
-    let (mut proxy, console) = Proxy::start_in(&folder, "disk", &with_console(&discovery, None));
+    let (mut proxy, console) =
+        Proxy::start_with_console(&folder, "disk", &config_with_console(&discovery, None));
     stuck_disk(&folder, &format!("haventrack-n7.learnt.new-{}", proxy.child.id()));
     stuck_disk(&folder, "haventrack-n7.bans.new");
     discovery.post(true, &list(&a, &b));
@@ -510,7 +518,7 @@
         served(&mut client, &format!("before-{asked}"), 1);
     }
     assert_eq!(served(&mut client, "kept", 20).len(), 20);
-    let answer = call(console, "exclude s-a\n");
+    let answer = send_command(console, "exclude s-a\n");
     // It binds once 1 s has passed, whatever the disk says.
     assert!(
         answer.starts_with("SUCCESS s-a is out; 1 backends serve; not kept yet")
@@ -518,9 +526,9 @@
         "{answer}"
     );
     assert_eq!(opening(proxy.child.id()), 2, "both threads wait");
-    let again = call(console, "exclude s-a\n");
+    let again = send_command(console, "exclude s-a\n");
     assert!(again.starts_with("SUCCESS s-a was already out") && again.contains("not kept yet"), "{again}");
-    assert!(call(console, "readyz\n").starts_with("SUCCESS"));
+    assert!(send_command(console, "readyz\n").starts_with("SUCCESS"));
     assert_eq!(served(&mut client, "banned", 20), "b".repeat(20));
     assert!(!folder.join("haventrack-n7.bans.json").exists(), "the disk has not taken it");
     drop(client);
--- a/crates/proxy-server/tests/proxy/crossings.rs
+++ b/crates/proxy-server/tests/proxy/backend_failures.rs
@@ -1,6 +1,6 @@
 //! Settings that change while connections stand, and backends that break at each point of an exchange.
 
-use crate::rig::*;
+use crate::support::*;
 use std::io::{BufRead, BufReader, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -14,8 +14,8 @@
     let backend = Backend::start(|_| ok("there"));
     let mut proxy = Proxy::start("idle-limit", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let ask = |proxy: &Proxy, id: &str| {
-        assert_eq!(proxy.client().ask(&request("charge", id, "x")).status(), 200);
-        backend.next().connection
+        assert_eq!(proxy.client().exchange(&request("charge", id, "x")).status(), 200);
+        backend.next_request().connection
     };
     let (first, second) = (ask(&proxy, "1"), ask(&proxy, "2"));
     assert_eq!(first, second, "a connection that stands is used again");
@@ -49,7 +49,7 @@
     proxy.reload(&config("stays", &discovery).to_string());
     proxy.wait_for_log("reloaded the configuration");
     proxy.terminate();
-    let log = proxy.rest_of_log();
+    let log = proxy.remaining_log();
     assert!(!log.contains("settings that require a restart were not applied"), "{log}");
 }
 
@@ -95,7 +95,7 @@
 }
 
 fn break_off(stream: &TcpStream, at: At, how: How, told: &Sender<String>) -> Option<()> {
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     match at {
         At::Start => {}
@@ -114,8 +114,8 @@
         }
     }
     match at {
-        At::AnswersHead => write(stream, b"HTTP/1.1 200 O"),
-        At::AnswersBody => write(stream, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
+        At::AnswersHead => write_bytes(stream, b"HTTP/1.1 200 O"),
+        At::AnswersBody => write_bytes(stream, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
         _ => true,
     };
     match how {
@@ -145,10 +145,10 @@
             let body = "y".repeat(if matches!(at, At::InBody) { 60_000 } else { 1 });
             for turn in 0..3 {
                 let id = format!("{turn}");
-                let got = proxy.client().ask(&request("charge", &id, &body));
+                let got = proxy.client().exchange(&request("charge", &id, &body));
                 assert!(matches!(got.status(), 502 | 503), "{at:?} {how:?}: {}", got.status());
                 // What is told comes before the break, and the answer after it.
-                let copies = whole.try_iter().filter(|seen| *seen == id).count();
+                let copies = whole.try_iter().filter(|received| *received == id).count();
                 let most = usize::from(matches!(at, At::Whole | At::AnswersHead | At::AnswersBody));
                 assert!(copies <= most, "{at:?} {how:?}: {copies} backends had it whole");
                 assert!(got.status() == 502 || copies == 0, "{at:?} {how:?}: refused, and may have run");
@@ -172,12 +172,12 @@
             let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
             let Some(request) = read_message(&mut reader) else { return };
             let id = request.header("x-correlation-id").expect("an id").to_owned();
-            write(&stream, &answer("200 OK", "", id.as_bytes()));
+            write_bytes(&stream, &response_bytes("200 OK", "", id.as_bytes()));
             let _ = told.send((number, id.clone()));
             if word.recv().is_err() {
                 return;
             }
-            write(&stream, &answer("200 OK", "", format!("{id} again").as_bytes()));
+            write_bytes(&stream, &response_bytes("200 OK", "", format!("{id} again").as_bytes()));
             let _ = told.send((number, id));
             // The connection stays open; the next one is served beside it.
             std::mem::forget(stream);
@@ -185,11 +185,11 @@
     });
     let proxy = Proxy::start("second-answer", &discovery, &[entry("s-1", address, "active", 0)]);
     for (turn, id) in ["a", "b", "c"].into_iter().enumerate() {
-        assert_eq!(proxy.client().ask(&request("charge", id, "x")).body, id.as_bytes());
-        let seen = connections.recv_timeout(PATIENCE).expect("it came");
-        assert_eq!(seen, (turn, id.to_owned()), "on a connection of its own");
+        assert_eq!(proxy.client().exchange(&request("charge", id, "x")).body, id.as_bytes());
+        let received = connections.recv_timeout(TEST_TIMEOUT).expect("it came");
+        assert_eq!(received, (turn, id.to_owned()), "on a connection of its own");
         go.send(()).expect("the backend waits");
-        connections.recv_timeout(PATIENCE).expect("the second answer is written");
+        connections.recv_timeout(TEST_TIMEOUT).expect("the second answer is written");
     }
 }
 
@@ -202,11 +202,11 @@
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("short-idle", &discovery);
     config["settings"]["permissions"]["connIdleUs"] = 800_000.into();
-    let proxy = Proxy::start_with("short-idle", config);
+    let proxy = Proxy::start_with_config("short-idle", &config);
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     let ask = |id: &str| {
-        assert_eq!(proxy.client().ask(&request("charge", id, "x")).status(), 200);
-        backend.next().connection
+        assert_eq!(proxy.client().exchange(&request("charge", id, "x")).status(), 200);
+        backend.next_request().connection
     };
     let mut used = 0;
     for turn in 0..3 {
@@ -231,11 +231,11 @@
     let word = std::sync::Arc::new(std::sync::Mutex::new(Some(word)));
     let backends = [0, 1].map(|_| {
         let word = std::sync::Arc::clone(&word);
-        Backend::start(move |seen| {
-            let breaks = || Box::new(Reply::WriteAndClose(Vec::new()));
-            match seen.header("x-correlation-id") {
+        Backend::start(move |received| {
+            let breaks = || Box::new(BackendAction::WriteAndClose(Vec::new()));
+            match received.header("x-correlation-id") {
                 Some("before") => match word.lock().expect("a word").take() {
-                    Some(word) => Reply::After(word, breaks()),
+                    Some(word) => BackendAction::WaitThen(word, breaks()),
                     None => ok("again"),
                 },
                 Some("after") => *breaks(),
@@ -244,7 +244,7 @@
         })
     });
     let proxy_config = config("turns-unsafe", &discovery);
-    let mut proxy = Proxy::start_with("turns-unsafe", proxy_config.clone());
+    let mut proxy = Proxy::start_with_config("turns-unsafe", &proxy_config.clone());
     discovery.post(true, &[0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0)));
     let mut before = proxy.client();
     before.send(&request("submit", "before", "x"));
@@ -259,10 +259,11 @@
     assert_eq!(before.receive().body, b"again", "it came under a key");
     // Without a key it fits only what the class is now.
     let after = request("submit", "after", "x").replace("Idempotency-Key: after\r\n", "");
-    assert_eq!(proxy.client().ask(&after).status(), 502, "it may have run");
-    assert_eq!(proxy.client().ask(&request("read", "last", "")).status(), 200);
-    let seen = backends.iter().flat_map(|b| b.seen.try_iter());
-    let ids: Vec<_> = seen.filter_map(|seen| seen.header("x-correlation-id").map(str::to_owned)).collect();
+    assert_eq!(proxy.client().exchange(&after).status(), 502, "it may have run");
+    assert_eq!(proxy.client().exchange(&request("read", "last", "")).status(), 200);
+    let received = backends.iter().flat_map(|b| b.requests.try_iter());
+    let ids: Vec<_> =
+        received.filter_map(|received| received.header("x-correlation-id").map(str::to_owned)).collect();
     let copies = |wanted: &str| ids.iter().filter(|id| *id == wanted).count();
     assert_eq!((copies("before"), copies("after")), (2, 1), "{ids:?}");
 }
@@ -279,20 +280,20 @@
     let word = std::sync::Arc::new(std::sync::Mutex::new(Some(word)));
     let backends = [0, 1].map(|_| {
         let word = std::sync::Arc::clone(&word);
-        Backend::start(move |seen| {
+        Backend::start(move |received| {
             let first = || word.lock().expect("a word").take();
-            match (seen.header("x-correlation-id") == Some("late")).then(first).flatten() {
-                Some(word) => Reply::After(word, Box::new(ok("first"))),
+            match (received.header("x-correlation-id") == Some("late")).then(first).flatten() {
+                Some(word) => BackendAction::WaitThen(word, Box::new(ok("first"))),
                 None => ok("there"),
             }
         })
     });
     let mut config = config("stood-answer", &discovery);
     config["settings"]["classes"][0]["aimUs"] = AIM_US.into();
-    let proxy = Proxy::start_with("stood-answer", config);
+    let proxy = Proxy::start_with_config("stood-answer", &config);
     discovery.post(true, &[0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0)));
     for n in 0..8 {
-        assert_eq!(proxy.client().ask(&request("read", &format!("usual-{n}"), "")).status(), 200);
+        assert_eq!(proxy.client().exchange(&request("read", &format!("usual-{n}"), "")).status(), 200);
     }
     let mut client = proxy.client();
     client.send(&request("read", "late", ""));
@@ -304,6 +305,6 @@
     thread::sleep(STANDS);
     proxy.signal("-CONT");
     assert_eq!(client.receive().body, b"first");
-    let seen = backends.iter().flat_map(|b| b.seen.try_iter());
-    assert_eq!(seen.filter(|seen| seen.header("x-correlation-id") == Some("late")).count(), 1);
+    let received = backends.iter().flat_map(|b| b.requests.try_iter());
+    assert_eq!(received.filter(|received| received.header("x-correlation-id") == Some("late")).count(), 1);
 }
--- a/crates/proxy-server/tests/proxy/leaving.rs
+++ b/crates/proxy-server/tests/proxy/client_disconnects.rs
@@ -1,7 +1,7 @@
 //! Clients that leave while their request waits: it is not sent on.
 
-use crate::rig::*;
-use crate::{UP, fill, full_backend};
+use crate::support::*;
+use crate::{fill, full_backend};
 use socket2::SockRef;
 use std::io::BufReader;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -23,9 +23,9 @@
 
 impl Slow {
     pub fn start() -> Self {
-        let (listener, filler) = full_listener();
+        let (listener, filler) = listener_with_full_queue();
         // Ends a test in which nobody connects any more.
-        SockRef::from(&listener).set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        SockRef::from(&listener).set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         let address = listener.local_addr().expect("an address");
         Self { listener, address, _filler: filler }
     }
@@ -33,40 +33,40 @@
     /// What is sent on a connection that has come, answered; `None` where nothing is.
     fn sent_on(stream: &TcpStream) -> Option<String> {
         stream.set_nonblocking(false).expect("it waits");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         let request = read_message(&mut BufReader::new(stream))?;
-        write(stream, &answer("200 OK", "Connection: close\r\n", b"late"));
+        write_bytes(stream, &response_bytes("200 OK", "Connection: close\r\n", b"late"));
         Some(request.header("x-correlation-id").expect("an id").to_owned())
     }
 
     /// Lets connections come up, and gives the ids of what is sent on them: of all that stand open by then, and of a
     /// client that comes now and stays.
-    fn seen(&self, proxy: &Proxy) -> Vec<String> {
+    fn received(&self, proxy: &Proxy) -> Vec<String> {
         drop(self.listener.accept().expect("the filler"));
-        let mut seen = Vec::new();
+        let mut received = Vec::new();
         self.listener.set_nonblocking(true).expect("it does not wait");
         let emptied = Instant::now();
         // A kernel that found the queue full tries again after a second.
         while emptied.elapsed() < RETRIED {
             settle(proxy);
             if let Ok((stream, _)) = self.listener.accept() {
-                seen.extend(Self::sent_on(&stream));
+                received.extend(Self::sent_on(&stream));
             }
         }
         self.listener.set_nonblocking(false).expect("it waits");
         let mut stays = proxy.client();
         stays.send(&request("read", "stays", ""));
         let (stream, _) = self.listener.accept().expect("a connection");
-        seen.extend(Self::sent_on(&stream));
+        received.extend(Self::sent_on(&stream));
         assert_eq!(stays.receive().body, b"late");
-        seen
+        received
     }
 }
 
 /// Answers on other connections show that the proxy has seen what came before them. One alone may have been found in the
 /// same look at the sockets.
 pub fn settle(proxy: &Proxy) {
-    (0..10).for_each(|_| assert_eq!(proxy.client().ask(UP).status(), 200));
+    (0..10).for_each(|_| assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200));
 }
 
 /// Asks on until a request of a client that left now may not be sent on any more.
@@ -96,7 +96,7 @@
             drop(leaver);
         }
         settle(&proxy);
-        assert_eq!(slow.seen(&proxy), ["stays"], "{class}");
+        assert_eq!(slow.received(&proxy), ["stays"], "{class}");
     }
 }
 
@@ -112,7 +112,7 @@
         settle(&proxy);
         drop(leaver);
         settle(&proxy);
-        assert_eq!(slow.seen(&proxy), ["stays"], "{more:?}");
+        assert_eq!(slow.received(&proxy), ["stays"], "{more:?}");
     }
 }
 
@@ -126,7 +126,7 @@
         let (discovery, slow) = (Discovery::start(), Slow::start());
         let mut config = config(name, &discovery);
         config["limits"]["memory_mb"] = 8.into();
-        let proxy = Proxy::start_with(name, config);
+        let proxy = Proxy::start_with_config(name, &config);
         discovery.post(true, &[entry("s-1", slow.address, "active", 0)]);
         let mut leaver = proxy.client();
         // The kernel holds all of it: where it can't, the close does not arrive and nobody can know of it.
@@ -134,7 +134,7 @@
         settle(&proxy);
         drop(leaver);
         pass_the_bound(&proxy);
-        assert_eq!(slow.seen(&proxy), ["stays"], "{name}");
+        assert_eq!(slow.received(&proxy), ["stays"], "{name}");
     }
 }
 
@@ -150,7 +150,7 @@
         for (turn, connected) in [false, true].into_iter().enumerate() {
             let before = connected.then(|| {
                 let mut client = proxy.client();
-                assert_eq!(client.ask(UP).status(), 200);
+                assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200);
                 client
             });
             proxy.signal("-STOP");
@@ -165,8 +165,12 @@
             proxy.signal("-CONT");
             settle(&proxy);
             let id = format!("stays-{turn}");
-            assert_eq!(proxy.client().ask(&request(class, &id, body)).status(), 200);
-            assert_eq!(backend.next().header("x-correlation-id"), Some(id.as_str()), "{class} {connected}");
+            assert_eq!(proxy.client().exchange(&request(class, &id, body)).status(), 200);
+            assert_eq!(
+                backend.next_request().header("x-correlation-id"),
+                Some(id.as_str()),
+                "{class} {connected}"
+            );
         }
     }
 }
@@ -176,7 +180,7 @@
 #[test]
 fn a_client_that_ends_its_sending_alone_has_a_final_answer_and_is_not_sent_on() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| Reply::Hang);
+    let backend = Backend::start(|_| BackendAction::Hang);
     let proxy = Proxy::start("half-closed", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     // Before it was heard: nothing ran.
     proxy.signal("-STOP");
@@ -185,15 +189,15 @@
     early.stream.shutdown(Shutdown::Write).expect("it ends its sending");
     proxy.signal("-CONT");
     assert_eq!(early.receive().status(), 503);
-    assert!(early.ends_cleanly());
+    assert!(early.is_closed_cleanly());
     // While its request runs: it may have.
     let mut late = proxy.client();
     late.send(&request("charge", "late", "x"));
-    assert_eq!(backend.next().header("x-correlation-id"), Some("late"));
+    assert_eq!(backend.next_request().header("x-correlation-id"), Some("late"));
     late.stream.shutdown(Shutdown::Write).expect("it ends its sending");
     assert_eq!(late.receive().status(), 502);
-    assert!(late.ends_cleanly());
-    assert_eq!(backend.rest(), 0);
+    assert!(late.is_closed_cleanly());
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 /// It left while its attempt runs, and comes again with the same key: the second is a request of its own, and the first
@@ -204,19 +208,19 @@
     let (release, word) = std::sync::mpsc::channel();
     let mut word = Some(word);
     let backend = Backend::start(move |_| match word.take() {
-        Some(word) => Reply::After(word, Box::new(ok("first"))),
+        Some(word) => BackendAction::WaitThen(word, Box::new(ok("first"))),
         None => ok("again"),
     });
     let proxy = Proxy::start("comes-again", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let text = request("submit", "first", "x");
     let mut leaver = proxy.client();
     leaver.send(&text);
-    backend.next();
+    backend.next_request();
     drop(leaver);
     settle(&proxy);
     let again = text.replace("Correlation-Id: first", "Correlation-Id: second");
-    assert_eq!(proxy.client().ask(&again).body, b"again");
-    assert_eq!(backend.next().header("idempotency-key"), Some("first"));
+    assert_eq!(proxy.client().exchange(&again).body, b"again");
+    assert_eq!(backend.next_request().header("idempotency-key"), Some("first"));
     release.send(()).expect("the backend waits");
 }
 
@@ -270,13 +274,16 @@
         let (release, word) = channel();
         let mut word = Some(word);
         let backend = Backend::start(move |_| match word.take() {
-            Some(word) => Reply::After(word, Box::new(Reply::Write(answer("200 OK", "", &vec![b'z'; size])))),
+            Some(word) => BackendAction::WaitThen(
+                word,
+                Box::new(BackendAction::Write(response_bytes("200 OK", "", &vec![b'z'; size]))),
+            ),
             None => ok("there"),
         });
         let proxy = Proxy::start(name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
         let mut leaver = proxy.client();
         leaver.send(&request("charge", "open", "x"));
-        backend.next();
+        backend.next_request();
         (0..3).for_each(|n| leaver.send(&request("charge", &format!("behind-{n}"), &"y".repeat(padding))));
         settle(&proxy);
         if stands {
@@ -288,9 +295,9 @@
         std::thread::sleep(BOUND);
         proxy.signal("-CONT");
         settle(&proxy);
-        assert_eq!(proxy.client().ask(&request("charge", "stays", "x")).status(), 200);
-        assert_eq!(backend.next().header("x-correlation-id"), Some("stays"), "{name}");
-        assert_eq!(backend.rest(), 0, "{name}");
+        assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
+        assert_eq!(backend.next_request().header("x-correlation-id"), Some("stays"), "{name}");
+        assert_eq!(backend.take_request_count(), 0, "{name}");
     }
 }
 
@@ -302,7 +309,7 @@
     let (backend, releases) = full_backend();
     let mut config = config("left-queued", &discovery);
     config["limits"]["sockets"] = 48.into();
-    let proxy = Proxy::start_with("left-queued", config);
+    let proxy = Proxy::start_with_config("left-queued", &config);
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     let mut first = fill(&proxy, &backend);
     // Open requests never make room; those that find none in the backend wait for it.
@@ -327,11 +334,11 @@
     }
     drop(first);
     waiting.into_iter().for_each(|mut client| assert!(matches!(client.receive().status(), 200 | 503)));
-    assert_eq!(proxy.client().ask(&request("charge", "stays", "x")).status(), 200);
+    assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
     let ids: Vec<_> = backend
-        .seen
+        .requests
         .try_iter()
-        .map(|seen| seen.header("x-correlation-id").expect("an id").to_owned())
+        .map(|received| received.header("x-correlation-id").expect("an id").to_owned())
         .collect();
     assert!(ids.iter().all(|id| !id.starts_with("leaver")), "{ids:?}");
 }
--- a/crates/proxy-server/tests/proxy/crowd.rs
+++ b/crates/proxy-server/tests/proxy/descriptor_exhaustion.rs
@@ -1,10 +1,11 @@
 //! Idle clients take every descriptor while discovery is down: others are served, the staff is answered, a replacement gets
 //! ready, and the list comes at discovery's return.
 
-use crate::rig::*;
+use crate::support::*;
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, channel};
@@ -48,7 +49,7 @@
                         silent |= !is_back.load(Ordering::SeqCst) || call.first_line().contains("after=9");
                         if !silent {
                             let text = list.to_string();
-                            write(&stream, &answer("200 OK", "", text.as_bytes()));
+                            write_bytes(&stream, &response_bytes("200 OK", "", text.as_bytes()));
                             let _ = tell.send(());
                         }
                     }
@@ -60,14 +61,14 @@
 
     fn returns(&self) {
         self.back.store(true, Ordering::SeqCst);
-        self.told.recv_timeout(PATIENCE).expect("it is asked, and answers");
+        self.told.recv_timeout(TEST_TIMEOUT).expect("it is asked, and answers");
     }
 }
 
 /// Within its second, as its users are told.
 fn is_ready(console: SocketAddr) -> bool {
     let began = Instant::now();
-    let answer = call(console, "readyz\n");
+    let answer = send_command(console, "readyz\n");
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
     answer.starts_with("SUCCESS")
 }
@@ -76,7 +77,7 @@
 fn wait_until_ready(console: SocketAddr, name: &str) {
     let began = Instant::now();
     while !is_ready(console) {
-        assert!(began.elapsed() < PATIENCE, "{name}: it does not get ready");
+        assert!(began.elapsed() < TEST_TIMEOUT, "{name}: it does not get ready");
         thread::yield_now();
     }
 }
@@ -103,7 +104,7 @@
 /// Who answers new clients, each on a connection of its own.
 fn answers(address: SocketAddr, name: &str) -> Vec<String> {
     let ask = |n| {
-        let got = Client::connect(address).ask(&request("read", &format!("{name}-{n}"), ""));
+        let got = Client::connect(address).exchange(&request("read", &format!("{name}-{n}"), ""));
         match got.status() {
             200 => format!("200 {}", String::from_utf8_lossy(&got.body)),
             // All that is known of a refusal.
@@ -121,14 +122,21 @@
 fn wait_for_new(address: SocketAddr, name: &str) {
     let began = Instant::now();
     for n in 0.. {
-        let got = Client::connect(address).ask(&request("read", &format!("{name}-{n}"), ""));
+        let got = Client::connect(address).exchange(&request("read", &format!("{name}-{n}"), ""));
         if got.body == b"new" {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "still {}", got.head);
+        assert!(began.elapsed() < TEST_TIMEOUT, "still {}", got.head);
     }
 }
 
+fn start_limited(folder: &Path, name: &str, config: &Value) -> (Proxy, SocketAddr) {
+    Launch::new(name, &config.to_string())
+        .in_folder(folder)
+        .with_descriptor_limit(DESCRIPTORS)
+        .start_with_console()
+}
+
 fn one_case(mode: &str, says: &str, refuses: bool, replaced: bool) {
     let name = format!("crowd-{mode}-{}-{refuses}-{replaced}", says.len());
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
@@ -147,8 +155,8 @@
         }
         config
     };
-    let folder = folder(&name);
-    let (mut proxy, console) = Proxy::start_limited_in(&folder, "first", &config(None), DESCRIPTORS);
+    let folder = empty_folder(&name);
+    let (mut proxy, console) = start_limited(&folder, "first", &config(None));
     let address = proxy.address;
     wait_until_ready(console, &name);
     let first = crowd(address, says);
@@ -157,8 +165,7 @@
     assert!(is_ready(console), "{name}");
     let second = crowd(address, says);
     let successor = replaced.then(|| {
-        let (mut successor, console) =
-            Proxy::start_limited_in(&folder, "next", &config(Some(address)), DESCRIPTORS);
+        let (mut successor, console) = start_limited(&folder, "next", &config(Some(address)));
         wait_until_ready(console, &name);
         let third = crowd(address, says);
         proxy.terminate();
@@ -166,7 +173,7 @@
         let got = answers(address, "next");
         if got != all("200 old") {
             successor.terminate();
-            panic!("{name}: {got:?}, and its log is: {}", successor.rest_of_log());
+            panic!("{name}: {got:?}, and its log is: {}", successor.remaining_log());
         }
         (successor, console, third)
     });
--- a/crates/proxy-server/tests/proxy/outage.rs
+++ b/crates/proxy-server/tests/proxy/discovery_outage.rs
@@ -1,6 +1,6 @@
 //! Discovery that is down, silent or too long, and how soon it is heard again. The spans are those of the stand-in's record.
 
-use crate::rig::*;
+use crate::support::*;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::io::{BufReader, Write};
@@ -77,7 +77,7 @@
 struct Service {
     address: SocketAddr,
     shared: Arc<Shared>,
-    seen: Receiver<(Instant, Event)>,
+    received: Receiver<(Instant, Event)>,
 }
 
 /// A socket at a port of its own. A port that was asked for by number stays taken while nobody listens there.
@@ -95,7 +95,7 @@
     panic!("no port");
 }
 
-fn number(call: &Seen, name: &str) -> Option<u64> {
+fn number(call: &HttpMessage, name: &str) -> Option<u64> {
     let (_, rest) = call.first_line().split_once(name)?;
     rest.split(['&', ' ']).next()?.parse().ok()
 }
@@ -115,7 +115,7 @@
             State::Up => {}
             State::SilentWatches if wait.is_none_or(|wait| wait < Duration::from_secs(1)) => {}
             State::Refuses | State::Closed | State::Full => {
-                stream.write_all(&answer("503 Service Unavailable", "", b"")).ok()?;
+                stream.write_all(&response_bytes("503 Service Unavailable", "", b"")).ok()?;
                 told.send((Instant::now(), Event::Failed)).ok()?;
                 continue;
             }
@@ -139,7 +139,7 @@
             _ => list(board.revision, true, &board.members),
         };
         drop(board);
-        stream.write_all(&answer("200 OK", "", &text)).ok()?;
+        stream.write_all(&response_bytes("200 OK", "", &text)).ok()?;
         told.send((Instant::now(), Event::Answered)).ok()?;
     }
 }
@@ -159,7 +159,7 @@
             fillers: Vec::new(),
         });
         let shared = Arc::new(Shared { board, changed: Condvar::new(), queue: Mutex::new(()), socket });
-        let (told, seen) = channel();
+        let (told, received) = channel();
         let served = Arc::clone(&shared);
         thread::spawn(move || {
             loop {
@@ -177,7 +177,7 @@
                 thread::spawn(move || serve(&shared, stream, &told));
             }
         });
-        Self { address, shared, seen }
+        Self { address, shared, received }
     }
 
     /// The state changes. When the service goes down its watches end.
@@ -220,7 +220,7 @@
     }
 
     fn next(&self) -> (Instant, Event) {
-        self.seen.recv_timeout(LONG_PATIENCE).expect("a call")
+        self.received.recv_timeout(LONG_PATIENCE).expect("a call")
     }
 
     fn next_call(&self) -> (Instant, Option<u64>, Option<Duration>) {
@@ -285,7 +285,7 @@
     let members = [entry("s-1", old.address, "active", 0)];
     let service = Service::start(&members);
     let name = format!("outage-{me}-{balancers}-{kind:?}");
-    let proxy = Proxy::start_with(&name, config_of(&name, service.address, me, balancers, &members));
+    let proxy = Proxy::start_with_config(&name, &config_of(&name, service.address, me, balancers, &members));
     service.watched();
     service.turn(kind);
     let down = Instant::now();
@@ -308,8 +308,8 @@
             break at - back;
         }
     };
-    assert_eq!(proxy.client().ask(&request("charge", "1", "x")).body, b"new");
-    assert_eq!(old.rest(), 0);
+    assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"new");
+    assert_eq!(old.take_request_count(), 0);
     span
 }
 
@@ -346,7 +346,8 @@
         let service = Service::start(&members);
         service.turn(State::SilentWatches);
         let name = format!("silent-{me}-{balancers}");
-        let proxy = Proxy::start_with(&name, config_of(&name, service.address, me, balancers, &members));
+        let proxy =
+            Proxy::start_with_config(&name, &config_of(&name, service.address, me, balancers, &members));
         let (began, wait) = service.watched();
         // That one is never answered; others are.
         service.turn(State::Up);
@@ -354,7 +355,7 @@
         let span = service.next_answer() - began;
         println!("{me} of {balancers}, a wait of {wait:?}: {span:?}");
         service.next_call();
-        assert_eq!(proxy.client().ask(&request("charge", "1", "x")).body, b"new");
+        assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"new");
         let most = TOLD.max(wait + AFTER_WAIT);
         if span < most {
             Ok(())
@@ -373,14 +374,14 @@
         let (first, second) =
             (Service::start(&members), Service::start(&[entry("s-2", new.address, "active", 0)]));
         let name = format!("moved-{me}");
-        let proxy = Proxy::start_with(&name, config_of(&name, first.address, me, 100, &members));
+        let proxy = Proxy::start_with_config(&name, &config_of(&name, first.address, me, 100, &members));
         first.watched();
         let told = Instant::now();
         proxy.reload(&config_of(&name, second.address, me, 100, &members).to_string());
         let span = second.next_answer() - told;
         println!("{me} of 100: {span:?}");
         second.next_call();
-        assert_eq!(proxy.client().ask(&request("charge", "1", "x")).body, b"new");
+        assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"new");
         if span < MOVED { Ok(()) } else { Err(format!("{me}: {span:?}")) }
     });
 }
--- a/crates/proxy-server/tests/proxy/oversized.rs
+++ b/crates/proxy-server/tests/proxy/oversized_lists.rs
@@ -1,7 +1,6 @@
 //! A list that is longer than what is read.
 
-use crate::UP;
-use crate::rig::*;
+use crate::support::*;
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -96,7 +95,7 @@
                 let news = after != Some(revision);
                 let members = if news { members } else { Vec::new() };
                 let text = json!({"revision": revision, "complete": news, "members": members}).to_string();
-                stream.write_all(&answer("200 OK", "", text.as_bytes())).ok()?;
+                stream.write_all(&response_bytes("200 OK", "", text.as_bytes())).ok()?;
             }
         }
     }
@@ -124,7 +123,7 @@
         *self.list.lock().expect("a list") = list;
     }
 
-    fn next(&self) -> (Instant, Option<u64>) {
+    fn next_call(&self) -> (Instant, Option<u64>) {
         self.calls.recv_timeout(LONGEST_PATIENCE).expect("a call")
     }
 }
@@ -142,7 +141,7 @@
 
 /// Whether each of two calls in a row for such a list is followed by a pause, and nothing much is written for them.
 fn is_asked_seldom(long: &Long, first: Instant) {
-    let (second, _) = long.next();
+    let (second, _) = long.next_call();
     assert!(second - first >= FIRST_PAUSE, "asked again after {:?}", second - first);
     let written = long.written.load(Ordering::SeqCst);
     assert!(written <= 2 * ON_ITS_WAY, "{written} bytes for two calls");
@@ -150,7 +149,7 @@
 
 fn says_it_once(proxy: &mut Proxy, form: Form) {
     proxy.terminate();
-    let log = proxy.rest_of_log();
+    let log = proxy.remaining_log();
     let lines: Vec<_> = log.lines().filter(|line| line.contains("the list is too long")).collect();
     assert_eq!(lines.len(), 1, "{log}");
     let size = match form {
@@ -184,14 +183,14 @@
         let backend = Backend::start(|_| ok("there"));
         let long = Long::start(form, List::TooLong);
         let name = format!("long-{form:?}-{asked}");
-        let mut proxy = Proxy::start_with(&name, config_of(&name, long.address, asked, &[]));
-        let (first, _) = long.next();
-        assert_eq!(proxy.client().ask(UP).status(), 503, "no list, and none is known");
+        let mut proxy = Proxy::start_with_config(&name, &config_of(&name, long.address, asked, &[]));
+        let (first, _) = long.next_call();
+        assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 503, "no list, and none is known");
         is_asked_seldom(&long, first);
         long.becomes(List::Of(9, vec![entry("s-1", backend.address, "active", 0)]));
-        while long.next().1 != Some(9) {}
-        assert_eq!(proxy.client().ask(UP).status(), 200);
-        assert_eq!(proxy.client().ask(&request("charge", "1", "x")).body, b"there");
+        while long.next_call().1 != Some(9) {}
+        assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
+        assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"there");
         says_it_once(&mut proxy, form);
     });
 }
@@ -203,11 +202,11 @@
         let long = Long::start(form, List::TooLong);
         let name = format!("known-{form:?}-{asked}");
         let known = [entry("s-1", backend.address, "active", 0)];
-        let mut proxy = Proxy::start_with(&name, config_of(&name, long.address, asked, &known));
-        let (first, _) = long.next();
+        let mut proxy = Proxy::start_with_config(&name, &config_of(&name, long.address, asked, &known));
+        let (first, _) = long.next_call();
         is_asked_seldom(&long, first);
-        assert_eq!(proxy.client().ask(UP).status(), 200);
-        assert_eq!(proxy.client().ask(&request("charge", "1", "x")).body, b"there");
+        assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
+        assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"there");
         says_it_once(&mut proxy, form);
     });
 }
@@ -219,16 +218,16 @@
         let held = List::Of(5, vec![entry("s-1", old.address, "active", 0)]);
         let long = Long::start(form, held);
         let name = format!("grown-{form:?}-{asked}");
-        let mut proxy = Proxy::start_with(&name, config_of(&name, long.address, asked, &[]));
-        while long.next().1 != Some(5) {}
+        let mut proxy = Proxy::start_with_config(&name, &config_of(&name, long.address, asked, &[]));
+        while long.next_call().1 != Some(5) {}
         long.becomes(List::TooLong);
-        let (first, _) = long.next();
+        let (first, _) = long.next_call();
         is_asked_seldom(&long, first);
-        assert_eq!(proxy.client().ask(UP).status(), 200);
-        assert_eq!(proxy.client().ask(&request("charge", "1", "x")).body, b"old");
+        assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
+        assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"old");
         long.becomes(List::Of(6, vec![entry("s-2", new.address, "active", 0)]));
-        while long.next().1 != Some(6) {}
-        assert_eq!(proxy.client().ask(&request("charge", "2", "x")).body, b"new");
+        while long.next_call().1 != Some(6) {}
+        assert_eq!(proxy.client().exchange(&request("charge", "2", "x")).body, b"new");
         says_it_once(&mut proxy, form);
     });
 }
--- a/crates/proxy-server/tests/proxy/further.rs
+++ b/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
@@ -1,13 +1,13 @@
 //! Clients that leave after their request was tried, or while it is held: no attempt begins for them any more.
 
-use crate::leaving::{BOUND, RETRIED, Slow, settle};
-use crate::rig::*;
+use crate::client_disconnects::{BOUND, RETRIED, Slow, settle};
+use crate::support::*;
 use crate::{fill, full_backend};
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Why a further attempt would follow the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,43 +63,48 @@
     let word = Arc::new(Mutex::new(Some(word)));
     let backends = [0, 1].map(|_| {
         let word = Arc::clone(&word);
-        Backend::start(move |seen| {
+        Backend::start(move |received| {
             let first = || word.lock().expect("a word").take();
-            let Some(word) = (seen.header("x-correlation-id") == Some("leaver")).then(first).flatten() else {
+            let Some(word) = (received.header("x-correlation-id") == Some("leaver")).then(first).flatten()
+            else {
                 return ok("there");
             };
             let fails = match failing {
-                Failing::Error => Reply::Write(answer("500 Internal Server Error", "", b"")),
-                Failing::Reset => Reply::WriteAndClose(Vec::new()),
-                Failing::TurnedAway => {
-                    Reply::Write(answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""))
-                }
-                Failing::Late => return Reply::Hang,
+                Failing::Error => BackendAction::Write(response_bytes("500 Internal Server Error", "", b"")),
+                Failing::Reset => BackendAction::WriteAndClose(Vec::new()),
+                Failing::TurnedAway => BackendAction::Write(response_bytes(
+                    "503 Service Unavailable",
+                    "X-Unprocessed: 1\r\n",
+                    b"",
+                )),
+                Failing::Late => return BackendAction::Hang,
             };
-            Reply::After(word, Box::new(fails))
+            BackendAction::WaitThen(word, Box::new(fails))
         })
     });
     let discovery = Discovery::start();
     let mut config = config(name, &discovery);
     config["settings"]["classes"][0]["aimUs"] = AIM_US.into();
-    let proxy = Proxy::start_with(name, config);
+    let proxy = Proxy::start_with_config(name, &config);
     let members = [0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0));
     discovery.post(true, &members);
     let ids = || {
-        let seen = backends.iter().flat_map(|b| b.seen.try_iter());
-        seen.filter_map(|seen| seen.header("x-correlation-id").map(str::to_owned)).collect::<Vec<_>>()
+        let received = backends.iter().flat_map(|b| b.requests.try_iter());
+        received
+            .filter_map(|received| received.header("x-correlation-id").map(str::to_owned))
+            .collect::<Vec<_>>()
     };
     // What is usual is known, and a connection to each backend may be used again.
     for n in 0..8 {
-        assert_eq!(proxy.client().ask(&request("read", &format!("usual-{n}"), "")).status(), 200);
+        assert_eq!(proxy.client().exchange(&request("read", &format!("usual-{n}"), "")).status(), 200);
     }
     ids();
     let slow = (then == Then::LeavesASlowOne).then(|| Tenth::of(&proxy));
     let mut leaver = proxy.client();
     leaver.send(&request("read", "leaver", ""));
-    let mut seen = Vec::new();
-    while seen.is_empty() {
-        seen = ids();
+    let mut received = Vec::new();
+    while received.is_empty() {
+        received = ids();
     }
     let fails = || {
         // A backend whose request was given up does not hear it.
@@ -136,10 +141,10 @@
     settle(&proxy);
     drop(slow);
     proxy.signal("-CONT");
-    assert_eq!(proxy.client().ask(&request("read", "stays", "")).status(), 200);
-    seen.extend(ids());
+    assert_eq!(proxy.client().exchange(&request("read", "stays", "")).status(), 200);
+    received.extend(ids());
     drop(stays);
-    seen.iter().filter(|id| *id == "leaver").count()
+    received.iter().filter(|id| *id == "leaver").count()
 }
 
 /// No further attempt follows once the client has left, whatever became of the first one and however late the process
@@ -210,9 +215,11 @@
             }
         }
         settle(&proxy);
-        assert_eq!(proxy.client().ask(&request("charge", "stays", "x")).status(), 200);
-        let ids =
-            backend.seen.try_iter().map(|seen| seen.header("x-correlation-id").expect("an id").to_owned());
+        assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
+        let ids = backend
+            .requests
+            .try_iter()
+            .map(|received| received.header("x-correlation-id").expect("an id").to_owned());
         let wanted: &[&str] = if then == Then::Stays { &["leaver", "stays"] } else { &["stays"] };
         assert_eq!(ids.collect::<Vec<_>>(), wanted, "{then:?}");
     }
@@ -234,12 +241,12 @@
                     while !head.ends_with("\r\n\r\n") {
                         reader.read_line(&mut head).ok().filter(|&read| read > 0)?;
                     }
-                    let head = Seen { head, body: Vec::new(), connection: 0, at: Instant::now() };
+                    let head = HttpMessage::from_head(head);
                     tell.send(head.header("x-correlation-id")?.to_owned()).ok()?;
                     let length = head.header("content-length")?.parse().ok()?;
                     reader.read_exact(&mut vec![0; length]).ok()?;
-                    let _ = word.lock().ok()?.recv_timeout(PATIENCE);
-                    write(&stream, &answer("200 OK", "", b"there"));
+                    let _ = word.lock().ok()?.recv_timeout(TEST_TIMEOUT);
+                    write_bytes(&stream, &response_bytes("200 OK", "", b"there"));
                 }
             });
         }
@@ -261,12 +268,12 @@
             let name = format!("{name}-{turn}");
             let mut config = config(&name, &discovery);
             config["limits"]["memory_mb"] = 8.into();
-            let proxy = Proxy::start_with(&name, config);
+            let proxy = Proxy::start_with_config(&name, &config);
             discovery.post(true, &[entry("s-1", address, "active", 0)]);
             let mut first = [0, 1].map(|n| {
                 let mut client = proxy.client();
                 client.send(&request("charge", &format!("fill-{n}"), "x"));
-                heads.recv_timeout(PATIENCE).expect("it has room");
+                heads.recv_timeout(TEST_TIMEOUT).expect("it has room");
                 client
             });
             let mut leaver = proxy.client();
@@ -277,7 +284,7 @@
             std::thread::sleep(BOUND);
             drop(release);
             first.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
-            assert_eq!(proxy.client().ask(&request("charge", "stays", "x")).status(), 200);
+            assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
             let ids: Vec<_> = heads.try_iter().collect();
             if ids != ["stays"] {
                 broken.push((name, ids));
@@ -310,8 +317,8 @@
         std::thread::sleep(BOUND);
         proxy.signal("-CONT");
         first.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
-        assert_eq!(proxy.client().ask(&request("charge", "stays", "x")).status(), 200);
-        assert_eq!(backend.next().header("x-correlation-id"), Some("stays"), "{leaves_first}");
-        assert_eq!(backend.rest(), 0, "{leaves_first}");
+        assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
+        assert_eq!(backend.next_request().header("x-correlation-id"), Some("stays"), "{leaves_first}");
+        assert_eq!(backend.take_request_count(), 0, "{leaves_first}");
     }
 }
--- a/crates/proxy-server/tests/proxy/ending.rs
+++ b/crates/proxy-server/tests/proxy/shutdown.rs
@@ -1,7 +1,6 @@
 //! The end of a process: what it took, what still comes, and signals that cross.
 
-use crate::UP;
-use crate::rig::*;
+use crate::support::*;
 use std::io::{ErrorKind, Read};
 use std::sync::mpsc::channel;
 use std::thread::sleep;
@@ -16,27 +15,27 @@
     let discovery = Discovery::start();
     let (release, word) = channel();
     let mut word = Some(word);
-    let one = Backend::start(move |seen| match seen.header("x-correlation-id") {
-        Some("1") => Reply::After(word.take().expect("asked once"), Box::new(ok("taken before"))),
+    let one = Backend::start(move |received| match received.header("x-correlation-id") {
+        Some("1") => BackendAction::WaitThen(word.take().expect("asked once"), Box::new(ok("taken before"))),
         _ => ok("still comes"),
     });
     let members = [entry("s-1", one.address, "active", 0)];
     let mut proxy = Proxy::start("sigterm", &discovery, &members);
     let (mut idle, mut before) = (proxy.client(), proxy.client());
-    assert_eq!(idle.ask(UP).status(), 200);
+    assert_eq!(idle.exchange(HEALTH_REQUEST).status(), 200);
     before.send(&request("read", "1", ""));
-    one.next();
+    one.next_request();
     proxy.terminate();
     // Once /up says so, the signal has arrived; connections are still accepted.
-    while proxy.client().ask(UP).status() == 200 {}
-    let late = proxy.client().ask(UP);
+    while proxy.client().exchange(HEALTH_REQUEST).status() == 200 {}
+    let late = proxy.client().exchange(HEALTH_REQUEST);
     assert_eq!(late.header("connection"), Some("close"));
-    assert!(idle.ends_cleanly(), "an idle connection is closed, not reset");
+    assert!(idle.is_closed_cleanly(), "an idle connection is closed, not reset");
     release.send(()).expect("the backend waits");
     let got = before.receive();
     assert_eq!((got.status(), got.body.as_slice()), (200, b"taken before".as_slice()));
     assert_eq!(got.header("connection"), Some("close"));
-    assert!(before.ends_cleanly());
+    assert!(before.is_closed_cleanly());
     drop((idle, before));
     assert_eq!(proxy.wait().code(), Some(0));
 }
@@ -47,34 +46,25 @@
     // An address of its own: no other test can be given the port in between.
     let mut first = config("first-life", &discovery);
     first["listen"] = "127.77.0.1:0".into();
-    let mut proxy = Proxy::start_with("first-life", first);
+    let mut proxy = Proxy::start_with_config("first-life", &first);
     let address = proxy.address;
     let mut client = proxy.client();
-    assert_eq!(client.ask(UP).status(), 503);
+    assert_eq!(client.exchange(HEALTH_REQUEST).status(), 503);
     proxy.terminate();
     // The proxy closes first, so the kernel keeps its side of the connection for a while.
-    assert!(client.ends_cleanly());
+    assert!(client.is_closed_cleanly());
     drop(client);
     assert_eq!(proxy.wait().code(), Some(0));
     let mut config = config("second-life", &discovery);
     config["listen"] = address.to_string().into();
-    let again = Proxy::start_with("second-life", config);
+    let again = Proxy::start_with_config("second-life", &config);
     assert_eq!(again.address, address);
-    assert_eq!(again.client().ask(UP).status(), 503);
-}
-
-fn with_deadline(name: &str, discovery: &Discovery, millis: u64) -> serde_json::Value {
-    let mut config = config(name, discovery);
-    for class in config["settings"]["classes"].as_array_mut().expect("classes") {
-        class["aimUs"] = (millis * 500).into();
-        class["deadlineUs"] = (millis * 1_000).into();
-    }
-    config
+    assert_eq!(again.client().exchange(HEALTH_REQUEST).status(), 503);
 }
 
 /// Its final answer, whatever it is; the reason where there is none.
 fn final_answer(client: &mut Client) -> Result<u16, &'static str> {
-    read_message(&mut client.reader).map(|seen| seen.status()).ok_or("no whole answer")
+    read_message(&mut client.reader).map(|received| received.status()).ok_or("no whole answer")
 }
 
 /// Backends hang, and requests come at thirteen moments from the signal on, on new connections and on kept ones. Whoever
@@ -83,12 +73,12 @@
 fn whatever_comes_while_it_ends_has_its_answer_before_it_would_be_killed() {
     for (millis, killed) in [(500, Duration::from_millis(1_200)), (1_000, Duration::from_millis(1_700))] {
         let discovery = Discovery::start();
-        let backend = Backend::start(|_| Reply::Hang);
+        let backend = Backend::start(|_| BackendAction::Hang);
         let name = format!("late-{millis}");
-        let mut proxy = Proxy::start_with(&name, with_deadline(&name, &discovery, millis));
+        let mut proxy = Proxy::start_with_config(&name, &config_with_deadline(&name, &discovery, millis));
         discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
         let mut clients: Vec<_> = (0..5).map(|_| proxy.client()).collect();
-        clients.iter_mut().for_each(|kept| assert_eq!(kept.ask(UP).status(), 200));
+        clients.iter_mut().for_each(|kept| assert_eq!(kept.exchange(HEALTH_REQUEST).status(), 200));
         let began = Instant::now();
         proxy.terminate();
         let kept = clients.len();
@@ -120,11 +110,11 @@
 #[test]
 fn a_longer_deadline_than_the_platform_waits_for_ends_with_an_answer_all_the_same() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| Reply::Hang);
+    let backend = Backend::start(|_| BackendAction::Hang);
     let mut proxy = Proxy::start("long", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    backend.next();
+    backend.next_request();
     let began = Instant::now();
     proxy.terminate();
     assert_eq!(final_answer(&mut client), Ok(502));
@@ -141,22 +131,22 @@
     let (release, word) = channel();
     let mut word = Some(word);
     let backend = Backend::start(move |_| match word.take() {
-        Some(word) => Reply::After(word, Box::new(ok("held"))),
+        Some(word) => BackendAction::WaitThen(word, Box::new(ok("held"))),
         None => ok("late"),
     });
     let mut proxy = Proxy::start("first-word", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let (mut idle, mut held) = (proxy.client(), proxy.client());
-    assert_eq!(idle.ask(UP).status(), 200);
+    assert_eq!(idle.exchange(HEALTH_REQUEST).status(), 200);
     held.send(&request("charge", "held", "x"));
-    backend.next();
+    backend.next_request();
     proxy.terminate();
-    assert!(idle.ends_cleanly(), "idle connections close now");
+    assert!(idle.is_closed_cleanly(), "idle connections close now");
     let mut late = proxy.client();
     late.stream.set_read_timeout(Some(Duration::from_millis(150))).expect("a time-out");
     let silence = late.reader.read(&mut [0]).expect_err("it is not closed before it has asked");
     assert!(matches!(silence.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{silence}");
-    late.stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    assert_eq!(late.ask(&request("read", "late", "")).body, b"late");
+    late.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+    assert_eq!(late.exchange(&request("read", "late", "")).body, b"late");
     release.send(()).expect("the backend waits");
     assert_eq!(held.receive().body, b"held");
     drop((idle, held, late));
@@ -169,11 +159,11 @@
 fn what_stands_in_the_listeners_queue_is_taken_before_the_exit() {
     for turn in 0..5 {
         let discovery = Discovery::start();
-        let backend = Backend::start(|_| Reply::Hang);
+        let backend = Backend::start(|_| BackendAction::Hang);
         let name = format!("queue-{turn}");
-        let mut config = with_deadline(&name, &discovery, 500);
+        let mut config = config_with_deadline(&name, &discovery, 500);
         config["limits"]["sockets"] = 48.into();
-        let mut proxy = Proxy::start_with(&name, config);
+        let mut proxy = Proxy::start_with_config(&name, &config);
         discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
         let clients = (0..90).map(|id| {
             let mut client = proxy.client();
@@ -200,13 +190,14 @@
             let discovery = Discovery::start();
             let (release, word) = channel();
             let mut word = Some(word);
-            let backend =
-                Backend::start(move |_| Reply::After(word.take().expect("once"), Box::new(ok("held"))));
+            let backend = Backend::start(move |_| {
+                BackendAction::WaitThen(word.take().expect("once"), Box::new(ok("held")))
+            });
             let name = format!("signals-{turn}-{together}");
             let mut proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
             let mut held = proxy.client();
             held.send(&request("charge", "held", "x"));
-            backend.next();
+            backend.next_request();
             if together {
                 proxy.signal("-STOP");
             }
@@ -218,7 +209,7 @@
                 proxy.wait_for_log("reloaded the configuration");
                 proxy.terminate();
             }
-            while proxy.client().ask(UP).status() == 200 {}
+            while proxy.client().exchange(HEALTH_REQUEST).status() == 200 {}
             release.send(()).expect("the backend waits");
             assert_eq!(held.receive().body, b"held", "{signals:?}");
             drop(held);
@@ -230,7 +221,7 @@
 #[test]
 fn told_to_end_before_its_first_list_it_answers_and_ends() {
     let discovery = Discovery::start();
-    let mut proxy = Proxy::start_bare("no-list", &discovery);
+    let mut proxy = Proxy::start_without_list("no-list", &discovery);
     let mut client = proxy.client();
     client.send(&request("read", "1", "").replace("15000", "2000"));
     proxy.terminate();
@@ -246,7 +237,7 @@
     let backend = Backend::start(|_| ok("read"));
     let proxy = Proxy::start("stood", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut clients: Vec<_> = (0..20).map(|_| proxy.client()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.ask(UP).status(), 200));
+    clients.iter_mut().for_each(|client| assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200));
     proxy.signal("-STOP");
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&request("read", &id.to_string(), ""));
--- /dev/null
+++ b/crates/proxy-server/tests/support/discovery.rs
@@ -0,0 +1,106 @@
+//! A scripted discovery service.
+
+use super::TEST_TIMEOUT;
+use super::http_message::{read_message, response_bytes};
+use serde_json::{Value, json};
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread;
+use std::time::Duration;
+
+struct PostedList {
+    revision: u64,
+    list: Option<Value>,
+}
+
+/// Serves the backend list that the test posts, and records the revision that each call knows.
+pub struct Discovery {
+    pub address: SocketAddr,
+    posted: Arc<(Mutex<PostedList>, Condvar)>,
+    calls: Receiver<Option<u64>>,
+}
+
+fn serve_watches(
+    stream: TcpStream,
+    posted: &(Mutex<PostedList>, Condvar),
+    calls: &Sender<Option<u64>>,
+) -> Option<()> {
+    let mut reader = BufReader::new(stream.try_clone().ok()?);
+    let mut stream = stream;
+    loop {
+        let request = read_message(&mut reader)?;
+        let parameter = |name: &str| {
+            let (_, rest) = request.first_line().split_once(name)?;
+            let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
+            Some(digits.parse::<u64>().expect("a number"))
+        };
+        let (after, wait) = (parameter("after="), parameter("wait_ms="));
+        calls.send(after).ok()?;
+        // A watch is answered when its wait is over, with an empty change where nothing has changed.
+        let wait = wait.map_or(TEST_TIMEOUT, Duration::from_millis);
+        let (lock, changed) = posted;
+        let posted = lock.lock().expect("the list");
+        let is_known = |posted: &mut PostedList| posted.list.is_none() || after == Some(posted.revision);
+        let (posted, _) = changed.wait_timeout_while(posted, wait, is_known).expect("the list");
+        let list = match &posted.list {
+            _ if after == Some(posted.revision) => {
+                json!({"revision": after, "complete": false, "members": []})
+            }
+            Some(list) => list.clone(),
+            None => return None,
+        };
+        drop(posted);
+        let list = list.to_string();
+        stream.write_all(&response_bytes("200 OK", "", list.as_bytes())).ok()?;
+    }
+}
+
+impl Discovery {
+    /// A service that leaves every call unanswered until a list is posted.
+    pub fn start() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let posted = Arc::new((Mutex::new(PostedList { revision: 0, list: None }), Condvar::new()));
+        let (sender, calls) = channel();
+        let shared = Arc::clone(&posted);
+        thread::spawn(move || {
+            for stream in listener.incoming() {
+                let (Ok(stream), posted, sender) = (stream, Arc::clone(&shared), sender.clone()) else {
+                    return;
+                };
+                thread::spawn(move || serve_watches(stream, &posted, &sender));
+            }
+        });
+        Self { address, posted, calls }
+    }
+
+    /// The revision that the next call knows.
+    pub fn next_call(&self) -> Option<u64> {
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call")
+    }
+
+    /// The number of calls since the last one that the test took; takes them.
+    pub fn take_call_count(&self) -> usize {
+        self.calls.try_iter().count()
+    }
+
+    /// Posts a list without waiting for the proxy; returns its revision.
+    pub fn post_without_waiting(&self, complete: bool, members: &[Value]) -> u64 {
+        let (lock, changed) = &*self.posted;
+        let mut posted = lock.lock().expect("the list");
+        posted.revision += 1;
+        let revision = posted.revision;
+        posted.list = Some(json!({"revision": revision, "complete": complete, "members": members}));
+        drop(posted);
+        changed.notify_all();
+        revision
+    }
+
+    /// Posts a list and waits until the proxy has applied it: its next watch is for later revisions.
+    pub fn post(&self, complete: bool, members: &[Value]) {
+        let revision = self.post_without_waiting(complete, members);
+        while self.calls.recv_timeout(TEST_TIMEOUT).expect("another watch") != Some(revision) {}
+    }
+}
--- /dev/null
+++ b/crates/proxy-server/tests/support/mod.rs
@@ -0,0 +1,22 @@
+//! Test harness: the proxy executable with scripted backends, discovery and clients on loopback sockets. Nothing here waits
+//! for a fixed time: tests wait for events, and time-outs only end a test that has failed.
+#![allow(dead_code, unused_imports, reason = "each test target uses a part of it")]
+
+mod backend;
+mod client;
+mod configuration;
+mod discovery;
+mod http_message;
+mod proxy;
+
+pub use backend::{Backend, BackendAction, listener_with_full_queue, ok};
+pub use client::{Client, HEALTH_REQUEST, request};
+pub use configuration::{config, config_with_console, config_with_deadline, entry, settings};
+pub use discovery::Discovery;
+pub use http_message::{HttpMessage, read_message, response_bytes, write_bytes};
+pub use proxy::{Launch, Proxy, empty_folder, send_command, spawn_proxy, spawn_with_external_processor};
+
+use std::time::Duration;
+
+/// Ends a test that waits for an event that does not come.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
