--- a/crates/proxy-server/tests/bodies/main.rs
+++ b/crates/proxy-server/tests/bodies/main.rs
@@ -213,8 +213,8 @@
 fn large_response_is_streamed() {
     for framing in ["Content-Length: 300000\r\n", "Transfer-Encoding: chunked\r\n", "Connection: close\r\n"] {
         let discovery = Discovery::start();
-        let (go_on, word) = channel::<()>();
-        let word = std::sync::Arc::new(std::sync::Mutex::new(word));
+        let (go_on, released) = channel::<()>();
+        let released = std::sync::Arc::new(std::sync::Mutex::new(released));
         let backend = by_hand(move |_, stream| {
             let piece = |stream: &mut TcpStream, bytes: &[u8]| {
                 let bytes = if framing.starts_with('T') {
@@ -232,7 +232,8 @@
                 .write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n").as_bytes())
                 .expect("the proxy reads");
             piece(stream, &body[..100_000]);
-            word.lock()
+            released
+                .lock()
                 .expect("the word")
                 .recv_timeout(TEST_TIMEOUT)
                 .expect("the client has the first bytes");
@@ -308,7 +309,7 @@
     let readers: Vec<_> = (0..READERS)
         .map(|id| {
             let (begun, address) = (begun.clone(), proxy.address);
-            let (go_on, word) = channel::<()>();
+            let (go_on, released) = channel::<()>();
             let reader = thread::spawn(move || {
                 // The module may have no room for all of them at once: refused ones come again.
                 loop {
@@ -318,7 +319,7 @@
                     client.reader.read_exact(&mut first).expect("a status");
                     if &first == b"HTTP/1.1 200" {
                         begun.send(()).expect("the test waits");
-                        let _ = word.recv_timeout(TEST_TIMEOUT);
+                        let _ = released.recv_timeout(TEST_TIMEOUT);
                         let mut read = 0;
                         let mut piece = vec![0; 64 * 1024];
                         while read < SIZE {
--- a/crates/proxy-server/tests/operations/console.rs
+++ b/crates/proxy-server/tests/operations/console.rs
@@ -17,10 +17,10 @@
     discovery.post(true, &list(&a, &b));
     assert!(send_command(console, "readyz\n").starts_with("SUCCESS"));
     // A request that is open keeps the process from ending.
-    let (word, wait) = std::sync::mpsc::channel();
-    let mut wait = Some(wait);
-    let slow = Backend::start(move |_| match wait.take() {
-        Some(wait) => BackendAction::WaitThen(wait, Box::new(ok("slow"))),
+    let (release, released) = std::sync::mpsc::channel();
+    let mut released = Some(released);
+    let slow = Backend::start(move |_| match released.take() {
+        Some(released) => BackendAction::WaitThen(released, Box::new(ok("slow"))),
         None => ok("quick"),
     });
     discovery.post(true, &[entry("s-c", slow.address, "active", 0)]);
@@ -29,7 +29,7 @@
     slow.next_request();
     proxy.terminate();
     wait_for_response(console, "readyz\n", "FAILURE this process was told to end");
-    word.send(()).expect("the backend waits");
+    release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"slow");
     drop(client);
     assert!(proxy.wait().success());
--- a/crates/proxy-server/tests/operations/reload.rs
+++ b/crates/proxy-server/tests/operations/reload.rs
@@ -33,12 +33,14 @@
 fn reload_changes_classes_and_open_requests_keep_theirs() {
     let discovery = Discovery::start();
     // The first request of all is broken off when the test says so; what comes later is served.
-    let (word, wait) = std::sync::mpsc::channel::<()>();
-    let wait = Arc::new(std::sync::Mutex::new(Some(wait)));
+    let (release, released) = std::sync::mpsc::channel::<()>();
+    let released = Arc::new(std::sync::Mutex::new(Some(released)));
     let start = || {
-        let wait = Arc::clone(&wait);
-        Backend::start(move |_| match wait.lock().expect("the word").take() {
-            Some(wait) => BackendAction::WaitThen(wait, Box::new(BackendAction::WriteAndClose(Vec::new()))),
+        let released = Arc::clone(&released);
+        Backend::start(move |_| match released.lock().expect("the word").take() {
+            Some(released) => {
+                BackendAction::WaitThen(released, Box::new(BackendAction::WriteAndClose(Vec::new())))
+            }
             None => ok("later"),
         })
     };
@@ -48,14 +50,14 @@
     discovery.post(true, &list(&a, &b));
     let mut open = proxy.client();
     open.send(&asked("read", "open", "GET", false));
-    while wait.lock().expect("the word").is_some() {
+    while released.lock().expect("the word").is_some() {
         thread::yield_now();
     }
     // Only one attempt from now on; "lift" becomes unsafe, "view" is new, "read" goes.
     let second = with_settings(&discovery, &[("lift", "fragile"), ("view", "retryable")], 1);
     proxy.reload(&second.to_string());
     proxy.wait_for_log("settings in force: classes lift view; 1 attempts");
-    word.send(()).expect("the backend waits");
+    release.send(()).expect("the backend waits");
     let got = open.receive();
     assert!(got.status() == 200 && got.body == b"later", "it came under four attempts: {}", got.head);
     let mut client = proxy.client();
--- a/crates/proxy-server/tests/operations/replacement.rs
+++ b/crates/proxy-server/tests/operations/replacement.rs
@@ -125,10 +125,10 @@
     while !file.exists() {
         thread::yield_now();
     }
-    let successor = |name: &str, words: &str| {
+    let successor = |name: &str, receivers: &str| {
         let config = config_with_console(&discovery, Some(old.address));
         let (mut new, _) = Proxy::start_with_console(&folder, name, &config);
-        new.wait_for_log(words)
+        new.wait_for_log(receivers)
     };
     successor("reads", "restored learned limits from the snapshot");
     // One of another proxy has another name, and this one can't be read at all.
@@ -142,10 +142,10 @@
 #[test]
 fn open_requests_finish_once_in_the_old_process() {
     let discovery = Discovery::start();
-    let (word, wait) = std::sync::mpsc::channel::<()>();
-    let mut wait = Some(wait);
-    let backend = Backend::start(move |_| match wait.take() {
-        Some(wait) => BackendAction::WaitThen(wait, Box::new(ok("first"))),
+    let (release, released) = std::sync::mpsc::channel::<()>();
+    let mut released = Some(released);
+    let backend = Backend::start(move |_| match released.take() {
+        Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
         None => ok("later"),
     });
     let folder = empty_folder("open");
@@ -163,7 +163,7 @@
     wait_for_response(console, "readyz\n", "FAILURE");
     // What comes now is the new one's.
     assert_eq!(new.client().exchange(&request("read", "other", "")).body, b"later");
-    word.send(()).expect("the backend waits");
+    release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"first");
     assert!(old.wait().success());
     assert_eq!(backend.next_request().header("x-correlation-id"), Some("other"));
--- a/crates/proxy-server/tests/proxy/discovery.rs
+++ b/crates/proxy-server/tests/proxy/discovery.rs
@@ -1,4 +1,4 @@
-//! Changes in discovery's list, and where discovery is.
+//! Changes of discovery's list and of its address.
 
 use crate::support::*;
 use std::io::Read;
@@ -26,7 +26,7 @@
 fn opens_a_new_connection_to_a_restarted_backend() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    // Whenever a start is told to have been, it is as young as its news: here backends are warm at once.
+    // A start counts from when it is reported, so slow start is disabled here.
     let mut config = config("restarted", &discovery);
     config["settings"]["safety"]["coldUs"] = 1.into();
     let proxy = Proxy::start_with_config("restarted", &config);
@@ -35,21 +35,21 @@
     assert_eq!(client.exchange(&request("charge", "1", "x")).status(), 200);
     assert_eq!(client.exchange(&request("charge", "2", "x")).status(), 200);
     let (first, second) = (backend.next_request().connection, backend.next_request().connection);
-    assert_eq!(first, second, "a connection is used again");
+    assert_eq!(first, second, "the connection is reused");
     discovery.post(false, &[entry("s-1", backend.address, "active", 2_000)]);
     assert_eq!(client.exchange(&request("charge", "3", "x")).status(), 200);
     assert_ne!(backend.next_request().connection, second);
 }
 
-/// A connection that was in use while its backend left belongs to a process that is gone.
+/// A connection that was in use while its backend was removed belongs to a process that has ended.
 #[test]
 fn never_reuses_connections_of_a_removed_backend() {
     for complete in [false, true] {
         let discovery = Discovery::start();
-        let (release, word) = channel();
-        let mut word = Some(word);
-        let backend = Backend::start(move |_| match word.take() {
-            Some(word) => BackendAction::WaitThen(word, Box::new(ok("of the old one"))),
+        let (release, released) = channel();
+        let mut released = Some(released);
+        let backend = Backend::start(move |_| match released.take() {
+            Some(released) => BackendAction::WaitThen(released, Box::new(ok("of the old one"))),
             None => ok("of the new one"),
         });
         let here = |id: &str| entry(id, backend.address, "active", 0);
@@ -119,8 +119,8 @@
     }
 }
 
-/// A bank so large that all of its watches can't be answered at once: whoever comes back serves from what it knew and
-/// asks for changes at its turn, and a proxy that knew nothing asks at once.
+/// A fleet so large that not all of its watches can be answered at once: a restarted proxy serves the configured list and
+/// polls for changes on its schedule; a proxy without a list polls at once.
 #[test]
 fn large_fleet_proxy_serves_the_configured_list_and_polls_for_changes() {
     let discovery = Discovery::start();
@@ -135,7 +135,7 @@
     let proxy = Proxy::start_with_config("turns-back", &config);
     assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
     assert_eq!(discovery.next_call(), Some(7));
-    // The call is on its way for as long as discovery has nothing newer; the list that is held serves on.
+    // The call stays open while discovery has nothing newer; the current list serves.
     assert_eq!(proxy.client().exchange(&request("read", "2", "")).status(), 200);
 }
 
@@ -147,13 +147,13 @@
     let proxy = Proxy::start("slow-connect", &discovery, &[entry("s-1", address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    // An answer on another connection shows that the proxy has seen the request.
+    // A response on another connection shows that the proxy has read the request.
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
     discovery.post(false, &[entry("s-1", address, "leaving", 0)]);
     drop(listener.accept().expect("the filler"));
     let (mut stream, _) = listener.accept().expect("the proxy's connection");
     let got = client.receive();
-    assert_eq!(got.status(), 503, "it never ran, so a repeat is harmless");
+    assert_eq!(got.status(), 503, "it never ran, so a retry is safe");
     let mut sent = Vec::new();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     let _ = stream.read_to_end(&mut sent);
@@ -164,10 +164,10 @@
 #[test]
 fn reload_switches_discovery_without_interruption() {
     let (old, new) = (Discovery::start(), Discovery::start());
-    let (release, word) = channel();
-    let mut word = Some(word);
-    let before = Backend::start(move |_| match word.take() {
-        Some(word) => BackendAction::WaitThen(word, Box::new(ok("taken before"))),
+    let (release, released) = channel();
+    let mut released = Some(released);
+    let before = Backend::start(move |_| match released.take() {
+        Some(released) => BackendAction::WaitThen(released, Box::new(ok("taken before"))),
         None => ok("before"),
     });
     let after = Backend::start(|_| ok("after"));
@@ -175,17 +175,17 @@
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     before.next_request();
-    // A file that can't be used leaves all as it was.
+    // An invalid file changes nothing.
     proxy.reload("{");
     proxy.wait_for_log("reload failed, the previous configuration remains in force");
     assert_eq!(proxy.client().exchange(&request("read", "2", "")).body, b"before");
-    for turn in 0..2 {
-        let (from, to, name) = if turn == 0 { (&old, &new, "s-2") } else { (&new, &old, "s-3") };
+    for round in 0..2 {
+        let (from, to, name) = if round == 0 { (&old, &new, "s-2") } else { (&new, &old, "s-3") };
         from.take_call_count();
         to.take_call_count();
         proxy.reload(&config("sighup", to).to_string());
-        assert_eq!(to.next_call(), None, "the version of another service means nothing to this one");
-        // Until the new service has told its list, the old list serves.
+        assert_eq!(to.next_call(), None, "the revision of another service is not used");
+        // Until the new service has sent its list, the old list serves.
         assert_eq!(proxy.client().exchange(&request("read", "3", "")).status(), 200);
         to.post(true, &[entry(name, after.address, "active", 0)]);
         assert_eq!(proxy.client().exchange(&request("read", "4", "")).body, b"after");
@@ -194,7 +194,7 @@
     assert_eq!(client.receive().body, b"taken before");
 }
 
-/// Two moves at once, one of them to where nobody listens, and back: the newest address is followed.
+/// Discovery moves to an address without a listener and back: the newest address is followed.
 #[test]
 fn follows_discovery_to_an_unreachable_address_and_back() {
     let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok("there")));
@@ -204,12 +204,12 @@
         let gone = TcpListener::bind("127.0.0.1:0").expect("a port");
         gone.local_addr().expect("an address")
     };
-    for turn in 0..3 {
+    for round in 0..3 {
         let mut away = config("moves", &discovery);
         away["discovery"] = nowhere.to_string().into();
         proxy.reload(&away.to_string());
         proxy.wait_for_log("discovery is at");
-        let id = format!("{turn}");
+        let id = format!("{round}");
         assert_eq!(proxy.client().exchange(&request("read", &id, "")).status(), 200, "the old list serves");
         discovery.take_call_count();
         proxy.reload(&config("moves", &discovery).to_string());
--- a/crates/proxy-server/tests/proxy/discovery_agent.rs
+++ b/crates/proxy-server/tests/proxy/discovery_agent.rs
@@ -1,4 +1,4 @@
-//! A discovery agent on the same machine that falls silent or restarts.
+//! A discovery agent on the same machine that becomes silent or restarts.
 
 use crate::support::*;
 use std::io::{BufReader, Write};
@@ -9,14 +9,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An agent that hears every call and answers as its script says; `None`: with silence for good.
+/// An agent that reads every call and answers by its script; `None` means no answer.
 struct Agent {
     address: SocketAddr,
     calls: Receiver<(Option<u64>, Instant)>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-/// The version that a call knows.
+/// The revision that a call knows.
 fn known_version(call: &HttpMessage) -> Option<u64> {
     let (_, rest) = call.first_line().split_once("after=")?;
     rest.split(['&', ' ']).next()?.parse().ok()
@@ -26,21 +26,21 @@
     fn start(script: impl FnMut(Option<u64>) -> Option<serde_json::Value> + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (told, calls) = channel();
+        let (sender, calls) = channel();
         let open = Arc::<Mutex<Vec<TcpStream>>>::default();
-        let (script, held) = (Arc::new(Mutex::new(script)), Arc::clone(&open));
+        let (script, connections) = (Arc::new(Mutex::new(script)), Arc::clone(&open));
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (Ok(mut stream), told, script) = (stream, told.clone(), Arc::clone(&script)) else {
+                let (Ok(mut stream), sender, script) = (stream, sender.clone(), Arc::clone(&script)) else {
                     return;
                 };
-                held.lock().expect("the list").push(stream.try_clone().expect("a clone"));
+                connections.lock().expect("the list").push(stream.try_clone().expect("a clone"));
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
                     while let Some(call) = read_message(&mut reader) {
                         let after = known_version(&call);
                         let list = script.lock().expect("a script")(after);
-                        if told.send((after, Instant::now())).is_err() {
+                        if sender.send((after, Instant::now())).is_err() {
                             return;
                         }
                         let Some(list) = list else { continue };
@@ -59,7 +59,7 @@
         self.calls.recv_timeout(TEST_TIMEOUT).expect("a call")
     }
 
-    /// Ends all its connections, as an agent that is started anew does.
+    /// Closes all connections, as a restart does.
     fn restart(&self) {
         for stream in self.open.lock().expect("the list").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -67,7 +67,7 @@
     }
 }
 
-fn config_at(name: &str, discovery: SocketAddr, known: &[serde_json::Value]) -> serde_json::Value {
+fn config_with_known(name: &str, discovery: SocketAddr, known: &[serde_json::Value]) -> serde_json::Value {
     let nowhere = Discovery::start();
     let mut config = config(name, &nowhere);
     config["discovery"] = discovery.to_string().into();
@@ -79,7 +79,7 @@
     serde_json::json!({"revision": revision, "complete": true, "members": members})
 }
 
-/// A watch that never speaks again, and a second one that does not either. What they miss holds 6 s after the silence.
+/// Two successive watches become silent. What they miss has to be in force 6 s later.
 #[test]
 fn silent_watches_are_replaced_in_time() {
     let (one, two) = (Backend::start(|_| ok("one")), Backend::start(|_| ok("two")));
@@ -87,33 +87,34 @@
     let other = entry("s-2", two.address, "active", 0);
     let before = list(4, std::slice::from_ref(&first));
     let after = list(5, &[then, other]);
-    let mut whole = 0;
+    let mut complete_lists = 0;
     let agent = Agent::start(move |known| match known {
-        // Both watches are silent; the whole list is there at once, the second time with the news.
+        // Both watches are silent; a complete list is sent at once, the second time with the change.
         Some(_) => None,
         None => {
-            whole += 1;
-            Some(if whole == 1 { before.clone() } else { after.clone() })
+            complete_lists += 1;
+            Some(if complete_lists == 1 { before.clone() } else { after.clone() })
         }
     });
-    let proxy = Proxy::start_with_config("silent-watch", &config_at("silent-watch", agent.address, &[]));
+    let proxy =
+        Proxy::start_with_config("silent-watch", &config_with_known("silent-watch", agent.address, &[]));
     assert_eq!(agent.next_call().0, None);
-    let (known, fell_silent) = agent.next_call();
+    let (known, silent_since) = agent.next_call();
     assert_eq!(known, Some(4));
-    let (known, asked_again) = agent.next_call();
-    let news = asked_again - fell_silent;
-    assert_eq!(known, None, "the whole list: whoever was silent may be another one now");
-    assert!(news < Duration::from_secs(4), "asked again after {news:?}, and 6 s are all there is");
-    let (known, second_silent) = agent.next_call();
+    let (known, polled_again_at) = agent.next_call();
+    let delay = polled_again_at - silent_since;
+    assert_eq!(known, None, "a complete list: the silent agent may have been replaced");
+    assert!(delay < Duration::from_secs(4), "polled again after {delay:?}, and the limit is 6 s");
+    let (known, silent_again_since) = agent.next_call();
     assert_eq!(known, Some(5));
-    let (known, asked_again) = agent.next_call();
-    assert!(known.is_none() && asked_again - second_silent < Duration::from_secs(4));
+    let (known, polled_again_at) = agent.next_call();
+    assert!(known.is_none() && polled_again_at - silent_again_since < Duration::from_secs(4));
     assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"two");
     assert_eq!(one.take_request_count(), 0);
 }
 
-/// While discovery is down its agent takes calls and answers none, not even after its return. What it gets then holds at
-/// once, so that no call may be waited for long: backends that begin to drain have their grace of a second.
+/// While discovery is down its agent reads calls and never answers them. After the recovery its list has to be in force
+/// within the drain grace of a second, so that no call may wait long.
 #[test]
 fn silent_agent_is_polled_within_the_drain_grace() {
     let backend = Backend::start(|_| ok("there"));
@@ -123,7 +124,7 @@
     let agent = Agent::start(move |known| {
         is_back.load(Ordering::SeqCst).then(|| known.is_none().then(|| returned.clone())).flatten()
     });
-    let proxy = Proxy::start_with_config("outage", &config_at("outage", agent.address, &members));
+    let proxy = Proxy::start_with_config("outage", &config_with_known("outage", agent.address, &members));
     let mut last = agent.next_call().1;
     for call in 0..6 {
         let (_, at) = agent.next_call();
@@ -134,14 +135,14 @@
     assert_eq!(
         proxy.client().exchange(&request("read", "1", "")).status(),
         200,
-        "the list that was known serves"
+        "the configured list serves"
     );
     back.store(true, Ordering::SeqCst);
     while agent.next_call().0 != Some(9) {}
     assert_eq!(proxy.client().exchange(&request("read", "2", "")).status(), 200);
 }
 
-/// An agent that was started anew counts its versions anew: a watch from the old ones would wait for ever.
+/// A restarted agent restarts its revisions: a watch from an old revision would wait forever.
 #[test]
 fn restarted_agent_is_polled_for_a_complete_list() {
     let backend = Backend::start(|_| ok("there"));
@@ -151,26 +152,26 @@
         Some(_) => None,
         None => revisions.pop().map(|revision| list(revision, &members)),
     });
-    let proxy = Proxy::start_with_config("anew", &config_at("anew", agent.address, &[]));
+    let proxy = Proxy::start_with_config("anew", &config_with_known("anew", agent.address, &[]));
     assert_eq!((agent.next_call().0, agent.next_call().0), (None, Some(41)));
     agent.restart();
-    assert_eq!((agent.next_call().0, agent.next_call().0), (None, Some(3)), "the version may go back");
+    assert_eq!((agent.next_call().0, agent.next_call().0), (None, Some(3)), "the revision may decrease");
     assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
 }
 
-/// Where lists are pushed, what the agent has counts as told from the first moment of a new process.
+/// Where lists are pushed, the agent's list is in force from the start of a new process.
 #[test]
 fn new_process_waits_for_its_agent_before_using_the_configured_list() {
-    let mut heard_in_time = false;
-    for turn in 0..10 {
+    let mut was_answered_in_time = false;
+    for round in 0..10 {
         let discovery = Discovery::start();
         let (left, stays) = (Backend::start(|_| ok("left")), Backend::start(|_| ok("stays")));
         let known = [entry("s-1", left.address, "active", 0)];
-        let name = format!("first-moment-{turn}");
-        let mut proxy = Proxy::start_with_config(&name, &config_at(&name, discovery.address, &known));
+        let name = format!("first-moment-{round}");
+        let mut proxy = Proxy::start_with_config(&name, &config_with_known(&name, discovery.address, &known));
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
-        // The agent has the call and a request is there: only now it answers.
+        // The agent answers only after it has the call and a request has arrived.
         assert_eq!(discovery.next_call(), None);
         discovery.post(
             true,
@@ -178,12 +179,12 @@
         );
         let got = client.receive();
         proxy.terminate();
-        // On a machine so busy that the answer came after the agent's time, the known list may serve.
-        heard_in_time = !proxy.remaining_log().contains("no answer in time");
-        if heard_in_time {
+        // On a machine so busy that the call timed out, the configured list may serve.
+        was_answered_in_time = !proxy.remaining_log().contains("no answer in time");
+        if was_answered_in_time {
             assert_eq!((got.status(), left.take_request_count(), stays.take_request_count()), (200, 0, 1));
             break;
         }
     }
-    assert!(heard_in_time, "ten starts, and none heard its agent in time");
+    assert!(was_answered_in_time, "ten starts, and none had its agent's answer in time");
 }
--- a/crates/proxy-server/tests/proxy/discovery_outage.rs
+++ b/crates/proxy-server/tests/proxy/discovery_outage.rs
@@ -1,4 +1,5 @@
-//! Discovery that is down, silent or too long, and how soon it is heard again. The spans are those of the stand-in's record.
+//! Discovery as one service that is down, silent or moved, and how soon a proxy recovers. Times are measured by the scripted
+//! service.
 
 use crate::support::*;
 use serde_json::{Value, json};
@@ -10,36 +11,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What discovery has counts as told so long after it could be reached.
-const TOLD: Duration = Duration::from_secs(6);
-/// What a watch that has fallen silent missed counts as told so long after its wait.
-const AFTER_WAIT: Duration = Duration::from_secs(2);
-/// After its address has changed, what it has counts so much later.
-const MOVED: Duration = Duration::from_secs(4);
-/// What a call costs the service; it has one queue.
-const CALL: Duration = Duration::from_millis(160);
-/// The platform's outage.
+/// How long after discovery is reachable its list has to be in force.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(6);
+/// How long after the wait of a silent watch what it missed has to be in force.
+const SILENT_WATCH_LIMIT: Duration = Duration::from_secs(2);
+/// How long after its address has changed its list has to be in force.
+const MOVE_LIMIT: Duration = Duration::from_secs(4);
+/// How long the service takes for a call; it has one queue.
+const CALL_COST: Duration = Duration::from_millis(160);
+/// How long the service is down.
 const OUTAGE: Duration = Duration::from_secs(8);
 /// Longer than the longest wait of a watch and its slack.
-const LONG_PATIENCE: Duration = Duration::from_secs(30);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What calls meet.
+/// The state of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Up,
-    /// No connection comes up.
-    Closed,
-    /// Connections are neither refused nor do they come up: the listener's queue is full.
-    Full,
-    /// Each call is answered 503 at once.
-    Refuses,
-    /// Calls are read and never answered, not even later.
+    /// Connections are refused.
+    NotListening,
+    /// Connections are neither refused nor established: the listener's queue is full.
+    QueueFull,
+    /// Each call is answered with 503 at once.
+    Rejecting,
+    /// Calls are read and never answered, not even after the recovery.
     Silent,
-    /// As `Up`, but watches that come now are never answered.
+    /// As `Up`, but new watches are never answered.
     SilentWatches,
 }
 
-/// What the service saw and did, in order.
+/// What the service received and did, in order.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Call { after: Option<u64>, wait: Option<Duration> },
@@ -47,7 +48,7 @@
     Failed,
 }
 
-struct Board {
+struct ServiceState {
     state: State,
     revision: u64,
     members: Vec<Value>,
@@ -56,32 +57,32 @@
 }
 
 struct Shared {
-    board: Mutex<Board>,
+    service_state: Mutex<ServiceState>,
     changed: Condvar,
-    /// The one queue.
+    /// Serialises the processing of calls.
     queue: Mutex<()>,
     socket: Socket,
 }
 
 impl Shared {
-    fn board(&self) -> MutexGuard<'_, Board> {
-        self.board.lock().expect("the board")
+    fn service_state(&self) -> MutexGuard<'_, ServiceState> {
+        self.service_state.lock().expect("the board")
     }
 
     fn state(&self) -> State {
-        self.board().state
+        self.service_state().state
     }
 }
 
-/// Discovery as one service for all proxies, which can go down and come back.
+/// Discovery as one service for all proxies, whose state the test sets.
 struct Service {
     address: SocketAddr,
     shared: Arc<Shared>,
     received: Receiver<(Instant, Event)>,
 }
 
-/// A socket at a port of its own. A port that was asked for by number stays taken while nobody listens there.
-fn bound() -> Socket {
+/// A socket bound to a free port. A port bound by number stays reserved while the socket does not listen.
+fn bind_free_port() -> Socket {
     for _ in 0..100 {
         let probe = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = probe.local_addr().expect("an address");
@@ -95,7 +96,7 @@
     panic!("no port");
 }
 
-fn number(call: &HttpMessage, name: &str) -> Option<u64> {
+fn query_parameter(call: &HttpMessage, name: &str) -> Option<u64> {
     let (_, rest) = call.first_line().split_once(name)?;
     rest.split(['&', ' ']).next()?.parse().ok()
 }
@@ -104,123 +105,130 @@
     json!({"revision": revision, "complete": complete, "members": members}).to_string().into_bytes()
 }
 
-fn serve(shared: &Shared, mut stream: TcpStream, told: &Sender<(Instant, Event)>) -> Option<()> {
+fn serve(shared: &Shared, mut stream: TcpStream, sender: &Sender<(Instant, Event)>) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     loop {
         let call = read_message(&mut reader)?;
-        let (after, wait) = (number(&call, "after="), number(&call, "wait_ms=").map(Duration::from_millis));
+        let (after, wait) =
+            (query_parameter(&call, "after="), query_parameter(&call, "wait_ms=").map(Duration::from_millis));
         let state = shared.state();
-        told.send((Instant::now(), Event::Call { after, wait })).ok()?;
+        sender.send((Instant::now(), Event::Call { after, wait })).ok()?;
         match state {
             State::Up => {}
             State::SilentWatches if wait.is_none_or(|wait| wait < Duration::from_secs(1)) => {}
-            State::Refuses | State::Closed | State::Full => {
+            State::Rejecting | State::NotListening | State::QueueFull => {
                 stream.write_all(&response_bytes("503 Service Unavailable", "", b"")).ok()?;
-                told.send((Instant::now(), Event::Failed)).ok()?;
+                sender.send((Instant::now(), Event::Failed)).ok()?;
                 continue;
             }
             State::Silent | State::SilentWatches => continue,
         }
         {
-            let _turn = shared.queue.lock().expect("the queue");
-            thread::sleep(CALL);
+            let _queue = shared.queue.lock().expect("the queue");
+            thread::sleep(CALL_COST);
         }
-        let same = |board: &mut Board| {
-            (after == Some(board.revision)) && matches!(board.state, State::Up | State::SilentWatches)
+        let same = |service_state: &mut ServiceState| {
+            (after == Some(service_state.revision))
+                && matches!(service_state.state, State::Up | State::SilentWatches)
         };
-        let board = shared.board();
-        let (board, _) =
-            shared.changed.wait_timeout_while(board, wait.unwrap_or_default(), same).expect("the board");
-        if !matches!(board.state, State::Up | State::SilentWatches) {
+        let service_state = shared.service_state();
+        let (service_state, _) = shared
+            .changed
+            .wait_timeout_while(service_state, wait.unwrap_or_default(), same)
+            .expect("the board");
+        if !matches!(service_state.state, State::Up | State::SilentWatches) {
             return None;
         }
         let text = match after {
-            Some(after) if after == board.revision => list(after, false, &[]),
-            _ => list(board.revision, true, &board.members),
+            Some(after) if after == service_state.revision => list(after, false, &[]),
+            _ => list(service_state.revision, true, &service_state.members),
         };
-        drop(board);
+        drop(service_state);
         stream.write_all(&response_bytes("200 OK", "", &text)).ok()?;
-        told.send((Instant::now(), Event::Answered)).ok()?;
+        sender.send((Instant::now(), Event::Answered)).ok()?;
     }
 }
 
 impl Service {
     fn start(members: &[Value]) -> Self {
-        let socket = bound();
+        let socket = bind_free_port();
         let address = socket.local_addr().expect("an address").as_socket().expect("IPv4");
         socket.listen(64).expect("it listens");
         let listener = TcpListener::from(socket.try_clone().expect("a clone"));
         let members = members.to_vec();
-        let board = Mutex::new(Board {
+        let service_state = Mutex::new(ServiceState {
             state: State::Up,
             revision: 7,
             members,
             open: Vec::new(),
             fillers: Vec::new(),
         });
-        let shared = Arc::new(Shared { board, changed: Condvar::new(), queue: Mutex::new(()), socket });
-        let (told, received) = channel();
+        let shared =
+            Arc::new(Shared { service_state, changed: Condvar::new(), queue: Mutex::new(()), socket });
+        let (sender, received) = channel();
         let served = Arc::clone(&shared);
         thread::spawn(move || {
             loop {
                 let accepted = listener.accept();
-                // Nobody listens or takes a connection until the service is back.
-                let board = served.board();
-                let away = |board: &mut Board| matches!(board.state, State::Closed | State::Full);
-                let waited = served.changed.wait_timeout_while(board, LONG_PATIENCE, away);
+                // No connection is accepted until the service has recovered.
+                let service_state = served.service_state();
+                let is_unreachable = |service_state: &mut ServiceState| {
+                    matches!(service_state.state, State::NotListening | State::QueueFull)
+                };
+                let waited = served.changed.wait_timeout_while(service_state, EVENT_TIMEOUT, is_unreachable);
                 if waited.expect("the board").1.timed_out() {
                     return;
                 }
                 let Ok((stream, _)) = accepted else { continue };
-                served.board().open.push(stream.try_clone().expect("a clone"));
-                let (shared, told) = (Arc::clone(&served), told.clone());
-                thread::spawn(move || serve(&shared, stream, &told));
+                served.service_state().open.push(stream.try_clone().expect("a clone"));
+                let (shared, sender) = (Arc::clone(&served), sender.clone());
+                thread::spawn(move || serve(&shared, stream, &sender));
             }
         });
         Self { address, shared, received }
     }
 
-    /// The state changes. When the service goes down its watches end.
-    fn turn(&self, state: State) {
-        let mut board = self.shared.board();
-        if state == State::Closed {
+    /// Sets the state. When the service goes down its connections are closed.
+    fn set_state(&self, state: State) {
+        let mut service_state = self.shared.service_state();
+        if state == State::NotListening {
             self.shared.socket.shutdown(Shutdown::Both).expect("it stops listening");
         }
-        if matches!(board.state, State::Closed | State::Full) {
+        if matches!(service_state.state, State::NotListening | State::QueueFull) {
             self.shared.socket.listen(64).expect("it listens again");
-            board.fillers.clear();
+            service_state.fillers.clear();
         }
-        if state == State::Full {
+        if state == State::QueueFull {
             self.shared.socket.listen(0).expect("it listens");
         }
-        board.state = state;
+        service_state.state = state;
         if state != State::Up && state != State::SilentWatches {
-            board.open.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+            service_state.open.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
         }
-        drop(board);
+        drop(service_state);
         self.shared.changed.notify_all();
-        if state == State::Full {
-            // One is accepted and left alone, one fills the queue.
+        if state == State::QueueFull {
+            // One is accepted and left unused, one fills the queue.
             let fillers = (0..2).map_while(|_| {
                 let filler = TcpStream::connect_timeout(&self.address, Duration::from_secs(1));
                 filler.ok()
             });
             let fillers: Vec<_> = fillers.collect();
-            self.shared.board().fillers = fillers;
+            self.shared.service_state().fillers = fillers;
         }
     }
 
-    /// Another list from now on.
+    /// Replaces the list.
     fn post(&self, members: &[Value]) {
-        let mut board = self.shared.board();
-        board.revision += 1;
-        board.members = members.to_vec();
-        drop(board);
+        let mut service_state = self.shared.service_state();
+        service_state.revision += 1;
+        service_state.members = members.to_vec();
+        drop(service_state);
         self.shared.changed.notify_all();
     }
 
     fn next(&self) -> (Instant, Event) {
-        self.received.recv_timeout(LONG_PATIENCE).expect("a call")
+        self.received.recv_timeout(EVENT_TIMEOUT).expect("a call")
     }
 
     fn next_call(&self) -> (Instant, Option<u64>, Option<Duration>) {
@@ -239,8 +247,8 @@
         }
     }
 
-    /// Waits until a watch is up: a call that follows an answer and may wait long.
-    fn watched(&self) -> (Instant, Duration) {
+    /// Waits for a watch: a call that may wait for a second or more.
+    fn wait_for_watch(&self) -> (Instant, Duration) {
         loop {
             if let (at, _, Some(wait)) = self.next_call()
                 && wait >= Duration::from_secs(1)
@@ -251,19 +259,22 @@
     }
 }
 
-fn config_of(name: &str, discovery: SocketAddr, me: u32, balancers: u32, known: &[Value]) -> Value {
+fn config_for(name: &str, discovery: SocketAddr, instance: u32, fleet_size: u32, known: &[Value]) -> Value {
     let mut config = config(name, &Discovery::start());
     config["discovery"] = discovery.to_string().into();
     config["known"] = json!({"revision": 1, "complete": true, "members": known});
     config["settings"]["membershipMode"] = "on_request".into();
     config["settings"]["safety"]["askWithinUs"] = 10_000_000.into();
-    config["settings"]["me"] = me.into();
-    config["settings"]["balancers"] = balancers.into();
+    config["settings"]["me"] = instance.into();
+    config["settings"]["balancers"] = fleet_size.into();
     config
 }
 
-/// Runs all of them beside one another, for each waits most of its time; gives what failed.
-fn beside<T: Send + 'static>(cases: Vec<T>, case: impl Fn(T) -> Result<(), String> + Send + Sync + 'static) {
+/// Runs all cases in parallel, since each waits most of its time, and asserts that none failed.
+fn run_in_parallel<T: Send + 'static>(
+    cases: Vec<T>,
+    case: impl Fn(T) -> Result<(), String> + Send + Sync + 'static,
+) {
     let case = Arc::new(case);
     let runs: Vec<_> = cases
         .into_iter()
@@ -279,30 +290,31 @@
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// One proxy of so many before a service that is down for a while; how long after the return it had heard.
-fn first_answer(me: u32, balancers: u32, kind: State) -> Duration {
+/// How long after the recovery of the service one proxy of a fleet has applied the new list.
+fn measure_recovery(instance: u32, fleet_size: u32, kind: State) -> Duration {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let members = [entry("s-1", old.address, "active", 0)];
     let service = Service::start(&members);
-    let name = format!("outage-{me}-{balancers}-{kind:?}");
-    let proxy = Proxy::start_with_config(&name, &config_of(&name, service.address, me, balancers, &members));
-    service.watched();
-    service.turn(kind);
+    let name = format!("outage-{instance}-{fleet_size}-{kind:?}");
+    let proxy =
+        Proxy::start_with_config(&name, &config_for(&name, service.address, instance, fleet_size, &members));
+    service.wait_for_watch();
+    service.set_state(kind);
     let down = Instant::now();
     service.post(&[entry("s-2", new.address, "active", 0)]);
-    // The worst moment is right after a call was made; where none can be seen, any moment is as good.
-    if matches!(kind, State::Closed | State::Full) {
-        // The outage began behind a turn: so the return comes at other moments of the round.
-        thread::sleep(OUTAGE + Duration::from_millis(20) * me);
+    // The worst moment of the recovery is right after a call; where calls cannot be observed, any moment is as good.
+    if matches!(kind, State::NotListening | State::QueueFull) {
+        // The outage begins after a scheduled call; the offset varies the moment of the recovery within the schedule.
+        thread::sleep(OUTAGE + Duration::from_millis(20) * instance);
     } else {
         while service.next_call().0 - down < OUTAGE {}
-        if kind == State::Refuses {
+        if kind == State::Rejecting {
             while !matches!(service.next().1, Event::Failed) {}
         }
     }
     let back = Instant::now();
-    service.turn(State::Up);
-    // It has heard what the watch says that it begins then. Answers alone may have gone to connections that were given up.
+    service.set_state(State::Up);
+    // The revision of the next watch shows that the list was applied. Responses may have gone to abandoned connections.
     let span = loop {
         if let (at, Some(8), Some(_)) = service.next_call() {
             break at - back;
@@ -313,75 +325,82 @@
     span
 }
 
-/// Seen from outside as up to 7.6 s: the backoff and the wait for a turn added up.
+/// Regression: backoff and schedule added up to 7.6 s.
 #[test]
 fn each_proxy_of_a_hundred_recovers_within_six_seconds() {
-    let kinds = [State::Closed, State::Full, State::Refuses, State::Silent];
-    let cases = [3, 50, 80, 95].into_iter().flat_map(|me| kinds.map(|kind| (me, kind))).collect();
-    beside(cases, |(me, kind)| {
-        let span = first_answer(me, 100, kind);
-        println!("{me} of 100, {kind:?}: {span:?}");
-        if span < TOLD { Ok(()) } else { Err(format!("{me} of 100, {kind:?}: {span:?}")) }
+    let kinds = [State::NotListening, State::QueueFull, State::Rejecting, State::Silent];
+    let cases = [3, 50, 80, 95].into_iter().flat_map(|instance| kinds.map(|kind| (instance, kind))).collect();
+    run_in_parallel(cases, |(instance, kind)| {
+        let span = measure_recovery(instance, 100, kind);
+        println!("{instance} of 100, {kind:?}: {span:?}");
+        if span < RECOVERY_LIMIT { Ok(()) } else { Err(format!("{instance} of 100, {kind:?}: {span:?}")) }
     });
 }
 
 #[test]
 fn small_fleets_recover_within_six_seconds() {
-    let kinds = [State::Closed, State::Full, State::Refuses, State::Silent];
+    let kinds = [State::NotListening, State::QueueFull, State::Rejecting, State::Silent];
     let cases = [(0, 1), (4, 5), (25, 26)].into_iter();
     let cases = cases.flat_map(|of| kinds.map(|kind| (of, kind))).collect();
-    beside(cases, |((me, balancers), kind)| {
-        let span = first_answer(me, balancers, kind);
-        println!("{me} of {balancers}, {kind:?}: {span:?}");
-        if span < TOLD { Ok(()) } else { Err(format!("{me} of {balancers}, {kind:?}: {span:?}")) }
+    run_in_parallel(cases, |((instance, fleet_size), kind)| {
+        let span = measure_recovery(instance, fleet_size, kind);
+        println!("{instance} of {fleet_size}, {kind:?}: {span:?}");
+        if span < RECOVERY_LIMIT {
+            Ok(())
+        } else {
+            Err(format!("{instance} of {fleet_size}, {kind:?}: {span:?}"))
+        }
     });
 }
 
-/// What it misses holds 6 s after it fell silent, or 2 s after its wait is over, if that is later.
+/// What a silent watch misses has to be in force 6 s after it became silent, or 2 s after its wait, if that is later.
 #[test]
 fn changes_missed_by_a_silent_watch_are_polled_in_time() {
-    beside(vec![(0, 1), (4, 5), (99, 100), (60, 100)], |(me, balancers)| {
+    run_in_parallel(vec![(0, 1), (4, 5), (99, 100), (60, 100)], |(instance, fleet_size)| {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
         let members = [entry("s-1", old.address, "active", 0)];
         let service = Service::start(&members);
-        service.turn(State::SilentWatches);
-        let name = format!("silent-{me}-{balancers}");
-        let proxy =
-            Proxy::start_with_config(&name, &config_of(&name, service.address, me, balancers, &members));
-        let (began, wait) = service.watched();
-        // That one is never answered; others are.
-        service.turn(State::Up);
+        service.set_state(State::SilentWatches);
+        let name = format!("silent-{instance}-{fleet_size}");
+        let proxy = Proxy::start_with_config(
+            &name,
+            &config_for(&name, service.address, instance, fleet_size, &members),
+        );
+        let (began, wait) = service.wait_for_watch();
+        // This watch is never answered; others are.
+        service.set_state(State::Up);
         service.post(&[entry("s-2", new.address, "active", 0)]);
         let span = service.next_answer() - began;
-        println!("{me} of {balancers}, a wait of {wait:?}: {span:?}");
+        println!("{instance} of {fleet_size}, a wait of {wait:?}: {span:?}");
         service.next_call();
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"new");
-        let most = TOLD.max(wait + AFTER_WAIT);
-        if span < most {
+        let max_delay = RECOVERY_LIMIT.max(wait + SILENT_WATCH_LIMIT);
+        if span < max_delay {
             Ok(())
         } else {
-            Err(format!("{me} of {balancers}: {span:?}, {most:?} are all there is"))
+            Err(format!("{instance} of {fleet_size}: {span:?}, the limit is {max_delay:?}"))
         }
     });
 }
 
-/// The new service's list counts 4 s after the new configuration.
+/// The new service's list has to be in force 4 s after the reload.
 #[test]
 fn each_proxy_of_a_hundred_follows_a_moved_service_within_four_seconds() {
-    beside(vec![3, 50, 80, 95], |me| {
+    run_in_parallel(vec![3, 50, 80, 95], |instance| {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
         let members = [entry("s-1", old.address, "active", 0)];
         let (first, second) =
             (Service::start(&members), Service::start(&[entry("s-2", new.address, "active", 0)]));
-        let name = format!("moved-{me}");
-        let proxy = Proxy::start_with_config(&name, &config_of(&name, first.address, me, 100, &members));
-        first.watched();
-        let told = Instant::now();
-        proxy.reload(&config_of(&name, second.address, me, 100, &members).to_string());
-        let span = second.next_answer() - told;
-        println!("{me} of 100: {span:?}");
+        let name = format!("moved-{instance}");
+        let proxy =
+            Proxy::start_with_config(&name, &config_for(&name, first.address, instance, 100, &members));
+        first.wait_for_watch();
+        let sender = Instant::now();
+        proxy.reload(&config_for(&name, second.address, instance, 100, &members).to_string());
+        let span = second.next_answer() - sender;
+        println!("{instance} of 100: {span:?}");
         second.next_call();
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"new");
-        if span < MOVED { Ok(()) } else { Err(format!("{me}: {span:?}")) }
+        if span < MOVE_LIMIT { Ok(()) } else { Err(format!("{instance}: {span:?}")) }
     });
 }
--- a/crates/proxy-server/tests/proxy/limits.rs
+++ b/crates/proxy-server/tests/proxy/limits.rs
@@ -10,15 +10,15 @@
     let (backend, releases) = full_backend();
     let proxy = Proxy::start("refused", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut first = fill(&proxy, &backend);
-    let refused = proxy.client().exchange(&request("charge", "2", "x").replace("15000", "500"));
-    assert_eq!(refused.status(), 503);
-    let wait: f64 = refused.header("retry-after").expect("Retry-After").parse().expect("seconds");
+    let rejected = proxy.client().exchange(&request("charge", "2", "x").replace("15000", "500"));
+    assert_eq!(rejected.status(), 503);
+    let wait: f64 = rejected.header("retry-after").expect("Retry-After").parse().expect("seconds");
     assert!(wait > 0.0);
     for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().body, b"first");
     }
-    assert_eq!(backend.take_request_count(), 0, "a refused request never went out");
+    assert_eq!(backend.take_request_count(), 0, "a rejected request is never sent");
 }
 
 #[test]
@@ -29,12 +29,13 @@
     let mut first = fill(&proxy, &backend);
     let mut leaver = proxy.client();
     leaver.send(&request("charge", "2", "x"));
-    // The answers on other connections show that the proxy has seen what came before them. One alone may have been
-    // found in the same look at the sockets.
-    let settle = || (0..10).for_each(|_| assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200));
-    settle();
+    // Responses on other connections show that the proxy has processed all earlier events. A single one may have been
+    // handled in the same poll of the sockets.
+    let synchronize =
+        || (0..10).for_each(|_| assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200));
+    synchronize();
     drop(leaver);
-    settle();
+    synchronize();
     for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().status(), 200);
@@ -43,7 +44,7 @@
     assert_eq!(backend.next_request().header("x-correlation-id"), Some("3"));
 }
 
-/// Each backend takes one request and keeps it; there are more backends than descriptors for them.
+/// Each backend receives one request and never responds; there are more backends than descriptors for them.
 #[test]
 fn descriptor_shortage_ejects_no_backend() {
     let discovery = Discovery::start();
@@ -62,7 +63,7 @@
         })
         .collect();
     let statuses: Vec<_> = clients.into_iter().map(|mut client| client.receive().status()).collect();
-    assert!(statuses.contains(&503), "some find no descriptor: {statuses:?}");
+    assert!(statuses.contains(&503), "some get no descriptor: {statuses:?}");
     proxy.terminate();
     let log = proxy.remaining_log();
     assert!(!log.contains("ejected"), "{log}");
@@ -74,7 +75,7 @@
     let mut config = config("idle", &discovery);
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_with_config("idle", &config);
-    // More than the proxy may hold at a time, and none of them says a word.
+    // More connections than the proxy may have, and none sends anything.
     let clients: Vec<_> = (0..64).map(|_| proxy.client()).collect();
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 503);
     drop(clients);
@@ -83,7 +84,7 @@
 #[test]
 fn invalid_configuration_ends_the_start_with_one_line() {
     let bad_address = r#"{"listen":"here","discovery":"127.0.0.1:1","settings":{}}"#;
-    for (name, config, word) in [
+    for (name, config, expected) in [
         ("no-json", "{", "malformed configuration"),
         ("no-settings", "{}", "settings"),
         ("bad-address", bad_address, "listen"),
@@ -93,6 +94,6 @@
         child.stderr.take().expect("standard error").read_to_string(&mut text).expect("text");
         assert_eq!(child.wait().expect("it ends").code(), Some(1));
         assert_eq!(text.lines().count(), 1, "{text}");
-        assert!(text.contains(word), "{text}");
+        assert!(text.contains(expected), "{text}");
     }
 }
--- a/crates/proxy-server/tests/proxy/main.rs
+++ b/crates/proxy-server/tests/proxy/main.rs
@@ -1,4 +1,4 @@
-//! The proxy's program over loopback sockets: what must hold whatever backends and clients do.
+//! The HTTP proxy over loopback sockets, with backends, clients and discovery that fail in many ways.
 
 mod backend_failures;
 mod client_disconnects;
@@ -18,27 +18,28 @@
 use std::sync::mpsc::{Sender, channel};
 use support::*;
 
-/// What the module lets out to a lone backend at the start.
-const ROOM: usize = 2;
+/// The concurrency limit of a single backend at the start.
+const INITIAL_CONCURRENCY_LIMIT: usize = 2;
 
-/// Clients whose requests take all the room that the module gives a lone backend at its start, the backend, and
-/// the words that let it answer them. Further requests are answered at once.
+/// A backend that holds as many requests as its initial concurrency limit allows, and the senders that release them. Later
+/// requests are answered at once.
 fn full_backend() -> (Backend, Vec<Sender<()>>) {
-    let (mut words, mut releases) = (Vec::new(), Vec::new());
-    for _ in 0..ROOM {
-        let (release, word) = channel();
-        words.push(word);
+    let (mut receivers, mut releases) = (Vec::new(), Vec::new());
+    for _ in 0..INITIAL_CONCURRENCY_LIMIT {
+        let (release, released) = channel();
+        receivers.push(released);
         releases.push(release);
     }
-    let backend = Backend::start(move |_| match words.pop() {
-        Some(word) => BackendAction::WaitThen(word, Box::new(ok("first"))),
+    let backend = Backend::start(move |_| match receivers.pop() {
+        Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
         None => ok("later"),
     });
     (backend, releases)
 }
 
+/// Clients whose requests take the initial concurrency limit of the backend.
 fn fill(proxy: &Proxy, backend: &Backend) -> Vec<Client> {
-    let fill = (0..ROOM).map(|i| {
+    let fill = (0..INITIAL_CONCURRENCY_LIMIT).map(|i| {
         let mut client = proxy.client();
         client.send(&request("charge", &format!("fill-{i}"), "x"));
         backend.next_request();
--- a/crates/proxy-server/tests/proxy/oversized_lists.rs
+++ b/crates/proxy-server/tests/proxy/oversized_lists.rs
@@ -1,4 +1,4 @@
-//! A list that is longer than what is read.
+//! Lists that are longer than the proxy reads.
 
 use crate::support::*;
 use serde_json::{Value, json};
@@ -10,54 +10,55 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The bytes of a list that are read, as the log names them.
-const BOUND: usize = 4_194_304;
-/// Far more than that, and than what the kernel holds for a connection.
-const TOO_LONG: usize = 64 << 20;
-/// What of it may be on its way when the reader ends the connection: the kernel's buffers on both sides.
-const ON_ITS_WAY: usize = 16 << 20;
-/// The shortest and the longest time between two calls for a list that was too long.
-const FIRST_PAUSE: Duration = Duration::from_millis(3_700);
-const LONGEST_PATIENCE: Duration = Duration::from_secs(45);
-
-/// How a list that is too long is written.
+/// The largest list that is read, in bytes, as the log states it.
+const MAX_LIST_BYTES: usize = 4_194_304;
+/// The size of an oversized list, in bytes: far more than the kernel buffers for a connection.
+const OVERSIZED_BYTES: usize = 64 << 20;
+/// The bytes of a list that may be in the kernel's buffers of both sides when the reader closes the connection.
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
+/// The shortest delay between two calls for an oversized list.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(3_700);
+/// Longer than the longest delay between two calls.
+const CALL_TIMEOUT: Duration = Duration::from_secs(45);
+
+/// How the length of an oversized list is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Form {
-    /// Its length is told ahead.
+enum LengthForm {
+    /// In a `Content-Length` header.
     Length,
     Chunked,
 }
 
-/// What is told.
+/// What discovery serves.
 #[derive(Clone, Debug)]
 enum List {
-    /// A list of this version, whole.
+    /// A complete list of this revision.
     Of(u64, Vec<Value>),
-    TooLong,
+    Oversized,
 }
 
-/// Discovery of one list, which may be too long.
-struct Long {
+/// Discovery whose list may be oversized.
+struct OversizedDiscovery {
     address: SocketAddr,
     list: Arc<Mutex<List>>,
     calls: Receiver<(Instant, Option<u64>)>,
-    /// What was written of lists that are too long.
+    /// Bytes written of oversized lists.
     written: Arc<AtomicUsize>,
 }
 
-fn write_too_long(stream: &mut TcpStream, form: Form, written: &AtomicUsize) -> std::io::Result<()> {
+fn write_oversized(stream: &mut TcpStream, form: LengthForm, written: &AtomicUsize) -> std::io::Result<()> {
     let part = [b' '; 64 << 10];
     match form {
-        Form::Length => write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {TOO_LONG}\r\n\r\n")?,
-        Form::Chunked => write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?,
+        LengthForm::Length => write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {OVERSIZED_BYTES}\r\n\r\n")?,
+        LengthForm::Chunked => write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?,
     }
-    for _ in 0..TOO_LONG / part.len() {
-        if form == Form::Chunked {
+    for _ in 0..OVERSIZED_BYTES / part.len() {
+        if form == LengthForm::Chunked {
             write!(stream, "{:x}\r\n", part.len())?;
         }
         stream.write_all(&part)?;
         written.fetch_add(part.len(), Ordering::SeqCst);
-        if form == Form::Chunked {
+        if form == LengthForm::Chunked {
             stream.write_all(b"\r\n")?;
         }
     }
@@ -66,9 +67,9 @@
 
 fn serve(
     mut stream: TcpStream,
-    form: Form,
+    form: LengthForm,
     list: &Mutex<List>,
-    told: &Sender<(Instant, Option<u64>)>,
+    sender: &Sender<(Instant, Option<u64>)>,
     written: &AtomicUsize,
 ) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
@@ -80,154 +81,162 @@
         };
         let (after, wait) = (number("after="), number("wait_ms=").unwrap_or_default());
         let until = Instant::now() + Duration::from_millis(wait);
-        told.send((Instant::now(), after)).ok()?;
+        sender.send((Instant::now(), after)).ok()?;
         let list = loop {
             let list = list.lock().expect("a list").clone();
-            let news = !matches!(list, List::Of(revision, _) if after == Some(revision));
-            if news || Instant::now() >= until {
+            let has_changed = !matches!(list, List::Of(revision, _) if after == Some(revision));
+            if has_changed || Instant::now() >= until {
                 break list;
             }
             thread::sleep(Duration::from_millis(5));
         };
         match list {
-            List::TooLong => write_too_long(&mut stream, form, written).ok()?,
+            List::Oversized => write_oversized(&mut stream, form, written).ok()?,
             List::Of(revision, members) => {
-                let news = after != Some(revision);
-                let members = if news { members } else { Vec::new() };
-                let text = json!({"revision": revision, "complete": news, "members": members}).to_string();
+                let has_changed = after != Some(revision);
+                let members = if has_changed { members } else { Vec::new() };
+                let text =
+                    json!({"revision": revision, "complete": has_changed, "members": members}).to_string();
                 stream.write_all(&response_bytes("200 OK", "", text.as_bytes())).ok()?;
             }
         }
     }
 }
 
-impl Long {
-    fn start(form: Form, list: List) -> Self {
+impl OversizedDiscovery {
+    fn start(form: LengthForm, list: List) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (told, calls) = channel();
+        let (sender, calls) = channel();
         let (list, written) = (Arc::new(Mutex::new(list)), Arc::<AtomicUsize>::default());
         let shared = (Arc::clone(&list), Arc::clone(&written));
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (Ok(stream), told, (list, written)) = (stream, told.clone(), shared.clone()) else {
+                let (Ok(stream), sender, (list, written)) = (stream, sender.clone(), shared.clone()) else {
                     return;
                 };
-                thread::spawn(move || serve(stream, form, &list, &told, &written));
+                thread::spawn(move || serve(stream, form, &list, &sender, &written));
             }
         });
         Self { address, list, calls, written }
     }
 
-    fn becomes(&self, list: List) {
+    fn set_list(&self, list: List) {
         *self.list.lock().expect("a list") = list;
     }
 
     fn next_call(&self) -> (Instant, Option<u64>) {
-        self.calls.recv_timeout(LONGEST_PATIENCE).expect("a call")
+        self.calls.recv_timeout(CALL_TIMEOUT).expect("a call")
     }
 }
 
-fn config_of(name: &str, discovery: SocketAddr, asked: bool, known: &[Value]) -> Value {
+fn config_for(name: &str, discovery: SocketAddr, is_polled: bool, known: &[Value]) -> Value {
     let mut config = config(name, &Discovery::start());
     config["discovery"] = discovery.to_string().into();
     config["known"] = json!({"revision": 1, "complete": true, "members": known});
-    if asked {
+    if is_polled {
         config["settings"]["membershipMode"] = "on_request".into();
         config["settings"]["safety"]["askWithinUs"] = 10_000_000.into();
     }
     config
 }
 
-/// Whether each of two calls in a row for such a list is followed by a pause, and nothing much is written for them.
-fn is_asked_seldom(long: &Long, first: Instant) {
-    let (second, _) = long.next_call();
-    assert!(second - first >= FIRST_PAUSE, "asked again after {:?}", second - first);
-    let written = long.written.load(Ordering::SeqCst);
-    assert!(written <= 2 * ON_ITS_WAY, "{written} bytes for two calls");
+/// Asserts that a delay follows a call for an oversized list, and that little of it is transferred.
+fn assert_polled_rarely(discovery: &OversizedDiscovery, first: Instant) {
+    let (second, _) = discovery.next_call();
+    assert!(second - first >= MIN_RETRY_DELAY, "polled again after {:?}", second - first);
+    let written = discovery.written.load(Ordering::SeqCst);
+    assert!(written <= 2 * MAX_BUFFERED_BYTES, "{written} bytes for two calls");
 }
 
-fn says_it_once(proxy: &mut Proxy, form: Form) {
+fn assert_logged_once(proxy: &mut Proxy, form: LengthForm) {
     proxy.terminate();
     let log = proxy.remaining_log();
     let lines: Vec<_> = log.lines().filter(|line| line.contains("the list is too long")).collect();
     assert_eq!(lines.len(), 1, "{log}");
     let size = match form {
-        Form::Length => format!("{TOO_LONG} bytes"),
-        Form::Chunked => format!("over {BOUND} bytes"),
+        LengthForm::Length => format!("{OVERSIZED_BYTES} bytes"),
+        LengthForm::Chunked => format!("over {MAX_LIST_BYTES} bytes"),
     };
-    let bound = format!("at most {BOUND}");
+    let bound = format!("at most {MAX_LIST_BYTES}");
     assert!(lines[0].contains(&size) && lines[0].contains(&bound), "{}", lines[0]);
     assert_eq!(log.matches("discovery: ").count(), 1, "{log}");
 }
 
-const CASES: [(Form, bool); 4] =
-    [(Form::Length, false), (Form::Chunked, false), (Form::Length, true), (Form::Chunked, true)];
+const CASES: [(LengthForm, bool); 4] = [
+    (LengthForm::Length, false),
+    (LengthForm::Chunked, false),
+    (LengthForm::Length, true),
+    (LengthForm::Chunked, true),
+];
 
-/// Runs all of them beside one another, for each waits most of its time.
-fn beside(case: impl Fn(Form, bool) + Send + Sync + 'static) {
+/// Runs all cases in parallel, since each waits most of its time.
+fn run_in_parallel(case: impl Fn(LengthForm, bool) + Send + Sync + 'static) {
     let case = Arc::new(case);
-    let runs = CASES.map(|(form, asked)| {
+    let runs = CASES.map(|(form, is_polled)| {
         let case = Arc::clone(&case);
-        thread::spawn(move || case(form, asked))
+        thread::spawn(move || case(form, is_polled))
     });
     let failed = runs.into_iter().zip(CASES).filter_map(|(run, of)| run.join().err().map(|_| of));
     let failed: Vec<_> = failed.collect();
     assert!(failed.is_empty(), "{failed:?}");
 }
 
-/// Seen before: the whole list ten times a second, and no word of its size.
+/// Regression: the list was polled ten times a second, and its size was not logged.
 #[test]
 fn oversized_list_is_logged_once_and_polled_rarely_until_it_is_shorter() {
-    beside(|form, asked| {
+    run_in_parallel(|form, is_polled| {
         let backend = Backend::start(|_| ok("there"));
-        let long = Long::start(form, List::TooLong);
-        let name = format!("long-{form:?}-{asked}");
-        let mut proxy = Proxy::start_with_config(&name, &config_of(&name, long.address, asked, &[]));
-        let (first, _) = long.next_call();
-        assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 503, "no list, and none is known");
-        is_asked_seldom(&long, first);
-        long.becomes(List::Of(9, vec![entry("s-1", backend.address, "active", 0)]));
-        while long.next_call().1 != Some(9) {}
+        let discovery = OversizedDiscovery::start(form, List::Oversized);
+        let name = format!("long-{form:?}-{is_polled}");
+        let mut proxy =
+            Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &[]));
+        let (first, _) = discovery.next_call();
+        assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 503, "no list, and none is configured");
+        assert_polled_rarely(&discovery, first);
+        discovery.set_list(List::Of(9, vec![entry("s-1", backend.address, "active", 0)]));
+        while discovery.next_call().1 != Some(9) {}
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"there");
-        says_it_once(&mut proxy, form);
+        assert_logged_once(&mut proxy, form);
     });
 }
 
 #[test]
 fn configured_list_serves_beside_an_oversized_one() {
-    beside(|form, asked| {
+    run_in_parallel(|form, is_polled| {
         let backend = Backend::start(|_| ok("there"));
-        let long = Long::start(form, List::TooLong);
-        let name = format!("known-{form:?}-{asked}");
+        let discovery = OversizedDiscovery::start(form, List::Oversized);
+        let name = format!("known-{form:?}-{is_polled}");
         let known = [entry("s-1", backend.address, "active", 0)];
-        let mut proxy = Proxy::start_with_config(&name, &config_of(&name, long.address, asked, &known));
-        let (first, _) = long.next_call();
-        is_asked_seldom(&long, first);
+        let mut proxy =
+            Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &known));
+        let (first, _) = discovery.next_call();
+        assert_polled_rarely(&discovery, first);
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"there");
-        says_it_once(&mut proxy, form);
+        assert_logged_once(&mut proxy, form);
     });
 }
 
 #[test]
 fn current_list_serves_when_discovery_becomes_oversized() {
-    beside(|form, asked| {
+    run_in_parallel(|form, is_polled| {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let held = List::Of(5, vec![entry("s-1", old.address, "active", 0)]);
-        let long = Long::start(form, held);
-        let name = format!("grown-{form:?}-{asked}");
-        let mut proxy = Proxy::start_with_config(&name, &config_of(&name, long.address, asked, &[]));
-        while long.next_call().1 != Some(5) {}
-        long.becomes(List::TooLong);
-        let (first, _) = long.next_call();
-        is_asked_seldom(&long, first);
+        let initial = List::Of(5, vec![entry("s-1", old.address, "active", 0)]);
+        let discovery = OversizedDiscovery::start(form, initial);
+        let name = format!("grown-{form:?}-{is_polled}");
+        let mut proxy =
+            Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &[]));
+        while discovery.next_call().1 != Some(5) {}
+        discovery.set_list(List::Oversized);
+        let (first, _) = discovery.next_call();
+        assert_polled_rarely(&discovery, first);
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"old");
-        long.becomes(List::Of(6, vec![entry("s-2", new.address, "active", 0)]));
-        while long.next_call().1 != Some(6) {}
+        discovery.set_list(List::Of(6, vec![entry("s-2", new.address, "active", 0)]));
+        while discovery.next_call().1 != Some(6) {}
         assert_eq!(proxy.client().exchange(&request("charge", "2", "x")).body, b"new");
-        says_it_once(&mut proxy, form);
+        assert_logged_once(&mut proxy, form);
     });
 }
--- a/crates/proxy-server/tests/proxy/requests.rs
+++ b/crates/proxy-server/tests/proxy/requests.rs
@@ -49,7 +49,7 @@
         (good.replace("15000", "99999999999999999999999"), 400),
         (good.replace("Idempotency-Key: 7\r\n", ""), 400),
         (good.replace("POST", "GET"), 405),
-        // Numbers that others may read otherwise, and headers of which others may read the other one.
+        // Numbers and duplicate headers that other implementations may interpret differently.
         (good.replace("15000", "+480"), 400),
         (good.replace("15000", " "), 400),
         (good.replace("15000", "480, 15000"), 400),
@@ -60,20 +60,20 @@
         (good.replace("Content-Length: 1", "Content-Length: -1"), 400),
         (good.replace("Content-Length: 1", "Content-Length: 1\r\nContent-Length: 2"), 400),
         (good.replace("Content-Length: 1", "Content-Length: 99999999999999999999999"), 400),
-        // No byte of such a body has to come for the answer.
+        // The response does not wait for the body.
         (good.replace("Content-Length: 1\r\n\r\nx", "Content-Length: 60000000\r\n\r\n"), 413),
     ];
     for (text, status) in cases {
         let line = text.lines().next().unwrap_or_default().to_owned();
         let mut client = proxy.client();
         assert_eq!(client.exchange(&text).status(), status, "{line}");
-        assert!(client.is_closed_cleanly(), "what follows a malformed request may be a part of it: {line}");
+        assert!(client.is_closed_cleanly(), "what follows a malformed request may belong to it: {line}");
     }
     assert_eq!(backend.take_request_count(), 0);
     assert_eq!(proxy.client().exchange(&good).status(), 200);
 }
 
-/// Whoever goes by the length finds another request in the body of the first.
+/// Request smuggling: an implementation that uses the length finds another request in the body.
 #[test]
 fn rejects_requests_with_both_length_and_transfer_encoding() {
     let discovery = Discovery::start();
@@ -97,10 +97,10 @@
 #[test]
 fn rejects_a_second_request_with_an_open_id() {
     let discovery = Discovery::start();
-    let (release, word) = channel();
-    let mut word = Some(word);
-    let backend = Backend::start(move |_| match word.take() {
-        Some(word) => BackendAction::WaitThen(word, Box::new(ok("first"))),
+    let (release, released) = channel();
+    let mut released = Some(released);
+    let backend = Backend::start(move |_| match released.take() {
+        Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
         None => ok("later"),
     });
     let proxy = Proxy::start("same-id", &discovery, &[entry("s-1", backend.address, "active", 0)]);
@@ -111,10 +111,14 @@
     assert_eq!(backend.take_request_count(), 0);
     release.send(()).expect("the backend waits");
     assert_eq!(first.receive().body, b"first");
-    assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"later", "the id is free again");
+    assert_eq!(
+        proxy.client().exchange(&request("charge", "1", "x")).body,
+        b"later",
+        "the id is available again"
+    );
 }
 
-/// Clients that are owed an end within 3 s. The span is checked loosely, so that a busy machine changes nothing.
+/// The connections have to end within 3 s. The time is checked loosely for busy machines.
 #[test]
 fn idle_and_incomplete_requests_end_with_an_error_or_a_close() {
     let discovery = Discovery::start();
@@ -133,7 +137,7 @@
         client.reader.read_to_end(&mut rest).expect("no reset");
         assert!(rest.is_empty() || rest.starts_with(b"HTTP/1.1 408 "), "{}", String::from_utf8_lossy(&rest));
     }
-    assert!(asked.is_closed_cleanly(), "a connection that is kept and not used");
+    assert!(asked.is_closed_cleanly(), "an open connection that is not used");
     assert!(began.elapsed() < TEST_TIMEOUT / 3, "{:?}", began.elapsed());
 }
 
--- a/crates/proxy-server/tests/proxy/responses.rs
+++ b/crates/proxy-server/tests/proxy/responses.rs
@@ -2,7 +2,7 @@
 
 use crate::support::*;
 
-/// Backends send good answers beyond the protocol's cap, and as many as come are passed on, one after another.
+/// Large responses are forwarded, one after another, within the memory limit.
 #[test]
 fn large_response_passes() {
     let discovery = Discovery::start();
@@ -30,7 +30,7 @@
         let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &members);
         let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(got.status(), 502, "failed: the request may have run");
-        // A backend tells of a request that it breaks off only behind the close.
+        // A backend reports a request that it aborts only after the close.
         let mut received = 0;
         while received == 0 {
             received = one.take_request_count() + two.take_request_count();
@@ -40,12 +40,11 @@
     }
 }
 
-/// What can't become an answer, from a backend that keeps the connection open and says no more. Waiting on would
-/// leave no time for another attempt; taking it for a broken connection would blame a healthy backend.
+/// Bytes that cannot become a valid response, on a connection that stays open. To wait would leave no time for a retry.
 #[test]
 fn invalid_response_fails_at_once_and_is_retried_only_if_safe() {
     let endless_head = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "y".repeat(20_000));
-    let spoilt: [&[u8]; 10] = [
+    let invalid_responses: [&[u8]; 10] = [
         b"\x00\xfe\x17 noise \x9c\r\n\r\n",
         b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody",
         b"HTTP/1.1 200 OK\r\nCont\x00ent: 4\r\n\r\nbody",
@@ -57,11 +56,11 @@
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         endless_head.as_bytes(),
     ];
-    for (i, bytes) in spoilt.into_iter().enumerate() {
+    for (i, bytes) in invalid_responses.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let shared = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
+        let is_first_request = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
         let start = |bytes: Vec<u8>| {
-            let first = std::sync::Arc::clone(&shared);
+            let first = std::sync::Arc::clone(&is_first_request);
             Backend::start(move |_| {
                 if first.swap(false, std::sync::atomic::Ordering::SeqCst) {
                     BackendAction::Write(bytes.clone())
@@ -75,23 +74,22 @@
         let proxy = Proxy::start(&format!("spoilt-{i}"), &discovery, &members);
         let got = proxy.client().exchange(&request("read", "1", ""));
         assert_eq!((got.status(), got.body.as_slice()), (200, b"good".as_slice()), "case {i}");
-        shared.store(true, std::sync::atomic::Ordering::SeqCst);
+        is_first_request.store(true, std::sync::atomic::Ordering::SeqCst);
         let got = proxy.client().exchange(&request("charge", "2", "x"));
         assert_eq!(got.status(), 502, "case {i}: it may have run");
         assert_eq!(one.take_request_count() + two.take_request_count(), 3, "case {i}");
     }
 }
 
-/// A good answer with more behind it is good, its connection is not used again, and nobody is blamed for what
-/// lay in it.
+/// A valid response followed by other bytes is valid, and its connection is not reused.
 #[test]
 fn bytes_after_a_response_are_discarded() {
     let behind: [&[u8]; 3] = [b"\x00noise", b"\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"];
-    for (i, more) in behind.into_iter().enumerate() {
+    for (i, trailing_bytes) in behind.into_iter().enumerate() {
         let discovery = Discovery::start();
         let backend = Backend::start(move |received| {
             let id = received.header("x-correlation-id").expect("an id").as_bytes();
-            BackendAction::Write([response_bytes("200 OK", "", id), more.to_vec()].concat())
+            BackendAction::Write([response_bytes("200 OK", "", id), trailing_bytes.to_vec()].concat())
         });
         let members = [entry("s-1", backend.address, "active", 0)];
         let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &members);
@@ -105,7 +103,7 @@
     }
 }
 
-/// 1xx answers go ahead of the final one, and a load report that can't be read is none.
+/// 1xx responses precede the final one, and a malformed load report is ignored.
 #[test]
 fn ignores_1xx_responses_and_malformed_load_reports() {
     let discovery = Discovery::start();
@@ -123,20 +121,21 @@
 
 #[test]
 fn only_the_unprocessed_header_allows_a_retry_after_503() {
-    for (more, status, attempts) in
+    for (trailing_bytes, status, attempts) in
         [("X-Unprocessed: 1\r\n", 503, 2), ("", 502, 1), ("X-Unprocessed: 0\r\n", 502, 1)]
     {
         let discovery = Discovery::start();
-        let turn_away =
-            move |_: &HttpMessage| BackendAction::Write(response_bytes("503 Service Unavailable", more, b""));
-        let (one, two) = (Backend::start(turn_away), Backend::start(turn_away));
+        let reject_unprocessed = move |_: &HttpMessage| {
+            BackendAction::Write(response_bytes("503 Service Unavailable", trailing_bytes, b""))
+        };
+        let (one, two) = (Backend::start(reject_unprocessed), Backend::start(reject_unprocessed));
         let members = [entry("s-1", one.address, "active", 0), entry("s-2", two.address, "active", 0)];
-        let proxy = Proxy::start(&format!("mark-{status}-{}", more.len()), &discovery, &members);
+        let proxy = Proxy::start(&format!("mark-{status}-{}", trailing_bytes.len()), &discovery, &members);
         let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(
             (got.status(), one.take_request_count() + two.take_request_count()),
             (status, attempts),
-            "with `{more}`"
+            "with `{trailing_bytes}`"
         );
     }
 }
@@ -145,9 +144,10 @@
 fn unreachable_backend_allows_a_retry_of_an_unsafe_request() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let nobody =
+    let unreachable_address =
         std::net::TcpListener::bind("127.77.0.2:0").expect("a port").local_addr().expect("an address");
-    let members = [entry("s-1", nobody, "active", 0), entry("s-2", backend.address, "active", 0)];
+    let members =
+        [entry("s-1", unreachable_address, "active", 0), entry("s-2", backend.address, "active", 0)];
     let proxy = Proxy::start("unreachable", &discovery, &members);
     for id in ["1", "2", "3"] {
         assert_eq!(proxy.client().exchange(&request("charge", id, "x")).status(), 200);
--- a/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
+++ b/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
@@ -1,6 +1,6 @@
-//! Clients that leave after their request was tried, or while it is held: no attempt begins for them any more.
+//! Clients that disconnect after a first attempt, or while their request is queued: no attempt starts after that.
 
-use crate::client_disconnects::{BOUND, RETRIED, Slow, settle};
+use crate::client_disconnects::{CONNECT_RETRY_AFTER, DISCONNECT_BOUND, SlowBackend, synchronize};
 use crate::support::*;
 use crate::{fill, full_backend};
 use std::io::{BufRead, BufReader, Read};
@@ -9,82 +9,86 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Why a further attempt would follow the first.
+/// Why a retry would follow the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Failing {
-    /// An answer other than 200.
+enum FirstFailure {
+    /// A response other than 200.
     Error,
-    /// The connection breaks under it.
+    /// The connection is closed.
     Reset,
-    /// The backend turns it away.
-    TurnedAway,
-    /// No answer in the time that an attempt has.
+    /// The backend rejects the request as unprocessed.
+    Unprocessed,
+    /// No response within the time of an attempt.
     Late,
 }
 
-/// What the client does while the first attempt is out.
+/// What the client does while the first attempt is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Then {
+enum ClientBehaviour {
     Stays,
-    Leaves,
-    /// It leaves, and then the first attempt fails, both while the process stands.
-    LeavesWhileItStands,
-    /// The first attempt fails, and then the client leaves, both while the process stands.
-    FailsFirstWhileItStands,
-    /// It leaves a process that has a tenth of a core.
-    LeavesASlowOne,
+    Disconnects,
+    /// During a stall it disconnects, and then the first attempt fails.
+    DisconnectsDuringStall,
+    /// During a stall the first attempt fails, and then the client disconnects.
+    DisconnectsAfterFailureDuringStall,
+    /// It disconnects from a proxy that has a tenth of a core.
+    DisconnectsFromThrottledProxy,
 }
 
-/// The part of an aim of `AIM_US` after which a first attempt without an answer is given up is well within `GIVEN_UP`.
-const AIM_US: u64 = 3_200_000;
-const GIVEN_UP: Duration = Duration::from_millis(1_300);
+/// Microseconds.
+const LATENCY_OBJECTIVE_US: u64 = 3_200_000;
+/// Longer than a first attempt without a response may take under this objective.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 /// A process that runs for 10 ms in each 100 ms.
-struct Tenth(std::process::Child);
+struct ThrottledProcess(std::process::Child);
 
-impl Tenth {
+impl ThrottledProcess {
     fn of(proxy: &Proxy) -> Self {
         let pid = proxy.child.id();
-        let turn = format!("while kill -STOP {pid} && sleep 0.09 && kill -CONT {pid}; do sleep 0.01; done");
-        Self(std::process::Command::new("sh").args(["-c", &turn]).spawn().expect("a shell"))
+        let round = format!("while kill -STOP {pid} && sleep 0.09 && kill -CONT {pid}; do sleep 0.01; done");
+        Self(std::process::Command::new("sh").args(["-c", &round]).spawn().expect("a shell"))
     }
 }
 
-impl Drop for Tenth {
+impl Drop for ThrottledProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// How many attempts there are for a request whose first one fails so.
-fn attempts(name: &str, failing: Failing, then: Then) -> usize {
-    let (release, word) = channel();
-    let word = Arc::new(Mutex::new(Some(word)));
+/// The number of attempts for a request whose first attempt fails in this way.
+fn count_attempts(name: &str, failing: FirstFailure, behaviour: ClientBehaviour) -> usize {
+    let (release, released) = channel();
+    let released = Arc::new(Mutex::new(Some(released)));
     let backends = [0, 1].map(|_| {
-        let word = Arc::clone(&word);
+        let released = Arc::clone(&released);
         Backend::start(move |received| {
-            let first = || word.lock().expect("a word").take();
-            let Some(word) = (received.header("x-correlation-id") == Some("leaver")).then(first).flatten()
+            let first = || released.lock().expect("a word").take();
+            let Some(released) =
+                (received.header("x-correlation-id") == Some("leaver")).then(first).flatten()
             else {
                 return ok("there");
             };
-            let fails = match failing {
-                Failing::Error => BackendAction::Write(response_bytes("500 Internal Server Error", "", b"")),
-                Failing::Reset => BackendAction::WriteAndClose(Vec::new()),
-                Failing::TurnedAway => BackendAction::Write(response_bytes(
+            let fail_first_attempt = match failing {
+                FirstFailure::Error => {
+                    BackendAction::Write(response_bytes("500 Internal Server Error", "", b""))
+                }
+                FirstFailure::Reset => BackendAction::WriteAndClose(Vec::new()),
+                FirstFailure::Unprocessed => BackendAction::Write(response_bytes(
                     "503 Service Unavailable",
                     "X-Unprocessed: 1\r\n",
                     b"",
                 )),
-                Failing::Late => return BackendAction::Hang,
+                FirstFailure::Late => return BackendAction::Hang,
             };
-            BackendAction::WaitThen(word, Box::new(fails))
+            BackendAction::WaitThen(released, Box::new(fail_first_attempt))
         })
     });
     let discovery = Discovery::start();
     let mut config = config(name, &discovery);
-    config["settings"]["classes"][0]["aimUs"] = AIM_US.into();
+    config["settings"]["classes"][0]["aimUs"] = LATENCY_OBJECTIVE_US.into();
     let proxy = Proxy::start_with_config(name, &config);
     let members = [0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0));
     discovery.post(true, &members);
@@ -94,52 +98,57 @@
             .filter_map(|received| received.header("x-correlation-id").map(str::to_owned))
             .collect::<Vec<_>>()
     };
-    // What is usual is known, and a connection to each backend may be used again.
+    // Latencies have been measured, and each backend has a reusable connection.
     for n in 0..8 {
         assert_eq!(proxy.client().exchange(&request("read", &format!("usual-{n}"), "")).status(), 200);
     }
     ids();
-    let slow = (then == Then::LeavesASlowOne).then(|| Tenth::of(&proxy));
+    let slow_backend =
+        (behaviour == ClientBehaviour::DisconnectsFromThrottledProxy).then(|| ThrottledProcess::of(&proxy));
     let mut leaver = proxy.client();
     leaver.send(&request("read", "leaver", ""));
     let mut received = Vec::new();
     while received.is_empty() {
         received = ids();
     }
-    let fails = || {
-        // A backend whose request was given up does not hear it.
+    let fail_first_attempt = || {
+        // A backend that hangs does not wait for the signal.
         let _ = release.send(());
-        std::thread::sleep(if failing == Failing::Late { GIVEN_UP } else { BOUND / 2 });
+        std::thread::sleep(if failing == FirstFailure::Late {
+            ATTEMPT_TIMEOUT
+        } else {
+            DISCONNECT_BOUND / 2
+        });
     };
     let mut stays = None;
-    match then {
-        Then::Stays => {
-            fails();
+    match behaviour {
+        ClientBehaviour::Stays => {
+            fail_first_attempt();
             assert_eq!(leaver.receive().status(), 200);
             stays = Some(leaver);
         }
-        Then::Leaves | Then::LeavesASlowOne => {
+        ClientBehaviour::Disconnects | ClientBehaviour::DisconnectsFromThrottledProxy => {
             drop(leaver);
-            std::thread::sleep(BOUND);
-            fails();
+            std::thread::sleep(DISCONNECT_BOUND);
+            fail_first_attempt();
         }
-        Then::LeavesWhileItStands => {
+        ClientBehaviour::DisconnectsDuringStall => {
             proxy.signal("-STOP");
             drop(leaver);
-            std::thread::sleep(BOUND);
-            fails();
+            std::thread::sleep(DISCONNECT_BOUND);
+            fail_first_attempt();
             proxy.signal("-CONT");
         }
-        Then::FailsFirstWhileItStands => {
+        ClientBehaviour::DisconnectsAfterFailureDuringStall => {
             proxy.signal("-STOP");
-            fails();
+            fail_first_attempt();
             drop(leaver);
-            std::thread::sleep(BOUND);
+            std::thread::sleep(DISCONNECT_BOUND);
             proxy.signal("-CONT");
         }
     }
-    settle(&proxy);
-    drop(slow);
+    synchronize(&proxy);
+    drop(slow_backend);
     proxy.signal("-CONT");
     assert_eq!(proxy.client().exchange(&request("read", "stays", "")).status(), 200);
     received.extend(ids());
@@ -147,93 +156,101 @@
     received.iter().filter(|id| *id == "leaver").count()
 }
 
-/// No further attempt follows once the client has left, whatever became of the first one and however late the process
-/// hears of both. A client that stays shows that one would.
+/// No retry follows a disconnect, however the first attempt fails and however late the process detects both. A client that
+/// stays shows that a retry would follow.
 #[test]
 fn no_retry_after_the_client_disconnected() {
     let moments = [
-        Then::Stays,
-        Then::Leaves,
-        Then::LeavesWhileItStands,
-        Then::FailsFirstWhileItStands,
-        Then::LeavesASlowOne,
+        ClientBehaviour::Stays,
+        ClientBehaviour::Disconnects,
+        ClientBehaviour::DisconnectsDuringStall,
+        ClientBehaviour::DisconnectsAfterFailureDuringStall,
+        ClientBehaviour::DisconnectsFromThrottledProxy,
     ];
     let mut wrong = Vec::new();
-    for failing in [Failing::Error, Failing::Reset, Failing::TurnedAway, Failing::Late] {
-        for then in moments {
-            let name = format!("further-{failing:?}-{then:?}");
-            let wanted = if then == Then::Stays { 2 } else { 1 };
-            let had = attempts(&name, failing, then);
-            if had != wanted {
-                wrong.push((failing, then, had));
+    for failing in [FirstFailure::Error, FirstFailure::Reset, FirstFailure::Unprocessed, FirstFailure::Late] {
+        for behaviour in moments {
+            let name = format!("further-{failing:?}-{behaviour:?}");
+            let expected = if behaviour == ClientBehaviour::Stays { 2 } else { 1 };
+            let attempts = count_attempts(&name, failing, behaviour);
+            if attempts != expected {
+                wrong.push((failing, behaviour, attempts));
             }
         }
     }
     assert!(wrong.is_empty(), "{wrong:?}");
 }
 
-/// A dial that is refused, late, is a failed attempt too.
+/// A connect that is refused late is a failed attempt as well.
 #[test]
 fn no_retry_after_disconnect_during_a_refused_connect() {
-    for then in [Then::Stays, Then::Leaves, Then::LeavesWhileItStands, Then::FailsFirstWhileItStands] {
-        let (discovery, slow) = (Discovery::start(), Slow::start());
+    for behaviour in [
+        ClientBehaviour::Stays,
+        ClientBehaviour::Disconnects,
+        ClientBehaviour::DisconnectsDuringStall,
+        ClientBehaviour::DisconnectsAfterFailureDuringStall,
+    ] {
+        let (discovery, slow_backend) = (Discovery::start(), SlowBackend::start());
         let backend = Backend::start(|_| ok("there"));
-        let name = format!("refused-{then:?}");
-        let at_slow = entry("s-1", slow.address, "active", 0);
+        let name = format!("refused-{behaviour:?}");
+        let at_slow = entry("s-1", slow_backend.address, "active", 0);
         let proxy = Proxy::start(&name, &discovery, std::slice::from_ref(&at_slow));
         let mut leaver = proxy.client();
         leaver.send(&request("charge", "leaver", "x"));
-        settle(&proxy);
+        synchronize(&proxy);
         discovery.post(true, &[at_slow, entry("s-2", backend.address, "active", 0)]);
-        let refuses = |slow: Slow| {
-            drop(slow);
-            // The kernel tries again, and finds nobody.
-            std::thread::sleep(RETRIED);
+        let refuse_connect = |slow_backend: SlowBackend| {
+            drop(slow_backend);
+            // The kernel retries, and finds no listener.
+            std::thread::sleep(CONNECT_RETRY_AFTER);
         };
-        match then {
-            Then::Stays => {
-                refuses(slow);
+        match behaviour {
+            ClientBehaviour::Stays => {
+                refuse_connect(slow_backend);
                 assert_eq!(leaver.receive().body, b"there");
             }
-            Then::LeavesWhileItStands => {
+            ClientBehaviour::DisconnectsDuringStall => {
                 proxy.signal("-STOP");
                 drop(leaver);
-                refuses(slow);
+                refuse_connect(slow_backend);
                 proxy.signal("-CONT");
             }
-            Then::FailsFirstWhileItStands => {
+            ClientBehaviour::DisconnectsAfterFailureDuringStall => {
                 proxy.signal("-STOP");
-                refuses(slow);
+                refuse_connect(slow_backend);
                 drop(leaver);
-                std::thread::sleep(BOUND);
+                std::thread::sleep(DISCONNECT_BOUND);
                 proxy.signal("-CONT");
             }
             _ => {
                 drop(leaver);
-                std::thread::sleep(BOUND);
-                refuses(slow);
+                std::thread::sleep(DISCONNECT_BOUND);
+                refuse_connect(slow_backend);
             }
         }
-        settle(&proxy);
+        synchronize(&proxy);
         assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
         let ids = backend
             .requests
             .try_iter()
             .map(|received| received.header("x-correlation-id").expect("an id").to_owned());
-        let wanted: &[&str] = if then == Then::Stays { &["leaver", "stays"] } else { &["stays"] };
-        assert_eq!(ids.collect::<Vec<_>>(), wanted, "{then:?}");
+        let expected: &[&str] =
+            if behaviour == ClientBehaviour::Stays { &["leaver", "stays"] } else { &["stays"] };
+        assert_eq!(ids.collect::<Vec<_>>(), expected, "{behaviour:?}");
     }
 }
 
-/// A backend that tells of each request once its head has come, and answers when the word has been dropped.
-fn telling_heads() -> (SocketAddr, Receiver<String>, std::sync::mpsc::Sender<()>) {
+/// A backend that reports the id of each request when its head is read, and responds once the sender is dropped.
+fn start_head_reporting_backend() -> (SocketAddr, Receiver<String>, std::sync::mpsc::Sender<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let ((tell, heads), (release, word)) = (channel(), channel::<()>());
-    let word = Arc::new(Mutex::new(word));
+    let ((sender, heads), (release, released)) = (channel(), channel::<()>());
+    let released = Arc::new(Mutex::new(released));
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(stream), tell, word) = (stream, tell.clone(), Arc::clone(&word)) else { return };
+            let (Ok(stream), sender, released) = (stream, sender.clone(), Arc::clone(&released)) else {
+                return;
+            };
             std::thread::spawn(move || -> Option<()> {
                 let mut reader = BufReader::new(stream.try_clone().ok()?);
                 loop {
@@ -242,10 +259,10 @@
                         reader.read_line(&mut head).ok().filter(|&read| read > 0)?;
                     }
                     let head = HttpMessage::from_head(head);
-                    tell.send(head.header("x-correlation-id")?.to_owned()).ok()?;
+                    sender.send(head.header("x-correlation-id")?.to_owned()).ok()?;
                     let length = head.header("content-length")?.parse().ok()?;
                     reader.read_exact(&mut vec![0; length]).ok()?;
-                    let _ = word.lock().ok()?.recv_timeout(TEST_TIMEOUT);
+                    let _ = released.lock().ok()?.recv_timeout(TEST_TIMEOUT);
                     write_bytes(&stream, &response_bytes("200 OK", "", b"there"));
                 }
             });
@@ -254,18 +271,18 @@
     (address, heads, release)
 }
 
-/// Its close stands behind more than is read ahead, or behind a part of a body that is not kept, and then there is room for
-/// it. The spans between its coming and its leaving differ, so that no look at the clock's beat finds them all.
+/// The close follows more bytes than the proxy reads ahead, or a part of a streamed body, and then capacity becomes
+/// available. The times before the disconnect differ, so that a periodic check would not find them all.
 #[test]
 fn queued_request_is_dropped_after_disconnect_behind_unread_bytes() {
     let mut broken = Vec::new();
     let far = format!("{}{}", request("charge", "leaver", "x"), "G".repeat(60_000));
     let body = request("charge", "leaver", &"y".repeat(2_000_000))[..120_000].to_owned();
     for (name, text) in [("held-far-ahead", far), ("held-in-a-body", body)] {
-        for turn in 0..6 {
+        for round in 0..6 {
             let discovery = Discovery::start();
-            let (address, heads, release) = telling_heads();
-            let name = format!("{name}-{turn}");
+            let (address, heads, release) = start_head_reporting_backend();
+            let name = format!("{name}-{round}");
             let mut config = config(&name, &discovery);
             config["limits"]["memory_mb"] = 8.into();
             let proxy = Proxy::start_with_config(&name, &config);
@@ -273,15 +290,15 @@
             let mut first = [0, 1].map(|n| {
                 let mut client = proxy.client();
                 client.send(&request("charge", &format!("fill-{n}"), "x"));
-                heads.recv_timeout(TEST_TIMEOUT).expect("it has room");
+                heads.recv_timeout(TEST_TIMEOUT).expect("it has capacity");
                 client
             });
             let mut leaver = proxy.client();
             leaver.send(&text);
-            settle(&proxy);
-            std::thread::sleep(turn * Duration::from_millis(40));
+            synchronize(&proxy);
+            std::thread::sleep(round * Duration::from_millis(40));
             drop(leaver);
-            std::thread::sleep(BOUND);
+            std::thread::sleep(DISCONNECT_BOUND);
             drop(release);
             first.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
             assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
@@ -294,7 +311,7 @@
     assert!(broken.is_empty(), "{broken:?}");
 }
 
-/// The room that a held request waited for came, and its client left, both while the process stood.
+/// During a stall capacity becomes available for a queued request, and its client disconnects.
 #[test]
 fn queued_request_is_dropped_after_disconnect_during_a_stall() {
     for leaves_first in [false, true] {
@@ -305,16 +322,16 @@
         let mut first = fill(&proxy, &backend);
         let mut leaver = proxy.client();
         leaver.send(&request("charge", "leaver", "x"));
-        settle(&proxy);
+        synchronize(&proxy);
         proxy.signal("-STOP");
         let mut leaver = Some(leaver);
         if leaves_first {
             drop(leaver.take());
         }
         releases.iter().for_each(|release| release.send(()).expect("the backend waits"));
-        std::thread::sleep(BOUND);
+        std::thread::sleep(DISCONNECT_BOUND);
         drop(leaver);
-        std::thread::sleep(BOUND);
+        std::thread::sleep(DISCONNECT_BOUND);
         proxy.signal("-CONT");
         first.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
         assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
