--- a/crates/proxy-server/tests/faults/discovery_lists.rs
+++ b/crates/proxy-server/tests/faults/discovery_lists.rs
@@ -1,6 +1,6 @@
-//! Lists that come slowly, and entries that make no sense.
+//! Slow lists, invalid entries, agents that answer at once, and a log that is not read.
 
-use crate::Pair;
+use crate::TwoBackends;
 use crate::support::*;
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
@@ -12,8 +12,8 @@
 
 const GRACE: Duration = Duration::from_millis(1_050);
 
-/// An agent that writes every list in pieces, over this time.
-fn slow_agent(list: Arc<Mutex<Value>>, over: Duration) -> std::net::SocketAddr {
+/// An agent that writes each list in pieces over this time.
+fn start_slow_agent(list: Arc<Mutex<Value>>, over: Duration) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -23,7 +23,7 @@
                 let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
                 while let Some(asked) = read_message(&mut reader) {
                     let list = list.lock().expect("a list").clone();
-                    // A watch that knows this version waits.
+                    // A watch that knows this revision waits.
                     if asked.first_line().contains(&format!("after={}&", list["revision"])) {
                         thread::sleep(Duration::from_millis(500));
                     }
@@ -41,30 +41,31 @@
     address
 }
 
-/// "A change counts as told 6 s after discovery had it and could be reached", also where a list takes its time.
+/// "A change counts as told 6 s after discovery had it and could be reached", also where a list is sent slowly.
 #[test]
 fn slowly_sent_list_is_applied() {
-    let pair = Pair::new();
+    let pair = TwoBackends::new();
     let members = json!(pair.members());
     let list = Arc::new(Mutex::new(json!({"revision": 1, "complete": true, "members": members})));
     let mut config = config("slow-list", &pair.discovery);
-    config["discovery"] = json!(slow_agent(Arc::clone(&list), Duration::from_millis(1_500)).to_string());
+    config["discovery"] =
+        json!(start_slow_agent(Arc::clone(&list), Duration::from_millis(1_500)).to_string());
     let proxy = Proxy::start_with_config("slow-list", &config);
     let began = Instant::now();
     while proxy.client().exchange(HEALTH_REQUEST).status() != 200 {
         assert!(began.elapsed() < Duration::from_secs(8), "no list was taken");
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(pair.reaches_a(&proxy, "before", 30) > 0, "it serves");
+    assert!(pair.count_served_by_a(&proxy, "before", 30) > 0, "it serves");
     let mut drained = members;
     drained[0]["phase"] = json!("leaving");
     *list.lock().expect("a list") = json!({"revision": 2, "complete": true, "members": drained});
     thread::sleep(Duration::from_secs(6) + GRACE);
-    assert_eq!(pair.reaches_a(&proxy, "drained", 30), 0);
+    assert_eq!(pair.count_served_by_a(&proxy, "drained", 30), 0);
 }
 
-/// "Nothing new goes to a backend later than a stated grace after this proxy learns it drains or is gone", also where what
-/// it was told of that backend can't be read whole.
+/// "Nothing new goes to a backend later than a stated grace after this proxy learns it drains or is gone", also where the
+/// backend's entry is invalid.
 #[test]
 fn backend_with_an_invalid_entry_gets_no_new_requests() {
     let broken: [fn(&mut Value); 4] = [
@@ -73,32 +74,32 @@
         |entry| entry["phase"] = json!("retired"),
         |entry| entry["cell"] = json!(-1),
     ];
-    for (turn, spoil) in broken.into_iter().enumerate() {
-        let pair = Pair::new();
-        let proxy = Proxy::start(&format!("unread-{turn}"), &pair.discovery, &pair.members());
-        assert!(pair.reaches_a(&proxy, "before", 20) > 0, "it serves");
-        let mut told = entry("s-a", pair.a.address, "leaving", 0);
-        spoil(&mut told);
-        pair.discovery.post(false, &[told]);
-        assert_eq!(pair.reaches_a(&proxy, "told", 20), 0, "case {turn}");
+    for (round, invalidate) in broken.into_iter().enumerate() {
+        let pair = TwoBackends::new();
+        let proxy = Proxy::start(&format!("unread-{round}"), &pair.discovery, &pair.members());
+        assert!(pair.count_served_by_a(&proxy, "before", 20) > 0, "it serves");
+        let mut invalid_entry = entry("s-a", pair.a.address, "leaving", 0);
+        invalidate(&mut invalid_entry);
+        pair.discovery.post(false, &[invalid_entry]);
+        assert_eq!(pair.count_served_by_a(&proxy, "told", 20), 0, "case {round}");
     }
 }
 
-/// "It answers at once, at no cost": also a watch that nothing is new for. The proxy asks on within 200 ms, and not without
-/// a pause.
+/// "It answers at once, at no cost": also a watch without changes. The proxy polls again within 200 ms, and not without a
+/// delay.
 #[test]
 fn agent_that_answers_at_once_is_not_polled_without_a_delay() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (calls, gaps) = (Arc::new(Mutex::new(Vec::new())), Duration::from_millis(200));
+    let (calls, max_gap) = (Arc::new(Mutex::new(Vec::new())), Duration::from_millis(200));
     let counted = Arc::clone(&calls);
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
             while let Some(asked) = read_message(&mut reader) {
                 counted.lock().expect("the calls").push(asked.received_at);
-                let whole = !asked.first_line().contains("after=");
-                let list = json!({"revision": 1, "complete": whole, "members": []});
+                let is_complete = !asked.first_line().contains("after=");
+                let list = json!({"revision": 1, "complete": is_complete, "members": []});
                 if stream.write_all(&response_bytes("200 OK", "", list.to_string().as_bytes())).is_err() {
                     break;
                 }
@@ -113,10 +114,10 @@
     let calls = calls.lock().expect("the calls").clone();
     assert!(calls.len() > 8 && calls.len() < 100, "{} calls in 2 s", calls.len());
     let longest = calls.windows(2).map(|pair| pair[1] - pair[0]).max();
-    assert!(longest.is_some_and(|gap| gap < gaps), "{longest:?}");
+    assert!(longest.is_some_and(|gap| gap < max_gap), "{longest:?}");
 }
 
-/// Nobody reads the log, and much is said: serving goes on.
+/// The log is not read while many lines are written: serving continues.
 #[test]
 fn unread_log_does_not_block_serving() {
     let discovery = Discovery::start();
@@ -150,5 +151,5 @@
             thread::sleep(Duration::from_millis(200));
         }
     });
-    assert!(served.load(Ordering::Acquire), "the log held up serving");
+    assert!(served.load(Ordering::Acquire), "the log blocked serving");
 }
--- a/crates/proxy-server/tests/faults/disk.rs
+++ b/crates/proxy-server/tests/faults/disk.rs
@@ -1,8 +1,8 @@
-//! The folder that lasts, while its disk refuses: what was taken on is still owed.
+//! Exclusions while the disk of the persistent folder fails.
 
 use crate::fault_injection::{Fault, Faults};
 use crate::support::*;
-use crate::{Pair, sleep_until};
+use crate::{TwoBackends, sleep_until};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,8 +10,9 @@
 use std::time::{Duration, Instant};
 
 const SEED: u64 = 7;
-/// When a call binds at the latest, and for how long after that something new may still come.
-const BINDS_WITHIN: Duration = Duration::from_secs(1);
+/// When an exclusion is in force at the latest.
+const EXCLUSION_DELAY: Duration = Duration::from_secs(1);
+/// How long after that new requests may still be sent.
 const GRACE: Duration = Duration::from_millis(1_050);
 
 fn start(folder: &Path, name: &str, config: &Value, faults: &Faults) -> (Proxy, SocketAddr) {
@@ -26,34 +27,36 @@
 #[test]
 fn exclusion_applies_and_lasts_despite_transient_disk_failures() {
     let refusals = [Fault::Sync, Fault::FileWrite, Fault::FileRename, Fault::FileOpen];
-    let played: Vec<_> = refusals.into_iter().map(|fault| thread::spawn(move || ban_while(fault))).collect();
-    let failed: Vec<_> = played.into_iter().filter_map(|play| play.join().expect("a play").err()).collect();
+    let outcome: Vec<_> =
+        refusals.into_iter().map(|fault| thread::spawn(move || exclude_during(fault))).collect();
+    let failed: Vec<_> =
+        outcome.into_iter().filter_map(|run_traffic| run_traffic.join().expect("a play").err()).collect();
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-fn ban_while(fault: Fault) -> Result<(), String> {
-    let pair = Pair::new();
+fn exclude_during(fault: Fault) -> Result<(), String> {
+    let pair = TwoBackends::new();
     let name = format!("refuses-{fault:?}");
     let (folder, faults) = (empty_folder(&name), Faults::new(&name));
     let (old, console) = start(&folder, "old", &config_with_console(&pair.discovery, None), &faults);
     pair.post();
-    assert!(pair.reaches_a(&old, "before", 20) > 0, "it serves");
+    assert!(pair.count_served_by_a(&old, "before", 20) > 0, "it serves");
     faults.set(fault, 1_000);
     let asked = Instant::now();
     let answer = send_command(console, "exclude s-a\n");
-    sleep_until(asked + BINDS_WITHIN + GRACE);
-    let late = pair.reaches_a(&old, "refused", 40);
+    sleep_until(asked + EXCLUSION_DELAY + GRACE);
+    let late = pair.count_served_by_a(&old, "refused", 40);
     if late > 0 {
         return Err(format!("{fault:?}: {late} of 40 after the grace; the answer was {answer}"));
     }
     faults.set(fault, 0);
-    // The disk is well again. What is replaced a moment later still owes the ban.
+    // The disk works again. The exclusion also applies to a process that replaces this one soon after.
     thread::sleep(Duration::from_secs(1));
     let (new, console) =
         start(&folder, "new", &config_with_console(&pair.discovery, Some(old.address)), &faults);
     while !send_command(console, "readyz\n").starts_with("SUCCESS") {}
     drop(old);
-    let late = pair.reaches_a(&new, "replaced", 40);
+    let late = pair.count_served_by_a(&new, "replaced", 40);
     if late > 0 {
         return Err(format!("{fault:?}: {late} of 40 over a replacement; the answer was {answer}"));
     }
@@ -64,36 +67,38 @@
     Ok(())
 }
 
-/// A process that can't read the bans at its start owes them all the same.
+/// Exclusions that a process cannot read at its start apply all the same.
 #[test]
 fn initially_unreadable_exclusions_apply_from_the_start() {
     for fault in [Fault::FileRead, Fault::FileOpen] {
-        let pair = Pair::new();
+        let pair = TwoBackends::new();
         let name = format!("unread-{fault:?}");
         let (folder, faults) = (empty_folder(&name), Faults::new(&name));
         let (old, console) = start(&folder, "old", &config_with_console(&pair.discovery, None), &faults);
         pair.post();
         assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
         drop(old);
-        let fails = Faults::new(&format!("{name}-new"));
+        let startup_faults = Faults::new(&format!("{name}-new"));
         if matches!(fault, Fault::FileRead) {
-            fails.set(fault, 1_000);
+            startup_faults.set(fault, 1_000);
         }
         let began = Instant::now();
         let launch = Launch::new("new", &config_with_console(&pair.discovery, None).to_string());
         let (new, console) = thread::scope(|scope| {
             let healed = scope.spawn(|| {
                 sleep_until(began + Duration::from_millis(1_200));
-                fails.set(fault, 0);
+                startup_faults.set(fault, 0);
             });
-            let started =
-                launch.in_folder(&folder).with_environment(fails.environment(SEED)).start_with_console();
-            healed.join().expect("it heals");
+            let started = launch
+                .in_folder(&folder)
+                .with_environment(startup_faults.environment(SEED))
+                .start_with_console();
+            healed.join().expect("the disk works again");
             started
         });
         while !send_command(console, "readyz\n").starts_with("SUCCESS") {}
-        assert!(began.elapsed() < Duration::from_secs(6), "the yes is due within 6 s");
-        assert_eq!(pair.reaches_a(&new, "start", 40), 0, "{fault:?}");
+        assert!(began.elapsed() < Duration::from_secs(6), "readiness is due within 6 s");
+        assert_eq!(pair.count_served_by_a(&new, "start", 40), 0, "{fault:?}");
         drop(new);
     }
 }
--- a/crates/proxy-server/tests/faults/fault_injection.rs
+++ b/crates/proxy-server/tests/faults/fault_injection.rs
@@ -1,4 +1,4 @@
-//! System calls of a proxy that fail as a test says, while it runs; see `inject.c`.
+//! Fault injection into system calls of a running proxy, by a preloaded library; see `inject.c`.
 
 use std::env;
 use std::fs::{self, File, OpenOptions};
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// What can be made to fail. The order is that of the words in `inject.c`.
+/// The kinds of faults, in the order of the words in `inject.c`.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     ShortRead,
@@ -17,7 +17,7 @@
     Accept,
     Socket,
     Connect,
-    /// Connects fail for causes on this machine alone.
+    /// Connects fail for local causes.
     ConnectLocal,
     Wait,
     Sync,
@@ -25,14 +25,14 @@
     FileOpen,
     FileRead,
     FileRename,
-    /// How far the wall clock is off, in seconds.
+    /// The offset of the wall clock, in seconds.
     WallSeconds,
     Listen,
 }
 
-const WORDS: usize = Fault::Listen as usize + 1;
+const FAULT_COUNT: usize = Fault::Listen as usize + 1;
 
-/// The library, built once for all tests of this process.
+/// The library, built once per test process.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -45,28 +45,29 @@
     })
 }
 
-/// The faults of one proxy, which a test switches on and off.
+/// The faults of one proxy, which a test sets while it runs.
 pub struct Faults {
-    page: File,
+    control_file: File,
     path: PathBuf,
 }
 
 impl Faults {
-    /// None at first.
+    /// No faults yet.
     pub fn new(name: &str) -> Self {
         let path = env::temp_dir().join(format!("haventrack-faults-{}-{name}", std::process::id()));
         let mut options = OpenOptions::new();
-        let page = options.create(true).truncate(true).read(true).write(true).open(&path).expect("a page");
-        page.write_all_at(&[0; WORDS * 4], 0).expect("words");
-        Self { page, path }
+        let control_file =
+            options.create(true).truncate(true).read(true).write(true).open(&path).expect("a page");
+        control_file.write_all_at(&[0; FAULT_COUNT * 4], 0).expect("words");
+        Self { control_file, path }
     }
 
-    /// So many calls in a thousand fail from now on; of [`Fault::WallSeconds`] the seconds.
+    /// Sets how many calls in a thousand fail; for [`Fault::WallSeconds`] the offset in seconds.
     pub fn set(&self, fault: Fault, value: i32) {
-        self.page.write_all_at(&value.to_ne_bytes(), fault as u64 * 4).expect("a word");
+        self.control_file.write_all_at(&value.to_ne_bytes(), fault as u64 * 4).expect("a word");
     }
 
-    /// What the environment of the proxy has to hold.
+    /// The environment variables that the proxy needs.
     pub fn environment(&self, seed: u64) -> Vec<(&'static str, String)> {
         vec![
             ("LD_PRELOAD", library().display().to_string()),
--- a/crates/proxy-server/tests/faults/interrupted_messages.rs
+++ b/crates/proxy-server/tests/faults/interrupted_messages.rs
@@ -1,4 +1,4 @@
-//! Requests that stop half way, requests that come together, answers that break off.
+//! Incomplete requests, pipelined requests, truncated responses.
 
 use crate::support::*;
 use std::io::Read;
@@ -6,50 +6,52 @@
 use std::time::{Duration, Instant};
 
 /// "Clients that stop in the middle of a request and stay: they get their error or close within the 3 s that bad clients are
-/// owed", also in the middle of a body of which much has come.
+/// owed", also within a large body.
 #[test]
 fn client_that_stalls_within_a_body_is_ended_within_three_seconds() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start("stops", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    // Within the usual size, beyond it, and too large to be kept.
-    let plays = [(60_000, 64_000), (300_000, 600_000), (2_000_000, 40_000_000)];
-    let plays: Vec<_> = plays
+    // Within the usual size, beyond it, and too large to be buffered.
+    let stalled_clients = [(60_000, 64_000), (300_000, 600_000), (2_000_000, 40_000_000)];
+    let stalled_clients: Vec<_> = stalled_clients
         .into_iter()
-        .map(|(sent, told)| {
+        .map(|(sent, announced)| {
             let mut client = proxy.client();
             thread::spawn(move || {
-                let head = request("charge", &format!("stops-{told}"), "");
-                client.send(&head.replace("Content-Length: 0", &format!("Content-Length: {told}")));
+                let head = request("charge", &format!("stops-{announced}"), "");
+                client.send(&head.replace("Content-Length: 0", &format!("Content-Length: {announced}")));
                 client.send(&"z".repeat(sent));
                 let stopped = Instant::now();
                 client.stream.set_read_timeout(Some(Duration::from_secs(6))).expect("a time-out");
                 let mut rest = Vec::new();
                 let ended = client.reader.read_to_end(&mut rest);
-                (told, ended.is_ok(), stopped.elapsed())
+                (announced, ended.is_ok(), stopped.elapsed())
             })
         })
         .collect();
-    let plays: Vec<_> = plays.into_iter().map(|play| play.join().expect("a client")).collect();
+    let stalled_clients: Vec<_> =
+        stalled_clients.into_iter().map(|run_traffic| run_traffic.join().expect("a client")).collect();
     let in_time = |(_, ended, took): &(usize, bool, Duration)| *ended && *took < Duration::from_millis(3_050);
-    assert!(plays.iter().all(in_time), "{plays:?}");
+    assert!(stalled_clients.iter().all(in_time), "{stalled_clients:?}");
 }
 
-/// "A request read and then closed with no answer is lost": those that a client sent together have an answer each, also
-/// while the process ends, and where connections are given back.
+/// "A request read and then closed with no answer is lost": pipelined requests each have a response, also during
+/// shutdown.
 #[test]
 fn pipelined_requests_are_all_answered_during_shutdown() {
     let discovery = Discovery::start();
     let backend =
         Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(30), Box::new(ok("fine"))));
     let proxy = Proxy::start("together", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let mut kept = proxy.client();
-    assert_eq!(kept.exchange(HEALTH_REQUEST).status(), 200);
+    let mut reusable = proxy.client();
+    assert_eq!(reusable.exchange(HEALTH_REQUEST).status(), 200);
     proxy.terminate();
     while proxy.client().exchange(HEALTH_REQUEST).status() == 200 {}
-    let mut clients = [kept, proxy.client()];
+    let mut clients = [reusable, proxy.client()];
     for (number, client) in clients.iter_mut().enumerate() {
-        let all: String = (0..4).map(|turn| request("charge", &format!("p-{number}-{turn}"), "x")).collect();
+        let all: String =
+            (0..4).map(|round| request("charge", &format!("p-{number}-{round}"), "x")).collect();
         client.send(&all);
     }
     for (number, client) in clients.iter_mut().enumerate() {
@@ -58,7 +60,7 @@
     }
 }
 
-/// "As long as the client can tell that it is not whole": one that speaks HTTP/1.0 goes by the end of the connection.
+/// "As long as the client can tell that it is not whole": an HTTP/1.0 client goes by the end of the connection.
 #[test]
 fn http_1_0_client_detects_a_truncated_response() {
     let discovery = Discovery::start();
@@ -72,6 +74,6 @@
     let mut answer = Vec::new();
     let ended = client.reader.read_to_end(&mut answer);
     let head = String::from_utf8_lossy(&answer[..answer.len().min(300)]).to_ascii_lowercase();
-    let whole = ended.is_ok() && head.contains(" 200 ") && !head.contains("content-length");
-    assert!(!whole, "it looks whole: {} bytes", answer.len());
+    let is_complete = ended.is_ok() && head.contains(" 200 ") && !head.contains("content-length");
+    assert!(!is_complete, "it looks complete: {} bytes", answer.len());
 }
--- a/crates/proxy-server/tests/faults/main.rs
+++ b/crates/proxy-server/tests/faults/main.rs
@@ -1,5 +1,5 @@
-//! The terms of the pages at their extremes: calls of the system that fail, clocks that step, disks that refuse, processes
-//! that stand, and two of these inside one window. The judge of each test is the clause that it names.
+//! The operators' terms under faults: failing system calls, clock steps, failing disks, stalled processes, and two of these at
+//! once. Each test quotes the clause that it checks.
 
 mod clocks;
 mod discovery_lists;
@@ -21,18 +21,18 @@
 use std::time::{Duration, Instant};
 use support::{Backend, Client, Discovery, HttpMessage, Proxy, entry, ok, read_message, request};
 
-/// How late an attempt may begin, and how much too long its deadline may be: the slack of the pages.
-const SLACK: Duration = Duration::from_millis(150);
+/// How late an attempt may start, and how much longer than allowed its deadline may be, by the operators' terms.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// What became of the requests of many clients.
-struct Played {
-    /// The final answer of each request, in no order.
+/// The outcome of the requests of many clients.
+struct TrafficOutcome {
+    /// The id and the response status of each request, unordered.
     answers: Vec<(String, Option<u16>)>,
     /// How often each request reached a backend.
     runs: HashMap<String, usize>,
 }
 
-impl Played {
+impl TrafficOutcome {
     fn unanswered(&self) -> Vec<&str> {
         self.answers.iter().filter(|(_, got)| got.is_none()).map(|(id, _)| id.as_str()).collect()
     }
@@ -41,8 +41,8 @@
         self.answers.iter().filter(|(_, got)| *got == Some(200)).count()
     }
 
-    /// Rules 1 and 2: every request has its one final answer, and nothing unsafe ran twice.
-    fn keeps_the_rules(&self) {
+    /// Rules 1 and 2: every request has its one final response, and nothing unsafe ran twice.
+    fn assert_rules(&self) {
         assert!(
             self.unanswered().is_empty(),
             "{} of {}: {:?}",
@@ -56,46 +56,47 @@
     }
 }
 
-/// Asks on the connection that is kept, or on a new one; `None` where there is no answer. "A proxy may close one between
-/// requests; if that crosses a request that it has not read, the client sends the request once more on a new one."
-fn ask(client: &mut Option<Client>, address: SocketAddr, text: &str) -> Option<u16> {
-    let (was_kept, began) = (client.is_some(), Instant::now());
-    let got = ask_once(client, address, text);
-    if got.is_some() || !was_kept || began.elapsed() > Duration::from_secs(5) {
+/// Sends a request on the reused connection or on a new one; `None` where there is no response. "A proxy may close one
+/// between requests; if that crosses a request that it has not read, the client sends the request once more on a new one."
+fn send_request(client: &mut Option<Client>, address: SocketAddr, text: &str) -> Option<u16> {
+    let (was_reused, began) = (client.is_some(), Instant::now());
+    let got = send_request_once(client, address, text);
+    if got.is_some() || !was_reused || began.elapsed() > Duration::from_secs(5) {
         return got;
     }
-    ask_once(client, address, text)
+    send_request_once(client, address, text)
 }
 
-fn ask_once(client: &mut Option<Client>, address: SocketAddr, text: &str) -> Option<u16> {
-    let kept = client.get_or_insert_with(|| Client::connect(address));
-    kept.stream.set_read_timeout(Some(Duration::from_secs(6))).expect("a time-out");
-    if kept.stream.write_all(text.as_bytes()).is_err() {
+fn send_request_once(client: &mut Option<Client>, address: SocketAddr, text: &str) -> Option<u16> {
+    let reusable = client.get_or_insert_with(|| Client::connect(address));
+    reusable.stream.set_read_timeout(Some(Duration::from_secs(6))).expect("a time-out");
+    if reusable.stream.write_all(text.as_bytes()).is_err() {
         *client = None;
         return None;
     }
-    let got = read_message(&mut kept.reader);
+    let got = read_message(&mut reusable.reader);
     if got.as_ref().is_none_or(|received| received.header("connection") == Some("close")) {
         *client = None;
     }
     got.map(|received| received.status())
 }
 
-/// So many clients at a time, each with so many requests one after another, two in five on new connections.
-fn play(address: SocketAddr, backends: &[Backend], clients: usize, requests: usize) -> Played {
+/// Runs concurrent clients, each with successive requests, two in five on new connections.
+fn run_traffic(address: SocketAddr, backends: &[Backend], clients: usize, requests: usize) -> TrafficOutcome {
     let clients: Vec<_> = (0..clients)
         .map(|number| {
             thread::spawn(move || {
-                let mut kept = None;
+                let mut reusable = None;
                 let mut answers = Vec::new();
-                for turn in 0..requests {
-                    let class = ["read", "submit", "charge"][(number + turn) % 3];
-                    let id = format!("{class}-{number}-{turn}");
-                    if turn % 5 < 2 {
-                        kept = None;
+                for round in 0..requests {
+                    let class = ["read", "submit", "charge"][(number + round) % 3];
+                    let id = format!("{class}-{number}-{round}");
+                    if round % 5 < 2 {
+                        reusable = None;
                     }
                     let body = if class == "read" { "" } else { "some body of a request" };
-                    answers.push((id.clone(), ask(&mut kept, address, &request(class, &id, body))));
+                    answers
+                        .push((id.clone(), send_request(&mut reusable, address, &request(class, &id, body))));
                 }
                 answers
             })
@@ -106,23 +107,23 @@
     for received in backends.iter().flat_map(|backend| backend.requests.try_iter()) {
         *runs.entry(id_of(&received)).or_default() += 1;
     }
-    Played { answers, runs }
+    TrafficOutcome { answers, runs }
 }
 
-/// Two backends that say who they are, `a` being the one that a quiet proxy prefers.
-struct Pair {
+/// Two backends that respond with their names; an idle proxy prefers `a`.
+struct TwoBackends {
     discovery: Discovery,
     a: Backend,
     b: Backend,
 }
 
-impl Pair {
+impl TwoBackends {
     fn new() -> Self {
         let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
         Self { discovery: Discovery::start(), a, b }
     }
 
-    /// Their entries. Of equal backends a lone proxy gives the one whose number is higher a slot more.
+    /// Their entries. Of equal backends a single proxy gives the one with the higher number one slot more.
     fn members(&self) -> [Value; 2] {
         [entry("s-a", self.a.address, "active", 0), entry("s-0", self.b.address, "active", 0)]
     }
@@ -131,8 +132,8 @@
         self.discovery.post(true, &self.members());
     }
 
-    /// How many of so many requests, one after another, backend `a` gets.
-    fn reaches_a(&self, proxy: &Proxy, name: &str, count: usize) -> usize {
+    /// The number of successive requests that backend `a` receives.
+    fn count_served_by_a(&self, proxy: &Proxy, name: &str, count: usize) -> usize {
         self.a.take_request_count();
         let mut client = proxy.client();
         for n in 0..count {
@@ -146,14 +147,14 @@
     received.header("x-correlation-id").expect("an id").to_owned()
 }
 
-/// The deadline that a backend was told.
+/// The deadline that a backend received.
 fn time_left(received: &HttpMessage) -> Duration {
     Duration::from_millis(
         received.header("x-time-left-ms").expect("the time left").parse().expect("a number"),
     )
 }
 
-/// Waits until a moment.
+/// Sleeps until a point in time.
 fn sleep_until(at: Instant) {
     thread::sleep(at.saturating_duration_since(Instant::now()));
 }
--- a/crates/proxy-server/tests/faults/retry_windows.rs
+++ b/crates/proxy-server/tests/faults/retry_windows.rs
@@ -1,13 +1,13 @@
-//! Windows in which a repeat may be sent.
+//! Windows in which a keyed request may be retried.
 
 use crate::support::*;
-use crate::{SLACK, id_of};
+use crate::{DEADLINE_TOLERANCE, id_of};
 use serde_json::json;
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// "A keyed request that may have run may be sent again only within the group of backends that drops its repeats, and only
-/// while they remember it": also where the connection for the repeat comes up late.
+/// while they remember it": also where the connection for the retry is established late.
 #[test]
 fn retry_is_not_sent_after_the_idempotency_window() {
     const WINDOW: Duration = Duration::from_millis(400);
@@ -23,7 +23,7 @@
     let proxy = Proxy::start_with_config("window", &config);
     let members = [entry("s-a", first.address, "active", 0), entry("s-0", address, "active", 0)];
     discovery.post(true, &members);
-    // The one that breaks off is preferred, and the other one is asked after it.
+    // The failing backend is preferred, and the other one gets the retry.
     let mut client = proxy.client();
     client.send(&request("submit", "1", "x"));
     let mut began = std::collections::HashMap::new();
@@ -47,7 +47,11 @@
             && let Some(first) = began.get(&id_of(&received))
         {
             let after = received.received_at.saturating_duration_since(*first);
-            assert!(after <= WINDOW + SLACK, "{} was sent again after {after:?}", id_of(&received));
+            assert!(
+                after <= WINDOW + DEADLINE_TOLERANCE,
+                "{} was sent again after {after:?}",
+                id_of(&received)
+            );
         }
     }
 }
--- a/crates/proxy-server/tests/faults/shutdown.rs
+++ b/crates/proxy-server/tests/faults/shutdown.rs
@@ -1,13 +1,13 @@
-//! The end of a process: settings that changed before it, and calls that fail meanwhile.
+//! Shutdown after a change of the settings, and with failing calls.
 
 use crate::fault_injection::{Fault, Faults};
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// When the platform kills a process that was told to end: so long after the longest deadline.
+/// When the platform kills the process: this long after the stop signal and the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
-/// "SIGKILL may come the longest deadline + 0.7 s after SIGTERM": the longest of the settings that hold.
+/// "SIGKILL may come the longest deadline + 0.7 s after SIGTERM": the longest of the settings in force.
 #[test]
 fn shutdown_time_follows_the_settings_in_force() {
     let discovery = Discovery::start();
@@ -16,7 +16,7 @@
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     proxy.reload(&config_with_deadline("shorter", &discovery, 300).to_string());
     proxy.wait_for_log("reloaded the configuration");
-    // Clients that did not know yet are long through.
+    // Clients with the previous deadline have finished.
     std::thread::sleep(Duration::from_millis(3_100));
     let mut clients: Vec<_> = (0..3).map(|_| proxy.client()).collect();
     let began = Instant::now();
@@ -26,25 +26,25 @@
     let answers: Vec<_> =
         clients.iter_mut().map(|client| read_message(&mut client.reader).is_some()).collect();
     assert!(answers.iter().all(|answered| *answered), "{answers:?}");
-    // One that stays connected and says nothing.
+    // A client that stays connected without a request.
     let _idle = proxy.client();
     assert_eq!(proxy.wait().code(), Some(0));
     let took = began.elapsed();
     assert!(took < Duration::from_millis(300) + KILL_DELAY, "it ended after {took:?}");
 }
 
-/// More clients than it may hold, and accepts that fail: what stands in the listener's queue has its answer.
+/// More clients than the connection limit, and failing accepts: connections in the listener's queue have their responses.
 #[test]
 fn empties_the_listener_queue_despite_failed_accepts() {
-    for turn in 0..4 {
+    for round in 0..4 {
         let discovery = Discovery::start();
         let backend = Backend::start(|_| BackendAction::Hang);
-        let name = format!("queue-{turn}");
+        let name = format!("queue-{round}");
         let faults = Faults::new(&name);
         let mut config = config_with_deadline(&name, &discovery, 500);
         config["limits"]["sockets"] = 48.into();
         let mut proxy =
-            Launch::new(&name, &config.to_string()).with_environment(faults.environment(turn + 1)).start();
+            Launch::new(&name, &config.to_string()).with_environment(faults.environment(round + 1)).start();
         discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
         faults.set(Fault::Accept, 500);
         let clients = (0..60).map(|id| {
@@ -56,7 +56,7 @@
         proxy.terminate();
         let answers = clients.into_iter().map(|client| client.join().expect("a client"));
         let without = answers.filter(|answered| !answered).count();
-        assert_eq!(without, 0, "turn {turn}");
+        assert_eq!(without, 0, "turn {round}");
         assert_eq!(proxy.wait().code(), Some(0));
     }
 }
--- a/crates/proxy-server/tests/faults/system_calls.rs
+++ b/crates/proxy-server/tests/faults/system_calls.rs
@@ -1,8 +1,8 @@
-//! Calls of the system that fail in the ways that Linux documents.
+//! System calls that fail in the ways that Linux documents.
 
 use crate::fault_injection::{Fault, Faults};
 use crate::support::*;
-use crate::{SLACK, play, sleep_until};
+use crate::{DEADLINE_TOLERANCE, run_traffic, sleep_until};
 use serde_json::{Value, json};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -16,41 +16,42 @@
     (backends, members)
 }
 
-/// Plays with these faults, each in so many of a thousand calls, and gives how many of the requests were served.
-fn with_faults(name: &str, faults: &[(Fault, i32)], requests: usize) -> (usize, usize) {
+/// Runs traffic with these faults, each per thousand calls; returns the numbers of served and of all requests.
+fn run_with_faults(name: &str, faults: &[(Fault, i32)], requests: usize) -> (usize, usize) {
     let discovery = Discovery::start();
     let (backends, members) = backends(4);
     let injected = Faults::new(name);
     let config = config(name, &discovery).to_string();
     let proxy = Launch::new(name, &config).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
-    faults.iter().for_each(|&(fault, often)| injected.set(fault, often));
-    let played = play(proxy.address, &backends, 6, requests);
-    played.keeps_the_rules();
-    (played.served(), played.answers.len())
+    faults.iter().for_each(|&(fault, per_mille)| injected.set(fault, per_mille));
+    let outcome = run_traffic(proxy.address, &backends, 6, requests);
+    outcome.assert_rules();
+    (outcome.served(), outcome.answers.len())
 }
 
 /// "Short reads and writes. All rules hold."
 #[test]
 fn short_reads_lose_nothing() {
-    for (turn, often) in [20, 300].into_iter().enumerate() {
-        let (served, all) = with_faults(&format!("short-reads-{turn}"), &[(Fault::ShortRead, often)], 30);
-        assert_eq!(served, all, "nothing else was wrong");
+    for (round, per_mille) in [20, 300].into_iter().enumerate() {
+        let (served, all) =
+            run_with_faults(&format!("short-reads-{round}"), &[(Fault::ShortRead, per_mille)], 30);
+        assert_eq!(served, all, "there was no other fault");
     }
 }
 
 #[test]
 fn short_writes_lose_nothing() {
-    let (served, all) = with_faults("short-writes", &[(Fault::ShortWrite, 300)], 30);
-    assert_eq!(served, all, "nothing else was wrong");
+    let (served, all) = run_with_faults("short-writes", &[(Fault::ShortWrite, 300)], 30);
+    assert_eq!(served, all, "there was no other fault");
 }
 
 /// A signal may interrupt any call: waits, reads and writes.
 #[test]
 fn interrupted_calls_lose_nothing() {
     let faults = [(Fault::Wait, 300), (Fault::InterruptedRead, 300), (Fault::InterruptedWrite, 300)];
-    let (served, all) = with_faults("interrupted", &faults, 30);
-    assert_eq!(served, all, "nothing else was wrong");
+    let (served, all) = run_with_faults("interrupted", &faults, 30);
+    assert_eq!(served, all, "there was no other fault");
 }
 
 #[test]
@@ -65,17 +66,17 @@
         (Fault::Socket, 100),
         (Fault::Connect, 100),
     ];
-    with_faults("together", &faults, 30);
+    run_with_faults("together", &faults, 30);
 }
 
 #[test]
 fn failed_accepts_sockets_and_connects_lose_nothing() {
-    with_faults("accept", &[(Fault::Accept, 300)], 30);
-    with_faults("sockets", &[(Fault::Socket, 200)], 30);
-    with_faults("connects", &[(Fault::Connect, 200)], 30);
+    run_with_faults("accept", &[(Fault::Accept, 300)], 30);
+    run_with_faults("sockets", &[(Fault::Socket, 200)], 30);
+    run_with_faults("connects", &[(Fault::Connect, 200)], 30);
 }
 
-/// Faults of this machine alone for a second: no backend is to blame, so that all serve right after it.
+/// Local faults for a second do not count against any backend: all serve right after it.
 #[test]
 fn local_connect_failures_eject_no_backend() {
     let discovery = Discovery::start();
@@ -85,16 +86,16 @@
     let mut proxy = Launch::new("local", &config).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
     injected.set(Fault::ConnectLocal, 1_000);
-    let played = play(proxy.address, &backends, 4, 20);
+    let outcome = run_traffic(proxy.address, &backends, 4, 20);
     injected.set(Fault::ConnectLocal, 0);
-    assert!(played.unanswered().is_empty());
+    assert!(outcome.unanswered().is_empty());
     assert_eq!(proxy.client().exchange(&request("read", "after", "")).status(), 200);
     proxy.terminate();
     let log = proxy.remaining_log();
     assert!(!log.contains("ejected"), "{log}");
 }
 
-/// "Queues and logs are bounded": failures that come hundreds of times are told a few times.
+/// "Queues and logs are bounded": failures that occur hundreds of times are logged a few times.
 #[test]
 fn failed_accepts_do_not_fill_the_log() {
     let discovery = Discovery::start();
@@ -106,7 +107,7 @@
     let began = Instant::now();
     injected.set(Fault::Accept, 900);
     while began.elapsed() < Duration::from_secs(2) {
-        play(proxy.address, &backends, 2, 5).keeps_the_rules();
+        run_traffic(proxy.address, &backends, 2, 5).assert_rules();
     }
     injected.set(Fault::Accept, 0);
     let seconds = began.elapsed().as_secs() as usize;
@@ -129,12 +130,12 @@
         .with_environment(injected.environment(SEED));
     let (_proxy, console) = launch.start_with_console();
     discovery.post(true, &members);
-    for often in [300, 900] {
-        injected.set(Fault::ShortRead, often);
-        injected.set(Fault::InterruptedRead, often / 3);
-        for turn in 0..20 {
+    for per_mille in [300, 900] {
+        injected.set(Fault::ShortRead, per_mille);
+        injected.set(Fault::InterruptedRead, per_mille / 3);
+        for round in 0..20 {
             let began = Instant::now();
-            let line = if turn % 2 == 0 { "exclude s-1\n" } else { "include s-1\n" };
+            let line = if round % 2 == 0 { "exclude s-1\n" } else { "include s-1\n" };
             assert!(send_command(console, line).starts_with("SUCCESS"));
             assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
         }
@@ -150,27 +151,27 @@
     let config = config("drain", &discovery).to_string();
     let proxy = Launch::new("drain", &config).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
-    play(proxy.address, &[], 2, 10).keeps_the_rules();
+    run_traffic(proxy.address, &[], 2, 10).assert_rules();
     injected.set(Fault::ShortRead, 500);
     injected.set(Fault::InterruptedRead, 300);
     injected.set(Fault::ConnectLocal, 300);
     members[0]["phase"] = json!("leaving");
-    let told = Instant::now();
+    let drained_at = Instant::now();
     discovery.post_without_waiting(false, &members[..1]);
-    sleep_until(told + Duration::from_millis(7_050));
+    sleep_until(drained_at + Duration::from_millis(7_050));
     assert!(backends[0].take_request_count() > 0, "it served before");
     backends[1].take_request_count();
-    play(proxy.address, &backends[1..], 2, 10).keeps_the_rules();
+    run_traffic(proxy.address, &backends[1..], 2, 10).assert_rules();
     assert_eq!(backends[0].take_request_count(), 0);
 }
 
-/// The first calls of a process may fail for a moment as well.
+/// Calls of a starting process may fail transiently as well.
 #[test]
 fn process_starts_despite_transient_startup_failures() {
     let discovery = Discovery::start();
     let (_backends, members) = backends(1);
-    for (turn, fault) in [Fault::Socket, Fault::Listen, Fault::FileOpen].into_iter().enumerate() {
-        let name = format!("start-{turn}");
+    for (round, fault) in [Fault::Socket, Fault::Listen, Fault::FileOpen].into_iter().enumerate() {
+        let name = format!("start-{round}");
         let injected = Faults::new(&name);
         injected.set(fault, 1_000);
         let mut config = config(&name, &discovery);
@@ -194,7 +195,7 @@
     }
 }
 
-/// What SIGHUP brings holds 4 s later at the latest, also where the file can't be opened at first.
+/// A reload is in force 4 s after SIGHUP, also where the file cannot be opened at first.
 #[test]
 fn transiently_unreadable_configuration_is_retried() {
     let (discovery, next) = (Discovery::start(), Discovery::start());
@@ -211,5 +212,5 @@
     sleep_until(began + Duration::from_millis(800));
     injected.set(Fault::FileOpen, 0);
     next.next_call();
-    assert!(began.elapsed() < Duration::from_secs(4) + SLACK, "{:?}", began.elapsed());
+    assert!(began.elapsed() < Duration::from_secs(4) + DEADLINE_TOLERANCE, "{:?}", began.elapsed());
 }
--- a/crates/proxy-server/tests/golden_process/main.rs
+++ b/crates/proxy-server/tests/golden_process/main.rs
@@ -1,5 +1,5 @@
-//! Golden files of the running program: the console's answers, the files that it stores, what `check` prints, and the
-//! bytes that clients and backends see.
+//! Golden files of the running executable: the console's responses, the files that it stores, and the bytes that clients and
+//! backends receive; and the exit codes of `check`.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -17,7 +17,7 @@
     GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Each run of digits longer than a count becomes `N`: times and ports differ from run to run.
+/// Replaces each number of more than three digits by `N`: times and ports differ from run to run.
 fn without_times(text: &str) -> String {
     let mut result = String::new();
     let mut digits = String::new();
@@ -82,7 +82,7 @@
     }
 }
 
-/// The process that takes over finds what one of an older version stored, and the older one reads what it stores.
+/// A new process reads what one of an older version stored, and the older one reads what it stores.
 #[test]
 fn exclusions_of_an_older_version_apply_to_a_new_process() {
     let discovery = Discovery::start();
@@ -138,7 +138,7 @@
     golden().assert_lines("http.txt", &texts);
 }
 
-/// Exit codes by which scripts tell a good configuration from one that cannot be used.
+/// Scripts use the exit codes to check a configuration.
 #[test]
 fn check_exit_codes_are_stable() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
--- a/crates/proxy-server/tests/operations/console.rs
+++ b/crates/proxy-server/tests/operations/console.rs
@@ -16,7 +16,7 @@
     assert!(send_command(console, "readyz\n").starts_with("FAILURE no list"));
     discovery.post(true, &list(&a, &b));
     assert!(send_command(console, "readyz\n").starts_with("SUCCESS"));
-    // A request that is open keeps the process from ending.
+    // An open request keeps the process running.
     let (release, released) = std::sync::mpsc::channel();
     let mut released = Some(released);
     let slow = Backend::start(move |_| match released.take() {
@@ -47,19 +47,20 @@
     assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
     assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
     assert_eq!(served(&mut client, "out", 40), "b".repeat(40));
-    // Whatever the list says: told as active again, gone, back.
+    // Whatever the list reports: active again, removed, back.
     discovery.post(false, &[entry("s-a", a.address, "active", 0)]);
     assert_eq!(served(&mut client, "told", 20), "b".repeat(20));
     discovery.post(false, &[entry("s-a", a.address, "left", 0)]);
     discovery.post(false, &[entry("s-a", a.address, "active", 77_000)]);
     assert_eq!(served(&mut client, "back", 20), "b".repeat(20));
-    // Two calls out need one call back.
+    // Two exclusions need one inclusion.
     assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
     assert!(send_command(console, "exclude s-b\n").starts_with("SUCCESS"));
-    // It is taken for cold, so that it may have to be waited for.
+    // The backend is in slow start, so it may not get the first requests.
     let mut tries = 0..50;
-    let again = tries.any(|n| client.exchange(&request("read", &format!("again-{n}"), "")).body == b"a");
-    assert!(again, "it serves again");
+    let serves_again =
+        tries.any(|n| client.exchange(&request("read", &format!("again-{n}"), "")).body == b"a");
+    assert!(serves_again, "it serves again");
     assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a was not out"));
     assert!(send_command(console, "include s-none\n").starts_with("FAILURE"));
 }
@@ -83,7 +84,7 @@
     assert!(proxy.remaining_log().contains("set aside"));
 }
 
-/// The staff is answered within its second while clients keep the process busy.
+/// Console commands are answered within a second while clients keep the process busy.
 #[test]
 fn console_answers_in_time_under_full_load() {
     let discovery = Discovery::start();
--- a/crates/proxy-server/tests/operations/reload.rs
+++ b/crates/proxy-server/tests/operations/reload.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// A configuration whose classes and attempts are these.
+/// A configuration with these classes, as name and effect, and this number of attempts.
 fn with_settings(discovery: &Discovery, classes: &[(&str, &str)], attempts: u16) -> Value {
     let mut config = config("n8", discovery);
     let like = config["settings"]["classes"][1].clone();
@@ -21,7 +21,8 @@
     config
 }
 
-fn asked(class: &str, id: &str, method: &str, key: bool) -> String {
+/// A request whose class is its path alone, with or without an idempotency key.
+fn request_without_class(class: &str, id: &str, method: &str, key: bool) -> String {
     let key = if key { format!("Idempotency-Key: {id}\r\n") } else { String::new() };
     format!(
         "{method} /{class} HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {id}\r\nX-Time-Left-Ms: 15000\r\n{key}\
@@ -32,12 +33,12 @@
 #[test]
 fn reload_changes_classes_and_open_requests_keep_theirs() {
     let discovery = Discovery::start();
-    // The first request of all is broken off when the test says so; what comes later is served.
+    // The first request is aborted when the test signals it; later ones are served.
     let (release, released) = std::sync::mpsc::channel::<()>();
     let released = Arc::new(std::sync::Mutex::new(Some(released)));
     let start = || {
         let released = Arc::clone(&released);
-        Backend::start(move |_| match released.lock().expect("the word").take() {
+        Backend::start(move |_| match released.lock().expect("the receiver").take() {
             Some(released) => {
                 BackendAction::WaitThen(released, Box::new(BackendAction::WriteAndClose(Vec::new())))
             }
@@ -49,20 +50,24 @@
     let mut proxy = Proxy::start_with_config("retune", &first);
     discovery.post(true, &list(&a, &b));
     let mut open = proxy.client();
-    open.send(&asked("read", "open", "GET", false));
-    while released.lock().expect("the word").is_some() {
+    open.send(&request_without_class("read", "open", "GET", false));
+    while released.lock().expect("the receiver").is_some() {
         thread::yield_now();
     }
-    // Only one attempt from now on; "lift" becomes unsafe, "view" is new, "read" goes.
+    // The new settings allow one attempt; "lift" becomes unsafe, "view" is added, "read" is removed.
     let second = with_settings(&discovery, &[("lift", "fragile"), ("view", "retryable")], 1);
     proxy.reload(&second.to_string());
     proxy.wait_for_log("settings in force: classes lift view; 1 attempts");
     release.send(()).expect("the backend waits");
     let got = open.receive();
-    assert!(got.status() == 200 && got.body == b"later", "it came under four attempts: {}", got.head);
+    assert!(got.status() == 200 && got.body == b"later", "it was accepted with four attempts: {}", got.head);
     let mut client = proxy.client();
-    assert_eq!(client.exchange(&asked("view", "1", "GET", false)).status(), 200);
-    assert_eq!(client.exchange(&asked("lift", "2", "POST", false)).status(), 200, "it needs no key any more");
+    assert_eq!(client.exchange(&request_without_class("view", "1", "GET", false)).status(), 200);
+    assert_eq!(
+        client.exchange(&request_without_class("lift", "2", "POST", false)).status(),
+        200,
+        "no key is required any more"
+    );
 }
 
 #[test]
@@ -72,19 +77,19 @@
     let good = with_settings(&discovery, &[("read", "retryable"), ("lift", "dedup")], 4);
     let mut proxy = Proxy::start_with_config("broken-file", &good.clone());
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    // Each of them would drop "read", if it were taken.
+    // Each of these files would remove "read" if it were applied.
     let next = with_settings(&discovery, &[("view", "retryable"), ("lift", "dedup")], 4);
     let with = |change: &dyn Fn(&mut Value)| {
         let mut file = next.clone();
         change(&mut file);
         file.to_string()
     };
-    let whole = next.to_string();
+    let complete = next.to_string();
     let remove = |file: &mut Value, key: &str| drop(file.as_object_mut().expect("an object").remove(key));
     let files: Vec<(String, &str)> = vec![
         (String::new(), "EOF"),
-        (whole[..whole.len() / 2].to_owned(), "EOF"),
-        (whole[..whole.len() - 1].to_owned(), "EOF"),
+        (complete[..complete.len() / 2].to_owned(), "EOF"),
+        (complete[..complete.len() - 1].to_owned(), "EOF"),
         ("[]".into(), "invalid"),
         (with(&|f| remove(f, "settings")), "settings"),
         (with(&|f| remove(f, "discovery")), "discovery"),
@@ -107,11 +112,19 @@
         proxy.reload(file);
         let line = proxy.wait_for_log("reload failed, the previous configuration remains in force");
         assert!(line.contains(named), "{named}: {line}");
-        assert_eq!(client.exchange(&asked("read", &n.to_string(), "GET", false)).status(), 200, "{named}");
-        assert_eq!(client.exchange(&asked("view", &n.to_string(), "GET", false)).status(), 400, "{named}");
+        assert_eq!(
+            client.exchange(&request_without_class("read", &n.to_string(), "GET", false)).status(),
+            200,
+            "{named}"
+        );
+        assert_eq!(
+            client.exchange(&request_without_class("view", &n.to_string(), "GET", false)).status(),
+            400,
+            "{named}"
+        );
         client = proxy.client();
     }
-    proxy.reload(&whole);
+    proxy.reload(&complete);
     proxy.wait_for_log("settings in force: classes lift view; 4 attempts");
-    assert_eq!(proxy.client().exchange(&asked("view", "last", "GET", false)).status(), 200);
+    assert_eq!(proxy.client().exchange(&request_without_class("view", "last", "GET", false)).status(), 200);
 }
--- a/crates/proxy-server/tests/operations/replacement.rs
+++ b/crates/proxy-server/tests/operations/replacement.rs
@@ -15,23 +15,23 @@
         Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     assert!(send_command(old_console, "exclude s-a\n").starts_with("SUCCESS"));
-    let mut kept = old.client();
-    assert_eq!(served(&mut kept, "kept", 3), "bbb");
+    let mut reused = old.client();
+    assert_eq!(served(&mut reused, "kept", 3), "bbb");
     let (new, new_console) =
         Proxy::start_with_console(&folder, "new", &config_with_console(&discovery, Some(old.address)));
     wait_for_response(new_console, "readyz\n", "SUCCESS");
     let mut fresh = new.client();
-    assert_eq!(served(&mut fresh, "fresh", 20), "b".repeat(20), "the ban was there from the start");
-    // Said to the new process, it binds the old one as well.
+    assert_eq!(served(&mut fresh, "fresh", 20), "b".repeat(20), "the exclusion applied from the start");
+    // A command to the new process applies to the old one as well.
     assert!(send_command(new_console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
     old.wait_for_log("excluded backends now: none");
     assert!(send_command(new_console, "exclude s-b\n").starts_with("SUCCESS"));
     old.wait_for_log("excluded backends now: s-b");
     while b.take_request_count() > 0 {}
-    let answer = kept.exchange(&request("read", "kept-last", ""));
+    let answer = reused.exchange(&request("read", "kept-last", ""));
     assert!(answer.body != b"b", "{}", answer.head);
     old.terminate();
-    drop(kept);
+    drop(reused);
     assert!(old.wait().success());
     assert_eq!(b.take_request_count(), 0);
 }
@@ -59,7 +59,7 @@
     assert_eq!(served(&mut client, "after", 10).len(), 10);
 }
 
-/// Clients that never stop, on kept connections and on new ones, see nothing of replacements that follow one another.
+/// Continuous clients, on reused and on new connections, observe no fault during successive replacements.
 #[test]
 fn replacement_rejects_and_resets_nothing() {
     let discovery = Discovery::start();
@@ -68,11 +68,11 @@
     let (mut old, console) = Proxy::start_with_console(&folder, "p0", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
-    let (address, stop, asked) =
+    let (address, stop, exchanged) =
         (old.address, Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<_> = (0..6)
         .map(|number| {
-            let (stop, asked) = (Arc::clone(&stop), Arc::clone(&asked));
+            let (stop, exchanged) = (Arc::clone(&stop), Arc::clone(&exchanged));
             thread::spawn(move || {
                 let connect = || Client::connect(address);
                 let mut client = connect();
@@ -82,8 +82,8 @@
                     }
                     let answer = client.exchange(&request("read", &format!("load-{number}-{n}"), ""));
                     assert_eq!(answer.status(), 200, "{}", answer.head);
-                    asked.fetch_add(1, Ordering::Relaxed);
-                    // Half of them come anew each time; the others go when they are told to.
+                    exchanged.fetch_add(1, Ordering::Relaxed);
+                    // Half of them reconnect each time; the others when the proxy requests it.
                     if number % 2 == 0 || answer.header("connection") == Some("close") {
                         client = connect();
                     }
@@ -92,8 +92,8 @@
         })
         .collect();
     let go_on = |more: usize| {
-        let until = asked.load(Ordering::Relaxed) + more;
-        while asked.load(Ordering::Relaxed) < until && clients.iter().all(|c| !c.is_finished()) {
+        let until = exchanged.load(Ordering::Relaxed) + more;
+        while exchanged.load(Ordering::Relaxed) < until && clients.iter().all(|c| !c.is_finished()) {
             thread::yield_now();
         }
     };
@@ -109,10 +109,10 @@
     }
     go_on(200);
     stop.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|client| client.join().expect("a client that saw nothing"));
+    clients.into_iter().for_each(|client| client.join().expect("a client that observed no fault"));
 }
 
-/// What was learnt goes over; what can't be read means a plain start.
+/// Learned limits are restored; an unreadable snapshot is ignored.
 #[test]
 fn new_process_restores_learned_limits() {
     let discovery = Discovery::start();
@@ -131,14 +131,14 @@
         new.wait_for_log(receivers)
     };
     successor("reads", "restored learned limits from the snapshot");
-    // One of another proxy has another name, and this one can't be read at all.
+    // A folder in place of the snapshot cannot be read.
     fs::remove_file(&file).expect("the file is there");
     fs::create_dir(&file).expect("a folder in its place");
     assert!(successor("cannot-read", "learned limits were not restored").contains("directory"));
     assert_eq!(old.client().exchange(&request("read", "after", "")).status(), 200);
 }
 
-/// A request that may not be sent twice is open in the old process when it is told to end: it ends there, once.
+/// A keyed request that is open in the old process at its stop signal finishes there, once.
 #[test]
 fn open_requests_finish_once_in_the_old_process() {
     let discovery = Discovery::start();
@@ -161,16 +161,16 @@
     wait_for_response(new_console, "readyz\n", "SUCCESS");
     old.terminate();
     wait_for_response(console, "readyz\n", "FAILURE");
-    // What comes now is the new one's.
+    // New connections reach the new process.
     assert_eq!(new.client().exchange(&request("read", "other", "")).body, b"later");
     release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"first");
     assert!(old.wait().success());
     assert_eq!(backend.next_request().header("x-correlation-id"), Some("other"));
-    assert_eq!(backend.take_request_count(), 0, "nothing was sent twice");
+    assert_eq!(backend.take_request_count(), 0, "nothing was retried");
 }
 
-/// Connections at rest close at the end, but none that has begun to say something.
+/// Idle connections are closed during shutdown, but none on which a request has begun.
 #[test]
 fn partial_head_is_answered_during_shutdown() {
     let discovery = Discovery::start();
@@ -179,21 +179,21 @@
         Proxy::start_with_console(&empty_folder("half"), "half", &config_with_console(&discovery, None));
     discovery.post(true, &list(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
-    let (mut resting, mut heading) = (proxy.client(), proxy.client());
-    for (client, id) in [(&mut resting, "1"), (&mut heading, "2")] {
+    let (mut idle, mut partial) = (proxy.client(), proxy.client());
+    for (client, id) in [(&mut idle, "1"), (&mut partial, "2")] {
         assert_eq!(client.exchange(&request("read", id, "")).status(), 200);
     }
     proxy.terminate();
     wait_for_response(console, "readyz\n", "FAILURE");
-    let whole = request("read", "3", "");
-    let (begun, rest) = whole.split_at(30);
-    // It begins when the other one rests for so long that it is about to close.
-    heading.send(begun);
-    assert!(resting.is_closed_cleanly(), "it is at rest");
-    heading.send(rest);
-    let got = heading.receive();
+    let complete = request("read", "3", "");
+    let (begun, rest) = complete.split_at(30);
+    // The request begins while the other connection is idle and about to be closed.
+    partial.send(begun);
+    assert!(idle.is_closed_cleanly(), "it is idle");
+    partial.send(rest);
+    let got = partial.receive();
     assert_eq!((got.status(), got.header("connection")), (200, Some("close")), "{}", got.head);
-    assert!(heading.is_closed_cleanly());
-    drop((resting, heading));
+    assert!(partial.is_closed_cleanly());
+    drop((idle, partial));
     assert!(proxy.wait().success());
 }
--- a/crates/proxy-server/tests/operations/resources.rs
+++ b/crates/proxy-server/tests/operations/resources.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// The kernel gives fewer descriptors than the configuration promises, and a crowd takes them all.
+/// The kernel's limit on descriptors is below the configured one, and idle clients take them all.
 #[test]
 fn exhausted_descriptors_block_nobody() {
     let discovery = Discovery::start();
@@ -17,11 +17,11 @@
     let mut working = proxy.client();
     assert_eq!(working.exchange(&request("read", "before", "")).status(), 200);
     let good = request("read", "half", "");
-    let crowd: Vec<_> = (0..120)
+    let idle_clients: Vec<_> = (0..120)
         .map(|n| {
             let mut client = proxy.client();
             if n % 3 == 0 {
-                // A crowd that is asked to go may be gone already.
+                // The proxy may have closed the connection already.
                 let _ = client.stream.write_all(&good.as_bytes()[..40]);
             }
             client
@@ -31,31 +31,31 @@
         let got = proxy.client().exchange(&request("read", &format!("within-{n}"), ""));
         assert_eq!(got.status(), 200, "{}", got.head);
     }
-    drop(crowd);
+    drop(idle_clients);
     assert_eq!(proxy.client().exchange(&request("read", "after", "")).status(), 200);
     proxy.terminate();
     assert!(proxy.remaining_log().contains("accept: "), "the shortage was there");
     assert!(proxy.wait().success());
 }
 
-/// A file that nobody opens to the end: whoever writes it waits, as for a disk that does not answer.
-fn stuck_disk(folder: &Path, file: &str) {
+/// Makes writes to a file block, like a disk that does not respond: opening a FIFO waits for a reader.
+fn block_writes_to(folder: &Path, file: &str) {
     let made = Command::new("mkfifo").arg(folder.join(file)).status();
     assert!(made.expect("mkfifo runs").success());
 }
 
-/// Threads of a process that wait in `openat`, the call that such a file holds up.
-fn opening(process: u32) -> usize {
+/// The number of threads of a process that wait in `openat`, the call that such a file blocks.
+fn threads_in_openat(process: u32) -> usize {
     let call = |task: fs::DirEntry| fs::read_to_string(task.path().join("syscall")).unwrap_or_default();
     let tasks = fs::read_dir(format!("/proc/{process}/task")).expect("it runs").flatten();
-    tasks.map(call).filter(|call| call.starts_with(OPENAT)).count()
+    tasks.map(call).filter(|call| call.starts_with(OPENAT_SYSCALL)).count()
 }
 
-/// The number of `openat` as the kernel shows it.
+/// The number of the system call `openat`, as `/proc` shows it.
 #[cfg(target_arch = "x86_64")]
-const OPENAT: &str = "257 ";
+const OPENAT_SYSCALL: &str = "257 ";
 #[cfg(not(target_arch = "x86_64"))]
-const OPENAT: &str = "56 ";
+const OPENAT_SYSCALL: &str = "56 ";
 
 #[test]
 fn blocked_disk_delays_neither_requests_nor_shutdown() {
@@ -64,31 +64,34 @@
     let (a, b) = backends();
     let (mut proxy, console) =
         Proxy::start_with_console(&folder, "disk", &config_with_console(&discovery, None));
-    stuck_disk(&folder, &format!("haventrack-n7.learnt.new-{}", proxy.child.id()));
-    stuck_disk(&folder, "haventrack-n7.bans.new");
+    block_writes_to(&folder, &format!("haventrack-n7.learnt.new-{}", proxy.child.id()));
+    block_writes_to(&folder, "haventrack-n7.bans.new");
     discovery.post(true, &list(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let mut client = proxy.client();
-    // What was learnt is kept each second.
-    let mut asked = 0;
-    while opening(proxy.child.id()) < 1 {
-        asked += 1;
-        served(&mut client, &format!("before-{asked}"), 1);
+    // Learned limits are persisted each second.
+    let mut exchanged = 0;
+    while threads_in_openat(proxy.child.id()) < 1 {
+        exchanged += 1;
+        served(&mut client, &format!("before-{exchanged}"), 1);
     }
     assert_eq!(served(&mut client, "kept", 20).len(), 20);
     let answer = send_command(console, "exclude s-a\n");
-    // It binds once 1 s has passed, whatever the disk says.
+    // The exclusion is in force after 1 s, whatever the state of the disk.
     assert!(
         answer.starts_with("SUCCESS s-a is out; 1 backends serve; not kept yet")
             && answer.contains("was not written"),
         "{answer}"
     );
-    assert_eq!(opening(proxy.child.id()), 2, "both threads wait");
-    let again = send_command(console, "exclude s-a\n");
-    assert!(again.starts_with("SUCCESS s-a was already out") && again.contains("not kept yet"), "{again}");
+    assert_eq!(threads_in_openat(proxy.child.id()), 2, "both threads wait");
+    let repeated = send_command(console, "exclude s-a\n");
+    assert!(
+        repeated.starts_with("SUCCESS s-a was already out") && repeated.contains("not kept yet"),
+        "{repeated}"
+    );
     assert!(send_command(console, "readyz\n").starts_with("SUCCESS"));
     assert_eq!(served(&mut client, "banned", 20), "b".repeat(20));
-    assert!(!folder.join("haventrack-n7.bans.json").exists(), "the disk has not taken it");
+    assert!(!folder.join("haventrack-n7.bans.json").exists(), "it is not persisted");
     drop(client);
     proxy.terminate();
     assert!(proxy.wait().success());
--- a/crates/proxy-server/tests/proxy/discovery_agent.rs
+++ b/crates/proxy-server/tests/proxy/discovery_agent.rs
@@ -17,7 +17,7 @@
 }
 
 /// The revision that a call knows.
-fn known_version(call: &HttpMessage) -> Option<u64> {
+fn known_revision(call: &HttpMessage) -> Option<u64> {
     let (_, rest) = call.first_line().split_once("after=")?;
     rest.split(['&', ' ']).next()?.parse().ok()
 }
@@ -38,7 +38,7 @@
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
                     while let Some(call) = read_message(&mut reader) {
-                        let after = known_version(&call);
+                        let after = known_revision(&call);
                         let list = script.lock().expect("a script")(after);
                         if sender.send((after, Instant::now())).is_err() {
                             return;
--- a/crates/proxy-server/tests/proxy/discovery_outage.rs
+++ b/crates/proxy-server/tests/proxy/discovery_outage.rs
@@ -124,7 +124,7 @@
             State::Silent | State::SilentWatches => continue,
         }
         {
-            let _queue = shared.queue.lock().expect("the queue");
+            let _processing = shared.queue.lock().expect("the queue");
             thread::sleep(CALL_COST);
         }
         let same = |service_state: &mut ServiceState| {
--- a/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
+++ b/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
@@ -71,7 +71,7 @@
             else {
                 return ok("there");
             };
-            let fail_first_attempt = match failing {
+            let failure = match failing {
                 FirstFailure::Error => {
                     BackendAction::Write(response_bytes("500 Internal Server Error", "", b""))
                 }
@@ -83,7 +83,7 @@
                 )),
                 FirstFailure::Late => return BackendAction::Hang,
             };
-            BackendAction::WaitThen(released, Box::new(fail_first_attempt))
+            BackendAction::WaitThen(released, Box::new(failure))
         })
     });
     let discovery = Discovery::start();
@@ -103,7 +103,7 @@
         assert_eq!(proxy.client().exchange(&request("read", &format!("usual-{n}"), "")).status(), 200);
     }
     ids();
-    let slow_backend =
+    let throttled =
         (behaviour == ClientBehaviour::DisconnectsFromThrottledProxy).then(|| ThrottledProcess::of(&proxy));
     let mut leaver = proxy.client();
     leaver.send(&request("read", "leaver", ""));
@@ -148,7 +148,7 @@
         }
     }
     synchronize(&proxy);
-    drop(slow_backend);
+    drop(throttled);
     proxy.signal("-CONT");
     assert_eq!(proxy.client().exchange(&request("read", "stays", "")).status(), 200);
     received.extend(ids());
