--- a/crates/proxy-server/tests/faults/clocks.rs
+++ b/crates/proxy-server/tests/faults/clocks.rs
@@ -37,7 +37,9 @@
         let name = format!("stood-{stall_ms}");
         let proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
         let mut clients: Vec<_> = (0..2).map(|_| proxy.client()).collect();
-        clients.iter_mut().for_each(|client| assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200));
+        for client in &mut clients {
+            assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200);
+        }
         proxy.signal("-STOP");
         clients.extend((0..2).map(|_| proxy.client()));
         let mut sent = HashMap::new();
@@ -69,7 +71,9 @@
     thread::sleep(Duration::from_millis(100));
     client.send(&timed("charge", ids[2]));
     sent.insert(ids[2].to_owned(), Instant::now());
-    ids.iter().for_each(|_| assert_eq!(client.receive().status(), 200));
+    for _ in &ids {
+        assert_eq!(client.receive().status(), 200);
+    }
     let excess = excess_deadlines(&backend, &sent);
     assert_eq!(excess.len(), 3);
     assert!(excess.iter().all(|(_, over)| *over <= DEADLINE_TOLERANCE), "{excess:?}");
--- a/crates/proxy-server/tests/faults/discovery_lists.rs
+++ b/crates/proxy-server/tests/faults/discovery_lists.rs
@@ -127,9 +127,9 @@
     let good = entry("s-1", backend.address, "active", 0);
     let proxy = Proxy::start("unread-log", &discovery, std::slice::from_ref(&good));
     let served = Arc::new(AtomicBool::new(true));
-    let (address, serves) = (proxy.address, Arc::clone(&served));
+    let (address, shared) = (proxy.address, Arc::clone(&served));
     thread::scope(|scope| {
-        let asks = scope.spawn(move || {
+        let requests = scope.spawn(move || {
             let began = Instant::now();
             let mut number = 0;
             while began.elapsed() < Duration::from_secs(16) {
@@ -137,14 +137,14 @@
                 client.stream.set_read_timeout(Some(Duration::from_secs(3))).expect("a time-out");
                 client.send(&request("read", &number.to_string(), ""));
                 if read_message(&mut client.reader).is_none() {
-                    serves.store(false, Ordering::Release);
+                    shared.store(false, Ordering::Release);
                     return;
                 }
                 number += 1;
                 thread::sleep(Duration::from_millis(20));
             }
         });
-        while !asks.is_finished() {
+        while !requests.is_finished() {
             let mut list = members.clone();
             list.push(good.clone());
             discovery.post_without_waiting(true, &list);
--- a/crates/proxy-server/tests/faults/shutdown.rs
+++ b/crates/proxy-server/tests/faults/shutdown.rs
@@ -22,7 +22,9 @@
     let began = Instant::now();
     proxy.terminate();
     let text = |number: usize| request("charge", &number.to_string(), "x").replace("15000", "300");
-    clients.iter_mut().enumerate().for_each(|(number, client)| client.send(&text(number)));
+    for (number, client) in clients.iter_mut().enumerate() {
+        client.send(&text(number));
+    }
     let answers: Vec<_> =
         clients.iter_mut().map(|client| read_message(&mut client.reader).is_some()).collect();
     assert!(answers.iter().all(|answered| *answered), "{answers:?}");
--- a/crates/proxy-server/tests/faults/system_calls.rs
+++ b/crates/proxy-server/tests/faults/system_calls.rs
@@ -24,7 +24,9 @@
     let config = config(name, &discovery).to_string();
     let proxy = Launch::new(name, &config).with_environment(injected.environment(SEED)).start();
     discovery.post(true, &members);
-    faults.iter().for_each(|&(fault, per_mille)| injected.set(fault, per_mille));
+    for &(fault, per_mille) in faults {
+        injected.set(fault, per_mille);
+    }
     let outcome = run_traffic(proxy.address, &backends, 6, requests);
     outcome.assert_rules();
     (outcome.served(), outcome.answers.len())
--- a/crates/proxy-server/tests/golden_process/main.rs
+++ b/crates/proxy-server/tests/golden_process/main.rs
@@ -51,7 +51,7 @@
         Proxy::start_with_console(&directory, "golden-console", &config_with_console(&discovery, None));
     let mut lines = Vec::new();
     let mut ask = |line: &str| {
-        lines.push(format!("{line}: {}", send_command(console, &format!("{line}\n")).trim_end()))
+        lines.push(format!("{line}: {}", send_command(console, &format!("{line}\n")).trim_end()));
     };
     ask("readyz");
     discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
--- a/crates/proxy-server/tests/operations/console.rs
+++ b/crates/proxy-server/tests/operations/console.rs
@@ -99,9 +99,12 @@
             let (stop, address) = (Arc::clone(&stop), proxy.address);
             thread::spawn(move || {
                 let mut client = Client::connect(address);
-                (0..).take_while(|_| !stop.load(Ordering::Relaxed)).for_each(|n| {
+                for n in 0.. {
+                    if stop.load(Ordering::Relaxed) {
+                        break;
+                    }
                     client.exchange(&request("read", &format!("busy-{number}-{n}"), ""));
-                });
+                }
             })
         })
         .collect();
@@ -113,6 +116,8 @@
     });
     let slowest = slowest.max();
     stop.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    for client in clients {
+        client.join().expect("a client");
+    }
     assert!(slowest < Some(std::time::Duration::from_secs(1)), "{slowest:?}");
 }
--- a/crates/proxy-server/tests/operations/replacement.rs
+++ b/crates/proxy-server/tests/operations/replacement.rs
@@ -109,7 +109,9 @@
     }
     go_on(200);
     stop.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|client| client.join().expect("a client that observed no fault"));
+    for client in clients {
+        client.join().expect("a client that observed no fault");
+    }
 }
 
 /// Learned limits are restored; an unreadable snapshot is ignored.
--- a/crates/proxy-server/tests/proxy/client_disconnects.rs
+++ b/crates/proxy-server/tests/proxy/client_disconnects.rs
@@ -77,8 +77,10 @@
     }
 }
 
+/// Closes the connection with a reset.
 fn reset(client: Client) {
     SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("a linger");
+    drop(client);
 }
 
 #[test]
@@ -334,7 +336,9 @@
         assert_eq!(client.receive().status(), 200);
     }
     drop(first);
-    waiting.into_iter().for_each(|mut client| assert!(matches!(client.receive().status(), 200 | 503)));
+    for mut client in waiting {
+        assert!(matches!(client.receive().status(), 200 | 503));
+    }
     assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
     let ids: Vec<_> = backend
         .requests
--- a/crates/proxy-server/tests/proxy/discovery_agent.rs
+++ b/crates/proxy-server/tests/proxy/discovery_agent.rs
@@ -88,13 +88,13 @@
     let before = list(4, std::slice::from_ref(&first));
     let after = list(5, &[then, other]);
     let mut complete_lists = 0;
-    let agent = Agent::start(move |known| match known {
+    let agent = Agent::start(move |known| {
         // Both watches are silent; a complete list is sent at once, the second time with the change.
-        Some(_) => None,
-        None => {
-            complete_lists += 1;
-            Some(if complete_lists == 1 { before.clone() } else { after.clone() })
+        if known.is_some() {
+            return None;
         }
+        complete_lists += 1;
+        Some(if complete_lists == 1 { before.clone() } else { after.clone() })
     });
     let proxy =
         Proxy::start_with_config("silent-watch", &config_with_known("silent-watch", agent.address, &[]));
--- a/crates/proxy-server/tests/proxy/discovery_outage.rs
+++ b/crates/proxy-server/tests/proxy/discovery_outage.rs
@@ -203,7 +203,9 @@
         }
         service_state.state = state;
         if state != State::Up && state != State::SilentWatches {
-            service_state.open.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+            for stream in service_state.open.drain(..) {
+                drop(stream.shutdown(Shutdown::Both));
+            }
         }
         drop(service_state);
         self.shared.changed.notify_all();
--- a/crates/proxy-server/tests/proxy/main.rs
+++ b/crates/proxy-server/tests/proxy/main.rs
@@ -24,17 +24,17 @@
 /// A backend that holds as many requests as its initial concurrency limit allows, and the senders that release them. Later
 /// requests are answered at once.
 fn full_backend() -> (Backend, Vec<Sender<()>>) {
-    let (mut receivers, mut releases) = (Vec::new(), Vec::new());
+    let (mut receivers, mut senders) = (Vec::new(), Vec::new());
     for _ in 0..INITIAL_CONCURRENCY_LIMIT {
-        let (release, released) = channel();
-        receivers.push(released);
-        releases.push(release);
+        let (sender, receiver) = channel();
+        receivers.push(receiver);
+        senders.push(sender);
     }
     let backend = Backend::start(move |_| match receivers.pop() {
-        Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
+        Some(receiver) => BackendAction::WaitThen(receiver, Box::new(ok("first"))),
         None => ok("later"),
     });
-    (backend, releases)
+    (backend, senders)
 }
 
 /// Clients whose requests take the initial concurrency limit of the backend.
--- a/crates/proxy-server/tests/proxy/oversized_lists.rs
+++ b/crates/proxy-server/tests/proxy/oversized_lists.rs
@@ -47,7 +47,7 @@
 }
 
 fn write_oversized(stream: &mut TcpStream, form: LengthForm, written: &AtomicUsize) -> std::io::Result<()> {
-    let part = [b' '; 64 << 10];
+    let part = vec![b' '; 64 << 10];
     match form {
         LengthForm::Length => write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {OVERSIZED_BYTES}\r\n\r\n")?,
         LengthForm::Chunked => write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?,
--- a/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
+++ b/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
@@ -300,7 +300,9 @@
             drop(leaver);
             std::thread::sleep(DISCONNECT_BOUND);
             drop(release);
-            first.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
+            for client in &mut first {
+                assert_eq!(client.receive().status(), 200);
+            }
             assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
             let ids: Vec<_> = heads.try_iter().collect();
             if ids != ["stays"] {
@@ -328,12 +330,16 @@
         if leaves_first {
             drop(leaver.take());
         }
-        releases.iter().for_each(|release| release.send(()).expect("the backend waits"));
+        for release in &releases {
+            release.send(()).expect("the backend waits");
+        }
         std::thread::sleep(DISCONNECT_BOUND);
         drop(leaver);
         std::thread::sleep(DISCONNECT_BOUND);
         proxy.signal("-CONT");
-        first.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
+        for client in &mut first {
+            assert_eq!(client.receive().status(), 200);
+        }
         assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
         assert_eq!(backend.next_request().header("x-correlation-id"), Some("stays"), "{leaves_first}");
         assert_eq!(backend.take_request_count(), 0, "{leaves_first}");
--- a/crates/proxy-server/tests/proxy/shutdown.rs
+++ b/crates/proxy-server/tests/proxy/shutdown.rs
@@ -81,7 +81,9 @@
         let mut proxy = Proxy::start_with_config(&name, &config_with_deadline(&name, &discovery, millis));
         discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
         let mut clients: Vec<_> = (0..5).map(|_| proxy.client()).collect();
-        clients.iter_mut().for_each(|reused| assert_eq!(reused.exchange(HEALTH_REQUEST).status(), 200));
+        for reused in &mut clients {
+            assert_eq!(reused.exchange(HEALTH_REQUEST).status(), 200);
+        }
         let began = Instant::now();
         proxy.terminate();
         let reused = clients.len();
@@ -204,7 +206,9 @@
             if together {
                 proxy.signal("-STOP");
             }
-            signals.into_iter().for_each(|signal| proxy.signal(signal));
+            for signal in signals {
+                proxy.signal(signal);
+            }
             if together {
                 proxy.signal("-CONT");
             }
@@ -240,7 +244,9 @@
     let backend = Backend::start(|_| ok("read"));
     let proxy = Proxy::start("stood", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut clients: Vec<_> = (0..20).map(|_| proxy.client()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200));
+    for client in &mut clients {
+        assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200);
+    }
     proxy.signal("-STOP");
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&request("read", &id.to_string(), ""));
