--- a/crates/socket-io/src/lib.rs
+++ b/crates/socket-io/src/lib.rs
@@ -1,4 +1,4 @@
-//! System calls on sockets and files that fail, are interrupted, or do a part of what was asked.
+//! Sockets and system calls in the presence of partial transfers, interrupted calls and transient errors.
 
 pub mod retry;
 mod stream;
--- a/crates/socket-io/src/stream.rs
+++ b/crates/socket-io/src/stream.rs
@@ -1,9 +1,9 @@
-//! A TCP stream that holds under short transfers and interrupted calls.
+//! A TCP stream that handles partial transfers and interrupted calls.
 //!
-//! The runtime takes a read that did not fill its buffer for the end of what there is, and then waits for the kernel to
-//! announce more. Where a read was cut short for another reason, the rest would wait for bytes that the other side has no
-//! cause to send. Here a socket counts as empty, or as full, only once the kernel says so. That costs one more call for each
-//! read that empties a socket.
+//! The runtime takes a read that did not fill its buffer as proof that the socket is empty, and then waits for the kernel to
+//! announce more. If the read was short for another reason, the remaining bytes would wait for a peer that has nothing more
+//! to send. Here a socket counts as empty, or as full, only once the kernel reports `EAGAIN`. That costs one more system
+//! call for each read that empties a socket.
 
 use std::io;
 use std::pin::Pin;
@@ -11,15 +11,15 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a call has to be made again: a signal came in between, or the readiness that was announced is over.
-fn is_again(error: &io::Error) -> bool {
+/// Whether to retry a call: a signal interrupted it, or the announced readiness was stale.
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads what the socket has.
+/// Reads the bytes that have arrived, up to the room left in `buffer`; none at the end of the stream.
 ///
 /// # Errors
-/// Where the connection failed.
+/// The connection failed.
 pub fn poll_read(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -29,7 +29,7 @@
         ready!(stream.poll_read_ready(context))?;
         match stream.try_read_buf(buffer) {
             Ok(_) => return Poll::Ready(Ok(())),
-            Err(error) if is_again(&error) => {}
+            Err(error) if is_retryable(&error) => {}
             Err(error) => return Poll::Ready(Err(error)),
         }
     }
@@ -43,24 +43,24 @@
     loop {
         ready!(stream.poll_write_ready(context))?;
         match write(stream) {
-            Err(error) if is_again(&error) => {}
+            Err(error) if is_retryable(&error) => {}
             written => return Poll::Ready(written),
         }
     }
 }
 
-/// Writes what the socket takes.
+/// Writes as many of `bytes` as fit into the socket's send buffer; returns their number.
 ///
 /// # Errors
-/// Where the connection failed.
+/// The connection failed.
 pub fn poll_write(stream: &TcpStream, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
     poll_write_with(stream, context, |stream| stream.try_write(bytes))
 }
 
-/// Writes what the socket takes of several buffers.
+/// [`poll_write`] of several buffers in one system call.
 ///
 /// # Errors
-/// Where the connection failed.
+/// The connection failed.
 pub fn poll_write_vectored(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -69,7 +69,7 @@
     poll_write_with(stream, context, |stream| stream.try_write_vectored(buffers))
 }
 
-/// A TCP stream that is read and written by the functions of this module.
+/// A TCP stream whose transfers go through [`poll_read`], [`poll_write`] and [`poll_write_vectored`].
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
