--- /dev/null
+++ b/crates/balancer/src/balancer/admission.rs
@@ -0,0 +1,168 @@
+//! Admission: which requests are sent at once, queued, or ended, and in which order queued ones are served.
+
+use super::Balancer;
+use super::timer::Timer;
+use crate::api::{Action, Micros, Request};
+use crate::state::{AttemptState, OpenRequest, RetryScope};
+use smallvec::SmallVec;
+
+/// A request without capacity waits for its remaining time divided by this.
+const QUEUE_TIME_DIVISOR: Micros = 10;
+/// A rejected client is advised to wait for its latency objective if an instance has this many slots, and for
+/// less if it has fewer ...
+const FULL_RETRY_AFTER_SLOTS: f64 = 16.0;
+/// ... but at least for this fraction of the objective.
+const MIN_RETRY_AFTER_FRACTION: f64 = 0.125;
+
+impl Balancer {
+    pub(super) fn on_request(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
+        if self.requests.open.find(request.id).is_some() {
+            return;
+        }
+        let open = OpenRequest {
+            id: request.id,
+            class: usize::from(request.class).min(self.settings.classes.len() - 1),
+            arrived_at: now,
+            deadline: now + request.timeout,
+            max_attempts: usize::from(self.settings.permissions.max_attempts),
+            is_over_quota: self.take_quota(now, usize::from(request.tenant)),
+            is_proxied: request.is_proxied,
+            is_answered: false,
+            is_streaming: false,
+            queued_until: None,
+            attempts: SmallVec::new(),
+        };
+        let slot = self.requests.open.add(open.id, open);
+        self.retry_budget.deposit();
+        self.refresh_slot_budget(now);
+        self.dispatch(now, slot, out);
+    }
+
+    /// Takes a token of a tenant's quota; returns whether the tenant is over its quota.
+    ///
+    /// An instance gets more than its share of the traffic where others died: a tenant without a token is
+    /// over its quota only if it also demands more of its quota here than the tenants do on the whole.
+    fn take_quota(&mut self, now: Micros, tenant: usize) -> bool {
+        let quota = |tenant: usize| self.settings.tenants[tenant].quota_per_s;
+        let Some(bucket) = self.tenant_quotas.get_mut(tenant) else { return false };
+        let rate = quota(tenant) / f64::from(self.settings.instance_count);
+        if bucket.take(now, rate, rate.max(1.0)) {
+            return false;
+        }
+        let demand = bucket.recent_demand(now);
+        let total_demand = self.tenant_quotas.iter().map(|bucket| bucket.recent_demand(now)).sum::<f64>();
+        let total_quota = (0..self.tenant_quotas.len()).map(quota).sum::<f64>();
+        demand * total_quota > total_demand * quota(tenant)
+    }
+
+    /// Sends a request if there is capacity, or queues it, or ends it.
+    pub(super) fn dispatch(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
+        if let Some(backend) = self.select(now, slot) {
+            return self.send(now, slot, backend, out);
+        }
+        let request = &self.requests.open[slot];
+        let is_shed = request.is_over_quota && self.traffic.rejections.queues_stand();
+        if is_shed || self.retry_scope(now, request) == RetryScope::Nowhere || self.is_too_late(now, request)
+        {
+            return self.give_up(slot, out);
+        }
+        self.enqueue(now, slot, out);
+    }
+
+    fn enqueue(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
+        let wait = self.requests.open[slot].deadline.saturating_sub(now) / QUEUE_TIME_DIVISOR;
+        for kind in &mut self.kind_limits {
+            kind.window.limit_was_used = true;
+        }
+        self.requests.open[slot].queued_until = Some(now + wait);
+        self.requests.queue.push(slot);
+        out.push(Action::SetTimer { delay: wait, token: Timer::QueueTimeout { slot }.token() });
+    }
+
+    pub(super) fn on_queue_timeout(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
+        if !self.is_too_late(now, &self.requests.open[slot])
+            && let Some(backend) = self.select(now, slot)
+        {
+            return self.send(now, slot, backend, out);
+        }
+        self.requests.dequeue(slot);
+        self.give_up(slot, out);
+    }
+
+    /// Capacity may have become free: sends queued requests, those with the highest weight per work first.
+    pub(super) fn serve_queue(&mut self, now: Micros, out: &mut Vec<Action>) {
+        while let Some(slot) = self.most_valuable_queued() {
+            let Some(backend) = self.select(now, slot) else { return };
+            self.send(now, slot, backend, out);
+        }
+    }
+
+    /// The queued request of the highest value; the one that was queued first among equals.
+    fn most_valuable_queued(&self) -> Option<usize> {
+        let better = |a, b| if self.value(b) > self.value(a) { b } else { a };
+        self.requests.queue.iter().copied().reduce(better)
+    }
+
+    /// Weight of a request per microsecond of work.
+    fn value(&self, slot: usize) -> f64 {
+        let request = &self.requests.open[slot];
+        let quota_factor = if request.is_over_quota { self.settings.over_quota_weight } else { 1.0 };
+        let weight = self.settings.classes[request.class].priority_weight;
+        weight * quota_factor / self.traffic.latencies.class_mean(request.class)
+    }
+
+    /// Nothing more can be started for the request: it ends unless an attempt is still in flight.
+    pub(super) fn give_up(&mut self, slot: usize, out: &mut Vec<Action>) {
+        if self.requests.open[slot].unfinished_attempts() == 0 {
+            self.finish(slot, out);
+        }
+    }
+
+    /// The only place where a final response is given (rule 1).
+    fn finish(&mut self, slot: usize, out: &mut Vec<Action>) {
+        let open = &self.requests.open[slot];
+        if open.is_answered {
+            return;
+        }
+        let request = open.id;
+        let never_executed = open.attempts.iter().all(|attempt| attempt.state == AttemptState::NeverExecuted);
+        let lacked_capacity = !open.is_over_quota && never_executed;
+        out.push(if self.may_reject(open) {
+            let longest = self.settings.permissions.max_retry_after;
+            let retry_after = longest.map_or(0, |longest| longest.min(self.retry_after(open.class)));
+            Action::Reject { request, retry_after }
+        } else {
+            Action::Fail { request }
+        });
+        if lacked_capacity {
+            self.traffic.rejections.record_rejection();
+        }
+        self.close(slot);
+    }
+
+    /// How long a rejected client should wait before a retry.
+    ///
+    /// Departure: an instance with few slots rejects mostly because requests coincided there, and the
+    /// client's retry, likely at another instance, can still meet the objective. With many slots per instance
+    /// a rejection means that the fleet is full.
+    fn retry_after(&self, class: usize) -> Micros {
+        let fraction = self.slot_budget.slots / FULL_RETRY_AFTER_SLOTS;
+        let fraction = fraction.clamp(MIN_RETRY_AFTER_FRACTION, 1.0);
+        (self.settings.classes[class].latency_objective as f64 * fraction) as Micros
+    }
+
+    /// The request is over for the client; its slot stays in use until its attempts have ended.
+    pub(super) fn close(&mut self, slot: usize) {
+        self.requests.dequeue(slot);
+        let request = &mut self.requests.open[slot];
+        request.is_answered = true;
+        if request.unfinished_attempts() > 0 {
+            return;
+        }
+        for attempt in &request.attempts {
+            self.fleet.backends.dereference(attempt.backend);
+        }
+        let id = request.id;
+        self.requests.open.release(id);
+    }
+}
--- a/crates/balancer/src/balancer/retries.rs
+++ b/crates/balancer/src/balancer/retries.rs
@@ -1,100 +1,113 @@
-//! Repeats: where a further attempt may go (rule 2), whether it is worth it, and when one is given up.
+//! Retries: where the next attempt may go (rule 2), whether it is worthwhile, and when an attempt is given
+//! up.
 
 use super::Balancer;
 use crate::api::{Action, DedupScope, Idempotency, Micros};
-use crate::state::{AttemptState, Open, Scope};
+use crate::state::{OpenRequest, RetryScope};
 
-/// An attempt that may be repeated is given up at this part of its aim, twice as late each time, where that
-/// is at least `MIN_LOST` times its class's mean latency; elsewhere at `LOST_OVER_MEAN` times the mean.
-const LOST_OVER_AIM: f64 = 0.25;
-const MIN_LOST: f64 = 5.0;
-const LOST_OVER_MEAN: f64 = 24.0;
-/// Part of the requests that may get a further attempt after one that may have run, and the burst.
-pub(super) const RETRY_SHARE: f64 = 0.1;
-pub(super) const RETRY_BURST: f64 = 10.0;
+/// A retryable attempt is given up after this fraction of the latency objective, and after twice the time at
+/// each attempt that follows, if that is at least `MIN_TIMEOUT_MULTIPLE` times the mean latency of its class
+/// ...
+const TIMEOUT_OBJECTIVE_FRACTION: f64 = 0.25;
+const MIN_TIMEOUT_MULTIPLE: f64 = 5.0;
+/// ... and otherwise after this many times the mean.
+const LONG_TIMEOUT_MULTIPLE: f64 = 24.0;
+
+/// When an attempt is given up.
+pub(super) struct AttemptTimeout {
+    pub(super) give_up_at: Micros,
+    /// Whether reaching it means that the attempt was lost.
+    pub(super) means_loss: bool,
+}
 
 impl Balancer {
-    /// Rule 2: where a further attempt may go. Attempts that are out count as such that may have run.
-    pub(super) fn scope(&self, now: Micros, open: &Open) -> Scope {
-        let permissions = &self.settings.permissions;
-        let out = open.out();
-        if open.answered || open.streaming || open.attempts.len() >= open.max_attempts {
-            return Scope::Nowhere;
+    /// Rule 2: where the next attempt may go. Attempts in flight count as such that may have executed.
+    pub(super) fn retry_scope(&self, now: Micros, request: &OpenRequest) -> RetryScope {
+        if request.is_answered || request.is_streaming || request.attempts.len() >= request.max_attempts {
+            return RetryScope::Nowhere;
         }
-        if out > 0 && !permissions.hedging {
-            return Scope::Nowhere;
+        if request.unfinished_attempts() > 0 && !self.settings.permissions.hedging {
+            return RetryScope::Nowhere;
         }
-        let Some(first) = open.attempts.iter().find(|a| a.state != AttemptState::NeverRan) else {
-            return Scope::Anywhere;
-        };
-        match self.settings.classes[open.class].idempotency {
-            Idempotency::Idempotent => Scope::Anywhere,
-            Idempotency::NonIdempotent => Scope::Nowhere,
-            Idempotency::Keyed { ttl, .. } if now >= first.sent_at.saturating_add(ttl) => Scope::Nowhere,
-            Idempotency::Keyed { scope: DedupScope::All, .. } => Scope::Anywhere,
-            Idempotency::Keyed { scope: DedupScope::Zone, .. } => Scope::Zone(first.zone),
-            Idempotency::Keyed { scope: DedupScope::Cell, .. } => Scope::Cell(first.cell),
+        let Some(first) = request.first_effective_attempt() else { return RetryScope::Anywhere };
+        match self.settings.classes[request.class].idempotency {
+            Idempotency::Idempotent => RetryScope::Anywhere,
+            Idempotency::NonIdempotent => RetryScope::Nowhere,
+            Idempotency::Keyed { ttl, .. } if now >= first.sent_at.saturating_add(ttl) => RetryScope::Nowhere,
+            Idempotency::Keyed { scope, .. } => match scope {
+                DedupScope::All => RetryScope::Anywhere,
+                DedupScope::Zone => RetryScope::Zone(first.zone),
+                DedupScope::Cell => RetryScope::Cell(first.cell),
+            },
         }
     }
 
-    /// Rule 2: from when on a further attempt may not begin any more. Its connection may come up after the
-    /// window in which its backends remember the key.
-    pub(super) fn begin_by(&self, open: &Open) -> Micros {
-        let first = open.attempts.iter().find(|a| a.state != AttemptState::NeverRan);
-        match (first, self.settings.classes[open.class].idempotency) {
+    /// Rule 2: the time from which on the next attempt may no longer begin, since its connection may be
+    /// established after the backends have forgotten the idempotency key; `Micros::MAX` for no limit.
+    pub(super) fn start_by(&self, request: &OpenRequest) -> Micros {
+        match (request.first_effective_attempt(), self.settings.classes[request.class].idempotency) {
             (Some(first), Idempotency::Keyed { ttl, .. }) => first.sent_at.saturating_add(ttl),
             _ => Micros::MAX,
         }
     }
 
-    /// Rule 2: whether the client may be told that trying again is harmless.
-    pub(super) fn may_refuse(&self, open: &Open) -> bool {
-        let may_have_run = open.attempts.iter().any(|a| a.state != AttemptState::NeverRan);
-        match self.settings.classes[open.class].idempotency {
+    /// Rule 2: whether the client may be notified that a retry is harmless.
+    pub(super) fn may_reject(&self, request: &OpenRequest) -> bool {
+        match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
-            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !may_have_run,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => {
+                request.first_effective_attempt().is_none()
+            }
         }
     }
 
-    /// Whether an attempt started now would come too late to be worth anything.
-    pub(super) fn too_late(&self, now: Micros, open: &Open) -> bool {
-        let class = &self.settings.classes[open.class];
-        let last = if class.late_weight_fraction > 0.0 {
-            open.deadline
+    /// Whether a response to an attempt that starts now would likely come too late to have any value.
+    pub(super) fn is_too_late(&self, now: Micros, request: &OpenRequest) -> bool {
+        let class = &self.settings.classes[request.class];
+        let worthless_at = if class.late_weight_fraction > 0.0 {
+            request.deadline
         } else {
-            open.deadline.min(open.arrived + class.latency_objective)
+            request.deadline.min(request.arrived_at + class.latency_objective)
         };
-        now + (self.mean(open.class) / 2.0) as Micros >= last
+        let half_mean = self.traffic.latencies.class_mean(request.class) / 2.0;
+        now + half_mean as Micros >= worthless_at
     }
 
-    /// An attempt failed and the client waits: another one, if the rules and the budget allow it.
-    pub(super) fn again(&mut self, now: Micros, slot: usize, never_ran: bool, out: &mut Vec<Action>) {
-        if self.open[slot].out() > 0 || self.open[slot].held_until.is_some() {
+    /// An attempt failed and the client waits: retries if the rules and the retry budget allow it.
+    pub(super) fn retry(&mut self, now: Micros, slot: usize, never_executed: bool, out: &mut Vec<Action>) {
+        let request = &self.requests.open[slot];
+        if request.unfinished_attempts() > 0 || request.queued_until.is_some() {
             return;
         }
-        let open = &self.open[slot];
-        let hopeless = self.scope(now, open) == Scope::Nowhere || self.too_late(now, open);
-        if hopeless || (!never_ran && self.retry_tokens < 1.0) {
+        let is_hopeless =
+            self.retry_scope(now, request) == RetryScope::Nowhere || self.is_too_late(now, request);
+        if is_hopeless || (!never_executed && self.retry_budget.is_empty()) {
             return self.give_up(slot, out);
         }
-        self.retry_tokens -= f64::from(u8::from(!never_ran));
+        if !never_executed {
+            self.retry_budget.withdraw();
+        }
         self.dispatch(now, slot, out);
     }
 
-    /// When an attempt that starts now is given up, and whether that tells that it was lost. Departure:
-    /// where work takes a small part of the time that clients wait, an attempt without an answer long after
-    /// its time is lost (its connection fell silent, say). Waited for to the deadline it would leave no time
-    /// for another one, hold its slot, and make a server that answers all else look silent.
-    pub(super) fn give_up_at(&self, now: Micros, open: &Open) -> (Micros, bool) {
-        let class = &self.settings.classes[open.class];
-        let last = open.attempts.len() + 1 >= open.max_attempts;
-        if last || class.idempotency == Idempotency::NonIdempotent || self.retry_tokens < 1.0 {
-            return (open.deadline, false);
+    /// When an attempt that starts now is given up.
+    ///
+    /// Departure: where work takes a small part of the time that clients wait, an attempt without a response
+    /// long after its expected time is lost (its connection broke silently, say). If it were awaited until
+    /// the deadline, it would leave no time for a retry, occupy its slot, and make a backend that responds to
+    /// all others look silent.
+    pub(super) fn attempt_timeout(&self, now: Micros, request: &OpenRequest) -> AttemptTimeout {
+        let class = &self.settings.classes[request.class];
+        let is_last = request.attempts.len() + 1 >= request.max_attempts;
+        if is_last || class.idempotency == Idempotency::NonIdempotent || self.retry_budget.is_empty() {
+            return AttemptTimeout { give_up_at: request.deadline, means_loss: false };
         }
-        let (mean, soon) = (self.mean(open.class), class.latency_objective as f64 * LOST_OVER_AIM);
-        let early = mean * MIN_LOST <= soon;
-        let before = open.attempts.iter().filter(|a| a.early).count() as i32;
-        let lost = if early { soon * 2_f64.powi(before) } else { mean * LOST_OVER_MEAN };
-        (open.deadline.min(now.saturating_add(lost as Micros)), early)
+        let mean = self.traffic.latencies.class_mean(request.class);
+        let short = class.latency_objective as f64 * TIMEOUT_OBJECTIVE_FRACTION;
+        let means_loss = mean * MIN_TIMEOUT_MULTIPLE <= short;
+        let doublings = request.attempts.iter().filter(|attempt| attempt.timeout_means_loss).count() as i32;
+        let timeout = if means_loss { short * 2_f64.powi(doublings) } else { mean * LONG_TIMEOUT_MULTIPLE };
+        let give_up_at = request.deadline.min(now.saturating_add(timeout as Micros));
+        AttemptTimeout { give_up_at, means_loss }
     }
 }
--- /dev/null
+++ b/crates/balancer/src/balancer/timer.rs
@@ -0,0 +1,33 @@
+//! Timers and the tokens that name them.
+
+/// Bits of a token that give the kind of the timer; the others hold its slot.
+const KIND_BITS: u32 = 2;
+const KIND_QUEUE_TIMEOUT: u32 = 0;
+const KIND_SUBSCRIBE: u32 = 1;
+
+/// A timer of an instance.
+#[derive(Clone, Copy)]
+pub(super) enum Timer {
+    /// The request in this slot has waited long enough in the queue.
+    QueueTimeout { slot: usize },
+    /// Time to watch discovery again.
+    Subscribe,
+}
+
+impl Timer {
+    pub(super) fn token(self) -> u32 {
+        match self {
+            Self::QueueTimeout { slot } => (slot as u32) << KIND_BITS | KIND_QUEUE_TIMEOUT,
+            Self::Subscribe => KIND_SUBSCRIBE,
+        }
+    }
+
+    /// The timer with this token; `None` for a token that no timer has.
+    pub(super) fn from_token(token: u32) -> Option<Self> {
+        match token & ((1 << KIND_BITS) - 1) {
+            KIND_QUEUE_TIMEOUT => Some(Self::QueueTimeout { slot: (token >> KIND_BITS) as usize }),
+            KIND_SUBSCRIBE => Some(Self::Subscribe),
+            _ => None,
+        }
+    }
+}
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions: which server gets a request, whether to try again, what to turn away. Nothing here does I/O
-//! or reads a clock; times come in with each call. [`api`] is the interface, [`balancer`] decides,
-//! with a file for each kind of decision below it.
+//! The decisions of the load balancer: backend choice, concurrency limits, retries and admission.
+//!
+//! Nothing here does I/O or reads a clock; the time comes in with each call. [`api`] is the interface,
+//! [`balancer`] takes the decisions, with a file below it for each kind of decision.
 
 pub mod api;
 pub mod balancer;
--- a/crates/balancer/src/slot_map.rs
+++ b/crates/balancer/src/slot_map.rs
@@ -1,45 +1,50 @@
-//! A container; nothing is decided here.
+//! A container with stable indices. Nothing is decided here.
 
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-/// Things by their ids, each at a place that stays the same; places of those that are gone are used again.
+/// Values by id, each in a slot whose index stays the same until the value is released. Slots are reused.
 pub(crate) struct SlotMap<T> {
-    slab: Slab<T>,
-    by_id: FxHashMap<u32, usize>,
+    slots: Slab<T>,
+    slot_by_id: FxHashMap<u32, usize>,
 }
 
 impl<T> Default for SlotMap<T> {
     fn default() -> Self {
-        Self { slab: Slab::new(), by_id: FxHashMap::default() }
+        Self { slots: Slab::new(), slot_by_id: FxHashMap::default() }
     }
 }
 
 impl<T> SlotMap<T> {
+    /// The slot of the value with this id.
     pub(crate) fn find(&self, id: u32) -> Option<usize> {
-        self.by_id.get(&id).copied()
+        self.slot_by_id.get(&id).copied()
     }
 
-    pub(crate) fn add(&mut self, id: u32, thing: T) -> usize {
-        let place = self.slab.insert(thing);
-        self.by_id.insert(id, place);
-        place
+    /// Stores a value under an id that is not in use; returns its slot.
+    pub(crate) fn add(&mut self, id: u32, value: T) -> usize {
+        let slot = self.slots.insert(value);
+        self.slot_by_id.insert(id, slot);
+        slot
     }
 
+    /// Drops the value with this id, if there is one, and frees its slot.
     pub(crate) fn release(&mut self, id: u32) {
-        self.by_id.remove(&id).map(|place| self.slab.remove(place));
+        if let Some(slot) = self.slot_by_id.remove(&id) {
+            self.slots.remove(slot);
+        }
     }
 }
 
 impl<T> std::ops::Deref for SlotMap<T> {
     type Target = Slab<T>;
     fn deref(&self) -> &Slab<T> {
-        &self.slab
+        &self.slots
     }
 }
 
 impl<T> std::ops::DerefMut for SlotMap<T> {
     fn deref_mut(&mut self) -> &mut Slab<T> {
-        &mut self.slab
+        &mut self.slots
     }
 }
--- /dev/null
+++ b/crates/balancer/src/state/backend_tests.rs
@@ -0,0 +1,33 @@
+//! Reuse of the slots of backends.
+
+use super::*;
+
+fn listed(id: BackendId) -> BackendState {
+    BackendState { id, is_listed: true, ..BackendState::default() }
+}
+
+#[test]
+fn reuses_the_slots_of_removed_backends() {
+    let mut backends = Backends::default();
+    for id in 0..1_000 {
+        backends.unlist_all();
+        backends.add(id, listed(id));
+        backends.remove_unlisted();
+    }
+    assert!(backends.capacity() <= 4, "{} slots", backends.capacity());
+    assert_eq!(backends.len(), 1);
+}
+
+#[test]
+fn keeps_a_slot_while_a_request_refers_to_it() {
+    let mut backends = Backends::default();
+    let first = backends.add(1, listed(1));
+    backends[first].references = 2;
+    backends.unlist_all();
+    backends.remove_unlisted();
+    backends.dereference(first);
+    assert_ne!(backends.add(2, listed(2)), first, "one attempt still refers to it");
+    backends.dereference(first);
+    assert_eq!(backends.find(1), None);
+    assert_eq!(backends.add(3, listed(3)), first);
+}
--- /dev/null
+++ b/crates/balancer/src/state/fleet.rs
@@ -0,0 +1,57 @@
+//! The fleet of backends as discovery lists it.
+
+use super::GOLDEN_RATIO;
+use super::backend::{BackendState, Backends};
+use std::ops::Range;
+
+/// Number of backends above which decisions look at a sample of them.
+pub(crate) const LARGE_FLEET: usize = 256;
+
+/// The backends, and which of them may be sent to.
+#[derive(Default)]
+pub(crate) struct Fleet {
+    pub(crate) backends: Backends,
+    /// Slots of the backends that may be sent to, by zone, kind and id. Rule 3: a draining or removed one is
+    /// not in here.
+    pub(crate) ready: Vec<usize>,
+    /// Positions in `ready` that are preferred: those of the local zone; all where that has none or crossing
+    /// is free.
+    pub(crate) local: Range<usize>,
+    /// Ejections so far.
+    pub(crate) ejections: u64,
+}
+
+impl Fleet {
+    /// Computes `ready`, `local` and the dithers anew after the list changed.
+    pub(crate) fn rebuild(&mut self, zone: u16, crossing_is_free: bool, instance_index: u32) {
+        self.backends.remove_unlisted();
+        self.ready.clear();
+        let ready = self.backends.iter().filter(|(_, backend)| backend.is_ready);
+        self.ready.extend(ready.map(|(slot, _)| slot));
+        self.assign_dithers(instance_index);
+        let first = self.ready.partition_point(|&slot| self.backends[slot].zone < zone);
+        let end = self.ready.partition_point(|&slot| self.backends[slot].zone <= zone);
+        self.local = if crossing_is_free || first == end { 0..self.ready.len() } else { first..end };
+    }
+
+    /// Spaces an instance's dithers evenly over the backends of a zone and kind, and the instances' evenly
+    /// over each backend. Random dithers left some instances without a slot for good.
+    fn assign_dithers(&mut self, instance_index: u32) {
+        let backends = &mut self.backends;
+        let group = |backend: &BackendState| (backend.zone, backend.machine_kind);
+        self.ready.sort_unstable_by_key(|&slot| (group(&backends[slot]), backends[slot].id));
+        let same_group = |&a: &usize, &b: &usize| group(&backends[a]) == group(&backends[b]);
+        let groups: Vec<&[usize]> = self.ready.chunk_by(same_group).collect();
+        let offset = f64::from(instance_index) * GOLDEN_RATIO;
+        for members in groups {
+            for (rank, &slot) in members.iter().enumerate() {
+                backends[slot].dither = (rank as f64 / members.len() as f64 + offset).fract();
+            }
+        }
+    }
+
+    /// The ready backends in the order of `ready`.
+    pub(crate) fn ready_backends(&self) -> impl Iterator<Item = &BackendState> {
+        self.ready.iter().map(|&slot| &self.backends[slot])
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/state/rejection_rate.rs
@@ -0,0 +1,32 @@
+//! The fraction of the requests that is rejected for lack of capacity.
+
+/// Weight of one more request in the average.
+const WEIGHT: f64 = 1.0 / 64.0;
+/// The fraction at which queues at the backends count as standing.
+const STANDING_QUEUE_FRACTION: f64 = 0.1;
+
+/// Moving average of rejections for lack of capacity.
+#[derive(Default)]
+pub(crate) struct RejectionRate {
+    /// 0 to 1.
+    pub(crate) fraction: f64,
+}
+
+impl RejectionRate {
+    pub(crate) fn record_rejection(&mut self) {
+        self.fraction += (1.0 - self.fraction) * WEIGHT;
+    }
+
+    pub(crate) fn record_response(&mut self) {
+        self.fraction -= self.fraction * WEIGHT;
+    }
+
+    /// 0 where queues drain, 1 where they stand.
+    pub(crate) fn queue_pressure(&self) -> f64 {
+        (self.fraction / STANDING_QUEUE_FRACTION).min(1.0)
+    }
+
+    pub(crate) fn queues_stand(&self) -> bool {
+        self.fraction >= STANDING_QUEUE_FRACTION
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/state/request.rs
@@ -0,0 +1,113 @@
+//! Open requests and their attempts.
+
+use crate::api::{Micros, RequestId};
+use crate::slot_map::SlotMap;
+use smallvec::SmallVec;
+
+/// State of an attempt.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum AttemptState {
+    InFlight,
+    /// It became a session, such as a tunnel.
+    Session,
+    NeverExecuted,
+    MayHaveExecuted,
+}
+
+/// An attempt of an open request.
+#[derive(Clone, Copy)]
+pub(crate) struct Attempt {
+    /// Slot of its backend.
+    pub(crate) backend: usize,
+    /// Zone and cell of the backend at the time of the send: that group remembers the idempotency key, even
+    /// if discovery moves the backend later.
+    pub(crate) zone: u16,
+    pub(crate) cell: u16,
+    pub(crate) sent_at: Micros,
+    /// How long its connection had been idle.
+    pub(crate) connection_idle_time: Micros,
+    /// Whether reaching its timeout means that it was lost, since the timeout is long beside its work.
+    pub(crate) timeout_means_loss: bool,
+    pub(crate) state: AttemptState,
+}
+
+impl Attempt {
+    /// Whether it may have an effect on the backend.
+    pub(crate) fn may_have_executed(&self) -> bool {
+        self.state != AttemptState::NeverExecuted
+    }
+
+    pub(crate) fn is_unfinished(&self) -> bool {
+        matches!(self.state, AttemptState::InFlight | AttemptState::Session)
+    }
+}
+
+/// A request whose attempts have not all ended.
+pub(crate) struct OpenRequest {
+    pub(crate) id: RequestId,
+    pub(crate) class: usize,
+    pub(crate) arrived_at: Micros,
+    pub(crate) deadline: Micros,
+    pub(crate) max_attempts: usize,
+    pub(crate) is_over_quota: bool,
+    /// Whether its attempts use connections of this instance.
+    pub(crate) is_proxied: bool,
+    /// Whether the client has its final response, or disconnected.
+    pub(crate) is_answered: bool,
+    pub(crate) is_streaming: bool,
+    /// `Some` while it waits in the queue.
+    pub(crate) queued_until: Option<Micros>,
+    /// Inline for two, since most requests need one: no allocation on the hot path.
+    pub(crate) attempts: SmallVec<[Attempt; 2]>,
+}
+
+impl OpenRequest {
+    pub(crate) fn unfinished_attempts(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.is_unfinished()).count()
+    }
+
+    /// The first attempt that may have executed.
+    pub(crate) fn first_effective_attempt(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.may_have_executed())
+    }
+}
+
+/// Where the next attempt of a request may go (rule 2).
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum RetryScope {
+    Anywhere,
+    Zone(u16),
+    Cell(u16),
+    Nowhere,
+}
+
+impl RetryScope {
+    pub(crate) fn contains(self, zone: u16, cell: u16) -> bool {
+        match self {
+            Self::Anywhere => true,
+            Self::Zone(only) => only == zone,
+            Self::Cell(only) => only == cell,
+            Self::Nowhere => false,
+        }
+    }
+}
+
+/// The open requests of an instance.
+#[derive(Default)]
+pub(crate) struct Requests {
+    pub(crate) open: SlotMap<OpenRequest>,
+    /// Slots of the requests that wait for capacity.
+    pub(crate) queue: Vec<usize>,
+    /// Attempts in flight, sessions excluded.
+    pub(crate) in_flight: u32,
+    pub(crate) sessions: u32,
+}
+
+impl Requests {
+    /// Takes a request out of the queue if it is in there.
+    pub(crate) fn dequeue(&mut self, slot: usize) {
+        if self.open[slot].queued_until.take().is_some() {
+            self.queue.retain(|&queued| queued != slot);
+        }
+    }
+}
