--- /dev/null
+++ b/crates/balancer/tests/common/fixtures.rs
@@ -0,0 +1,122 @@
+//! Settings, backends and requests that the tests start from, and views of actions.
+
+use balancer::api::*;
+
+pub const MS: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
+
+/// Indices of the classes of [`settings`].
+pub const IDEMPOTENT: u8 = 0;
+pub const NON_IDEMPOTENT: u8 = 1;
+pub const KEYED_ALL: u8 = 2;
+pub const KEYED_ZONE: u8 = 3;
+pub const KEYED_CELL: u8 = 4;
+
+pub fn class(idempotency: Idempotency) -> Class {
+    Class {
+        latency_objective: 500 * MS,
+        objective_work_factor: 0.0,
+        deadline: 2 * SECOND,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        idempotency,
+    }
+}
+
+/// Two zones, one instance, and one class of each kind of idempotency.
+pub fn settings() -> Settings {
+    let keyed = |scope| class(Idempotency::Keyed { scope, ttl: 600 * MS });
+    Settings {
+        instance_index: 0,
+        instance_count: 1,
+        zone: 0,
+        zone_count: 2,
+        machine_kind_count: 1,
+        discovery_on_request: false,
+        key_affinity: false,
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            keyed(DedupScope::All),
+            keyed(DedupScope::Zone),
+            keyed(DedupScope::Cell),
+        ],
+        tenants: Vec::new(),
+        over_quota_weight: 0.1,
+        cross_zone_cost: 0.05,
+        health_check_cost: 0.01,
+        load_report: LoadReportFields::default(),
+        load_report_by_health_check: false,
+        permissions: Permissions {
+            max_attempts: 4,
+            hedging: false,
+            cancellation: true,
+            health_checks: false,
+            idle_connection_timeout: 5 * SECOND,
+            streams_per_connection: 1,
+            max_retry_after: Some(SECOND),
+        },
+        safety: SafetyLimits {
+            max_poll_interval: 10 * SECOND,
+            initial_capacity: 0.2,
+            warm_up_duration: 10 * SECOND,
+            overload_factor: 2.5,
+            overload_window: 2 * SECOND,
+        },
+    }
+}
+
+/// [`settings`] with one zone.
+pub fn single_zone() -> Settings {
+    Settings { zone_count: 1, ..settings() }
+}
+
+/// A warm backend; even ids in zone 0, odd ones in zone 1, cells of three.
+pub fn backend(id: BackendId) -> Backend {
+    Backend {
+        id,
+        zone: (id % 2) as u16,
+        machine_kind: 0,
+        cell: (id / 6 * 2 + id % 2) as u16,
+        readiness: Readiness::Ready,
+        started_at: None,
+    }
+}
+
+/// `count` warm backends in zone 0 and one cell.
+pub fn one_zone(count: u32) -> Vec<Backend> {
+    (0..count).map(|id| Backend { zone: 0, cell: 0, ..backend(id) }).collect()
+}
+
+pub fn request(id: RequestId, class: u8) -> Request {
+    Request {
+        id,
+        class,
+        tenant: 0,
+        key: None,
+        timeout: 2 * SECOND,
+        expected_work: None,
+        is_retry: false,
+        is_proxied: true,
+    }
+}
+
+/// The backend of the first send in these actions.
+pub fn sent_to(actions: &[Action]) -> Option<BackendId> {
+    actions.iter().find_map(|action| match action {
+        Action::Send { backend, .. } => Some(*backend),
+        _ => None,
+    })
+}
+
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
+}
+
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
+}
+
+pub fn closes_connections(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::CloseIdleConnections(_)))
+}
