--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings, read and refused by name.
+//! Parsing of settings, and errors that name the key.
 
 use balancer::api::*;
 use settings::parse_settings;
@@ -14,7 +14,7 @@
   "safety": {"askWithinUs": 10000000, "coldFrom": 0.33, "coldUs": 8199999, "fallMultiple": 3.0, "fallUs": 2000000}}"#;
 
 #[test]
-fn settings_are_read_and_unknown_keys_passed_over() {
+fn parses_settings_and_ignores_unknown_keys() {
     let settings = parse_settings(SETTINGS.as_bytes()).expect("good settings");
     assert!(settings.discovery_on_request && settings.key_affinity);
     assert_eq!(
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_by_name() {
-    let swaps = [
+fn rejects_invalid_settings_by_name() {
+    let replacements = [
         (r#""balancers": 5"#, r#""balancers": 0"#, "balancers"),
         (r#""aimUs": 500000"#, r#""aimUs": 0"#, "classes[0].aim"),
         (r#""effect": "dedup""#, r#""effect": "magic""#, "classes[0].effect"),
@@ -41,25 +41,25 @@
         (r#""coldFrom": 0.33"#, r#""coldFrom": 7"#, "cold_from"),
         (r#""membershipMode": "on_request""#, r#""membershipMode": "guess""#, "membershipMode"),
     ];
-    for (good, bad, field) in swaps {
+    for (good, bad, field) in replacements {
         let json = SETTINGS.replace(good, bad);
         assert_ne!(json, SETTINGS);
-        assert_eq!(parse_settings(json.as_bytes()).expect_err("it makes no sense").field, field);
+        assert_eq!(parse_settings(json.as_bytes()).expect_err("invalid settings").field, field);
     }
     let missing = parse_settings(SETTINGS.replace("\"safety\"", "\"sagety\"").as_bytes());
     assert!(missing.expect_err("a key is missing").problem.contains("safety"));
 }
 
-/// One more would be taken for the first one, and have its share.
+/// One more would have the same index as the first one, and share its quota.
 #[test]
-fn more_tenants_than_can_be_told_apart_are_refused() {
-    let with = |tenants: usize| {
+fn rejects_more_tenants_than_an_index_can_distinguish() {
+    let parsed_tenants = |tenants: usize| {
         let list = vec![r#"{"name": "t", "allowancePerS": 1.0}"#; tenants].join(",");
         let json = SETTINGS.replace(r#"{"name": "t", "allowancePerS": 12.5, "share": 1.0}"#, &list);
         parse_settings(json.as_bytes()).map(|settings| settings.tenants.len())
     };
-    assert_eq!(with(MAX_TENANTS), Ok(MAX_TENANTS));
-    let error = with(MAX_TENANTS + 1).expect_err("one too many");
+    assert_eq!(parsed_tenants(MAX_TENANTS), Ok(MAX_TENANTS));
+    let error = parsed_tenants(MAX_TENANTS + 1).expect_err("one too many");
     assert_eq!(error.field, "tenants");
     assert!(error.problem.contains("65537") && error.problem.contains("65536"), "{error}");
 }
