--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,3 +1,7 @@
-//! The simulator's wire. The program of this crate hosts balancers on it.
+//! Adapter between the simulator's protocol and the decisions: batches of records in, replies with actions out.
 
-pub mod wire;
+pub mod host;
+pub mod protocol;
+mod session;
+
+pub use session::run;
--- a/crates/simulator-adapter/tests/host.rs
+++ b/crates/simulator-adapter/tests/host.rs
@@ -1,4 +1,4 @@
-//! The built host end to end: whole conversations over its pipes, by bytes.
+//! The built program end to end: complete sessions over its pipes, by bytes.
 
 use std::io::{Read, Write};
 use std::process::{Command, Output, Stdio};
@@ -42,88 +42,113 @@
     record(11, &[&request.to_be_bytes(), &[0; 11], &400_000_u32.to_be_bytes(), &[0; 5]])
 }
 
+/// Runs the program with this input until it ends.
 fn run(input: &[u8]) -> Output {
-    let mut host = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the host starts");
-    let mut stdin = host.stdin.take().expect("it was piped");
+        .expect("the program starts");
+    let mut stdin = adapter.stdin.take().expect("it was piped");
     let input = input.to_vec();
     let writer = std::thread::spawn(move || _ = stdin.write_all(&input));
-    let output = host.wait_with_output().expect("the host ends");
+    let output = adapter.wait_with_output().expect("the program ends");
     writer.join().expect("the writer ends");
     output
 }
 
-/// The records of each reply: (instance, code, fields).
-fn replies(mut bytes: &[u8]) -> Vec<Vec<(u16, u8, Vec<u8>)>> {
-    let mut all = Vec::new();
+/// Codes of sent records.
+const SUBMIT_TO: u8 = 64;
+const FATAL: u8 = 73;
+const SOURCE: u8 = 76;
+
+/// A record of a reply.
+#[derive(Clone, Debug, PartialEq)]
+struct SentRecord {
+    instance: u16,
+    code: u8,
+    fields: Vec<u8>,
+}
+
+impl SentRecord {
+    /// The backend of a `submit_to` record.
+    fn backend(&self) -> u32 {
+        assert_eq!(self.code, SUBMIT_TO, "a submit_to");
+        u32::from_be_bytes(self.fields[12..16].try_into().expect("four bytes"))
+    }
+}
+
+/// The records of each reply.
+fn replies(mut bytes: &[u8]) -> Vec<Vec<SentRecord>> {
+    let mut replies = Vec::new();
     while !bytes.is_empty() {
-        let mut word = [0; 4];
-        bytes.read_exact(&mut word).expect("a length");
-        let (mut reply, rest) = bytes.split_at(u32::from_be_bytes(word) as usize);
+        let mut length = [0; 4];
+        bytes.read_exact(&mut length).expect("a length");
+        let (reply, rest) = bytes.split_at(u32::from_be_bytes(length) as usize);
         bytes = rest;
-        let (mut records, mut source) = (Vec::new(), 0);
-        while !reply.is_empty() {
-            let length = u32::from_be_bytes(reply[1..5].try_into().expect("four bytes")) as usize;
-            let fields = reply[5..5 + length].to_vec();
-            match reply[0] {
-                76 => source = u16::from_be_bytes([fields[0], fields[1]]),
-                code => records.push((source, code, fields)),
-            }
-            reply = &reply[5 + length..];
+        replies.push(records_of(reply));
+    }
+    replies
+}
+
+fn records_of(mut reply: &[u8]) -> Vec<SentRecord> {
+    let (mut records, mut instance) = (Vec::new(), 0);
+    while !reply.is_empty() {
+        let length = u32::from_be_bytes(reply[1..5].try_into().expect("four bytes")) as usize;
+        let fields = reply[5..5 + length].to_vec();
+        match reply[0] {
+            SOURCE => instance = u16::from_be_bytes([fields[0], fields[1]]),
+            code => records.push(SentRecord { instance, code, fields }),
         }
-        all.push(records);
+        reply = &reply[5 + length..];
     }
-    all
+    records
 }
 
-fn backend_of_send(record: &(u16, u8, Vec<u8>)) -> u32 {
-    assert_eq!(record.1, 64, "a submit_to");
-    u32::from_be_bytes(record.2[12..16].try_into().expect("four bytes"))
+/// The `submit_to` records of the first reply.
+fn sends(output: &Output) -> Vec<SentRecord> {
+    replies(&output.stdout)[0].iter().filter(|record| record.code == SUBMIT_TO).cloned().collect()
 }
 
 #[test]
-fn empty_batches_get_empty_replies_and_the_end_of_input_ends_it() {
+fn replies_to_empty_batches_and_exits_at_the_end_of_input() {
     let output = run(&[batch(1, &[]), batch(2, &[])].concat());
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout, [0; 8]);
 }
 
 #[test]
-fn a_page_number_reused_within_a_batch_means_what_came_last_before_it() {
+fn a_reused_list_number_refers_to_the_last_page_before_it() {
     let start = [switch_to(3), power_on(SETTINGS), page(0, &[10]), membership(2, 0)];
     let other = [switch_to(4), power_on(SETTINGS), page(0, &[20]), membership(2, 0)];
-    let asks = [switch_to(3), inbound(1), switch_to(4), inbound(1)];
-    let output = run(&batch(5, &[&start[..], &other, &asks].concat()));
-    let sends: Vec<_> = replies(&output.stdout)[0].iter().filter(|r| r.1 == 64).cloned().collect();
-    assert_eq!((sends[0].0, backend_of_send(&sends[0])), (3, 10));
-    assert_eq!((sends[1].0, backend_of_send(&sends[1])), (4, 20));
+    let requests = [switch_to(3), inbound(1), switch_to(4), inbound(1)];
+    let output = run(&batch(5, &[&start[..], &other, &requests].concat()));
+    let sends = sends(&output);
+    assert_eq!((sends[0].instance, sends[0].backend()), (3, 10));
+    assert_eq!((sends[1].instance, sends[1].backend()), (4, 20));
 }
 
 #[test]
-fn a_killed_instance_starts_anew_in_the_same_batch_and_knows_nothing_of_before() {
+fn a_killed_instance_restarts_in_the_same_batch_without_its_state() {
     let start = [switch_to(0), power_on(SETTINGS), page(1, &[10]), membership(2, 1), inbound(1)];
-    let again = [record(5, &[]), power_on(SETTINGS), page(2, &[11]), membership(2, 2), inbound(1)];
-    let output = run(&batch(5, &[&start[..], &again].concat()));
-    let sends: Vec<_> =
-        replies(&output.stdout)[0].iter().filter(|r| r.1 == 64).map(backend_of_send).collect();
-    assert_eq!(sends, [10, 11]);
+    let restart = [record(5, &[]), power_on(SETTINGS), page(2, &[11]), membership(2, 2), inbound(1)];
+    let output = run(&batch(5, &[&start[..], &restart].concat()));
+    let backends: Vec<u32> = sends(&output).iter().map(SentRecord::backend).collect();
+    assert_eq!(backends, [10, 11]);
 }
 
 #[test]
-fn batches_of_megabytes_are_answered() {
+fn replies_to_a_batch_of_megabytes() {
     let mut records = vec![switch_to(0), power_on(SETTINGS), page(0, &[1, 2, 3]), membership(2, 0)];
     records.extend((0..60_000).map(inbound));
     let output = run(&batch(5, &records));
     assert!(output.status.success());
-    assert!(replies(&output.stdout)[0].len() >= 60_000, "each request is sent, held or refused");
+    assert!(replies(&output.stdout)[0].len() >= 60_000, "each request is sent, queued or rejected");
 }
 
 #[test]
-fn instances_act_alike_together_and_apart() {
+fn instances_act_alike_together_and_alone() {
     let events = |instance: u16, clock: u64| {
         let mut records = vec![switch_to(instance)];
         if clock == 0 {
@@ -132,50 +157,46 @@
         records.extend((0..20).map(|n| inbound(clock as u32 * 100 + n)));
         records
     };
-    let conversation = |instances: &[u16]| {
-        let all = |clock| instances.iter().flat_map(|&i| events(i, clock)).collect::<Vec<_>>();
-        (0..5).flat_map(|clock| batch(clock, &all(clock))).collect::<Vec<u8>>()
+    let session = |instances: &[u16]| {
+        let records = |clock| instances.iter().flat_map(|&i| events(i, clock)).collect::<Vec<_>>();
+        (0..5).flat_map(|clock| batch(clock, &records(clock))).collect::<Vec<u8>>()
     };
-    let together = replies(&run(&conversation(&[0, 1, 2])).stdout);
-    assert_eq!(
-        together,
-        replies(&run(&conversation(&[0, 1, 2])).stdout),
-        "the same events, the same actions"
-    );
+    let together = replies(&run(&session(&[0, 1, 2])).stdout);
+    assert_eq!(together, replies(&run(&session(&[0, 1, 2])).stdout), "the same events, the same actions");
     for instance in 0..3 {
-        let alone = replies(&run(&conversation(&[instance])).stdout);
+        let alone = replies(&run(&session(&[instance])).stdout);
         for (all, own) in together.iter().zip(&alone) {
-            assert!(all.iter().filter(|r| r.0 == instance).eq(own));
+            assert!(all.iter().filter(|record| record.instance == instance).eq(own));
         }
     }
 }
 
 #[test]
-fn bad_input_gives_one_plain_line_and_a_failure() {
-    let cut = batch(5, &[switch_to(0)]);
-    for (input, says) in [
-        (&cut[..cut.len() - 1], "expected 15 bytes behind the batch header"),
-        (&cut[..5], "expected a batch header"),
+fn invalid_input_logs_one_line_and_fails() {
+    let complete = batch(5, &[switch_to(0)]);
+    for (input, message) in [
+        (&complete[..complete.len() - 1], "expected 15 bytes behind the batch header"),
+        (&complete[..5], "expected a batch header"),
         (&batch(5, &[switch_to(9), inbound(1)])[..], "9 does not run"),
         (&batch(5, &[inbound(1)])[..], "expected a `switch_to`"),
         (&batch(5, &[switch_to(0), power_on(SETTINGS), membership(1, 7)])[..], "7 was not"),
     ] {
         let output = run(input);
         let text = String::from_utf8(output.stderr).expect("text");
-        assert!(!output.status.success() && text.lines().count() == 1 && text.contains(says), "{text}");
+        assert!(!output.status.success() && text.lines().count() == 1 && text.contains(message), "{text}");
     }
 }
 
 #[test]
-fn settings_that_make_no_sense_become_fatal() {
+fn invalid_settings_send_a_fatal_record() {
     let output = run(&batch(5, &[switch_to(6), power_on(&SETTINGS.replace("retryable", "maybe"))]));
     let last = replies(&output.stdout).concat().pop().expect("a record");
-    assert_eq!((last.0, last.1), (6, 73));
-    assert!(String::from_utf8_lossy(&last.2).contains("classes[0].effect"));
+    assert_eq!((last.instance, last.code), (6, FATAL));
+    assert!(String::from_utf8_lossy(&last.fields).contains("classes[0].effect"));
 }
 
 #[test]
-fn an_unknown_record_is_reported_once() {
+fn logs_an_unknown_record_once() {
     let unknown = record(200, &[&[1, 2, 3]]);
     let output = run(&batch(5, &[unknown.clone(), unknown]));
     assert!(output.status.success());
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -1,7 +1,7 @@
-//! The wire by bytes: what the codec reads and writes, and what it says of bad input.
+//! The protocol by bytes: parsing of batches, replies, and errors for invalid input.
 
 use balancer::api::*;
-use simulator_adapter::wire::{self, BatchReader, Record, ReplyWriter, Scope};
+use simulator_adapter::protocol::{BatchReader, ProtocolError, Record, ReplyWriter, Scope, parse_entries};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -9,7 +9,7 @@
     digits.chunks(2).map(pair).collect()
 }
 
-fn records(text: &str) -> Result<Vec<Record<'static>>, wire::WireError> {
+fn records(text: &str) -> Result<Vec<Record<'static>>, ProtocolError> {
     let bytes: &'static [u8] = hex(text).leak();
     let (mut reader, _) = BatchReader::new(bytes)?;
     let mut all = Vec::new();
@@ -22,14 +22,14 @@
 #[test]
 fn an_empty_batch_has_a_clock_and_an_empty_reply() {
     let bytes = hex("00000000 00000008 0000000000805c5a");
-    let (mut reader, clock) = BatchReader::new(&bytes).expect("a whole batch");
+    let (mut reader, clock) = BatchReader::new(&bytes).expect("a complete batch");
     assert_eq!(clock, 0x0080_5c5a);
     assert_eq!(reader.next_record(), Ok(None));
     assert_eq!(ReplyWriter::default().finish(), hex("00000000"));
 }
 
 #[test]
-fn events_of_two_instances_are_read_in_order() {
+fn parses_events_of_two_instances_in_order() {
     let read = records(
         "00000005 00000045 0000000000805c5a
          02 00000002 0003
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn lists_and_outcomes_are_read() {
+fn parses_lists_and_outcomes() {
     let read = records(
         "00000003 00000066 0000000000805c5a
          00 00000032 0000 00000002
@@ -59,7 +59,7 @@
     )
     .expect("a good batch");
     let Record::Page { list: 0, entries } = read[0] else { panic!("{:?}", read[0]) };
-    let entries = wire::parse_entries(entries).expect("good entries");
+    let entries = parse_entries(entries).expect("good entries");
     assert_eq!((entries[0].id, entries[0].zone, entries[0].started_at), (0x0312_4a07, 0, None));
     assert_eq!(entries[1].started_at, Some(0x5d_1420));
     assert_eq!(entries[1].readiness, Readiness::Draining);
@@ -69,15 +69,15 @@
         backend: 0x0312_4a07,
         attempt: 2,
         outcome: Outcome::Rejected,
-        closed: true,
+        is_answered: true,
         elapsed: 0x4844,
-        report: vec![2.5],
+        load_report: vec![2.5],
     };
     assert_eq!(read[2], expected);
 }
 
 #[test]
-fn bad_input_is_named_with_its_offset() {
+fn reports_invalid_input_with_its_offset() {
     let cut = records("00000001 0000000d 0000000000805c5a 06 00000004").expect_err("fields are missing");
     assert_eq!(cut.offset, 16);
     let short =
@@ -85,7 +85,7 @@
     assert_eq!(short.offset, 21);
     let count =
         records("00000000 0000000f 0000000000805c5a 08 00000002 0000").expect_err("more than counted");
-    assert_eq!((count.offset, count.expected.as_str()), (16, "the end of the batch"));
+    assert_eq!((count.offset, count.expected.to_string().as_str()), (16, "the end of the batch"));
     let length = records("00000000 00000009 0000000000805c5a").expect_err("a byte is missing");
     assert_eq!(length.offset, 4);
     let outcome = records(
@@ -97,16 +97,16 @@
 }
 
 #[test]
-fn unknown_records_are_stepped_over() {
+fn skips_unknown_records() {
     let read = records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
     assert_eq!(read, Ok(vec![Record::Unknown(200), Record::Wakeup(1)]));
 }
 
 #[test]
-fn actions_are_written_as_the_wire_says() {
+fn writes_actions_as_the_protocol_defines() {
     let mut reply = ReplyWriter::default();
     let (request, backend) = (0x5d3a_91c4, 0x0312_4a07);
-    let send = Action::Send { request, backend, start_by: u64::MAX, give_up_at: 0x8194da };
+    let send = Action::Send { request, backend, start_by: u64::MAX, give_up_at: 0x0081_94da };
     reply.action(3, &send);
     reply.action(3, &Action::SetTimer { delay: 500_000, token: 77 });
     reply.action(5, &Action::Log("two servers known".into()));
