--- a/crates/http-proxy/src/clients/inbound.rs
+++ b/crates/http-proxy/src/clients/inbound.rs
@@ -13,7 +13,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, StatusCode, Uri};
-use request_engine::engine::{ANSWER_MARGIN, Dispatch, IncomingRequest};
+use request_engine::engine::{RESPONSE_MARGIN, Dispatch, IncomingRequest};
 use request_engine::request_key::request_key;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -87,7 +87,7 @@
         let arrived = self.clock.at(connection.heard_at());
         let headers = forwarded(head.headers);
         let target = origin_form(head.uri).ok_or(bad("the target makes no sense\n"))?;
-        let own = Duration::from_micros(patience.saturating_sub(ANSWER_MARGIN.min(patience / 2)));
+        let own = Duration::from_micros(patience.saturating_sub(RESPONSE_MARGIN.min(patience / 2)));
         let patience = match &body {
             Payload::Whole(_) => patience,
             Payload::Passed(_) => patience + micros(min_transfer_rate::time_for(length.unwrap_or(BODY_MOST))),
--- a/crates/request-engine/src/driver/cancellation.rs
+++ b/crates/request-engine/src/driver/cancellation.rs
@@ -1,64 +1,64 @@
-//! How an attempt that is out is taken back.
+//! Cancellation of proxied attempts.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-enum Signal {
-    /// It goes on.
+enum Cancellation {
+    /// The attempt continues.
     #[default]
     None,
-    /// It goes on if a byte of it has left.
-    Unsent,
-    /// It ends.
-    Now,
+    /// The attempt ends unless it has sent a byte.
+    UnlessSent,
+    /// The attempt ends.
+    Immediate,
 }
 
-/// The signal to one attempt. It can become stronger and never weaker, and whoever asks later hears it all the same.
+/// The cancellation signal of one attempt. It can only become stronger, and is also seen by a task that waits later.
 #[derive(Debug, Default)]
 pub struct CancellationSignal {
-    signal: Cell<Signal>,
+    cancellation: Cell<Cancellation>,
     wake: Notify,
 }
 
 impl CancellationSignal {
-    fn say(&self, signal: Signal) {
-        if signal > self.signal.get() {
-            self.signal.set(signal);
+    fn strengthen(&self, cancellation: Cancellation) {
+        if cancellation > self.cancellation.get() {
+            self.cancellation.set(cancellation);
             self.wake.notify_one();
         }
     }
 
-    /// The attempt is not wanted any more: it ends unless a byte of it has left.
+    /// Cancels the attempt unless it has sent a byte.
     pub fn cancel_unless_sent(&self) {
-        self.say(Signal::Unsent);
+        self.strengthen(Cancellation::UnlessSent);
     }
 
-    /// The attempt ends.
+    /// Cancels the attempt.
     pub fn cancel(&self) {
-        self.say(Signal::Now);
+        self.strengthen(Cancellation::Immediate);
     }
 
-    async fn heard(&self, signal: Signal) {
-        while self.signal.get() < signal {
+    async fn wait_for(&self, cancellation: Cancellation) {
+        while self.cancellation.get() < cancellation {
             self.wake.notified().await;
         }
     }
 
-    /// Waits until the attempt may not begin, if it has not yet. One task at a time may wait.
+    /// Waits until the attempt must not start if it has not started yet. One task at a time may wait.
     pub async fn start_cancelled(&self) {
-        self.heard(Signal::Unsent).await;
+        self.wait_for(Cancellation::UnlessSent).await;
     }
 
-    /// Waits until the attempt has to end, whatever of it has left. One task at a time may wait.
+    /// Waits until the attempt has to end, whatever it has sent. One task at a time may wait.
     pub async fn cancelled(&self) {
-        self.heard(Signal::Now).await;
+        self.wait_for(Cancellation::Immediate).await;
     }
 
-    /// Whether the attempt may not begin.
+    /// Whether the attempt must not start.
     #[must_use]
     pub fn is_start_cancelled(&self) -> bool {
-        self.signal.get() >= Signal::Unsent
+        self.cancellation.get() >= Cancellation::UnlessSent
     }
 }
 
--- a/crates/request-engine/src/driver/cancellation/tests.rs
+++ b/crates/request-engine/src/driver/cancellation/tests.rs
@@ -2,21 +2,21 @@
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
 
-fn is_ready(waits: impl Future<Output = ()>) -> bool {
-    pin!(waits).poll(&mut Context::from_waker(Waker::noop())) == Poll::Ready(())
+fn is_ready(future: impl Future<Output = ()>) -> bool {
+    pin!(future).poll(&mut Context::from_waker(Waker::noop())) == Poll::Ready(())
 }
 
 #[test]
-fn a_word_is_heard_also_later_and_never_becomes_weaker() {
-    let recall = CancellationSignal::default();
+fn cancellation_is_seen_by_later_waiters_and_never_weakens() {
+    let signal = CancellationSignal::default();
     assert!(
-        !is_ready(recall.start_cancelled()) && !is_ready(recall.cancelled()) && !recall.is_start_cancelled()
+        !is_ready(signal.start_cancelled()) && !is_ready(signal.cancelled()) && !signal.is_start_cancelled()
     );
-    recall.cancel_unless_sent();
+    signal.cancel_unless_sent();
     assert!(
-        is_ready(recall.start_cancelled()) && !is_ready(recall.cancelled()) && recall.is_start_cancelled()
+        is_ready(signal.start_cancelled()) && !is_ready(signal.cancelled()) && signal.is_start_cancelled()
     );
-    recall.cancel();
-    recall.cancel_unless_sent();
-    assert!(is_ready(recall.start_cancelled()) && is_ready(recall.cancelled()));
+    signal.cancel();
+    signal.cancel_unless_sent();
+    assert!(is_ready(signal.start_cancelled()) && is_ready(signal.cancelled()));
 }
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -1,8 +1,8 @@
-//! The asynchronous part: fronts call the engine through a [`Handle`], its commands go to a [`Transport`], and one
+//! The asynchronous part: front ends call the engine through a [`Handle`], a [`Transport`] executes its commands, and one
 //! task sleeps until the next timer.
 //!
-//! All of it lives on one thread (a `LocalSet`). A front's call runs the engine at once, with no queue between them:
-//! nothing can pile up there, and a request costs no change of task.
+//! All of it runs on one thread, in a `LocalSet`. A front end's call runs the engine at once, without a queue that could
+//! grow and without a task switch per request.
 
 pub mod cancellation;
 pub mod clock;
@@ -22,88 +22,95 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// When an attempt may begin, and when it is given up, as the runtime's timers want it.
+/// When an attempt may start, and when it is given up, as instants of the runtime.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
-    /// From when on it may not begin any more.
+    /// It must not start at or after this instant; `None`: no limit.
     pub start_by: Option<Instant>,
     /// When it is given up.
     pub give_up_at: Instant,
 }
 
-/// What carries the engine's commands out. None of these may call the engine back before it returns.
+/// Executes the engine's commands. No method may call the engine before it returns.
 pub trait Transport: Sized + 'static {
-    /// The types that travel.
+    /// The front end's message types.
     type Messages: MessageTypes;
 
-    /// Makes an attempt on a backend and tells how it ended: given up as `times` say, or when `recall` says so.
+    /// Makes an attempt on a backend, limited by `times` and by `cancellation`, and returns how it ended.
     fn start_attempt(
         &self,
         backend: BackendId,
-        work: <Self::Messages as MessageTypes>::OutboundRequest,
+        outbound_request: <Self::Messages as MessageTypes>::OutboundRequest,
         times: AttemptTimes,
-        recall: Rc<CancellationSignal>,
+        cancellation: Rc<CancellationSignal>,
     ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
 
-    /// Probes a backend and tells how that ended.
+    /// Checks a backend's health and returns the result.
     fn check_health(
         &self,
         backend: BackendId,
     ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
 
-    /// Hands a final answer to its front.
+    /// Delivers a final answer to its front end.
     fn respond(
         &self,
-        reply: <Self::Messages as MessageTypes>::Responder,
-        verdict: FinalOutcome<<Self::Messages as MessageTypes>::Response>,
+        responder: <Self::Messages as MessageTypes>::Responder,
+        outcome: FinalOutcome<<Self::Messages as MessageTypes>::Response>,
     );
 
-    /// Tells the front of a request that its caller holds a lease; `None` where the caller has left.
-    fn grant_lease(&self, reply: Option<&<Self::Messages as MessageTypes>::Responder>, grant: LeaseGrant);
+    /// Delivers a lease to the front end of its request; `None` where the client has disconnected.
+    fn grant_lease(&self, responder: Option<&<Self::Messages as MessageTypes>::Responder>, grant: LeaseGrant);
 
-    /// Asks a lease back; `None` where the caller has left.
-    fn revoke_lease(&self, reply: Option<&<Self::Messages as MessageTypes>::Responder>, lease: LeaseId);
+    /// Revokes a lease; `None` where the client has disconnected.
+    fn revoke_lease(&self, responder: Option<&<Self::Messages as MessageTypes>::Responder>, lease: LeaseId);
 
-    /// Begins to follow discovery, where it has to be asked.
+    /// Subscribes to membership changes, where discovery requires it.
     fn subscribe(&self);
 
     /// Closes the idle connections to a backend.
     fn close_idle_connections(&self, backend: BackendId);
 
-    /// Writes a line for the operators.
+    /// Writes a log line.
     fn log(&self, line: &str);
 }
 
-type Work<T> = <<T as Transport>::Messages as MessageTypes>::OutboundRequest;
-type Reply<T> = <<T as Transport>::Messages as MessageTypes>::Responder;
-type Payload<T> = <<T as Transport>::Messages as MessageTypes>::Response;
+type OutboundRequest<T> = <<T as Transport>::Messages as MessageTypes>::OutboundRequest;
+type Responder<T> = <<T as Transport>::Messages as MessageTypes>::Responder;
+type Response<T> = <<T as Transport>::Messages as MessageTypes>::Response;
+
+/// One attempt of one request.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct AttemptId {
+    request: RequestId,
+    number: u16,
+}
 
 struct Inner<T: Transport> {
     engine: RefCell<Engine<T::Messages>>,
-    /// What takes back the carried attempts that are out.
-    recalls: RefCell<FxHashMap<(RequestId, u16), Rc<CancellationSignal>>>,
+    /// The cancellation signals of the proxied attempts in flight.
+    cancellations: RefCell<FxHashMap<AttemptId, Rc<CancellationSignal>>>,
     transport: T,
     clock: Clock,
-    /// Until when the timers' task sleeps; `Micros::MAX`: until it is woken.
+    /// Until when the timer task sleeps; `Micros::MAX`: until it is woken.
     asleep_until: Cell<Micros>,
     wake: Notify,
-    /// A call of the engine panicked: what it left behind can't be trusted.
-    broken: Cell<bool>,
+    /// A call of the engine panicked: its state can't be trusted.
+    has_panicked: Cell<bool>,
 }
 
-/// Marks the engine as broken where a call of it unwinds.
-struct Watch<'a, T: Transport>(&'a Inner<T>);
+/// Records a panic of the engine when a call of it unwinds.
+struct PanicGuard<'a, T: Transport>(&'a Inner<T>);
 
-impl<T: Transport> Drop for Watch<'_, T> {
+impl<T: Transport> Drop for PanicGuard<'_, T> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            self.0.broken.set(true);
+            self.0.has_panicked.set(true);
             self.0.wake.notify_one();
         }
     }
 }
 
-/// The way to the engine.
+/// A shared handle to the engine, its clock and its transport.
 pub struct Handle<T: Transport>(Rc<Inner<T>>);
 
 impl<T: Transport> Clone for Handle<T> {
@@ -113,143 +120,148 @@
 }
 
 impl<T: Transport> Handle<T> {
-    /// The way to this engine.
+    /// A handle to this engine.
     #[must_use]
     pub fn new(engine: Engine<T::Messages>, clock: Clock, transport: T) -> Self {
         Self(Rc::new(Inner {
             engine: RefCell::new(engine),
-            recalls: RefCell::default(),
+            cancellations: RefCell::default(),
             transport,
             clock,
             asleep_until: Cell::new(0),
             wake: Notify::new(),
-            broken: Cell::new(false),
+            has_panicked: Cell::new(false),
         }))
     }
 
-    /// Keeps the timers. Ends only when the engine has panicked: the process should then end too.
+    /// Runs the engine's timers. Returns only when the engine has panicked: the process should then exit too.
     pub async fn run(self) {
-        while !self.0.broken.get() {
-            let next = self.drive(|engine, _| engine.next_timer());
+        while !self.0.has_panicked.get() {
+            let next = self.with_engine(|engine, _| engine.next_timer());
             self.0.asleep_until.set(next.unwrap_or(Micros::MAX));
             match next {
                 None => self.0.wake.notified().await,
-                Some(due) => tokio::select! {
+                Some(at) => tokio::select! {
                     () = self.0.wake.notified() => {}
-                    () = sleep_until(self.0.clock.instant(due)) => {}
+                    () = sleep_until(self.0.clock.instant(at)) => {}
                 },
             }
             self.0.asleep_until.set(0);
         }
     }
 
-    /// Takes a request; see [`Engine::admit`].
+    /// Admits a request; see [`Engine::admit`].
     ///
     /// # Errors
-    /// At a bound.
+    /// At one of the engine's limits.
     pub fn admit(
         &self,
-        arrival: IncomingRequest<Work<T>>,
-        reply: Reply<T>,
-    ) -> Result<RequestId, Overload<Reply<T>>> {
-        self.drive(|engine, now| engine.admit(now, arrival, reply))
+        incoming: IncomingRequest<OutboundRequest<T>>,
+        responder: Responder<T>,
+    ) -> Result<RequestId, Overload<Responder<T>>> {
+        self.with_engine(|engine, now| engine.admit(now, incoming, responder))
     }
 
-    /// The client of a request has left.
+    /// The client of a request has disconnected.
     pub fn client_disconnected(&self, request: RequestId) {
-        self.drive(|engine, now| engine.client_disconnected(now, request));
+        self.with_engine(|engine, now| engine.client_disconnected(now, request));
     }
 
-    /// The holder of a lease tells how its attempt ended.
+    /// The holder of a lease reports how its attempt ended.
     ///
     /// # Errors
-    /// Where the lease is not out.
-    pub fn report_result(&self, lease: LeaseId, ended: AttemptEnd<Payload<T>>) -> Result<(), LeaseError> {
-        self.drive(|engine, now| engine.report_result(now, lease, ended))
+    /// Where the lease is not active.
+    pub fn report_result(&self, lease: LeaseId, end: AttemptEnd<Response<T>>) -> Result<(), LeaseError> {
+        self.with_engine(|engine, now| engine.report_result(now, lease, end))
     }
 
-    /// The holder of a lease tells that its attempt has become a session; gives the time left without being renewed.
+    /// The holder of a lease reports that its attempt has become a session. Returns after how many microseconds it
+    /// expires unless it is renewed.
     ///
     /// # Errors
-    /// Where the lease is not out or a session already.
+    /// Where the lease is not active or already a session.
     pub fn establish_session(&self, lease: LeaseId) -> Result<Micros, LeaseError> {
-        self.drive(|engine, now| engine.establish_session(now, lease).map(|until| until.saturating_sub(now)))
+        self.with_engine(|engine, now| {
+            engine.establish_session(now, lease).map(|expires_at| expires_at.saturating_sub(now))
+        })
     }
 
-    /// The holder of a session tells that it goes on; gives the time left without being renewed.
+    /// The holder of a session renews it. Returns after how many microseconds it expires unless it is renewed again.
     ///
     /// # Errors
-    /// Where the lease is not out or no session.
+    /// Where the lease is not active or not a session.
     pub fn renew_session(&self, lease: LeaseId) -> Result<Micros, LeaseError> {
-        self.drive(|engine, now| engine.renew_session(now, lease).map(|until| until.saturating_sub(now)))
+        self.with_engine(|engine, now| {
+            engine.renew_session(now, lease).map(|expires_at| expires_at.saturating_sub(now))
+        })
     }
 
-    /// The process ends: see [`Engine::set_response_deadline`].
-    pub fn set_response_deadline(&self, by: Micros) {
-        self.drive(|engine, now| engine.set_response_deadline(now, by));
+    /// The process ends; see [`Engine::set_response_deadline`].
+    pub fn set_response_deadline(&self, deadline: Micros) {
+        self.with_engine(|engine, now| engine.set_response_deadline(now, deadline));
     }
 
-    /// News of the backends.
-    pub fn update_membership(&self, news: MembershipUpdate<'_>) {
-        self.drive(|engine, now| engine.update_membership(now, news));
+    /// Changes the set of backends; see [`Engine::update_membership`].
+    pub fn update_membership(&self, update: MembershipUpdate<'_>) {
+        self.with_engine(|engine, now| engine.update_membership(now, update));
     }
 
-    /// Other settings hold for requests that come from now on.
+    /// Applies other settings to requests that arrive from now on.
     ///
     /// # Errors
-    /// The first setting that makes no sense; then nothing has changed.
+    /// The first invalid setting; then nothing has changed.
     pub fn update_settings(&self, settings: &Settings) -> Result<(), SettingsError> {
-        self.drive(|engine, now| engine.update_settings(now, settings))
+        self.with_engine(|engine, now| engine.update_settings(now, settings))
     }
 
-    /// What the decisions have learnt.
+    /// What the balancer has learned.
     #[must_use]
     pub fn learned_state(&self) -> LearnedState {
         self.0.engine.borrow().learned_state()
     }
 
-    /// The decisions go on from what those of another process have learnt. Whether that fits them.
+    /// Restores what another process's balancer has learned. Returns whether it fits this one.
     #[must_use]
-    pub fn restore(&self, memory: &LearnedState) -> bool {
-        self.drive(|engine, now| engine.restore(now, memory))
+    pub fn restore(&self, state: &LearnedState) -> bool {
+        self.with_engine(|engine, now| engine.restore(now, state))
     }
 
-    /// The transport, for what a front does beside requests.
+    /// The transport.
     #[must_use]
     pub fn transport(&self) -> &T {
         &self.0.transport
     }
 
-    /// The clock that all events are told by.
+    /// The clock of all events.
     #[must_use]
     pub fn clock(&self) -> Clock {
         self.0.clock
     }
 
-    /// What has become of the requests and of the leases.
+    /// Totals over all requests and over all leases since the start.
     #[must_use]
     pub fn counts(&self) -> (Counts, LeaseCounts) {
         let engine = self.0.engine.borrow();
         (engine.counts(), engine.lease_counts())
     }
 
-    /// The limit and the requests in flight of each ready backend, for operators.
+    /// The concurrency limit and the requests in flight of each ready backend.
     #[must_use]
     pub fn limits(&self) -> Vec<(f64, u32)> {
         self.0.engine.borrow().limits()
     }
 
-    /// Runs the engine, then what is due, then all that both want done.
-    fn drive<R>(&self, run: impl FnOnce(&mut Engine<T::Messages>, Micros) -> R) -> R {
+    /// Runs a call of the engine, then its expired timers, then the commands of both.
+    fn with_engine<R>(&self, call: impl FnOnce(&mut Engine<T::Messages>, Micros) -> R) -> R {
         let inner = &*self.0;
-        let _watch = Watch(inner);
+        let _guard = PanicGuard(inner);
         let engine = &mut *inner.engine.borrow_mut();
         let now = inner.clock.now();
-        let result = run(engine, now);
-        // Under a steady stream of calls the timers still have their turn.
+        let result = call(engine, now);
+        // Under a steady stream of calls the timer task might not run in time.
         engine.advance(now);
         while let Some(command) = engine.next_command() {
-            self.carry_out(engine, command);
+            self.execute(engine, command);
         }
         if engine.next_timer().unwrap_or(Micros::MAX) < inner.asleep_until.get() {
             inner.wake.notify_one();
@@ -257,56 +269,70 @@
         result
     }
 
-    fn carry_out(&self, engine: &Engine<T::Messages>, command: Command<T::Messages>) {
+    fn execute(&self, engine: &Engine<T::Messages>, command: Command<T::Messages>) {
         let transport = &self.0.transport;
         match command {
-            Command::StartAttempt { request, attempt, backend, schedule, outbound_request: work } => {
-                self.start(request, attempt, backend, schedule, work);
+            Command::StartAttempt { request, attempt, backend, schedule, outbound_request } => {
+                self.start_attempt(
+                    AttemptId { request, number: attempt },
+                    backend,
+                    schedule,
+                    outbound_request,
+                );
             }
             Command::CancelAttempt { request, attempt } => {
-                if let Some(recall) = self.0.recalls.borrow().get(&(request, attempt)) {
-                    recall.cancel();
+                let attempt = AttemptId { request, number: attempt };
+                if let Some(signal) = self.0.cancellations.borrow().get(&attempt) {
+                    signal.cancel();
                 }
             }
             Command::CancelUnsentAttempt { request, attempt } => {
-                if let Some(recall) = self.0.recalls.borrow().get(&(request, attempt)) {
-                    recall.cancel_unless_sent();
+                let attempt = AttemptId { request, number: attempt };
+                if let Some(signal) = self.0.cancellations.borrow().get(&attempt) {
+                    signal.cancel_unless_sent();
                 }
             }
             Command::GrantLease(grant) => transport.grant_lease(engine.responder(grant.request), grant),
             Command::RevokeLease { request, lease } => {
                 transport.revoke_lease(engine.responder(request), lease);
             }
-            Command::Respond { responder: reply, outcome: verdict, .. } => transport.respond(reply, verdict),
+            Command::Respond { responder, outcome, .. } => transport.respond(responder, outcome),
             Command::Subscribe => transport.subscribe(),
-            Command::CheckHealth(backend) => self.probe(backend),
+            Command::CheckHealth(backend) => self.check_health(backend),
             Command::CloseIdleConnections(backend) => transport.close_idle_connections(backend),
             Command::Log(line) => transport.log(&line),
         }
     }
 
-    fn start(&self, request: RequestId, attempt: u16, backend: BackendId, schedule: Schedule, work: Work<T>) {
-        let recall = Rc::<CancellationSignal>::default();
-        self.0.recalls.borrow_mut().insert((request, attempt), Rc::clone(&recall));
-        let instant = |at| self.0.clock.instant(at);
-        let begin_by = (schedule.start_by < Micros::MAX).then(|| instant(schedule.start_by));
-        let times = AttemptTimes { start_by: begin_by, give_up_at: instant(schedule.give_up_at) };
-        let attempting = self.0.transport.start_attempt(backend, work, times, recall);
+    fn start_attempt(
+        &self,
+        attempt: AttemptId,
+        backend: BackendId,
+        schedule: Schedule,
+        outbound_request: OutboundRequest<T>,
+    ) {
+        let signal = Rc::<CancellationSignal>::default();
+        self.0.cancellations.borrow_mut().insert(attempt, Rc::clone(&signal));
+        let clock = self.0.clock;
+        let start_by = (schedule.start_by < Micros::MAX).then(|| clock.instant(schedule.start_by));
+        let times = AttemptTimes { start_by, give_up_at: clock.instant(schedule.give_up_at) };
+        let running_attempt = self.0.transport.start_attempt(backend, outbound_request, times, signal);
         let handle = self.clone();
         tokio::task::spawn_local(async move {
-            let ended = attempting.await;
-            handle.0.recalls.borrow_mut().remove(&(request, attempt));
-            handle.drive(|engine, now| engine.attempt_finished(now, request, attempt, ended));
+            let end = running_attempt.await;
+            handle.0.cancellations.borrow_mut().remove(&attempt);
+            let AttemptId { request, number } = attempt;
+            handle.with_engine(|engine, now| engine.attempt_finished(now, request, number, end));
         });
     }
 
-    fn probe(&self, backend: BackendId) {
-        let probing = self.0.transport.check_health(backend);
+    fn check_health(&self, backend: BackendId) {
+        let health_check = self.0.transport.check_health(backend);
         let handle = self.clone();
         tokio::task::spawn_local(async move {
-            let ended = probing.await;
-            handle.drive(|engine, now| {
-                engine.health_check_finished(now, backend, ended.outcome, &ended.load_report);
+            let end = health_check.await;
+            handle.with_engine(|engine, now| {
+                engine.health_check_finished(now, backend, end.outcome, &end.load_report);
             });
         });
     }
--- a/crates/request-engine/src/lease.rs
+++ b/crates/request-engine/src/lease.rs
@@ -1,8 +1,8 @@
-//! Leases: what lets a caller outside make an attempt. No I/O and no clock.
+//! Leases: the permission for an external client to make one attempt itself. No I/O and no clock.
 //!
-//! A lease is settled exactly once: by its holder's report or by its end. Its id is a fencing token: the life of
-//! the engine that granted it and a serial number that never comes twice in that life. Whatever is said of a lease
-//! later, or by the holder of another engine's lease, is told apart, counted, and changes nothing.
+//! A lease is settled exactly once: by its holder's report or by its expiry. Its id is a fencing token: the incarnation
+//! of the engine that granted it and a serial number that is unique in that incarnation. A report on a settled lease, or
+//! on a lease of another engine, is classified, counted, and changes nothing.
 
 use balancer::api::{BackendId, Micros, RequestId};
 use rustc_hash::FxHashMap;
@@ -11,16 +11,18 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Settled leases whose end is remembered, so that a late report can be told from a doubled one. Older ones count
-/// as late.
+/// Settled leases whose end is retained, to distinguish a late report from a duplicate one. Reports on older leases
+/// count as late.
 const MAX_ENDED_LEASES: usize = 4_096;
+/// Characters of a malformed id that its error quotes.
+const MAX_QUOTED_CHARS: usize = 64;
 
 /// The id of a lease. Written as two hexadecimal numbers with a dash between, 33 characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseId {
-    /// The life of the engine that granted it.
+    /// The incarnation of the engine that granted it.
     pub incarnation: u64,
-    /// Its number in that life, from 1.
+    /// Its number in that incarnation, from 1.
     pub serial: u64,
 }
 
@@ -30,7 +32,7 @@
     }
 }
 
-/// Text that is no lease id.
+/// The text is not a lease id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("a lease id is 16 hexadecimal digits, a dash and 16 more, not `{0}`")]
 pub struct ParseLeaseIdError(String);
@@ -39,59 +41,61 @@
     type Err = ParseLeaseIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        // The integer's own parser would take a sign and any length.
-        let digits = |part: &str| part.len() == 16 && part.bytes().all(|b| b.is_ascii_hexdigit());
+        // The integer's parser would accept a sign and any length.
+        let is_number = |part: &str| part.len() == 16 && part.bytes().all(|byte| byte.is_ascii_hexdigit());
         let number = |part: &str| -> Result<u64, ParseIntError> { u64::from_str_radix(part, 16) };
-        let wrong = || ParseLeaseIdError(text.chars().take(64).collect());
-        let (incarnation, serial) =
-            text.split_once('-').filter(|(a, b)| digits(a) && digits(b)).ok_or_else(wrong)?;
+        let error = || ParseLeaseIdError(text.chars().take(MAX_QUOTED_CHARS).collect());
+        let (incarnation, serial) = text
+            .split_once('-')
+            .filter(|(incarnation, serial)| is_number(incarnation) && is_number(serial))
+            .ok_or_else(error)?;
         Ok(Self {
-            incarnation: number(incarnation).map_err(|_| wrong())?,
-            serial: number(serial).map_err(|_| wrong())?,
+            incarnation: number(incarnation).map_err(|_| error())?,
+            serial: number(serial).map_err(|_| error())?,
         })
     }
 }
 
-/// Why what was said of a lease changed nothing.
+/// Why an operation on a lease changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LeaseError {
-    /// Another engine granted it, or an earlier life of this one.
+    /// Another engine granted it, or an earlier incarnation of this one.
     #[error("the lease is of another engine or of an earlier life")]
     Foreign,
     /// This engine has never granted it.
     #[error("no such lease was granted")]
     Unknown,
-    /// It ran out before.
+    /// It has expired.
     #[error("the lease had run out")]
     Late,
-    /// Its outcome is known already.
+    /// Its outcome was reported before.
     #[error("the lease's outcome was reported before")]
     AlreadyReported,
-    /// Only a session's lease is renewed, and only one that is not a session can become one.
+    /// Only a session can be renewed, and only a lease that is not a session can become one.
     #[error("the lease is not in a state for this")]
     WrongState,
 }
 
-/// What was said of leases and came to nothing, and what became of all of them.
+/// Totals of leases and of rejected operations on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseCounts {
     /// Leases granted.
     pub granted: u64,
     /// Settled by their holder's report.
     pub reported: u64,
-    /// Settled by running out: may have run.
+    /// Settled by expiry: their attempts may have run.
     pub expired: u64,
-    /// Asked back from their holder, because the backend drains or is gone.
+    /// Revoked because their backend drains or is gone.
     pub revoked: u64,
-    /// Reports after the end.
+    /// Reports after the expiry.
     pub late: u64,
-    /// Reports after a report.
+    /// Reports after an earlier report.
     pub duplicate: u64,
-    /// Reports of another engine's or life's lease.
+    /// Reports on a lease of another engine or incarnation.
     pub foreign: u64,
-    /// Reports of a lease that was never granted.
+    /// Reports on a lease that was never granted.
     pub unknown: u64,
-    /// Reports that do not fit the lease's state.
+    /// Operations that do not fit the lease's state.
     pub wrong_state: u64,
 }
 
@@ -101,9 +105,15 @@
     Expired,
 }
 
+#[derive(Clone, Copy, Debug)]
+struct EndedLease {
+    serial: u64,
+    end: LeaseEnd,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
-    /// Its attempt is made.
+pub(crate) enum LeaseStage {
+    /// Its holder may make one attempt.
     Granted,
     /// Its attempt has become a session.
     Session,
@@ -114,53 +124,58 @@
     pub(crate) request: RequestId,
     pub(crate) attempt: u16,
     pub(crate) backend: BackendId,
-    /// Until when its holder may begin to send.
+    /// Until when its holder may start its attempt.
     pub(crate) send_by: Micros,
-    pub(crate) expires: Micros,
-    pub(crate) stage: Stage,
-    /// Its holder has been asked to give it back.
-    pub(crate) revoked: bool,
+    pub(crate) expires_at: Micros,
+    pub(crate) stage: LeaseStage,
+    pub(crate) is_revoked: bool,
 }
 
-/// The leases that are out, and the ends of the latest that were.
+/// The active leases, and how the latest settled ones ended.
 #[derive(Debug)]
 pub(crate) struct Leases {
     incarnation: u64,
-    next: u64,
+    next_serial: u64,
     capacity: usize,
-    out: FxHashMap<u64, Lease>,
-    /// By serial number modulo its length; empty until the first lease.
-    ended: Vec<(u64, LeaseEnd)>,
+    active: FxHashMap<u64, Lease>,
+    /// Ring buffer by serial number modulo its length; empty until the first lease.
+    ended: Vec<EndedLease>,
     pub(crate) counts: LeaseCounts,
 }
 
 impl Leases {
     pub(crate) fn new(incarnation: u64, capacity: usize) -> Self {
-        let counts = LeaseCounts::default();
-        Self { incarnation, next: 1, capacity, out: FxHashMap::default(), ended: Vec::new(), counts }
+        Self {
+            incarnation,
+            next_serial: 1,
+            capacity,
+            active: FxHashMap::default(),
+            ended: Vec::new(),
+            counts: LeaseCounts::default(),
+        }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.out.len()
+        self.active.len()
     }
 
     pub(crate) fn has_capacity(&self) -> bool {
-        self.out.len() < self.capacity
+        self.active.len() < self.capacity
     }
 
-    /// A new lease, or none at the bound.
+    /// Grants a lease; `None` at the capacity.
     pub(crate) fn grant(&mut self, lease: Lease) -> Option<LeaseId> {
         if !self.has_capacity() {
             return None;
         }
         if self.ended.is_empty() {
             // A serial number of 0 is never granted.
-            self.ended = vec![(0, LeaseEnd::Expired); MAX_ENDED_LEASES];
+            self.ended = vec![EndedLease { serial: 0, end: LeaseEnd::Expired }; MAX_ENDED_LEASES];
         }
-        let serial = self.next;
-        self.next += 1;
-        let before = self.out.insert(serial, lease);
-        assert!(before.is_none(), "the serial number {serial} was granted before");
+        let serial = self.next_serial;
+        self.next_serial += 1;
+        let previous = self.active.insert(serial, lease);
+        assert!(previous.is_none(), "the serial number {serial} was granted before");
         self.counts.granted += 1;
         Some(LeaseId { incarnation: self.incarnation, serial })
     }
@@ -169,22 +184,21 @@
         LeaseId { incarnation: self.incarnation, serial }
     }
 
-    pub(crate) fn is_out(&self, serial: u64) -> bool {
-        self.out.contains_key(&serial)
+    pub(crate) fn is_active(&self, serial: u64) -> bool {
+        self.active.contains_key(&serial)
     }
 
-    /// Asks a lease back, once: gives its request.
+    /// Revokes a lease and returns its request; `None` if it is not active or already revoked.
     pub(crate) fn revoke(&mut self, serial: u64) -> Option<RequestId> {
-        let lease = self.out.get_mut(&serial).filter(|lease| !lease.revoked)?;
-        lease.revoked = true;
+        let lease = self.active.get_mut(&serial).filter(|lease| !lease.is_revoked)?;
+        lease.is_revoked = true;
         self.counts.revoked += 1;
         Some(lease.request)
     }
 
-    /// The lease of this id, if it is out at `now`; otherwise what is wrong, counted.
+    /// The lease with this id, if it is active at `now`; otherwise the cause, which is counted.
     pub(crate) fn find(&mut self, now: Micros, id: LeaseId) -> Result<&mut Lease, LeaseError> {
-        let error = self.find_error(now, id);
-        if let Some(error) = error {
+        if let Some(error) = self.find_error(now, id) {
             match error {
                 LeaseError::Foreign => self.counts.foreign += 1,
                 LeaseError::Unknown => self.counts.unknown += 1,
@@ -194,123 +208,65 @@
             }
             return Err(error);
         }
-        self.out.get_mut(&id.serial).ok_or(LeaseError::Unknown)
+        self.active.get_mut(&id.serial).ok_or(LeaseError::Unknown)
     }
 
     fn find_error(&self, now: Micros, id: LeaseId) -> Option<LeaseError> {
         if id.incarnation != self.incarnation {
             return Some(LeaseError::Foreign);
         }
-        if id.serial == 0 || id.serial >= self.next {
+        if id.serial == 0 || id.serial >= self.next_serial {
             return Some(LeaseError::Unknown);
         }
-        if let Some(lease) = self.out.get(&id.serial) {
-            // The end counts from the clock, not from when its timer had its turn.
-            return (now >= lease.expires).then_some(LeaseError::Late);
+        if let Some(lease) = self.active.get(&id.serial) {
+            // The lease expires by the clock, even if its timer has not been handled yet.
+            return (now >= lease.expires_at).then_some(LeaseError::Late);
         }
-        let (serial, end) = self.ended[id.serial as usize % MAX_ENDED_LEASES];
-        let duplicate = serial == id.serial && end == LeaseEnd::Reported;
-        Some(if duplicate { LeaseError::AlreadyReported } else { LeaseError::Late })
+        let ended = self.ended[id.serial as usize % MAX_ENDED_LEASES];
+        let is_duplicate = ended.serial == id.serial && ended.end == LeaseEnd::Reported;
+        Some(if is_duplicate { LeaseError::AlreadyReported } else { LeaseError::Late })
     }
 
-    /// Settles a lease by its holder's report.
-    pub(crate) fn reported(&mut self, serial: u64) -> Option<Lease> {
-        let lease = self.end(serial, LeaseEnd::Reported)?;
+    /// Settles a lease by its holder's report; `None` if it is not active.
+    pub(crate) fn settle_reported(&mut self, serial: u64) -> Option<Lease> {
+        let lease = self.settle(serial, LeaseEnd::Reported)?;
         self.counts.reported += 1;
         Some(lease)
     }
 
-    /// Settles a lease that has run out; `None`, and the time to look again, where it has been prolonged.
+    /// Settles a lease that has expired; `None` if it is not active.
+    ///
+    /// # Errors
+    /// If it was renewed: when it expires now.
     pub(crate) fn expire(&mut self, now: Micros, serial: u64) -> Result<Option<Lease>, Micros> {
-        match self.out.get(&serial) {
-            Some(lease) if lease.expires > now => Err(lease.expires),
+        match self.active.get(&serial) {
+            Some(lease) if lease.expires_at > now => Err(lease.expires_at),
             Some(_) => {
                 self.counts.expired += 1;
-                Ok(self.end(serial, LeaseEnd::Expired))
+                Ok(self.settle(serial, LeaseEnd::Expired))
             }
             None => Ok(None),
         }
     }
 
-    fn end(&mut self, serial: u64, end: LeaseEnd) -> Option<Lease> {
-        let lease = self.out.remove(&serial)?;
-        self.ended[serial as usize % MAX_ENDED_LEASES] = (serial, end);
+    fn settle(&mut self, serial: u64, end: LeaseEnd) -> Option<Lease> {
+        let lease = self.active.remove(&serial)?;
+        self.ended[serial as usize % MAX_ENDED_LEASES] = EndedLease { serial, end };
         Some(lease)
     }
 
-    /// The leases on backends that `gone` names, whose holders may not have begun to send at `now`.
-    pub(crate) fn unsent_on(&self, now: Micros, gone: impl Fn(BackendId) -> bool) -> Vec<u64> {
-        let unsent = |l: &Lease| l.stage == Stage::Granted && now < l.send_by && gone(l.backend);
-        let mut found: Vec<u64> =
-            self.out.iter().filter(|(_, l)| unsent(l)).map(|(&serial, _)| serial).collect();
-        found.sort_unstable();
-        found
+    /// Serial numbers, ascending, of the leases on backends for which `is_leaving` holds and whose holders may not have
+    /// started at `now`.
+    pub(crate) fn unsent_on(&self, now: Micros, is_leaving: impl Fn(BackendId) -> bool) -> Vec<u64> {
+        let may_be_unsent = |lease: &Lease| {
+            lease.stage == LeaseStage::Granted && now < lease.send_by && is_leaving(lease.backend)
+        };
+        let unsent = self.active.iter().filter(|(_, lease)| may_be_unsent(lease));
+        let mut serials: Vec<u64> = unsent.map(|(&serial, _)| serial).collect();
+        serials.sort_unstable();
+        serials
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn lease() -> Lease {
-        Lease {
-            request: 1,
-            attempt: 0,
-            backend: 7,
-            send_by: 50,
-            expires: 100,
-            stage: Stage::Granted,
-            revoked: false,
-        }
-    }
-
-    #[test]
-    fn a_lease_is_settled_once_and_what_comes_later_is_told_apart() {
-        let mut leases = Leases::new(9, 2);
-        let (a, b) = (leases.grant(lease()).expect("room"), leases.grant(lease()).expect("room"));
-        assert_eq!(leases.grant(lease()), None, "the bound");
-        assert!(leases.reported(a.serial).is_some() && leases.reported(a.serial).is_none());
-        assert_eq!(leases.find(10, a).err(), Some(LeaseError::AlreadyReported));
-        assert_eq!(leases.find(100, b).err(), Some(LeaseError::Late), "its timer has not had its turn");
-        assert!(matches!(leases.expire(100, b.serial), Ok(Some(_))));
-        assert_eq!(leases.find(100, b).err(), Some(LeaseError::Late));
-        assert_eq!(leases.find(10, LeaseId { incarnation: 8, ..a }).err(), Some(LeaseError::Foreign));
-        assert_eq!(leases.find(10, LeaseId { serial: 3, ..a }).err(), Some(LeaseError::Unknown));
-        assert_eq!(leases.find(10, LeaseId { serial: 0, ..a }).err(), Some(LeaseError::Unknown));
-        let counts = leases.counts;
-        assert_eq!((counts.granted, counts.reported, counts.expired), (2, 1, 1));
-        assert_eq!((counts.late, counts.duplicate, counts.foreign, counts.unknown), (2, 1, 1, 2));
-    }
-
-    #[test]
-    fn what_is_remembered_of_ended_leases_is_bounded() {
-        let mut leases = Leases::new(9, 2);
-        let first = leases.grant(lease()).expect("room");
-        leases.reported(first.serial);
-        for _ in 0..MAX_ENDED_LEASES * 3 {
-            let id = leases.grant(lease()).expect("room");
-            leases.reported(id.serial);
-        }
-        assert_eq!((leases.len(), leases.ended.len()), (0, MAX_ENDED_LEASES));
-        assert_eq!(leases.find(10, first).err(), Some(LeaseError::Late), "forgotten, and still not granted");
-    }
-
-    #[test]
-    fn ids_read_back_as_written_and_nothing_else_is_taken() {
-        let id = LeaseId { incarnation: u64::MAX, serial: 42 };
-        assert_eq!(id.to_string().parse(), Ok(id));
-        for text in
-            ["", "-", "1-2", "+00000000000000f-0000000000000001", "é", "0000000000000001-000000000000000g"]
-        {
-            assert!(text.parse::<LeaseId>().is_err(), "{text}");
-        }
-        const ALPHABET: [char; 10] = ['0', '1', '9', 'a', 'f', 'F', '-', '+', ' ', 'é'];
-        let mut rng = fastrand::Rng::with_seed(7);
-        for _ in 0..20_000 {
-            let text: String = (0..rng.usize(0..40)).map(|_| rng.choice(ALPHABET).unwrap_or('0')).collect();
-            if let Ok(id) = text.parse::<LeaseId>() {
-                assert_eq!(id.to_string(), text.to_lowercase());
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/request-engine/src/lease_events.rs
+++ b/crates/request-engine/src/lease_events.rs
@@ -1,51 +1,51 @@
-//! What the engine says to a front whose callers make their attempts themselves: words, in order, each with the front's
-//! own ticket of the request.
+//! Events for a front end whose clients make their attempts themselves, in order, each with the front end's handle of
+//! the request.
 //!
-//! The engine's shell may not be called back while it carries a command out, so that the front takes the words
-//! afterwards. What can stand here at a time is bounded by what the engine may have open: an answer for each request,
-//! a grant and a revocation for each lease.
+//! A [`Transport`](crate::driver::Transport) must not call the engine back while it executes a command, so the front end
+//! takes the events from a queue afterwards. The queue is bounded by the engine's limits: one final answer per open
+//! request, one grant and one revocation per lease.
 
-use crate::engine::{FinalOutcome, LeaseGrant};
 use crate::lease::LeaseId;
+use crate::messages::{FinalOutcome, LeaseGrant};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use tokio::sync::Notify;
 
-/// A front's name for one of its requests, never given twice in a life.
+/// A front end's identifier of one of its requests, unique in one run of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestHandle(pub u64);
 
-/// What the engine says.
+/// An event of the engine about a leased request.
 #[derive(Debug, PartialEq)]
 pub enum LeaseEvent {
-    /// The caller may make an attempt.
+    /// The client may make an attempt.
     Granted(RequestHandle, LeaseGrant),
-    /// A caller that has not begun to send must not.
+    /// The client must not start an attempt under this lease.
     Revoked(RequestHandle, LeaseId),
-    /// The final answer.
+    /// The request has its final answer.
     Completed(RequestHandle, FinalOutcome<()>),
 }
 
-/// Words that the front has not taken yet.
+/// Events that the front end has not taken yet.
 #[derive(Debug, Default)]
 pub struct LeaseEventQueue {
-    words: RefCell<VecDeque<LeaseEvent>>,
+    events: RefCell<VecDeque<LeaseEvent>>,
     wake: Notify,
 }
 
 impl LeaseEventQueue {
-    /// Puts a word and wakes the front.
-    pub fn push(&self, word: LeaseEvent) {
-        self.words.borrow_mut().push_back(word);
+    /// Appends an event and wakes the front end.
+    pub fn push(&self, event: LeaseEvent) {
+        self.events.borrow_mut().push_back(event);
         self.wake.notify_one();
     }
 
-    /// The oldest word.
+    /// Removes the oldest event.
     pub fn pop(&self) -> Option<LeaseEvent> {
-        self.words.borrow_mut().pop_front()
+        self.events.borrow_mut().pop_front()
     }
 
-    /// Waits until there may be a word.
+    /// Waits until there may be an event. One task at a time may wait.
     pub async fn wait(&self) {
         self.wake.notified().await;
     }
--- a/crates/request-engine/src/lib.rs
+++ b/crates/request-engine/src/lib.rs
@@ -1,9 +1,9 @@
-//! The engine owns requests, timers, attempts and the decisions behind one interface, for any front.
+//! The request engine owns requests, timers, attempts and the balancer behind one interface, for any front end.
 //!
 //! [`engine::Engine`] is a pure state machine: events and the time go in, commands come out. An attempt is either
-//! *proxied* (the engine's own transport makes it and reports) or *leased* (a caller outside makes it and reports,
-//! or its lease runs out). [`driver`] is the thin asynchronous part: one clock, one sleeping task, and the way from
-//! commands to a [`driver::Transport`].
+//! *proxied* (the engine's transport makes it) or *leased* (an external client makes it and reports its result, or the
+//! lease expires). [`driver`] is the thin asynchronous part: one clock, one timer task, and the execution of commands by
+//! a [`driver::Transport`].
 
 pub mod driver;
 pub mod engine;
@@ -11,6 +11,6 @@
 pub mod lease;
 pub mod lease_events;
 mod messages;
-mod open;
+mod open_request;
 pub mod request_key;
 mod timers;
--- a/crates/request-engine/src/messages.rs
+++ b/crates/request-engine/src/messages.rs
@@ -1,20 +1,20 @@
-//! What travels between the engine, its fronts and its transport.
+//! Messages between the engine, its front ends and its transport.
 
 use crate::lease::LeaseId;
 use balancer::api::{BackendId, Micros, Outcome, RequestId};
 use thiserror::Error;
 
-/// The front's types that travel through the engine.
+/// The front end's types that pass through the engine, which does not look into them.
 pub trait MessageTypes {
-    /// What a carried attempt sends, the same at every attempt.
+    /// What a proxied attempt sends, the same for every attempt.
     type OutboundRequest: Clone;
     /// Where the final answer goes.
     type Responder;
     /// A backend's answer.
     type Response;
 
-    /// Whether this can be sent only once, since not all of it is kept.
-    fn is_single_use(_work: &Self::OutboundRequest) -> bool {
+    /// Whether it can be sent only once, since its body is not retained completely.
+    fn is_single_use(_outbound_request: &Self::OutboundRequest) -> bool {
         false
     }
 }
@@ -22,28 +22,28 @@
 /// Who makes the attempts of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Dispatch<W> {
-    /// The engine's transport, with this.
+    /// The engine's transport, which sends this.
     Proxied(W),
-    /// A caller outside, under leases.
+    /// An external client, under leases.
     Leased,
 }
 
-/// A request as a front took it.
+/// A request as a front end received it.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest<W> {
     /// Position of its class in the settings.
     pub class: u8,
     /// Position of its tenant in the settings.
     pub tenant: u16,
-    /// What it is about.
+    /// Affinity key; see [`request_key`](crate::request_key::request_key).
     pub key: Option<u64>,
-    /// When it came, microseconds.
+    /// When it arrived, microseconds.
     pub arrived_at: Micros,
-    /// How long from then on its client waits, microseconds.
+    /// How long its client waits from its arrival, microseconds.
     pub timeout: Micros,
     /// Expected work on a standard core, microseconds.
     pub expected_work: Option<Micros>,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
     /// Who makes its attempts.
     pub dispatch: Dispatch<W>,
@@ -52,27 +52,27 @@
 /// The final answer to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FinalOutcome<P> {
-    /// A backend's answer; `None` where the holder of a lease has it.
+    /// A backend's response; `None` where the holder of a lease has it.
     Served(Option<P>),
-    /// Turned away; trying again is harmless.
+    /// Nothing has run; a retry is harmless.
     Rejected {
-        /// How long the client should stay away, microseconds; 0: no word.
+        /// How long the client should wait before a retry, microseconds; 0: unspecified.
         retry_after: Micros,
     },
-    /// Failed, with no promise of its effect.
+    /// Failed; it may have run.
     Failed,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd<P> {
-    /// The outcome in the decisions' terms.
+    /// The outcome in the balancer's terms.
     pub outcome: Outcome,
-    /// The answer, where the outcome is [`Outcome::Ok`].
+    /// The response, where the outcome is [`Outcome::Ok`].
     pub response: Option<P>,
-    /// The load report that came along, in the order of the settings; empty: none.
+    /// The backend's load report, in the order of the settings; empty without one.
     pub load_report: Vec<f32>,
-    /// The part of its time in which the attempt waited for its client; it says nothing of the backend.
+    /// How long the attempt waited for its client, microseconds. Not part of the backend's latency.
     pub client_wait: Micros,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// A lease as its holder is told of it.
+/// A lease as its holder receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
     /// Its id, a fencing token.
@@ -91,124 +91,125 @@
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u16,
-    /// Where to send.
+    /// The backend to send to.
     pub backend: BackendId,
-    /// The holder must not begin to send later than this, microseconds.
+    /// The holder must not start later than this, microseconds.
     pub send_by: Micros,
-    /// When to give the attempt up, microseconds.
+    /// When the holder has to give the attempt up, microseconds.
     pub give_up_at: Micros,
 }
 
-/// When an attempt may begin, and when it ends.
+/// When an attempt may start, and when it is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// From when on it may not begin any more; `Micros::MAX`: never.
+    /// It must not start at or after this time, microseconds; `Micros::MAX`: no limit.
     pub start_by: Micros,
-    /// When to give it up.
+    /// When it is given up, microseconds.
     pub give_up_at: Micros,
 }
 
-/// What the engine wants done.
+/// An instruction of the engine to its driver.
 #[derive(Debug, PartialEq)]
 pub enum Command<X: MessageTypes> {
-    /// Make an attempt; [`Engine::attempt_finished`](crate::engine::Engine::attempt_finished) is owed for it.
+    /// Start an attempt, and call [`Engine::attempt_finished`](crate::engine::Engine::attempt_finished) once it ends.
     StartAttempt {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u16,
-        /// Where to.
+        /// The backend to send to.
         backend: BackendId,
-        /// When it may begin, and when it ends.
+        /// When it may start, and when it is given up.
         schedule: Schedule,
         /// What to send.
         outbound_request: X::OutboundRequest,
     },
-    /// Give an attempt up; its end is still owed.
+    /// Cancel an attempt; its end is still reported.
     CancelAttempt {
         /// The request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u16,
     },
-    /// Give an attempt up if no byte of it has left: its client has gone. Otherwise it goes on; its end is owed either way.
+    /// Cancel an attempt if it has sent no byte, since its client has disconnected. Its end is reported in either case.
     CancelUnsentAttempt {
         /// The request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u16,
     },
-    /// Tell the front that its caller holds a lease; [`Engine::report_result`](crate::engine::Engine::report_result) is owed for it.
+    /// Grant a lease to the request's client, whose result goes to
+    /// [`Engine::report_result`](crate::engine::Engine::report_result).
     GrantLease(LeaseGrant),
-    /// Ask a lease back: a holder that has not begun to send must not, and reports [`Outcome::NotSent`].
+    /// Revoke a lease: a holder that has not started must not, and reports [`Outcome::NotSent`].
     RevokeLease {
         /// The request.
         request: RequestId,
         /// The lease.
         lease: LeaseId,
     },
-    /// The final answer.
+    /// Deliver the final answer.
     Respond {
         /// The request.
         request: RequestId,
-        /// Where it goes.
+        /// Where the answer goes.
         responder: X::Responder,
-        /// What it is.
+        /// The answer.
         outcome: FinalOutcome<X::Response>,
     },
-    /// Ask discovery for changes from now on.
+    /// Subscribe to membership changes.
     Subscribe,
-    /// Probe a backend.
+    /// Check a backend's health.
     CheckHealth(BackendId),
     /// Close the idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// A line for the operators.
+    /// Write a log line.
     Log(String),
 }
 
-/// What there may be at a time.
+/// Bounds of what the engine holds at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLimits {
-    /// Requests whose attempts have not all ended. A further one is not taken.
+    /// Requests whose attempts have not all finished. At the bound no request is admitted.
     pub requests: usize,
-    /// Leases that are out. At the bound no request for leases is taken, and no further attempt granted.
+    /// Active leases. At the bound no leased request is admitted and no lease granted.
     pub leases: usize,
 }
 
-/// A request that was not taken, and where its answer would have gone. Nothing of it has run: the front may refuse.
+/// A request was not admitted; holds its responder. Nothing of it has run, so the front end may reject it.
 #[derive(Debug, Error)]
 pub enum Overload<R> {
     /// Too many requests are open.
     #[error("too many requests are open")]
     Requests(R),
-    /// Too many leases are out.
+    /// Too many leases are active.
     #[error("too many leases are out")]
     Leases(R),
 }
 
-/// What has become of the requests.
+/// Totals over all requests since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Taken.
+    /// Admitted.
     pub admitted: u64,
-    /// Not taken, at a bound.
+    /// Not admitted, at one of [`EngineLimits`].
     pub overloaded: u64,
     /// Answered by a backend.
     pub served: u64,
-    /// Refused by the decisions.
+    /// Rejected by the balancer.
     pub rejected: u64,
-    /// Failed, those at the last moment too.
+    /// Failed, including `deadline_failures`.
     pub failed: u64,
-    /// Left open by the decisions until the last moment.
+    /// Left open by the balancer until shortly before the client's deadline.
     pub deadline_failures: u64,
-    /// Their client left.
+    /// Their client disconnected before the final answer.
     pub client_disconnected: u64,
-    /// Attempts begun.
+    /// Attempts ordered by the balancer, sent or not.
     pub attempts: u64,
-    /// Ends of attempts that were not out.
+    /// Events on attempts that were not in flight.
     pub unmatched: u64,
-    /// Ends of attempts by outcome, in the order of [`Outcome::ALL`].
+    /// Finished attempts by outcome, in the order of [`Outcome::ALL`].
     pub outcomes: [u64; Outcome::ALL.len()],
-    /// Servers ejected because their requests failed.
+    /// Backends ejected because their requests failed.
     pub ejections: u64,
 }
--- a/crates/request-engine/src/request_key.rs
+++ b/crates/request-engine/src/request_key.rs
@@ -1,10 +1,10 @@
-//! What a request is about, as fronts read it from a target.
+//! The affinity key of a request, read from the query of its target.
 
 use rustc_hash::FxHasher;
 use std::hash::Hasher;
 
-/// What a request is about, as a number: the query parameter `key`, hexadecimal digits, or any text by its hash. The
-/// same for every front, since boxes that met it lately do less work.
+/// The affinity key of a request: the query parameter `key`, as a hexadecimal number or, for any other text, as its
+/// hash; `None` without the parameter. All front ends share it, since a backend that served a key lately has it cached.
 #[must_use]
 pub fn request_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/crates/request-engine/src/timers.rs
+++ b/crates/request-engine/src/timers.rs
@@ -1,4 +1,4 @@
-//! What falls due when.
+//! Timers of the engine, by expiry time.
 
 use balancer::api::{Micros, RequestId};
 use std::cmp::Reverse;
@@ -9,17 +9,17 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKind {
-    /// A timer of the decisions.
+    /// A timer of the balancer, with its token.
     Decision(u32),
-    /// The last moment for a request's answer.
+    /// The latest time for a request's final answer.
     ResponseDeadline(RequestId),
-    /// The end of the lease with this serial number.
+    /// The expiry of the lease with this serial number.
     LeaseExpiry(u64),
 }
 
-/// Timers by due time. An entry whose cause has ended is not removed but passed over when it falls due; so that
-/// they can't pile up (requests that are answered at once, each with a long deadline), the heap is swept whenever
-/// it has grown to twice what the last sweep left.
+/// Timers by expiry time. An entry whose cause has ended is not removed but ignored when it expires. To bound such
+/// entries (requests that are answered at once, each with a long deadline), the heap is swept whenever it has grown to
+/// twice its size after the last sweep.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     heap: BinaryHeap<Reverse<(Micros, TimerKind)>>,
@@ -27,7 +27,7 @@
 }
 
 impl Timers {
-    /// Adds an entry; `is_active` tells whether an entry's cause still stands.
+    /// Adds an entry; `is_active` returns whether the cause of an entry has not ended.
     pub(crate) fn add(&mut self, at: Micros, kind: TimerKind, is_active: impl Fn(TimerKind) -> bool) {
         self.heap.push(Reverse((at, kind)));
         if self.heap.len() > self.sweep_at.max(MIN_SWEEP_SIZE) {
@@ -40,7 +40,7 @@
         self.heap.peek().map(|&Reverse((at, _))| at)
     }
 
-    /// Takes the first entry that is due at `now`.
+    /// Removes the first entry that has expired at `now`.
     pub(crate) fn pop(&mut self, now: Micros) -> Option<TimerKind> {
         self.next().filter(|&at| at <= now)?;
         self.heap.pop().map(|Reverse((_, kind))| kind)
--- a/crates/request-engine/src/timers/tests.rs
+++ b/crates/request-engine/src/timers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn entries_fall_due_in_order_and_not_before_their_time() {
+fn timers_expire_in_order_and_not_early() {
     let mut timers = Timers::default();
     for at in [30, 10, 20] {
         timers.add(at, TimerKind::Decision(at as u32), |_| true);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn entries_whose_cause_has_ended_do_not_pile_up() {
+fn entries_of_ended_causes_are_swept() {
     let mut timers = Timers::default();
     for request in 0..1_000_000 {
         timers.add(1_000_000, TimerKind::ResponseDeadline(request), |kind| {
--- /dev/null
+++ b/crates/request-engine/tests/harness/mod.rs
@@ -0,0 +1,421 @@
+//! The engine with a manual clock, a simulated transport and simulated lease holders. The harness checks the four rules
+//! on the engine's commands after every step, independent of the engine's own counters.
+#![allow(dead_code, reason = "each test file uses a part of it")]
+
+pub mod settings;
+
+pub use settings::{MS, SECOND, settings};
+
+use balancer::api::*;
+use request_engine::engine::*;
+use request_engine::lease::{LeaseError, LeaseId};
+use std::collections::BTreeMap;
+
+/// Clients whose deadline is longer ago have all been checked: none waits longer than two seconds.
+const CHECKED_PERIOD: Micros = 3 * SECOND;
+
+/// Message types that carry nothing but the number of the client.
+#[derive(Debug, PartialEq)]
+pub struct ClientNumbers;
+
+impl MessageTypes for ClientNumbers {
+    type OutboundRequest = ();
+    type Responder = u32;
+    type Response = u32;
+}
+
+pub fn backend(id: BackendId) -> Backend {
+    let cell = (id / 3) as u16;
+    Backend { id, zone: 0, machine_kind: 0, cell, readiness: Readiness::Ready, started_at: None }
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Execution {
+    InFlight,
+    Never,
+    Possible,
+}
+
+#[derive(Clone, Debug)]
+pub struct Attempt {
+    pub request: RequestId,
+    pub number: u16,
+    pub backend: BackendId,
+    pub sent_at: Micros,
+    pub execution: Execution,
+    pub is_session: bool,
+    pub lease: Option<LeaseGrant>,
+    pub is_revoked: bool,
+}
+
+#[derive(Debug)]
+pub struct Client {
+    pub class: u8,
+    pub deadline: Micros,
+    pub outcome: Option<FinalOutcome<u32>>,
+    pub is_disconnected: bool,
+    pub attempts: Vec<Attempt>,
+}
+
+/// A client's number and the number of its attempt.
+pub type AttemptKey = (u32, u16);
+
+pub struct Harness {
+    pub now: Micros,
+    pub engine: Engine<ClientNumbers>,
+    pub backends: BTreeMap<BackendId, Backend>,
+    pub clients: BTreeMap<u32, Client>,
+    by_request: BTreeMap<RequestId, u32>,
+    classes: Vec<Class>,
+    next_client: u32,
+}
+
+impl Harness {
+    pub fn new(
+        settings: Settings,
+        limits: EngineLimits,
+        backends: impl IntoIterator<Item = BackendId>,
+    ) -> Self {
+        Self::with_incarnation(settings, limits, backends, 0xfeed)
+    }
+
+    pub fn with_incarnation(
+        settings: Settings,
+        limits: EngineLimits,
+        backends: impl IntoIterator<Item = BackendId>,
+        incarnation: u64,
+    ) -> Self {
+        let classes = settings.classes.clone();
+        let engine = Engine::new(settings, limits, 7, incarnation, SECOND).expect("good settings");
+        let mut harness = Self {
+            now: SECOND,
+            engine,
+            backends: BTreeMap::new(),
+            clients: BTreeMap::new(),
+            by_request: BTreeMap::new(),
+            classes,
+            next_client: 0,
+        };
+        let backends: Vec<Backend> = backends.into_iter().map(backend).collect();
+        harness.snapshot(&backends);
+        harness
+    }
+
+    pub fn large_limits() -> EngineLimits {
+        EngineLimits { requests: 100_000, leases: 100_000 }
+    }
+
+    pub fn snapshot(&mut self, list: &[Backend]) {
+        self.backends = list.iter().map(|b| (b.id, *b)).collect();
+        self.engine.update_membership(self.now, MembershipUpdate::Snapshot(list));
+        self.execute_commands();
+    }
+
+    pub fn delta(&mut self, entry: Backend) {
+        if entry.readiness == Readiness::Removed {
+            self.backends.remove(&entry.id);
+        } else {
+            self.backends.insert(entry.id, entry);
+        }
+        self.engine.update_membership(self.now, MembershipUpdate::Delta(&[entry]));
+        self.execute_commands();
+    }
+
+    /// Submits a request; returns its client's number, or `None` where the engine rejects it.
+    pub fn submit(&mut self, class: u8, dispatch: Dispatch<()>) -> Option<u32> {
+        self.submit_with_timeout(class, dispatch, 2 * SECOND)
+    }
+
+    pub fn submit_with_timeout(&mut self, class: u8, dispatch: Dispatch<()>, timeout: Micros) -> Option<u32> {
+        let client = self.next_client;
+        self.next_client += 1;
+        let incoming = IncomingRequest {
+            class,
+            tenant: 0,
+            key: None,
+            arrived_at: self.now,
+            timeout,
+            expected_work: None,
+            is_retry: false,
+            dispatch,
+        };
+        let deadline = self.now + timeout;
+        let client_state =
+            Client { class, deadline, outcome: None, is_disconnected: false, attempts: Vec::new() };
+        self.clients.insert(client, client_state);
+        match self.engine.admit(self.now, incoming, client) {
+            Ok(request) => {
+                self.by_request.insert(request, client);
+                self.execute_commands();
+                Some(client)
+            }
+            Err(Overload::Requests(responder) | Overload::Leases(responder)) => {
+                assert_eq!(responder, client, "the responder is returned");
+                self.clients.remove(&client);
+                self.execute_commands();
+                None
+            }
+        }
+    }
+
+    pub fn submit_leased(&mut self, class: u8) -> (u32, Option<LeaseGrant>) {
+        let client = self.submit(class, Dispatch::Leased).expect("admitted");
+        (client, self.active_lease(client))
+    }
+
+    /// The latest lease of a client whose attempt is in flight.
+    pub fn active_lease(&self, client: u32) -> Option<LeaseGrant> {
+        self.clients[&client]
+            .attempts
+            .iter()
+            .rev()
+            .find(|a| a.execution == Execution::InFlight)
+            .and_then(|a| a.lease)
+    }
+
+    /// The attempts in flight, in the order of clients.
+    pub fn in_flight(&self) -> Vec<AttemptKey> {
+        let attempts_of = |(&client, client_state): (&u32, &Client)| {
+            let in_flight = client_state.attempts.iter().filter(|a| a.execution == Execution::InFlight);
+            in_flight.map(|a| (client, a.number)).collect::<Vec<_>>()
+        };
+        self.clients.iter().flat_map(attempts_of).collect()
+    }
+
+    pub fn has_attempt_in_flight(&self, client: u32) -> bool {
+        self.clients[&client].attempts.iter().any(|a| a.execution == Execution::InFlight)
+    }
+
+    pub fn attempt(&self, (client, number): AttemptKey) -> &Attempt {
+        &self.clients[&client].attempts[usize::from(number)]
+    }
+
+    /// Finishes an attempt in flight, as its transport or the holder of its lease would.
+    pub fn finish_attempt(&mut self, key: AttemptKey, outcome: Outcome) -> Result<(), LeaseError> {
+        let attempt = self.attempt(key).clone();
+        let response = (outcome == Outcome::Ok && attempt.lease.is_none()).then_some(key.0);
+        let end = AttemptEnd { outcome, response, load_report: Vec::new(), client_wait: 0 };
+        // The result is recorded before the engine's commands are checked.
+        let accepted = match attempt.lease {
+            None => {
+                self.engine.attempt_finished(self.now, attempt.request, attempt.number, end);
+                Ok(())
+            }
+            Some(grant) => self.engine.report_result(self.now, grant.lease, end),
+        };
+        if accepted.is_ok() {
+            self.set_execution(
+                key,
+                if outcome.never_executed() { Execution::Never } else { Execution::Possible },
+            );
+        }
+        self.execute_commands();
+        accepted
+    }
+
+    pub fn establish(&mut self, key: AttemptKey) -> Result<(), LeaseError> {
+        let attempt = self.attempt(key).clone();
+        let result = match attempt.lease {
+            None => {
+                self.engine.session_established(self.now, attempt.request, attempt.number, key.0);
+                Ok(())
+            }
+            Some(grant) => self.engine.establish_session(self.now, grant.lease).map(|_| ()),
+        };
+        if result.is_ok() {
+            self.attempt_mut(key).is_session = true;
+        }
+        self.execute_commands();
+        result
+    }
+
+    fn attempt_mut(&mut self, (client, number): AttemptKey) -> &mut Attempt {
+        let client_state = self.clients.get_mut(&client).expect("a known client");
+        &mut client_state.attempts[usize::from(number)]
+    }
+
+    fn set_execution(&mut self, key: AttemptKey, execution: Execution) {
+        self.attempt_mut(key).execution = execution;
+    }
+
+    pub fn disconnect(&mut self, client: u32) {
+        let client_state = self.clients.get_mut(&client).expect("a known client");
+        client_state.is_disconnected |= client_state.outcome.is_none();
+        let request =
+            self.by_request.iter().find(|(_, c)| **c == client).map(|(r, _)| *r).expect("its request");
+        self.engine.client_disconnected(self.now, request);
+        self.execute_commands();
+    }
+
+    /// Advances the clock from one timer to the next.
+    pub fn advance_time(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while let Some(at) = self.engine.next_timer().filter(|&at| at <= end) {
+            self.now = self.now.max(at);
+            self.expire_leases();
+            self.engine.advance(self.now);
+            self.execute_commands();
+            self.check_answers();
+        }
+        self.now = end;
+        self.check_answers();
+    }
+
+    /// A lease without a report by its expiry is lost, whatever its holder did.
+    fn expire_leases(&mut self) {
+        let now = self.now;
+        let recent = self.clients.values_mut().rev().take_while(|c| now < c.deadline + CHECKED_PERIOD);
+        for attempt in recent.flat_map(|c| &mut c.attempts) {
+            let has_expired = |g: LeaseGrant| now >= g.give_up_at + REPORT_GRACE;
+            if attempt.execution == Execution::InFlight
+                && !attempt.is_session
+                && attempt.lease.is_some_and(has_expired)
+            {
+                attempt.execution = Execution::Possible;
+            }
+        }
+    }
+
+    /// Rule 1: no client waits beyond its deadline.
+    pub fn check_answers(&self) {
+        for (client, client_state) in
+            self.clients.iter().rev().take_while(|(_, c)| self.now < c.deadline + CHECKED_PERIOD)
+        {
+            let is_waiting = client_state.outcome.is_none() && !client_state.is_disconnected;
+            assert!(
+                !is_waiting || self.now <= client_state.deadline,
+                "rule 1: client {client} has no answer by its deadline"
+            );
+        }
+    }
+
+    fn execute_commands(&mut self) {
+        while let Some(command) = self.engine.next_command() {
+            match command {
+                Command::StartAttempt { request, attempt, backend, schedule, .. } => {
+                    assert!(schedule.start_by > self.now, "it must not start any more");
+                    self.check_send(request, attempt, backend, schedule.give_up_at, None);
+                }
+                Command::GrantLease(grant) => {
+                    self.check_send(
+                        grant.request,
+                        grant.attempt,
+                        grant.backend,
+                        grant.give_up_at,
+                        Some(grant),
+                    );
+                }
+                Command::RevokeLease { request, lease } => self.check_revoke(request, lease),
+                Command::Respond { responder: client, outcome, .. } => {
+                    self.check_answer(client, outcome);
+                }
+                Command::CancelAttempt { .. }
+                | Command::CancelUnsentAttempt { .. }
+                | Command::Subscribe
+                | Command::CheckHealth(_)
+                | Command::CloseIdleConnections(_)
+                | Command::Log(_) => {}
+            }
+        }
+    }
+
+    fn check_send(
+        &mut self,
+        request: RequestId,
+        number: u16,
+        backend: BackendId,
+        give_up_at: Micros,
+        lease: Option<LeaseGrant>,
+    ) {
+        let client = self.by_request[&request];
+        let listed = self.backends.get(&backend).copied();
+        let is_ready = listed.is_some_and(|b| b.readiness == Readiness::Ready);
+        assert!(is_ready, "rule 3: sent to {backend}, which drains or was removed");
+        let client_state = self.clients.get_mut(&client).expect("a known client");
+        assert!(
+            client_state.outcome.is_none() && !client_state.is_disconnected,
+            "rule 1: sent for client {client} after its final answer"
+        );
+        assert!(
+            give_up_at <= client_state.deadline && self.now < client_state.deadline,
+            "an attempt exceeds its client's deadline"
+        );
+        assert_eq!(usize::from(number), client_state.attempts.len(), "attempts are numbered from 0");
+        assert!(client_state.attempts.len() < 4, "too many attempts");
+        for earlier in client_state.attempts.iter().filter(|a| a.execution != Execution::Never) {
+            assert_ne!(earlier.execution, Execution::InFlight, "rule 2: a concurrent attempt");
+            match self.classes[usize::from(client_state.class)].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("rule 2: a non-idempotent request is retried"),
+                Idempotency::Keyed { ttl, .. } => {
+                    assert!(self.now <= earlier.sent_at + ttl, "rule 2: the key has expired");
+                    assert_eq!(backend / 3, earlier.backend / 3, "rule 2: another cell");
+                }
+            }
+        }
+        if let Some(grant) = lease {
+            assert!(grant.send_by <= self.now + SEND_WINDOW && grant.send_by <= grant.give_up_at);
+        }
+        let (execution, sent_at) = (Execution::InFlight, self.now);
+        client_state.attempts.push(Attempt {
+            request,
+            number,
+            backend,
+            sent_at,
+            execution,
+            is_session: false,
+            lease,
+            is_revoked: false,
+        });
+    }
+
+    fn check_revoke(&mut self, request: RequestId, lease: LeaseId) {
+        let client = self.by_request[&request];
+        let client_state = self.clients.get_mut(&client).expect("a known client");
+        let attempt = client_state.attempts.iter_mut().find(|a| a.lease.is_some_and(|g| g.lease == lease));
+        let attempt = attempt.expect("a granted lease");
+        assert!(
+            attempt.execution == Execution::InFlight && !attempt.is_revoked,
+            "revoked a lease that is not active"
+        );
+        attempt.is_revoked = true;
+    }
+
+    fn check_answer(&mut self, client: u32, outcome: FinalOutcome<u32>) {
+        let classes = &self.classes;
+        let client_state = self.clients.get_mut(&client).expect("a known client");
+        assert!(
+            client_state.outcome.is_none() && !client_state.is_disconnected,
+            "rule 1: client {client} is answered twice"
+        );
+        assert!(self.now <= client_state.deadline, "rule 1: client {client} is answered after its deadline");
+        if matches!(outcome, FinalOutcome::Rejected { .. }) {
+            let may_have_run = client_state.attempts.iter().any(|a| a.execution != Execution::Never);
+            let is_idempotent =
+                classes[usize::from(client_state.class)].idempotency == Idempotency::Idempotent;
+            assert!(is_idempotent || !may_have_run, "rule 2: rejected a request that may have run");
+        }
+        client_state.outcome = Some(outcome);
+    }
+
+    /// Finishes all attempts and advances the clock: nothing may be left open.
+    pub fn finish(&mut self) {
+        self.advance_time(4 * SECOND);
+        while let Some(&key) = self.in_flight().iter().find(|w| self.attempt(**w).lease.is_none()) {
+            let _ = self.finish_attempt(key, Outcome::Reset);
+        }
+        self.advance_time(SESSION_LEASE_DURATION + 4 * SECOND);
+        self.check_answers();
+        assert_eq!(
+            (self.engine.open_requests(), self.engine.active_leases()),
+            (0, 0),
+            "requests or leases are left open"
+        );
+        let (counts, leases) = (self.engine.counts(), self.engine.lease_counts());
+        assert_eq!(
+            counts.admitted,
+            counts.served + counts.rejected + counts.failed + counts.client_disconnected
+        );
+        assert_eq!(leases.granted, leases.reported + leases.expired);
+    }
+}
