--- a/crates/external-processor/src/bridge.rs
+++ b/crates/external-processor/src/bridge.rs
@@ -1,16 +1,16 @@
-//! Between the services' thread and the engine's: questions come over a bounded queue, the [decision service](crate::decision_service) decides,
-//! replies go to each caller's own bounded channel. A caller that does not take its replies is dropped; nobody else
-//! waits for it.
+//! Connects the gRPC services' thread to the engine's: callers' messages arrive on a bounded queue, the
+//! [decision service](crate::decision_service) decides, and replies go to each caller's own bounded channel. A caller that
+//! does not read its replies is dropped, so that it delays no other caller.
 
-use crate::decision_request::Unusable;
+use crate::decision_request::InvalidRequest;
 use crate::decision_service::{
-    Bounds, CallerId, Counts, DecisionService, Port, Reply, Report, Request, RequestRef,
+    CallerId, CallerReply, Counts, DecisionLimits, DecisionRequest, DecisionService, LeaseEngine, Reply,
+    ReplyDelivery, Report, RequestRef, Revocation,
 };
 use balancer::api::{BackendId, Micros, Outcome, RequestId, Settings};
-use request_engine::driver::clock::Clock;
 use request_engine::driver::{Handle, Transport};
 use request_engine::engine::{AttemptEnd, MessageTypes};
-use request_engine::idempotency;
+use request_engine::idempotency::SharedRegistry;
 use request_engine::lease::{LeaseError, LeaseId};
 use request_engine::lease_events::{LeaseEvent, LeaseEventQueue, RequestHandle};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -20,119 +20,135 @@
 use tokio::sync::mpsc;
 use tokio::sync::mpsc::error::TrySendError;
 
-/// Questions that are taken from the queue before the runtime's other tasks have their turn.
-const IN_ONE_GO: usize = 64;
+/// Messages that are handled before the runtime's other tasks run.
+const MAX_BATCH: usize = 64;
 
-/// What a caller hears.
+/// A message to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notified {
-    /// The reply to its question of this tag.
+    /// The reply to its message with this tag.
     Reply(u64, Reply),
-    /// Its question of this tag was none.
-    Invalid(u64, Unusable),
-    /// A lease is asked back.
+    /// Its message with this tag was invalid.
+    Invalid(u64, InvalidRequest),
+    /// A lease is revoked.
     Revoked(LeaseId),
 }
 
-/// What a caller asks.
+/// What a caller wants.
 #[derive(Debug)]
-pub enum Ask {
-    /// For a request.
-    Decide(Box<Request>),
-    /// What follows from this end.
+pub enum Operation {
+    /// A decision for a request.
+    Decide(Box<DecisionRequest>),
+    /// To report the result of an attempt.
     Report(Report),
-    /// To go on with a session.
+    /// To renew a session.
     Renew(LeaseId),
-    /// Nothing more: its stream has ended in good order.
-    End,
+    /// To end its stream in good order.
+    EndStream,
 }
 
-/// A question on its way.
+/// A message of a caller.
 #[derive(Debug)]
-pub struct Question {
-    /// Whose.
-    pub asked: RequestRef,
-    /// Where its reply goes.
-    pub to: mpsc::Sender<Notified>,
-    /// What.
-    pub ask: Ask,
+pub struct CallerMessage {
+    /// Identifies the message for its reply.
+    pub request_ref: RequestRef,
+    /// Where replies to the caller go.
+    pub reply_to: mpsc::Sender<Notified>,
+    /// What the caller wants.
+    pub operation: Operation,
 }
 
 /// How a caller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
-    /// A call that has its answer.
+pub enum CallerEnd {
+    /// A unary call that has its answer.
     Answered(CallerId),
-    /// A call whose answer never left.
-    Unheard(CallerId),
-    /// A stream.
+    /// A call that ended before its answer was sent.
+    Unanswered(CallerId),
+    /// A stream, which may have received all its replies.
     Stream(CallerId),
 }
 
-/// The services' end of the way to the desk.
+/// The gRPC services' ends of the channels to the decision service.
 #[derive(Clone, Debug)]
 pub struct DecisionSender {
-    /// Questions; whoever finds it full waits.
-    pub questions: mpsc::Sender<Question>,
-    /// Callers that ended: one word for each, so that it is bounded by the callers there may be.
-    pub gone: mpsc::UnboundedSender<Gone>,
+    /// Callers' messages. A sender waits while the queue is full.
+    pub messages: mpsc::Sender<CallerMessage>,
+    /// Ended callers. One entry for each, and so bounded by the number of callers.
+    pub ended_callers: mpsc::UnboundedSender<CallerEnd>,
 }
 
-/// The desk's end.
+/// The decision service's ends of the channels.
 pub struct DecisionReceivers {
-    questions: mpsc::Receiver<Question>,
-    gone: mpsc::UnboundedReceiver<Gone>,
+    messages: mpsc::Receiver<CallerMessage>,
+    ended_callers: mpsc::UnboundedReceiver<CallerEnd>,
 }
 
-/// Both ends of a way on which so many questions may be.
+/// The channels between the gRPC services and the decision service, with a queue of `capacity` messages.
 #[must_use]
-pub fn way(most: usize) -> (DecisionSender, DecisionReceivers) {
-    let (questions, asked) = mpsc::channel(most);
-    let (gone, ended) = mpsc::unbounded_channel();
-    (DecisionSender { questions, gone }, DecisionReceivers { questions: asked, gone: ended })
+pub fn channels(capacity: usize) -> (DecisionSender, DecisionReceivers) {
+    let (message_sender, messages) = mpsc::channel(capacity);
+    let (end_sender, ended_callers) = mpsc::unbounded_channel();
+    (
+        DecisionSender { messages: message_sender, ended_callers: end_sender },
+        DecisionReceivers { messages, ended_callers },
+    )
 }
 
-/// Where a backend listens, while it is known.
-pub type Endpoints = Box<dyn Fn(BackendId) -> Option<SocketAddr>>;
+/// Looks up where a backend listens; `None` if it is not known.
+pub type EndpointLookup = Box<dyn Fn(BackendId) -> Option<SocketAddr>>;
 
-struct EnginePort<'a, T: Transport>(&'a Handle<T>);
+/// The engine's thread as the decision service needs it.
+pub struct EngineContext<T: Transport> {
+    /// The engine.
+    pub handle: Handle<T>,
+    /// The engine's events about leased requests.
+    pub lease_events: Rc<LeaseEventQueue>,
+    /// The backends' addresses.
+    pub endpoints: EndpointLookup,
+}
+
+struct EngineHandle<'a, T: Transport>(&'a Handle<T>);
 
-impl<T: Transport> Port for EnginePort<'_, T>
+impl<T: Transport> LeaseEngine for EngineHandle<'_, T>
 where
     <T::Messages as MessageTypes>::Responder: From<RequestHandle>,
 {
-    fn admit(&mut self, request: &Request, ticket: RequestHandle) -> Option<RequestId> {
-        self.0.admit(request.arrival(), ticket.into()).ok()
+    fn admit(&mut self, request: &DecisionRequest, handle: RequestHandle) -> Option<RequestId> {
+        self.0.admit(request.to_incoming(), handle.into()).ok()
     }
 
-    fn report(&mut self, lease: LeaseId, outcome: Outcome, load: Vec<f32>) -> Result<(), LeaseError> {
-        self.0.report_result(lease, AttemptEnd { outcome, response: None, load_report: load, client_wait: 0 })
+    fn report_result(
+        &mut self,
+        lease: LeaseId,
+        outcome: Outcome,
+        load_report: Vec<f32>,
+    ) -> Result<(), LeaseError> {
+        self.0.report_result(lease, AttemptEnd { outcome, response: None, load_report, client_wait: 0 })
     }
 
-    fn establish(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
+    fn establish_session(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
         self.0.establish_session(lease)
     }
 
-    fn renew(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
+    fn renew_session(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
         self.0.renew_session(lease)
     }
 
-    fn client_gone(&mut self, request: RequestId) {
+    fn client_disconnected(&mut self, request: RequestId) {
         self.0.client_disconnected(request);
     }
 }
 
 struct Inner<T: Transport> {
-    desk: RefCell<DecisionService>,
-    handle: Handle<T>,
-    inbox: Rc<LeaseEventQueue>,
-    endpoints: Endpoints,
+    service: RefCell<DecisionService>,
+    engine: EngineContext<T>,
     callers: RefCell<FxHashMap<CallerId, mpsc::Sender<Notified>>>,
-    /// Callers that did not take their replies and whose end is not told yet.
-    cut: RefCell<FxHashSet<CallerId>>,
+    /// Callers that were dropped for not reading their replies and whose [`CallerEnd`] has not arrived yet.
+    dropped_callers: RefCell<FxHashSet<CallerId>>,
 }
 
-/// The desk on the engine's thread.
+/// The decision service on the engine's thread.
 pub struct Bridge<T: Transport>(Rc<Inner<T>>);
 
 impl<T: Transport> Clone for Bridge<T> {
@@ -145,65 +161,60 @@
 where
     <T::Messages as MessageTypes>::Responder: From<RequestHandle>,
 {
-    /// A desk before this engine, whose words come to `inbox`.
+    /// A decision service for this engine.
     #[must_use]
     pub fn new(
         settings: &Settings,
-        bounds: Bounds,
-        claims: idempotency::SharedRegistry,
-        handle: Handle<T>,
-        inbox: Rc<LeaseEventQueue>,
-        endpoints: Endpoints,
+        limits: DecisionLimits,
+        registry: SharedRegistry,
+        engine: EngineContext<T>,
     ) -> Self {
-        let desk = RefCell::new(DecisionService::new(settings, bounds, claims));
         Self(Rc::new(Inner {
-            desk,
-            handle,
-            inbox,
-            endpoints,
+            service: RefCell::new(DecisionService::new(settings, limits, registry)),
+            engine,
             callers: RefCell::default(),
-            cut: RefCell::default(),
+            dropped_callers: RefCell::default(),
         }))
     }
 
-    /// Serves the services' thread until it ends.
-    pub async fn run(self, ends: DecisionReceivers) {
-        let DecisionReceivers { mut questions, mut gone } = ends;
+    /// Handles messages until the gRPC services have ended.
+    pub async fn run(self, receivers: DecisionReceivers) {
+        let DecisionReceivers { mut messages, mut ended_callers } = receivers;
         let inner = &*self.0;
-        let mut taken = Vec::with_capacity(IN_ONE_GO);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         loop {
             tokio::select! {
                 biased;
-                Some(gone) = gone.recv() => inner.gone(gone),
-                () = inner.inbox.wait() => {}
-                count = questions.recv_many(&mut taken, IN_ONE_GO) => {
+                Some(end) = ended_callers.recv() => inner.handle_caller_end(end),
+                () = inner.engine.lease_events.wait() => {}
+                count = messages.recv_many(&mut batch, MAX_BATCH) => {
                     if count == 0 {
                         return;
                     }
-                    taken.drain(..).for_each(|question| inner.ask(question));
+                    batch.drain(..).for_each(|message| inner.handle_message(message));
                 }
             }
-            inner.settle();
-            // A flood of questions must not keep this thread from the requests of clients.
+            inner.handle_lease_events();
+            // Many messages must not keep this thread from other requests.
             tokio::task::yield_now().await;
         }
     }
 
-    /// From now on no request is taken.
+    /// Rejects requests from now on; open requests continue.
     pub fn drain(&self) {
-        self.0.desk.borrow_mut().drain();
+        self.0.service.borrow_mut().drain();
     }
 
-    /// Requests that callers hold.
+    /// Number of requests that callers own.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.0.desk.borrow().len()
+    pub fn open_requests(&self) -> usize {
+        self.0.service.borrow().len()
     }
 
-    /// What has become of the questions.
+    /// Totals over all messages since the start.
     #[must_use]
     pub fn counts(&self) -> Counts {
-        self.0.desk.borrow().counts()
+        self.0.service.borrow().counts()
     }
 }
 
@@ -212,77 +223,81 @@
     <T::Messages as MessageTypes>::Responder: From<RequestHandle>,
 {
     fn now(&self) -> Micros {
-        let clock: Clock = self.handle.clock();
-        clock.now()
+        self.engine.handle.clock().now()
     }
 
-    fn ask(&self, question: Question) {
-        let Question { asked, to, ask } = question;
-        // Its caller ended while the question was on its way, and that has been told already.
-        if to.is_closed() || self.cut.borrow().contains(&asked.caller) {
+    fn handle_message(&self, message: CallerMessage) {
+        let CallerMessage { request_ref, reply_to, operation } = message;
+        // Its caller ended while the message was in the queue, and that has been handled already.
+        if reply_to.is_closed() || self.dropped_callers.borrow().contains(&request_ref.caller) {
             return;
         }
-        if let Ask::End = ask {
-            return self.gone(Gone::Stream(asked.caller));
+        if let Operation::EndStream = operation {
+            return self.handle_caller_end(CallerEnd::Stream(request_ref.caller));
         }
-        self.callers.borrow_mut().entry(asked.caller).or_insert(to);
-        let (now, mut port) = (self.now(), EnginePort(&self.handle));
+        self.callers.borrow_mut().entry(request_ref.caller).or_insert(reply_to);
+        let (now, mut engine) = (self.now(), EngineHandle(&self.engine.handle));
         {
-            let mut desk = self.desk.borrow_mut();
-            match ask {
-                Ask::Decide(request) => desk.ask(now, asked, &request, &mut port),
-                Ask::Report(report) => desk.report(now, asked, report, &mut port),
-                Ask::Renew(lease) => desk.renew(asked, lease, &mut port),
-                Ask::End => {}
+            let mut service = self.service.borrow_mut();
+            match operation {
+                Operation::Decide(request) => service.decide(now, request_ref, &request, &mut engine),
+                Operation::Report(report) => service.report(now, request_ref, report, &mut engine),
+                Operation::Renew(lease) => service.renew(request_ref, lease, &mut engine),
+                Operation::EndStream => {}
             }
         }
-        self.settle();
+        self.handle_lease_events();
     }
 
-    fn gone(&self, gone: Gone) {
-        let (Gone::Answered(caller) | Gone::Unheard(caller) | Gone::Stream(caller)) = gone;
+    fn handle_caller_end(&self, end: CallerEnd) {
+        let (CallerEnd::Answered(caller) | CallerEnd::Unanswered(caller) | CallerEnd::Stream(caller)) = end;
         self.callers.borrow_mut().remove(&caller);
-        self.cut.borrow_mut().remove(&caller);
-        let (now, mut port) = (self.now(), EnginePort(&self.handle));
-        let mut desk = self.desk.borrow_mut();
-        match gone {
-            Gone::Answered(_) => desk.answered(caller),
-            Gone::Unheard(_) => desk.gone(now, caller, false, &mut port),
-            Gone::Stream(_) => desk.gone(now, caller, true, &mut port),
+        self.dropped_callers.borrow_mut().remove(&caller);
+        let (now, mut engine) = (self.now(), EngineHandle(&self.engine.handle));
+        let mut service = self.service.borrow_mut();
+        match end {
+            CallerEnd::Answered(_) => service.call_answered(caller),
+            CallerEnd::Unanswered(_) => {
+                service.caller_ended(now, caller, ReplyDelivery::None, &mut engine);
+            }
+            CallerEnd::Stream(_) => {
+                service.caller_ended(now, caller, ReplyDelivery::Possible, &mut engine);
+            }
         }
     }
 
-    /// Takes the engine's words until there are none, and tells callers what follows.
-    fn settle(&self) {
-        let mut port = EnginePort(&self.handle);
-        while let Some(word) = self.inbox.pop() {
-            let endpoint = match &word {
-                LeaseEvent::Granted(_, grant) => (self.endpoints)(grant.backend),
+    /// Handles all queued events of the engine, and sends callers what follows from them.
+    fn handle_lease_events(&self) {
+        let mut engine = EngineHandle(&self.engine.handle);
+        while let Some(event) = self.engine.lease_events.pop() {
+            let endpoint = match &event {
+                LeaseEvent::Granted(_, grant) => (self.engine.endpoints)(grant.backend),
                 LeaseEvent::Revoked(..) | LeaseEvent::Completed(..) => None,
             };
             let now = self.now();
-            self.desk.borrow_mut().word(now, word, endpoint, &mut port);
+            self.service.borrow_mut().handle_event(now, event, endpoint, &mut engine);
         }
-        let (replies, revoked) = {
-            let mut desk = self.desk.borrow_mut();
-            (desk.take_replies(), desk.take_revoked())
+        let (replies, revocations) = {
+            let mut service = self.service.borrow_mut();
+            (service.take_replies(), service.take_revocations())
         };
-        for (asked, reply) in replies {
-            self.tell(asked.caller, Notified::Reply(asked.tag, reply));
+        for CallerReply { request_ref, reply } in replies {
+            self.notify(request_ref.caller, Notified::Reply(request_ref.tag, reply));
         }
-        for (caller, lease) in revoked {
-            self.tell(caller, Notified::Revoked(lease));
+        for Revocation { caller, lease } in revocations {
+            self.notify(caller, Notified::Revoked(lease));
         }
     }
 
-    /// A caller whose channel is full does not take its replies: its stream ends, and is told of as gone by itself.
-    fn tell(&self, caller: CallerId, told: Notified) {
+    /// Sends a message to a caller. One whose channel is full does not read its replies: its stream is dropped, and its
+    /// [`CallerEnd`] follows.
+    fn notify(&self, caller: CallerId, message: Notified) {
         let mut callers = self.callers.borrow_mut();
-        let Some(to) = callers.get(&caller) else { return };
-        if let Err(error) = to.try_send(told) {
+        let Some(reply_to) = callers.get(&caller) else { return };
+        if let Err(error) = reply_to.try_send(message) {
             callers.remove(&caller);
             if matches!(error, TrySendError::Full(_)) {
-                self.cut.borrow_mut().insert(caller);
+                self.dropped_callers.borrow_mut().insert(caller);
             }
         }
     }
--- a/crates/external-processor/src/decision_request.rs
+++ b/crates/external-processor/src/decision_request.rs
@@ -1,7 +1,7 @@
-//! What a request is, from its headers or its fields: names to positions, and a clear word where something is missing,
-//! doubled or makes no sense. No I/O and no clock.
+//! Builds a [`DecisionRequest`] from HTTP headers or message fields: class and tenant names become positions, and a missing,
+//! duplicate or invalid field is an error that names it. No I/O and no clock.
 
-use crate::decision_service::Request;
+use crate::decision_service::DecisionRequest;
 use crate::settings::Headers;
 use balancer::api::{Idempotency, Micros, Settings};
 use request_engine::idempotency::MAX_NAME_BYTES;
@@ -9,111 +9,123 @@
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
-/// A time left beyond this makes no sense, milliseconds.
+/// The longest time left of a request, milliseconds.
 const MAX_TIME_LEFT_MS: u64 = 3_600_000;
+/// Characters of an invalid value that its error quotes.
+const MAX_QUOTED_CHARS: usize = 64;
 
-/// What makes a request unusable.
+/// Why a message is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Unusable {
-    /// It is needed.
+pub enum InvalidRequest {
+    /// This field is missing.
     #[error("`{0}` is missing")]
     Missing(String),
-    /// Whoever reads the other one of two takes the request for something else.
+    /// This header is not unique, so that another reader could use another value of it.
     #[error("`{0}` comes more than once")]
-    Repeated(String),
-    /// Its bytes are no text.
+    Duplicate(String),
+    /// The value of this field is not UTF-8.
     #[error("`{0}` is not UTF-8")]
     NotText(String),
-    /// It has no meaning here.
-    #[error("`{0}` makes no sense: {1}")]
-    Senseless(String, String),
+    /// The value of a field is invalid.
+    #[error("`{field}` makes no sense: {problem}")]
+    InvalidValue {
+        /// The field.
+        field: String,
+        /// What is wrong with its value.
+        problem: String,
+    },
 }
 
 struct Class {
     position: u8,
     deadline: Micros,
-    keyed: bool,
+    is_keyed: bool,
 }
 
-/// The names that the settings know.
+/// The names of classes and tenants in the settings.
 pub struct RequestCatalog {
     classes: FxHashMap<String, Class>,
     tenants: FxHashMap<String, u16>,
 }
 
-/// A request's fields, as a caller names them.
+/// The fields of a request, as its caller sends them.
 #[derive(Clone, Debug, Default)]
-pub struct Fields<'a> {
+pub struct RequestFields<'a> {
     /// Its correlation id.
     pub id: &'a [u8],
     /// Its class.
     pub class: &'a str,
     /// Its tenant.
     pub tenant: &'a str,
-    /// Its idempotency key; empty: none.
-    pub key: &'a [u8],
-    /// What it is about.
-    pub about: Option<u64>,
-    /// How long its client waits; `None`: as long as its class allows.
-    pub patience: Option<Micros>,
-    /// Expected work.
-    pub work: Option<Micros>,
-    /// Whether the client marked it as a repeat.
-    pub repeat: bool,
+    /// Its idempotency key; empty without one.
+    pub idempotency_key: &'a [u8],
+    /// Its affinity key.
+    pub affinity_key: Option<u64>,
+    /// How long its client waits, microseconds; `None`: until its class's deadline.
+    pub timeout: Option<Micros>,
+    /// Expected work on a standard core, microseconds.
+    pub expected_work: Option<Micros>,
+    /// Whether the client marked it as a retry.
+    pub is_retry: bool,
 }
 
-fn missing(field: &str) -> Unusable {
-    Unusable::Missing(field.into())
+fn missing(field: &str) -> InvalidRequest {
+    InvalidRequest::Missing(field.into())
 }
 
-fn senseless(field: &str, what: impl Into<String>) -> Unusable {
-    Unusable::Senseless(field.into(), what.into())
+fn invalid_value(field: &str, problem: impl Into<String>) -> InvalidRequest {
+    InvalidRequest::InvalidValue { field: field.into(), problem: problem.into() }
 }
 
-/// So much of a foreign text as fits into a message.
-fn cut(text: &str) -> String {
-    text.chars().take(64).collect()
+/// The beginning of a text of the caller, for an error.
+fn truncated(text: &str) -> String {
+    text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
 impl RequestCatalog {
-    /// The names of these settings, in their order.
+    /// A catalog of these classes and tenants, in the order of the settings.
     #[must_use]
     pub fn new(settings: &Settings, classes: &[String], tenants: &[String]) -> Self {
-        let class = |(position, c): (u8, &balancer::api::Class)| Class {
+        let to_class = |(position, class): (u8, &balancer::api::Class)| Class {
             position,
-            deadline: c.deadline,
-            keyed: matches!(c.idempotency, Idempotency::Keyed { .. }),
+            deadline: class.deadline,
+            is_keyed: matches!(class.idempotency, Idempotency::Keyed { .. }),
         };
-        let known = (0..=u8::MAX).zip(&settings.classes).map(class);
+        let known_classes = (0..=u8::MAX).zip(&settings.classes).map(to_class);
         Self {
-            classes: classes.iter().cloned().zip(known).collect(),
+            classes: classes.iter().cloned().zip(known_classes).collect(),
             tenants: tenants.iter().cloned().zip(0..=u16::MAX).collect(),
         }
     }
 
-    /// The request that these fields make. `names` are what its sender calls them.
+    /// Builds the request of these fields. `names` are the names of the fields in errors.
     ///
     /// # Errors
-    /// The first field that is missing or makes no sense.
-    pub fn request(&self, now: Micros, fields: &Fields<'_>, names: &Headers) -> Result<Request, Unusable> {
+    /// The first field that is missing or invalid.
+    pub fn request_from_fields(
+        &self,
+        now: Micros,
+        fields: &RequestFields<'_>,
+        names: &Headers,
+    ) -> Result<DecisionRequest, InvalidRequest> {
         let class = match fields.class {
             "" => return Err(missing(&names.class)),
             name => self.classes.get(name),
         };
-        let class =
-            class.ok_or_else(|| senseless(&names.class, format!("no class `{}`", cut(fields.class))))?;
-        for (name, value) in [(&names.id, fields.id), (&names.key, fields.key)] {
+        let class = class
+            .ok_or_else(|| invalid_value(&names.class, format!("no class `{}`", truncated(fields.class))))?;
+        for (name, value) in [(&names.id, fields.id), (&names.idempotency_key, fields.idempotency_key)] {
             if value.len() > MAX_NAME_BYTES {
-                return Err(senseless(name, format!("{} bytes, {MAX_NAME_BYTES} at most", value.len())));
+                return Err(invalid_value(name, format!("{} bytes, {MAX_NAME_BYTES} at most", value.len())));
             }
         }
         if fields.id.is_empty() {
             return Err(missing(&names.id));
         }
-        // Without its key a repeat would not be dropped; with one elsewhere somebody counts on what is not given.
-        match (class.keyed, fields.key.is_empty()) {
-            (true, true) => return Err(missing(&names.key)),
-            (false, false) => return Err(senseless(&names.key, "the class has no keys")),
+        // Without its key a retry would run again; in another class a key promises a deduplication that does not happen.
+        match (class.is_keyed, fields.idempotency_key.is_empty()) {
+            (true, true) => return Err(missing(&names.idempotency_key)),
+            (false, false) => return Err(invalid_value(&names.idempotency_key, "the class has no keys")),
             _ => {}
         }
         let tenant = match fields.tenant {
@@ -122,191 +134,120 @@
             name => *self
                 .tenants
                 .get(name)
-                .ok_or_else(|| senseless(&names.tenant, format!("no tenant `{}`", cut(name))))?,
+                .ok_or_else(|| invalid_value(&names.tenant, format!("no tenant `{}`", truncated(name))))?,
         };
-        Ok(Request {
+        Ok(DecisionRequest {
             id: fields.id.into(),
-            key: class.keyed.then(|| fields.key.into()),
+            idempotency_key: class.is_keyed.then(|| fields.idempotency_key.into()),
             class: class.position,
             tenant,
-            about: fields.about,
-            arrived: now,
-            patience: fields.patience.map_or(class.deadline, |p| p.min(class.deadline)),
-            work: fields.work,
-            repeat: fields.repeat,
-            prior: None,
-            wait: false,
-            once: false,
+            affinity_key: fields.affinity_key,
+            arrived_at: now,
+            timeout: fields.timeout.map_or(class.deadline, |timeout| timeout.min(class.deadline)),
+            expected_work: fields.expected_work,
+            is_retry: fields.is_retry,
+            prior_lease: None,
+            waits_for_result: false,
+            is_single_use: false,
         })
     }
 
-    /// The request that a head makes, header names in lower case.
+    /// Builds the request of an HTTP head, header names in lower case.
     ///
     /// # Errors
-    /// The first header that is missing, doubled or makes no sense.
-    pub fn from_headers<'a>(
+    /// The first header that is missing, duplicate or invalid.
+    pub fn request_from_headers<'a>(
         &self,
         now: Micros,
         headers: impl Iterator<Item = (&'a str, &'a [u8])>,
         names: &Headers,
-    ) -> Result<Request, Unusable> {
-        let head = Head::read(headers, names)?;
+    ) -> Result<DecisionRequest, InvalidRequest> {
+        let head = RequestHead::read(headers, names)?;
         let text = |name: &str, value: Option<&'a [u8]>| match value {
             None => Ok(""),
-            Some(bytes) => std::str::from_utf8(bytes).map_err(|_| Unusable::NotText(name.into())),
+            Some(bytes) => std::str::from_utf8(bytes).map_err(|_| InvalidRequest::NotText(name.into())),
         };
         let path = text(":path", head.path)?;
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
-        let in_path = path.split('/').nth(1).unwrap_or_default();
+        let class_in_path = path.split('/').nth(1).unwrap_or_default();
         let class = match text(&names.class, head.class)? {
-            "" => in_path,
+            "" => class_in_path,
             class => class,
         };
-        let patience = match text(&names.time_left, head.time_left)? {
+        let timeout = match text(&names.time_left, head.time_left)? {
             "" => None,
             digits => Some(milliseconds(&names.time_left, digits)?),
         };
-        let work = text(&names.work, head.work)?;
-        let work = (!work.is_empty()).then(|| {
-            work.trim().parse().map_err(|_| senseless(&names.work, "a whole number of microseconds"))
+        let expected_work = text(&names.expected_work, head.expected_work)?;
+        let expected_work = (!expected_work.is_empty()).then(|| {
+            expected_work
+                .trim()
+                .parse()
+                .map_err(|_| invalid_value(&names.expected_work, "a whole number of microseconds"))
         });
-        let fields = Fields {
+        let fields = RequestFields {
             id: head.id.unwrap_or_default(),
             class,
             tenant: text(&names.tenant, head.tenant)?,
-            key: head.key.unwrap_or_default(),
-            about: request_key(query),
-            patience,
-            work: work.transpose()?,
-            repeat: head.repeat == Some(b"1"),
+            idempotency_key: head.idempotency_key.unwrap_or_default(),
+            affinity_key: request_key(query),
+            timeout,
+            expected_work: expected_work.transpose()?,
+            is_retry: head.retry == Some(b"1"),
         };
-        Ok(Request { once: true, ..self.request(now, &fields, names)? })
+        Ok(DecisionRequest { is_single_use: true, ..self.request_from_fields(now, &fields, names)? })
     }
 }
 
-/// The headers that say what a request is.
+/// The values of the headers that describe a request.
 #[derive(Default)]
-struct Head<'a> {
+struct RequestHead<'a> {
     path: Option<&'a [u8]>,
     id: Option<&'a [u8]>,
     class: Option<&'a [u8]>,
     tenant: Option<&'a [u8]>,
-    key: Option<&'a [u8]>,
+    idempotency_key: Option<&'a [u8]>,
     time_left: Option<&'a [u8]>,
-    work: Option<&'a [u8]>,
-    repeat: Option<&'a [u8]>,
+    expected_work: Option<&'a [u8]>,
+    retry: Option<&'a [u8]>,
 }
 
-impl<'a> Head<'a> {
-    fn read(headers: impl Iterator<Item = (&'a str, &'a [u8])>, names: &Headers) -> Result<Self, Unusable> {
+impl<'a> RequestHead<'a> {
+    fn read(
+        headers: impl Iterator<Item = (&'a str, &'a [u8])>,
+        names: &Headers,
+    ) -> Result<Self, InvalidRequest> {
         let mut head = Self::default();
         for (name, value) in headers {
-            let place = match name {
+            let field = match name {
                 ":path" => &mut head.path,
                 _ if name == names.id => &mut head.id,
                 _ if name == names.class => &mut head.class,
                 _ if name == names.tenant => &mut head.tenant,
-                _ if name == names.key => &mut head.key,
+                _ if name == names.idempotency_key => &mut head.idempotency_key,
                 _ if name == names.time_left => &mut head.time_left,
-                _ if name == names.work => &mut head.work,
-                _ if name == names.repeat => &mut head.repeat,
+                _ if name == names.expected_work => &mut head.expected_work,
+                _ if name == names.retry => &mut head.retry,
                 _ => continue,
             };
-            if place.replace(value).is_some() {
-                return Err(Unusable::Repeated(cut(name)));
+            if field.replace(value).is_some() {
+                return Err(InvalidRequest::Duplicate(truncated(name)));
             }
         }
         Ok(head)
     }
 }
 
-fn milliseconds(name: &str, digits: &str) -> Result<Micros, Unusable> {
-    // The type's own parser would take a sign.
-    let number = digits.bytes().all(|b| b.is_ascii_digit()).then(|| digits.parse::<u64>().ok()).flatten();
-    let number = number.filter(|&ms| ms <= MAX_TIME_LEFT_MS);
-    Ok(number.ok_or_else(|| senseless(name, format!("whole milliseconds to {MAX_TIME_LEFT_MS}")))? * 1_000)
+/// Parses milliseconds into microseconds.
+fn milliseconds(name: &str, digits: &str) -> Result<Micros, InvalidRequest> {
+    // The integer's parser would accept a sign.
+    let is_number = digits.bytes().all(|byte| byte.is_ascii_digit());
+    let milliseconds = is_number.then(|| digits.parse::<u64>().ok()).flatten();
+    let milliseconds = milliseconds.filter(|&ms| ms <= MAX_TIME_LEFT_MS);
+    Ok(milliseconds
+        .ok_or_else(|| invalid_value(name, format!("whole milliseconds to {MAX_TIME_LEFT_MS}")))?
+        * 1_000)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn catalogue() -> RequestCatalog {
-        let class = |position, keyed| Class { position, deadline: 2_000_000, keyed };
-        RequestCatalog {
-            classes: [("read".into(), class(0, false)), ("submit".into(), class(1, true))]
-                .into_iter()
-                .collect(),
-            tenants: [("acme".into(), 3)].into_iter().collect(),
-        }
-    }
-
-    fn read(headers: &[(&str, &[u8])]) -> Result<Request, Unusable> {
-        catalogue().from_headers(7, headers.iter().copied(), &Headers::default())
-    }
-
-    const GOOD: [(&str, &[u8]); 5] = [
-        (":path", b"/submit?key=ff"),
-        ("x-correlation-id", b"c1"),
-        ("x-account", b"acme"),
-        ("idempotency-key", b"k1"),
-        ("x-time-left-ms", b"480"),
-    ];
-
-    #[test]
-    fn a_head_makes_a_request() {
-        let request = read(&GOOD).expect("a request");
-        assert_eq!((request.class, request.tenant, request.about), (1, 3, Some(255)));
-        assert_eq!((request.patience, request.arrived, request.once), (480_000, 7, true));
-        assert_eq!((&*request.id, request.key.as_deref()), (&b"c1"[..], Some(&b"k1"[..])));
-    }
-
-    #[test]
-    fn what_is_wrong_with_a_head_is_named() {
-        let without = |name: &str| -> Vec<_> { GOOD.into_iter().filter(|(n, _)| *n != name).collect() };
-        let with = |name, value| {
-            let mut head = without(name);
-            head.push((name, value));
-            head
-        };
-        for name in ["x-correlation-id", "x-account", "idempotency-key"] {
-            assert_eq!(read(&without(name)), Err(missing(name)));
-            let mut twice = GOOD.to_vec();
-            twice.push((name, b"other"));
-            assert_eq!(read(&twice), Err(Unusable::Repeated(name.into())));
-        }
-        assert_eq!(read(&with("x-account", b"\xff")), Err(Unusable::NotText("x-account".into())));
-        for (name, value) in [
-            ("x-account", &b"nobody"[..]),
-            ("x-time-left-ms", b"-1"),
-            ("x-time-left-ms", b"99999999999999999999"),
-            ("x-correlation-id", &[b'a'; MAX_NAME_BYTES + 1]),
-            ("x-weight-hint", b"heavy"),
-            ("x-service-class", b"\"'`"),
-        ] {
-            let error = read(&with(name, value)).expect_err("a fault").to_string();
-            assert!(error.starts_with(&format!("`{name}` makes no sense")), "{error}");
-        }
-        let keyless = [(":path", &b"/read"[..]), ("x-correlation-id", b"c"), ("x-account", b"acme")];
-        assert!(read(&keyless).is_ok());
-    }
-
-    #[test]
-    fn no_head_panics() {
-        let mut rng = fastrand::Rng::with_seed(20_261_201);
-        let names = [":path", "x-correlation-id", "x-account", "x-time-left-ms", "x-weight-hint", "other"];
-        let mut taken = 0;
-        for _ in 0..20_000 {
-            let values: Vec<Vec<u8>> =
-                (0..rng.usize(0..9)).map(|_| (0..rng.usize(0..12)).map(|_| rng.u8(..)).collect()).collect();
-            let mut head: Vec<(&str, &[u8])> =
-                values.iter().map(|v| (names[rng.usize(..names.len())], v.as_slice())).collect();
-            if rng.bool() {
-                head.retain(|(name, _)| !GOOD.iter().any(|(good, _)| good == name));
-                head.extend(GOOD);
-            }
-            taken += usize::from(read(&head).is_ok());
-        }
-        assert!(taken > 1_000, "{taken} heads of 20,000 made a request");
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/external-processor/src/decision_service/lease_events.rs
@@ -0,0 +1,86 @@
+//! Events of the engine: grants, revocations and final answers.
+
+use super::{DecisionService, LeaseEngine, Reply, RequestRef, RetryScope, Revocation, SendDecision};
+use balancer::api::{Micros, Outcome};
+use request_engine::engine::{FinalOutcome, LeaseGrant};
+use request_engine::idempotency::FinalStatus;
+use request_engine::lease_events::{LeaseEvent, RequestHandle};
+use std::net::SocketAddr;
+
+impl DecisionService {
+    /// Handles an event of the engine. `endpoint` is the address of the backend of a grant, if it is still known.
+    pub fn handle_event(
+        &mut self,
+        now: Micros,
+        event: LeaseEvent,
+        endpoint: Option<SocketAddr>,
+        engine: &mut impl LeaseEngine,
+    ) {
+        match event {
+            LeaseEvent::Granted(handle, grant) => self.lease_granted(now, handle, grant, endpoint, engine),
+            LeaseEvent::Revoked(handle, lease) => {
+                let open = self.open.get(&handle);
+                let holder = open
+                    .filter(|open| open.attempt.is_some_and(|attempt| attempt.grant.lease == lease))
+                    .map(|open| open.owner);
+                self.revocations.extend(holder.map(|caller| Revocation { caller, lease }));
+            }
+            LeaseEvent::Completed(handle, outcome) => {
+                let status = match outcome {
+                    FinalOutcome::Served(_) => FinalStatus::Served,
+                    FinalOutcome::Rejected { retry_after } => {
+                        FinalStatus::Rejected(now.saturating_add(retry_after))
+                    }
+                    FinalOutcome::Failed => FinalStatus::Failed,
+                };
+                self.finish(now, handle, status);
+            }
+        }
+    }
+
+    fn lease_granted(
+        &mut self,
+        now: Micros,
+        handle: RequestHandle,
+        grant: LeaseGrant,
+        endpoint: Option<SocketAddr>,
+        engine: &mut impl LeaseEngine,
+    ) {
+        let Some(open) = self.open.get_mut(&handle) else {
+            // The request has no caller any more that could send it.
+            let _ = engine.report_result(grant.lease, Outcome::NotSent, Vec::new());
+            return;
+        };
+        // The previous lease has expired without a report: its attempt may have run.
+        if let Some(expired) = open.attempt.take() {
+            self.by_lease.remove(&expired.grant.lease);
+            open.may_have_run = true;
+        }
+        match (open.pending_tag, endpoint) {
+            (Some(tag), Some(endpoint)) => {
+                let retry_scope = if open.is_single_use {
+                    RetryScope::Never
+                } else {
+                    let idempotency = self.idempotency[usize::from(open.class)];
+                    RetryScope::after_attempt(idempotency, grant.attempt, self.max_attempts)
+                };
+                let decision = SendDecision { endpoint, grant, retry_scope };
+                (open.pending_tag, open.attempt) = (None, Some(decision));
+                let request_ref = RequestRef { caller: open.owner, tag };
+                self.by_lease.insert(grant.lease, handle);
+                self.counts.sends += 1;
+                self.reply(request_ref, Reply::Send(decision));
+            }
+            // The backend was removed at this moment: the balancer chooses another one.
+            (Some(_), None) => {
+                let _ = engine.report_result(grant.lease, Outcome::NotSent, Vec::new());
+            }
+            // The caller has let its lease expire and does not wait for another.
+            (None, _) => {
+                engine.client_disconnected(open.request);
+                let _ = engine.report_result(grant.lease, Outcome::NotSent, Vec::new());
+                self.finish(now, handle, FinalStatus::Unknown);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/external-processor/src/server/mod.rs
@@ -0,0 +1,175 @@
+//! The gRPC services, on a thread and a runtime of their own: parsing callers' messages must not delay the proxy's requests
+//! or the decisions.
+
+mod decisions;
+mod envoy;
+mod listener;
+mod shared;
+
+use crate::bridge::DecisionSender;
+use crate::decision_request::RequestCatalog;
+use crate::generated::decisions_server::DecisionsServer;
+use crate::grpc_codec;
+use crate::settings::Settings;
+use decisions::DecisionsHandler;
+use envoy::EnvoyHandler;
+use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_server::ExternalProcessorServer;
+use request_engine::driver::clock::Clock;
+use shared::Shared;
+use std::io;
+use std::net::{SocketAddr, TcpListener as StdListener};
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+use std::thread::JoinHandle;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio_stream::wrappers::ReceiverStream;
+
+/// How often an idle connection is probed.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
+/// How long the answer to a probe may take.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The gRPC services can't start.
+#[derive(Debug, Error)]
+pub enum ServerError {
+    /// The listener can't be opened on this address.
+    #[error("cannot listen on {0} for callers: {1}")]
+    Listen(SocketAddr, io::Error),
+    /// The thread or its runtime can't be created.
+    #[error("the services' thread: {0}")]
+    Thread(io::Error),
+    /// The descriptors for gRPC reflection are invalid.
+    #[error("reflection: {0}")]
+    Reflection(tonic_reflection::server::Error),
+}
+
+/// The phases of the services from start to shutdown.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServicePhase {
+    /// All calls are served.
+    Serving,
+    /// Connections receive GOAWAY; open streams continue.
+    Draining,
+    /// All streams are aborted.
+    Stopped,
+}
+
+/// The running services on their thread.
+pub struct RunningServer {
+    /// The address on which they listen.
+    pub address: SocketAddr,
+    phase: watch::Sender<ServicePhase>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl RunningServer {
+    /// Sends callers GOAWAY, and reports `NOT_SERVING` to health checks.
+    pub fn drain(&self) {
+        let _ = self.phase.send(ServicePhase::Draining);
+    }
+
+    /// Aborts open streams and waits for the thread.
+    pub fn stop(mut self) {
+        let _ = self.phase.send(ServicePhase::Stopped);
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+/// What the services need from the process.
+pub struct ServerContext {
+    /// Names of classes and tenants.
+    pub catalog: RequestCatalog,
+    /// Fields of a load report, in the order of the settings.
+    pub load_fields: Vec<String>,
+    /// The engine's clock.
+    pub clock: Clock,
+    /// The channels to the decision service.
+    pub decisions: DecisionSender,
+}
+
+/// Opens the listener and starts the services' thread.
+///
+/// # Errors
+/// Where the listener, the thread or its runtime can't be created.
+pub fn start(settings: Settings, context: ServerContext) -> Result<RunningServer, ServerError> {
+    let listen_error = |error| ServerError::Listen(settings.listen, error);
+    let listener = StdListener::bind(settings.listen).map_err(listen_error)?;
+    listener.set_nonblocking(true).map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(ServerError::Thread)?;
+    let (phase, phases) = watch::channel(ServicePhase::Serving);
+    let ServerContext { catalog, load_fields, clock, decisions } = context;
+    let shared = Arc::new(Shared {
+        settings,
+        catalog,
+        load_fields,
+        field_names: grpc_codec::field_names(),
+        clock,
+        decisions,
+        next_caller: AtomicU64::new(1),
+    });
+    // Built here too, so that an error is returned before the services start.
+    if shared.settings.reflection {
+        reflection_service()?;
+    }
+    let serve = move || {
+        runtime.block_on(serve(listener, shared, phases));
+    };
+    let thread = std::thread::Builder::new().name("extproc".into()).spawn(serve);
+    Ok(RunningServer { address, phase, thread: Some(thread.map_err(ServerError::Thread)?) })
+}
+
+fn reflection_service() -> Result<
+    tonic_reflection::server::v1::ServerReflectionServer<impl tonic_reflection::server::v1::ServerReflection>,
+    ServerError,
+> {
+    tonic_reflection::server::Builder::configure()
+        .register_encoded_file_descriptor_set(include_bytes!("../descriptors.bin"))
+        .register_encoded_file_descriptor_set(tonic_health::pb::FILE_DESCRIPTOR_SET)
+        .build_v1()
+        .map_err(ServerError::Reflection)
+}
+
+async fn wait_for_phase(phases: &mut watch::Receiver<ServicePhase>, phase: fn(&ServicePhase) -> bool) {
+    // A dropped sender stops the services as well.
+    let _ = phases.wait_for(phase).await;
+}
+
+async fn serve(listener: StdListener, shared: Arc<Shared>, mut phases: watch::Receiver<ServicePhase>) {
+    let Ok(listener) = TcpListener::from_std(listener) else { return };
+    let bounds = shared.settings.bounds.clone();
+    let (accepted, connections) = mpsc::channel(1);
+    tokio::spawn(listener::accept(listener, bounds.connections, accepted));
+    let (health, health_service) = tonic_health::server::health_reporter();
+    health.set_serving::<DecisionsServer<DecisionsHandler>>().await;
+    health.set_serving::<ExternalProcessorServer<EnvoyHandler>>().await;
+    // An error was returned by `start` already.
+    let reflection = shared.settings.reflection.then(|| reflection_service().ok()).flatten();
+    let decisions = DecisionsServer::new(DecisionsHandler(Arc::clone(&shared)));
+    let envoy = ExternalProcessorServer::new(EnvoyHandler(shared));
+    let mut drain_phases = phases.clone();
+    let shutdown = async move {
+        wait_for_phase(&mut drain_phases, |phase| *phase != ServicePhase::Serving).await;
+        health.set_not_serving::<DecisionsServer<DecisionsHandler>>().await;
+        health.set_not_serving::<ExternalProcessorServer<EnvoyHandler>>().await;
+    };
+    let serving = tonic::transport::Server::builder()
+        .max_concurrent_streams(Some(bounds.streams))
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
+        .add_service(health_service)
+        .add_optional_service(reflection)
+        .add_service(decisions.max_decoding_message_size(bounds.message_bytes))
+        .add_service(envoy.max_decoding_message_size(bounds.message_bytes))
+        .serve_with_incoming_shutdown(ReceiverStream::new(connections), shutdown);
+    tokio::select! {
+        _ = serving => {}
+        () = wait_for_phase(&mut phases, |phase| *phase == ServicePhase::Stopped) => {}
+    }
+}
--- a/crates/external-processor/src/settings.rs
+++ b/crates/external-processor/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of this front: a TOML file, read once at the start.
+//! The settings of the external processor: a TOML file, read once at the start.
 
 use balancer::api::Micros;
 use serde::Deserialize;
@@ -7,112 +7,118 @@
 use std::{fs, io};
 use thiserror::Error;
 
-/// The file can't be used.
+/// The settings file can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("cannot read {0}: {1}")]
     Unreadable(PathBuf, io::Error),
-    /// It is not what is wanted; the message names line and key.
+    /// The file is not valid TOML or has a wrong key or type; the error names line and key.
     #[error("{0}: {1}")]
     Malformed(PathBuf, Box<toml::de::Error>),
-    /// A value makes no sense.
+    /// A value is invalid.
     #[error("{file}: `{key}` {problem}")]
-    Senseless {
+    InvalidValue {
         /// The file.
         file: PathBuf,
         /// The key.
         key: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with its value.
         problem: String,
     },
 }
 
-/// All of the file.
+/// The contents of the file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where callers connect.
+    /// The address on which callers connect.
     pub listen: SocketAddr,
     /// Whether gRPC reflection is served.
     #[serde(default)]
     pub reflection: bool,
-    /// How long the end of a request is remembered.
-    #[serde(default)]
-    pub memory: Memory,
-    /// What there may be at a time.
+    /// How long final answers are retained.
+    #[serde(default, rename = "memory")]
+    pub retention: Retention,
+    /// Limits of what the processor holds at a time.
     #[serde(default)]
     pub bounds: Bounds,
-    /// What Envoy is told and how its requests are read.
+    /// Header names and metadata of Envoy's `ext_proc` filter.
     #[serde(default)]
     pub envoy: Envoy,
 }
 
-/// How long the end of a request is remembered, milliseconds. Keyed classes remember as long as their boxes do.
+/// How long final answers are retained, milliseconds. In keyed classes the time to live of the keys applies.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Memory {
-    /// Of a class that is safe to repeat.
-    pub safe_ms: u64,
-    /// Of one that must not run twice; at the least its class's deadline.
-    pub unsafe_ms: u64,
+#[serde(deny_unknown_fields, default, expecting = "struct Memory")]
+pub struct Retention {
+    /// In idempotent classes.
+    #[serde(rename = "safe_ms")]
+    pub idempotent_ms: u64,
+    /// In non-idempotent classes; at least the class's deadline applies.
+    #[serde(rename = "unsafe_ms")]
+    pub non_idempotent_ms: u64,
 }
 
-/// What there may be at a time.
+/// Limits of what the processor holds at a time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Connections of callers; a further one is closed at once.
+    /// Connections of callers; further ones are closed at once.
     pub connections: usize,
-    /// Streams and calls on one connection.
+    /// Streams and unary calls on one connection.
     pub streams: u32,
-    /// Decisions that one caller has open; a further one is rejected.
+    /// Open decisions of one caller; further ones are rejected.
     pub per_caller: usize,
-    /// Leases that are out; at the bound a question is rejected.
+    /// Active leases; at the limit requests are rejected.
     pub leases: usize,
-    /// Requests that are held or remembered; at the bound a question is rejected, and nothing is forgotten early.
-    pub remembered: usize,
-    /// Questions on their way to the decisions; at the bound streams wait.
+    /// Requests in flight and retained final answers; at the limit requests are rejected, and no answer is removed early.
+    #[serde(rename = "remembered")]
+    pub retained: usize,
+    /// Queued messages for the decision service; at the limit callers wait.
     pub queue: usize,
-    /// Bytes of one message.
+    /// Size of one message, bytes.
     pub message_bytes: usize,
 }
 
-/// What Envoy is told and how its requests are read.
+/// Header names and metadata of Envoy's `ext_proc` filter.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Envoy {
-    /// The header that names the box.
+    /// The request header that names the backend's endpoint.
     pub endpoint_header: String,
-    /// The namespace of the dynamic metadata that names it as well.
+    /// The namespace of the dynamic metadata that also names it.
     pub metadata_namespace: String,
-    /// The headers that say what a request is.
+    /// The headers that describe a request.
     pub headers: Headers,
 }
 
-/// The headers that say what a request is, in lower case.
+/// Names of the headers that describe a request, in lower case.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Headers {
     /// The correlation id.
     pub id: String,
-    /// The class; where it is absent, the first part of the path.
+    /// The class; without it, the first segment of the path is the class.
     pub class: String,
     /// The tenant.
     pub tenant: String,
     /// The idempotency key.
-    pub key: String,
+    #[serde(rename = "key")]
+    pub idempotency_key: String,
     /// How long the client waits, milliseconds.
     pub time_left: String,
-    /// A guess at the work, microseconds.
-    pub work: String,
-    /// Marks a client's repeat with `1`.
-    pub repeat: String,
+    /// The expected work, microseconds.
+    #[serde(rename = "work")]
+    pub expected_work: String,
+    /// Marks a client's retry with `1`.
+    #[serde(rename = "repeat")]
+    pub retry: String,
 }
 
-impl Default for Memory {
+impl Default for Retention {
     fn default() -> Self {
-        Self { safe_ms: 1_000, unsafe_ms: 60_000 }
+        Self { idempotent_ms: 1_000, non_idempotent_ms: 60_000 }
     }
 }
 
@@ -123,7 +129,7 @@
             streams: 4_096,
             per_caller: 16_384,
             leases: 32_768,
-            remembered: 262_144,
+            retained: 262_144,
             queue: 4_096,
             message_bytes: 256 * 1_024,
         }
@@ -146,27 +152,16 @@
             id: "x-correlation-id".into(),
             class: "x-service-class".into(),
             tenant: "x-account".into(),
-            key: "idempotency-key".into(),
+            idempotency_key: "idempotency-key".into(),
             time_left: "x-time-left-ms".into(),
-            work: "x-weight-hint".into(),
-            repeat: "x-repeat".into(),
+            expected_work: "x-weight-hint".into(),
+            retry: "x-repeat".into(),
         }
     }
 }
 
-/// Smallest and largest useful value of a bound.
-const RANGES: [(&str, usize, usize); 7] = [
-    ("bounds.connections", 1, 65_536),
-    ("bounds.streams", 1, 1 << 20),
-    ("bounds.per_caller", 1, 1 << 24),
-    ("bounds.leases", 1, 1 << 24),
-    ("bounds.remembered", 1, 1 << 26),
-    ("bounds.queue", 1, 1 << 20),
-    ("bounds.message_bytes", 1_024, 64 << 20),
-];
-
-/// The longest memory, milliseconds: a day.
-const MAX_MEMORY_MS: u64 = 86_400_000;
+/// The longest retention, milliseconds: a day.
+const MAX_RETENTION_MS: u64 = 86_400_000;
 
 impl Settings {
     /// Reads and checks a file.
@@ -185,102 +180,114 @@
     pub fn parse(text: &str, path: &Path) -> Result<Self, SettingsError> {
         let settings: Self =
             toml::from_str(text).map_err(|e| SettingsError::Malformed(path.into(), Box::new(e)))?;
-        settings.check(path)?;
+        settings.validate(path)?;
         Ok(settings)
     }
 
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
-        let senseless = |key, problem| SettingsError::Senseless { file: path.into(), key, problem };
-        let b = &self.bounds;
-        let values = [
-            b.connections,
-            b.streams as usize,
-            b.per_caller,
-            b.leases,
-            b.remembered,
-            b.queue,
-            b.message_bytes,
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
+        let error =
+            |InvalidValue { key, problem }| SettingsError::InvalidValue { file: path.into(), key, problem };
+        self.bounds.validate().map_err(error)?;
+        self.retention.validate().map_err(error)?;
+        self.envoy.validate().map_err(error)
+    }
+}
+
+/// A key and what is wrong with its value.
+struct InvalidValue {
+    key: &'static str,
+    problem: String,
+}
+
+fn invalid_value(key: &'static str, problem: String) -> Result<(), InvalidValue> {
+    Err(InvalidValue { key, problem })
+}
+
+impl Bounds {
+    fn validate(&self) -> Result<(), InvalidValue> {
+        let ranges = [
+            ("bounds.connections", self.connections, 1..=65_536),
+            ("bounds.streams", self.streams as usize, 1..=1 << 20),
+            ("bounds.per_caller", self.per_caller, 1..=1 << 24),
+            ("bounds.leases", self.leases, 1..=1 << 24),
+            ("bounds.remembered", self.retained, 1..=1 << 26),
+            ("bounds.queue", self.queue, 1..=1 << 20),
+            ("bounds.message_bytes", self.message_bytes, 1_024..=64 << 20),
         ];
-        for ((key, least, most), value) in RANGES.into_iter().zip(values) {
-            if !(least..=most).contains(&value) {
-                return Err(senseless(key, format!("is {value}, must lie in {least}..={most}")));
+        for (key, value, range) in ranges {
+            if !range.contains(&value) {
+                return invalid_value(key, format!("is {value}, must lie in {range:?}"));
             }
         }
-        // A lease belongs to a request that is held.
-        if b.remembered < b.leases {
-            return Err(senseless("bounds.remembered", format!("must not be under the {} leases", b.leases)));
+        // A lease belongs to a request in flight.
+        if self.retained < self.leases {
+            return invalid_value(
+                "bounds.remembered",
+                format!("must not be under the {} leases", self.leases),
+            );
         }
-        for (key, value) in
-            [("memory.safe_ms", self.memory.safe_ms), ("memory.unsafe_ms", self.memory.unsafe_ms)]
-        {
-            if value > MAX_MEMORY_MS {
-                return Err(senseless(key, format!("is {value}, must lie in 0..={MAX_MEMORY_MS}")));
+        Ok(())
+    }
+}
+
+impl Retention {
+    fn validate(&self) -> Result<(), InvalidValue> {
+        let values = [("memory.safe_ms", self.idempotent_ms), ("memory.unsafe_ms", self.non_idempotent_ms)];
+        for (key, value) in values {
+            if value > MAX_RETENTION_MS {
+                return invalid_value(key, format!("is {value}, must lie in 0..={MAX_RETENTION_MS}"));
             }
         }
-        let h = &self.envoy.headers;
+        Ok(())
+    }
+
+    /// Retention in idempotent classes, microseconds.
+    #[must_use]
+    pub fn idempotent(&self) -> Micros {
+        self.idempotent_ms * 1_000
+    }
+
+    /// Retention in non-idempotent classes, microseconds.
+    #[must_use]
+    pub fn non_idempotent(&self) -> Micros {
+        self.non_idempotent_ms * 1_000
+    }
+}
+
+impl Envoy {
+    fn validate(&self) -> Result<(), InvalidValue> {
+        let headers = &self.headers;
         let names = [
-            ("envoy.endpoint_header", &self.envoy.endpoint_header),
-            ("envoy.headers.id", &h.id),
-            ("envoy.headers.class", &h.class),
-            ("envoy.headers.tenant", &h.tenant),
-            ("envoy.headers.key", &h.key),
-            ("envoy.headers.time_left", &h.time_left),
-            ("envoy.headers.work", &h.work),
-            ("envoy.headers.repeat", &h.repeat),
+            ("envoy.endpoint_header", &self.endpoint_header),
+            ("envoy.headers.id", &headers.id),
+            ("envoy.headers.class", &headers.class),
+            ("envoy.headers.tenant", &headers.tenant),
+            ("envoy.headers.key", &headers.idempotency_key),
+            ("envoy.headers.time_left", &headers.time_left),
+            ("envoy.headers.work", &headers.expected_work),
+            ("envoy.headers.repeat", &headers.retry),
         ];
-        for (i, (key, name)) in names.iter().enumerate() {
-            // HTTP/2 names are in lower case: another one would never be met.
-            let good =
-                |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit() || matches!(c, b'-' | b'_' | b'.');
-            if name.is_empty() || !name.bytes().all(good) {
-                return Err(senseless(key, format!("`{name}` is no header name in lower case")));
+        for (position, (key, name)) in names.iter().enumerate() {
+            if !is_header_name(name) {
+                return invalid_value(key, format!("`{name}` is no header name in lower case"));
             }
-            if let Some((other, _)) = names[..i].iter().find(|(_, n)| n == name) {
-                return Err(senseless(key, format!("`{name}` stands in `{other}` as well")));
+            if let Some((other, _)) = names[..position].iter().find(|(_, earlier)| earlier == name) {
+                return invalid_value(key, format!("`{name}` stands in `{other}` as well"));
             }
         }
-        if self.envoy.metadata_namespace.is_empty() {
-            Err(senseless("envoy.metadata_namespace", "must not be empty".into()))
-        } else {
-            Ok(())
+        if self.metadata_namespace.is_empty() {
+            return invalid_value("envoy.metadata_namespace", "must not be empty".into());
         }
+        Ok(())
     }
+}
 
-    /// Memory of safe and of unsafe classes.
-    #[must_use]
-    pub fn memories(&self) -> (Micros, Micros) {
-        (self.memory.safe_ms * 1_000, self.memory.unsafe_ms * 1_000)
-    }
+/// HTTP/2 header names are in lower case: another name would never match.
+fn is_header_name(name: &str) -> bool {
+    let is_allowed =
+        |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'_' | b'.');
+    !name.is_empty() && name.bytes().all(is_allowed)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn parse(text: &str) -> Result<Settings, SettingsError> {
-        Settings::parse(text, Path::new("extproc.toml"))
-    }
-
-    #[test]
-    fn an_address_is_enough() {
-        let settings = parse("listen = \"127.0.0.1:9002\"").expect("good");
-        assert_eq!((settings.bounds, settings.memory), (Bounds::default(), Memory::default()));
-    }
-
-    #[test]
-    fn what_is_wrong_is_named() {
-        for (text, says) in [
-            ("", "listen"),
-            ("listen = \"localhost\"", "listen"),
-            ("listen = \"127.0.0.1:1\"\nlisen = 2", "lisen"),
-            ("listen = \"127.0.0.1:1\"\n[bounds]\nqueue = 0", "`bounds.queue` is 0"),
-            ("listen = \"127.0.0.1:1\"\n[bounds]\nremembered = 5", "`bounds.remembered`"),
-            ("listen = \"127.0.0.1:1\"\n[memory]\nsafe_ms = 999999999", "`memory.safe_ms`"),
-            ("listen = \"127.0.0.1:1\"\n[envoy]\nendpoint_header = \"X-Box\"", "`envoy.endpoint_header`"),
-            ("listen = \"127.0.0.1:1\"\n[envoy.headers]\nid = \"x-account\"", "stands in `envoy.headers.id`"),
-        ] {
-            let error = parse(text).expect_err(text).to_string();
-            assert!(error.contains(says) && error.contains("extproc.toml"), "{text}: {error}");
-        }
-    }
-}
+mod tests;
--- a/crates/external-processor/tests/generated.rs
+++ b/crates/external-processor/tests/generated.rs
@@ -1,12 +1,12 @@
-//! The generated code says what the protocol file says. `UPDATE_GENERATED=1 cargo test -p external-processor --test
-//! generated` writes both files anew.
+//! The generated code matches the protocol file. `UPDATE_GENERATED=1 cargo test -p external-processor --test
+//! generated` rewrites both files.
 
 use protox::prost::Message;
 use std::path::Path;
 use std::{env, fs};
 
 #[test]
-fn the_generated_code_is_that_of_the_protocol() {
+fn generated_code_matches_the_protocol() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let proto = root.join("proto");
     let files = protox::compile(["haventrack/decisions/v1/decisions.proto"], [&proto]).expect("a protocol");
@@ -15,12 +15,12 @@
     tonic_prost_build::configure().out_dir(&out).compile_fds(files.clone()).expect("code");
     let code = fs::read(out.join("haventrack.decisions.v1.rs")).expect("the code");
     fs::remove_dir_all(&out).expect("the folder");
-    for (name, made) in [("src/generated.rs", code), ("src/descriptors.bin", files.encode_to_vec())] {
+    for (name, generated) in [("src/generated.rs", code), ("src/descriptors.bin", files.encode_to_vec())] {
         let path = root.join(name);
         if env::var_os("UPDATE_GENERATED").is_some() {
-            fs::write(&path, &made).expect("written");
+            fs::write(&path, &generated).expect("written");
         }
-        let kept = fs::read(&path).unwrap_or_default();
-        assert!(kept == made, "{name} is not what the protocol says: UPDATE_GENERATED=1 writes it anew");
+        let stored = fs::read(&path).unwrap_or_default();
+        assert!(stored == generated, "{name} does not match the protocol: UPDATE_GENERATED=1 rewrites it");
     }
 }
--- /dev/null
+++ b/crates/external-processor/tests/harness/mod.rs
@@ -0,0 +1,332 @@
+//! The decision service and the real engine with simulated callers and backends. The harness keeps its own record of what
+//! may have run and of the replies, independent of both.
+
+mod engine_at_time;
+#[path = "../../../request-engine/tests/harness/settings.rs"]
+mod settings;
+
+pub use settings::SECOND;
+
+use balancer::api::{Backend, BackendId, MembershipUpdate, Micros, Outcome, Readiness, RequestId};
+use engine_at_time::{EngineAtTime, NoMessages};
+use external_processor::decision_service::{
+    CallerId, CallerReply, DecisionLimits, DecisionRequest, DecisionService, Reply, ReplyDelivery, Report,
+    RequestRef, Revocation, SendDecision,
+};
+use request_engine::engine::{Engine, EngineLimits};
+use request_engine::idempotency::IdempotencyRegistry;
+use request_engine::lease::LeaseId;
+use request_engine::lease_events::LeaseEvent;
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// How long the answers of non-idempotent and keyed classes are retained.
+pub const RETENTION: Micros = 3 * SECOND;
+/// Open decisions that one caller may have.
+pub const PER_CALLER: usize = 200;
+
+fn backend(id: BackendId, readiness: Readiness) -> Backend {
+    Backend { id, zone: 0, machine_kind: 0, cell: (id / 3) as u16, readiness, started_at: None }
+}
+
+fn endpoint(id: BackendId) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 10_000 + id as u16))
+}
+
+/// The harness's engine; borrows no other field than engine and events.
+macro_rules! engine_of {
+    ($harness:ident) => {
+        &mut EngineAtTime { engine: &mut $harness.engine, now: $harness.now, events: &mut $harness.events }
+    };
+}
+
+/// One attempt as callers and backends know it.
+struct Attempt {
+    /// The id or key that must not run twice; `None` in an idempotent class.
+    identity: Option<String>,
+    sent_at: Micros,
+    /// The request, whose retries the engine decides.
+    request: RequestId,
+    never_executed: bool,
+}
+
+pub struct Harness {
+    pub now: Micros,
+    pub engine: Engine<NoMessages>,
+    pub service: DecisionService,
+    pub revocations: Vec<Revocation>,
+    events: VecDeque<LeaseEvent>,
+    draining: BTreeSet<BackendId>,
+    messages: BTreeMap<RequestRef, Option<String>>,
+    replies: BTreeMap<RequestRef, Vec<Reply>>,
+    /// Messages without a reply whose caller has ended.
+    abandoned: BTreeSet<RequestRef>,
+    attempts: BTreeMap<LeaseId, Attempt>,
+    next_tag: u64,
+}
+
+impl Harness {
+    /// A service, and an engine with this number of backends.
+    pub fn new(backend_count: u32) -> Self {
+        let settings = settings::settings_with_key_ttl(RETENTION);
+        let limits = EngineLimits { requests: 10_000, leases: 10_000 };
+        let mut engine = Engine::new(settings.clone(), limits, 7, 0xfeed, SECOND).expect("good settings");
+        let backends: Vec<_> = (0..backend_count).map(|id| backend(id, Readiness::Ready)).collect();
+        engine.update_membership(SECOND, MembershipUpdate::Snapshot(&backends));
+        let registry = Rc::new(RefCell::new(IdempotencyRegistry::new(10_000)));
+        let limits = DecisionLimits {
+            per_caller: PER_CALLER,
+            idempotent_retention: SECOND,
+            non_idempotent_retention: RETENTION,
+        };
+        Self {
+            now: SECOND,
+            engine,
+            service: DecisionService::new(&settings, limits, registry),
+            revocations: Vec::new(),
+            events: VecDeque::new(),
+            draining: BTreeSet::new(),
+            messages: BTreeMap::new(),
+            replies: BTreeMap::new(),
+            abandoned: BTreeSet::new(),
+            attempts: BTreeMap::new(),
+            next_tag: 1,
+        }
+    }
+
+    pub fn request(&mut self, caller: u64, class: u8, id: &str) -> RequestRef {
+        self.request_with_key(caller, class, id, None)
+    }
+
+    pub fn request_keyed(&mut self, caller: u64, id: &str, key: &str) -> RequestRef {
+        self.request_with_key(caller, 2, id, Some(key))
+    }
+
+    pub fn request_with_key(&mut self, caller: u64, class: u8, id: &str, key: Option<&str>) -> RequestRef {
+        let request = self.decision_request(class, id, key);
+        self.decide(caller, &request)
+    }
+
+    pub fn request_and_wait(&mut self, caller: u64, class: u8, id: &str, key: Option<&str>) -> RequestRef {
+        let request = self.decision_request(class, id, key);
+        self.decide(caller, &DecisionRequest { waits_for_result: true, ..request })
+    }
+
+    pub fn request_after(
+        &mut self,
+        caller: u64,
+        class: u8,
+        id: &str,
+        key: Option<&str>,
+        prior_lease: LeaseId,
+    ) -> RequestRef {
+        let request = self.decision_request(class, id, key);
+        self.decide(caller, &DecisionRequest { prior_lease: Some(prior_lease), ..request })
+    }
+
+    pub fn request_once(&mut self, caller: u64, class: u8, id: &str) -> RequestRef {
+        let key = (class == 2).then_some(id);
+        let request = self.decision_request(class, id, key);
+        self.decide(caller, &DecisionRequest { is_single_use: true, ..request })
+    }
+
+    fn decision_request(&self, class: u8, id: &str, key: Option<&str>) -> DecisionRequest {
+        DecisionRequest {
+            id: id.as_bytes().into(),
+            idempotency_key: key.map(|key| key.as_bytes().into()),
+            class,
+            tenant: 0,
+            affinity_key: None,
+            arrived_at: self.now,
+            timeout: 2 * SECOND,
+            expected_work: None,
+            is_retry: false,
+            prior_lease: None,
+            waits_for_result: false,
+            is_single_use: false,
+        }
+    }
+
+    fn decide(&mut self, caller: u64, request: &DecisionRequest) -> RequestRef {
+        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+        let identity = match (request.class, &request.idempotency_key) {
+            (0, _) => None,
+            (_, Some(key)) => Some(format!("key {}", text(key))),
+            (_, None) => Some(format!("id {}", text(&request.id))),
+        };
+        let request_ref = self.add_message(caller, identity);
+        self.service.decide(self.now, request_ref, request, engine_of!(self));
+        self.handle_events();
+        request_ref
+    }
+
+    fn add_message(&mut self, caller: u64, identity: Option<String>) -> RequestRef {
+        let request_ref = RequestRef { caller: CallerId(caller), tag: self.next_tag };
+        self.next_tag += 1;
+        self.messages.insert(request_ref, identity);
+        request_ref
+    }
+
+    pub fn report(&mut self, caller: u64, lease: LeaseId, outcome: Outcome) -> RequestRef {
+        self.send_report(
+            caller,
+            Report { lease, outcome: Some(outcome), endpoint: None, load_report: Vec::new() },
+        )
+    }
+
+    pub fn report_at(&mut self, caller: u64, lease: LeaseId, outcome: Outcome, endpoint: &str) -> RequestRef {
+        let endpoint = Some(endpoint.parse().expect("an address"));
+        self.send_report(caller, Report { lease, outcome: Some(outcome), endpoint, load_report: Vec::new() })
+    }
+
+    pub fn establish(&mut self, caller: u64, lease: LeaseId) -> RequestRef {
+        self.send_report(caller, Report { lease, outcome: None, endpoint: None, load_report: Vec::new() })
+    }
+
+    fn send_report(&mut self, caller: u64, report: Report) -> RequestRef {
+        let identity = self.attempts.get(&report.lease).and_then(|a| a.identity.clone());
+        let request_ref = self.add_message(caller, identity);
+        let (lease, outcome) = (report.lease, report.outcome);
+        let before = self.engine.lease_counts().reported;
+        self.service.report(self.now, request_ref, report, engine_of!(self));
+        // An accepted report states what the backend did; any other report is false.
+        let accepted = self.engine.lease_counts().reported - before;
+        if let (Some(outcome), Some(attempt)) = (outcome, self.attempts.get_mut(&lease))
+            && accepted == 1
+            && outcome.never_executed()
+        {
+            attempt.never_executed = true;
+        }
+        self.handle_events();
+        request_ref
+    }
+
+    pub fn renew(&mut self, caller: u64, lease: LeaseId) -> RequestRef {
+        let request_ref = self.add_message(caller, None);
+        self.service.renew(request_ref, lease, engine_of!(self));
+        self.handle_events();
+        request_ref
+    }
+
+    /// A caller ends: as a stream does, or as a call whose answer was not sent.
+    pub fn end_caller(&mut self, caller: u64, delivery: ReplyDelivery) {
+        let all: Vec<RequestRef> = self.messages.keys().filter(|a| a.caller.0 == caller).copied().collect();
+        self.abandoned.extend(all.iter().filter(|a| !self.replies.contains_key(a)));
+        if delivery == ReplyDelivery::None {
+            // Such a caller sends one message only.
+            let replies = self.replies.iter().filter(|(a, _)| a.caller.0 == caller);
+            let lease = replies.flat_map(|(_, replies)| replies).find_map(lease_of);
+            if let Some(attempt) = lease.and_then(|lease| self.attempts.get_mut(&lease)) {
+                attempt.never_executed = true;
+            }
+        }
+        self.service.caller_ended(self.now, CallerId(caller), delivery, engine_of!(self));
+        self.handle_events();
+    }
+
+    pub fn drain_backend(&mut self, id: BackendId) {
+        self.draining.insert(id);
+        self.engine.update_membership(self.now, MembershipUpdate::Delta(&[backend(id, Readiness::Draining)]));
+        self.handle_events();
+    }
+
+    pub fn start_backend(&mut self, id: BackendId) {
+        self.draining.remove(&id);
+        let started = Some(self.now);
+        let backend = Backend { started_at: started, ..backend(id, Readiness::Ready) };
+        self.engine.update_membership(self.now, MembershipUpdate::Delta(&[backend]));
+        self.handle_events();
+    }
+
+    pub fn advance_time(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while let Some(at) = self.engine.next_timer().filter(|&at| at <= end) {
+            self.now = self.now.max(at);
+            self.engine.advance(self.now);
+            self.handle_events();
+        }
+        self.now = end;
+    }
+
+    /// Passes all events to the service, and checks its replies.
+    fn handle_events(&mut self) {
+        engine_of!(self).queue_events();
+        while let Some(event) = self.events.pop_front() {
+            let endpoint = match &event {
+                LeaseEvent::Granted(_, grant) => Some(endpoint(grant.backend)),
+                _ => None,
+            };
+            self.service.handle_event(self.now, event, endpoint, engine_of!(self));
+        }
+        for CallerReply { request_ref, reply } in self.service.take_replies() {
+            self.check_reply(request_ref, reply);
+        }
+        self.revocations.extend(self.service.take_revocations());
+    }
+
+    fn check_reply(&mut self, request_ref: RequestRef, reply: Reply) {
+        assert!(self.messages.contains_key(&request_ref), "{request_ref:?} is not a message");
+        if let Reply::Send(send) = reply {
+            assert!(!self.draining.contains(&send.grant.backend), "a draining backend gets a new request");
+            let identity = self.messages[&request_ref].clone();
+            self.check_single_execution(identity.as_deref(), &send);
+            let (sent_at, request) = (self.now, send.grant.request);
+            let attempt = Attempt { identity, sent_at, request, never_executed: false };
+            assert!(self.attempts.insert(send.grant.lease, attempt).is_none(), "a lease was granted twice");
+        }
+        let replies = self.replies.entry(request_ref).or_default();
+        replies.push(reply);
+        assert_eq!(replies.len(), 1, "{request_ref:?} got {replies:?}");
+    }
+
+    /// Rule 2 between requests; within one request, the engine's own tests check it.
+    fn check_single_execution(&self, identity: Option<&str>, send: &SendDecision) {
+        let Some(identity) = identity else { return };
+        let is_earlier = |a: &&Attempt| a.identity.as_deref() == Some(identity) && !a.never_executed;
+        for attempt in self.attempts.values().filter(is_earlier) {
+            let is_same_request = attempt.request == send.grant.request;
+            let has_expired = self.now >= attempt.sent_at + RETENTION;
+            assert!(
+                is_same_request || has_expired,
+                "{identity} may have run and is sent again at {}",
+                self.now
+            );
+        }
+    }
+
+    pub fn reply(&self, request_ref: RequestRef) -> Option<Reply> {
+        self.replies.get(&request_ref).and_then(|replies| replies.first()).copied()
+    }
+
+    pub fn sent(&self, request_ref: RequestRef) -> Option<SendDecision> {
+        match self.reply(request_ref) {
+            Some(Reply::Send(send)) => Some(send),
+            _ => None,
+        }
+    }
+
+    /// Advances the clock: every message whose caller has not ended has its one reply, and nothing is left open.
+    pub fn finish(&mut self) {
+        self.advance_time(60 * SECOND);
+        for request_ref in self.messages.keys() {
+            let has_reply = self.replies.contains_key(request_ref);
+            let is_abandoned = self.abandoned.contains(request_ref);
+            assert!(has_reply || is_abandoned, "{request_ref:?} has no reply");
+        }
+        assert!(self.service.is_empty(), "{} requests are left open", self.service.len());
+        assert_eq!(
+            (self.engine.active_leases(), self.engine.open_requests()),
+            (0, 0),
+            "leases and requests left"
+        );
+    }
+}
+
+fn lease_of(reply: &Reply) -> Option<LeaseId> {
+    match reply {
+        Reply::Send(send) => Some(send.grant.lease),
+        _ => None,
+    }
+}
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -120,7 +120,7 @@
         let bounds = &extproc.bounds;
         println!("{}: good", path.display());
         println!("  answers callers on {}, on {} connections", extproc.listen, bounds.connections);
-        println!("  at most {} leases, {} requests held or remembered", bounds.leases, bounds.remembered);
+        println!("  at most {} leases, {} requests held or remembered", bounds.leases, bounds.retained);
     }
     Ok(())
 }
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -5,10 +5,11 @@
 use crate::persistence::PersistentState;
 use admin::console;
 use balancer::api::{Micros, Settings, SettingsError};
-use external_processor::bridge::{self, Bridge};
+use external_processor::bridge::{self, Bridge, EngineContext};
 use external_processor::decision_request::RequestCatalog;
+use external_processor::decision_service::DecisionLimits;
 use external_processor::server::{self, RunningServer, ServerContext};
-use external_processor::{decision_service, settings as extproc};
+use external_processor::settings as extproc;
 use http_proxy::backend_list::BackendList;
 use http_proxy::backend_pool::BackendPool;
 use http_proxy::clients::{ClientConnections, Completed, Phase};
@@ -135,23 +136,26 @@
         claims: idempotency::SharedRegistry,
         handle: &Handle,
     ) -> Result<Self, server::ServerError> {
-        let (safe_memory, unsafe_memory) = settings.memories();
-        let bounds =
-            decision_service::Bounds { per_caller: settings.bounds.per_caller, safe_memory, unsafe_memory };
+        let limits = DecisionLimits {
+            per_caller: settings.bounds.per_caller,
+            idempotent_retention: settings.retention.idempotent(),
+            non_idempotent_retention: settings.retention.non_idempotent(),
+        };
         let carrier = handle.transport();
         let backend_pool = Rc::clone(&carrier.backend_pool);
         let endpoints = Box::new(move |backend| backend_pool.address(backend));
-        let inbox = Rc::clone(&carrier.outside);
-        let bridge = Bridge::new(decisions, bounds, claims, handle.clone(), inbox, endpoints);
-        let (way, ends) = bridge::way(settings.bounds.queue);
-        let subject = ServerContext {
-            catalogue: RequestCatalog::new(decisions, &names.classes, &names.tenants),
+        let lease_events = Rc::clone(&carrier.outside);
+        let engine = EngineContext { handle: handle.clone(), lease_events, endpoints };
+        let bridge = Bridge::new(decisions, limits, claims, engine);
+        let (sender, receivers) = bridge::channels(settings.bounds.queue);
+        let context = ServerContext {
+            catalog: RequestCatalog::new(decisions, &names.classes, &names.tenants),
             load_fields: names.report.clone(),
             clock: handle.clock(),
-            way,
+            decisions: sender,
         };
-        let services = server::start(settings.clone(), subject)?;
-        tokio::task::spawn_local(bridge.clone().run(ends));
+        let services = server::start(settings.clone(), context)?;
+        tokio::task::spawn_local(bridge.clone().run(receivers));
         Ok(Self { bridge, services })
     }
 
@@ -160,11 +164,11 @@
         self.bridge.drain();
         self.services.drain();
         let end = Instant::now() + longest + DRAIN_SLACK;
-        while self.bridge.held() > 0 && Instant::now() < end {
+        while self.bridge.open_requests() > 0 && Instant::now() < end {
             sleep(DRAIN_STEP).await;
         }
         let counts = self.bridge.counts();
-        log(format_args!("external processor: {} held at the end, {counts:?}", self.bridge.held()));
+        log(format_args!("external processor: {} held at the end, {counts:?}", self.bridge.open_requests()));
     }
 }
 
@@ -220,7 +224,7 @@
         ProxyTransport { backend_pool: Rc::clone(&backend_pool), subscribe, report_by_probe, outside };
     let handle = Handle::new(engine, clock, carrier);
     // Clients' requests are held beside those of callers, so that both fronts share the table.
-    let claims = extproc.as_ref().map(|e| shared_claims(e.bounds.remembered));
+    let claims = extproc.as_ref().map(|e| shared_claims(e.bounds.retained));
     let extproc = match (&extproc, &claims) {
         (Some(own), Some(claims)) => {
             Some(ExternalProcessor::start(own, &settings, &config.names, Rc::clone(claims), &handle)?)
@@ -328,7 +332,7 @@
         }
     };
     if let Some(extproc) = extproc {
-        extproc.services.end();
+        extproc.services.stop();
     }
     served
 }
