--- a/crates/external-processor/src/decision_request.rs
+++ b/crates/external-processor/src/decision_request.rs
@@ -122,7 +122,7 @@
         if fields.id.is_empty() {
             return Err(missing(&names.id));
         }
-        // Without its key a retry would run again; in another class a key promises a deduplication that does not happen.
+        // A keyed class needs the key to deduplicate retries; in any other class a key would have no effect.
         match (class.is_keyed, fields.idempotency_key.is_empty()) {
             (true, true) => return Err(missing(&names.idempotency_key)),
             (false, false) => return Err(invalid_value(&names.idempotency_key, "the class has no keys")),
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -11,7 +11,7 @@
     AttemptEnd, Command, Counts, Engine, FinalOutcome, IncomingRequest, LeaseGrant, MessageTypes, Overload,
     Schedule,
 };
-use crate::lease::{LeaseCounts, LeaseError, LeaseId};
+use crate::lease::{LeaseError, LeaseId};
 use balancer::api::{BackendId, LearnedState, MembershipUpdate, Micros, RequestId, Settings, SettingsError};
 use cancellation::CancellationSignal;
 use clock::Clock;
@@ -238,11 +238,10 @@
         self.0.clock
     }
 
-    /// Totals over all requests and over all leases since the start.
+    /// Totals over all requests since the start.
     #[must_use]
-    pub fn counts(&self) -> (Counts, LeaseCounts) {
-        let engine = self.0.engine.borrow();
-        (engine.counts(), engine.lease_counts())
+    pub fn counts(&self) -> Counts {
+        self.0.engine.borrow().counts()
     }
 
     /// The concurrency limit and the requests in flight of each ready backend.
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -52,7 +52,7 @@
             let handle = handle.clone();
             tokio::task::spawn_local(async move {
                 loop {
-                    let now = (handle.limits(), handle.counts().0);
+                    let now = (handle.limits(), handle.counts());
                     if let Ok(mut seen) = seen.lock() {
                         *seen = now;
                     }
