--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -145,7 +145,7 @@
         let bounds = &settings.bounds;
         println!("{}: good", path.display());
         println!("  answers callers on {}, on {} connections", settings.listen, bounds.connections);
-        println!("  at most {} leases, {} requests held or remembered", bounds.leases, bounds.remembered);
+        println!("  at most {} leases, {} requests held or remembered", bounds.leases, bounds.retained);
     }
     Ok(())
 }
--- a/crates/proxy-server/src/server/grpc_front_end.rs
+++ b/crates/proxy-server/src/server/grpc_front_end.rs
@@ -1,9 +1,9 @@
 //! The external processor: its decision service on this thread, its gRPC services on threads of their own.
 
 use super::drain::{DRAIN_POLL_INTERVAL, DRAIN_SLACK};
-use external_processor::bridge::{self, Bridge};
+use external_processor::bridge::{self, Bridge, EngineContext};
 use external_processor::decision_request::RequestCatalog;
-use external_processor::decision_service;
+use external_processor::decision_service::DecisionLimits;
 use external_processor::server::{self, RunningServer, ServerContext, ServerError};
 use external_processor::settings::Settings as ExternalProcessorSettings;
 use http_proxy::config::Config;
@@ -32,20 +32,25 @@
         registry: SharedRegistry,
         handle: &Handle,
     ) -> Result<Self, ServerError> {
-        let (safe_memory, unsafe_memory) = settings.memories();
-        let bounds =
-            decision_service::Bounds { per_caller: settings.bounds.per_caller, safe_memory, unsafe_memory };
+        let limits = DecisionLimits {
+            per_caller: settings.bounds.per_caller,
+            idempotent_retention: settings.retention.idempotent(),
+            non_idempotent_retention: settings.retention.non_idempotent(),
+        };
         let transport = handle.transport();
         let backend_pool = Rc::clone(&transport.backend_pool);
-        let endpoints = Box::new(move |backend| backend_pool.address(backend));
-        let lease_events = Rc::clone(&transport.outside);
-        let bridge = Bridge::new(&config.settings, bounds, registry, handle.clone(), lease_events, endpoints);
-        let (way, receivers) = bridge::way(settings.bounds.queue);
+        let engine = EngineContext {
+            handle: handle.clone(),
+            lease_events: Rc::clone(&transport.outside),
+            endpoints: Box::new(move |backend| backend_pool.address(backend)),
+        };
+        let bridge = Bridge::new(&config.settings, limits, registry, engine);
+        let (decisions, receivers) = bridge::channels(settings.bounds.queue);
         let context = ServerContext {
-            catalogue: RequestCatalog::new(&config.settings, &config.names.classes, &config.names.tenants),
+            catalog: RequestCatalog::new(&config.settings, &config.names.classes, &config.names.tenants),
             load_fields: config.names.report.clone(),
             clock: handle.clock(),
-            way,
+            decisions,
         };
         let services = server::start(settings.clone(), context)?;
         tokio::task::spawn_local(bridge.clone().run(receivers));
@@ -61,16 +66,16 @@
         self.bridge.drain();
         self.services.drain();
         let end = Instant::now() + longest_deadline + DRAIN_SLACK;
-        while self.bridge.held() > 0 && Instant::now() < end {
+        while self.bridge.open_requests() > 0 && Instant::now() < end {
             sleep(DRAIN_POLL_INTERVAL).await;
         }
-        let in_flight = self.bridge.held();
+        let in_flight = self.bridge.open_requests();
         let counts = self.bridge.counts();
         log(format_args!("external processor: {in_flight} requests in flight after draining, {counts:?}"));
     }
 
     /// Ends the gRPC services.
     pub(super) fn end(self) {
-        self.services.end();
+        self.services.stop();
     }
 }
