--- a/crates/http-proxy/src/clients.rs
+++ b/crates/http-proxy/src/clients.rs
@@ -101,42 +101,52 @@
     claims: Option<idempotency::SharedRegistry>,
 }
 
+/// What [`ClientConnections`] needs at its start.
+pub struct ClientConnectionsOptions<'a> {
+    /// The engine that requests are handed to.
+    pub handle: Handle,
+    /// The engine's clock.
+    pub clock: Clock,
+    /// The request classes that clients may name.
+    pub classes: Classes,
+    /// The tenants that clients may name.
+    pub names: &'a NameIndex,
+    /// Whether a backend list is available, so that the proxy reports itself as up.
+    pub has_backend_list: Rc<Cell<bool>>,
+    /// How far the shutdown has come.
+    pub phase: watch::Receiver<Phase>,
+    /// How many client connections may be open at a time.
+    pub max_connections: usize,
+    /// The bytes that buffered bodies of requests over [`BODY_CAP`](crate::bounds::BODY_CAP) may take in total.
+    pub large_body_bytes: usize,
+    /// The idempotency registry that the gRPC front end shares; `None` where there is no such front end.
+    pub idempotency_registry: Option<idempotency::SharedRegistry>,
+    /// Bounds how long ago bytes that are read now may have arrived.
+    pub stall_detector: Rc<StallDetector>,
+}
+
 impl ClientConnections {
-    /// No connections yet. `held` tells whether a list of backends is held, `most` how many connections may be
-    /// open at a time, `large_bodies` how many bytes of large bodies may be kept; `claims` are those that callers outside
-    /// share.
+    /// A front end without connections.
     #[must_use]
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        handle: Handle,
-        clock: Clock,
-        classes: Classes,
-        names: &NameIndex,
-        held: Rc<Cell<bool>>,
-        phase: watch::Receiver<Phase>,
-        most: usize,
-        large_bodies: usize,
-        claims: Option<idempotency::SharedRegistry>,
-        monitor: Rc<StallDetector>,
-    ) -> Rc<Self> {
+    pub fn new(options: ClientConnectionsOptions<'_>) -> Rc<Self> {
         Rc::new(Self {
-            handle,
-            clock,
-            classes: RefCell::new(classes),
-            tenants: names.tenants.iter().cloned().zip(0..=u16::MAX).collect(),
-            held,
-            phase,
-            most: Cell::new(most),
+            handle: options.handle,
+            clock: options.clock,
+            classes: RefCell::new(options.classes),
+            tenants: options.names.tenants.iter().cloned().zip(0..=u16::MAX).collect(),
+            held: options.has_backend_list,
+            phase: options.phase,
+            most: Cell::new(options.max_connections),
             open: Cell::new(0),
             freed: Notify::new(),
             connections: RefCell::default(),
-            large: Large::new(large_bodies),
-            large_most: large_bodies / OF_LARGE,
+            large: Large::new(options.large_body_bytes),
+            large_most: options.large_body_bytes / OF_LARGE,
             accepted_at: Cell::new(Instant::now()),
-            monitor,
+            monitor: options.stall_detector,
             accept_failures: FailureLog::of("accept"),
             ids: RefCell::default(),
-            claims,
+            claims: options.idempotency_registry,
         })
     }
 
--- a/crates/http-proxy/src/discovery.rs
+++ b/crates/http-proxy/src/discovery.rs
@@ -158,26 +158,43 @@
     heard: Rc<Notify>,
 }
 
+/// How a discovery service that the whole fleet shares is called.
+pub struct OnRequestDiscovery {
+    /// The balancer's requests to subscribe to changes.
+    pub subscribe_requests: mpsc::UnboundedReceiver<()>,
+    /// When this proxy may call the service.
+    pub schedule: PollSchedule,
+}
+
+/// What [`DiscoveryWatcher`] needs at its start.
+pub struct DiscoveryWatcherOptions {
+    /// The address of discovery; a reloaded configuration may change it.
+    pub addresses: watch::Receiver<SocketAddr>,
+    /// Reads discovery's lists.
+    pub translator: ListTranslator,
+    /// The listed backends and the exclusions.
+    pub backend_list: Rc<RefCell<BackendList>>,
+    /// The engine that membership updates are handed to.
+    pub handle: Handle,
+    /// Set once a backend list is available.
+    pub has_backend_list: Rc<Cell<bool>>,
+    /// How a shared service is called; `None` for an agent on this machine, which is watched all the time.
+    pub on_request: Option<OnRequestDiscovery>,
+}
+
 impl DiscoveryWatcher {
-    /// A watcher that has made no call. With `asked` it begins a watch only when told to and at its turns, otherwise by
-    /// itself.
+    /// A watcher that has made no call.
     #[must_use]
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        addresses: watch::Receiver<SocketAddr>,
-        translator: ListTranslator,
-        backend_list: Rc<RefCell<BackendList>>,
-        handle: Handle,
-        held: Rc<Cell<bool>>,
-        asked: Option<(mpsc::UnboundedReceiver<()>, PollSchedule)>,
-    ) -> Self {
-        let (asked, turns) = asked.unzip();
+    pub fn new(options: DiscoveryWatcherOptions) -> Self {
+        let on_request =
+            options.on_request.map(|on_request| (on_request.subscribe_requests, on_request.schedule));
+        let (asked, turns) = on_request.unzip();
         Self {
-            addresses,
-            translator,
-            backend_list,
-            handle,
-            held,
+            addresses: options.addresses,
+            translator: options.translator,
+            backend_list: options.backend_list,
+            handle: options.handle,
+            held: options.has_backend_list,
             asked,
             conn: None,
             revision: None,
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -11,9 +11,9 @@
 use external_processor::{decision_service, settings as extproc};
 use http_proxy::backend_list::BackendList;
 use http_proxy::backend_pool::BackendPool;
-use http_proxy::clients::{ClientConnections, Completed, Phase};
+use http_proxy::clients::{ClientConnections, ClientConnectionsOptions, Completed, Phase};
 use http_proxy::config::Config;
-use http_proxy::discovery::{DiscoveryWatcher, ListTranslator};
+use http_proxy::discovery::{DiscoveryWatcher, DiscoveryWatcherOptions, ListTranslator, OnRequestDiscovery};
 use http_proxy::log::log;
 use http_proxy::name_index::NameIndex;
 use http_proxy::poll_schedule::PollSchedule;
@@ -230,43 +230,41 @@
     let held = Rc::new(Cell::new(false));
     let translator = ListTranslator::new(clock, &config.names, &settings.safety);
     let (discovery, addresses) = watch::channel(config.discovery);
-    let asks = asked.then(|| {
-        (
-            subscriptions,
-            PollSchedule::of(
-                settings.instance_index,
-                settings.instance_count,
-                settings.safety.max_poll_interval,
-            ),
-        )
+    let on_request = asked.then(|| OnRequestDiscovery {
+        subscribe_requests: subscriptions,
+        schedule: PollSchedule::of(
+            settings.instance_index,
+            settings.instance_count,
+            settings.safety.max_poll_interval,
+        ),
     });
     let backend_list = Rc::new(RefCell::new(BackendList::new(bans)));
-    let mut watcher = DiscoveryWatcher::new(
+    let mut watcher = DiscoveryWatcher::new(DiscoveryWatcherOptions {
         addresses,
         translator,
-        Rc::clone(&backend_list),
-        handle.clone(),
-        Rc::clone(&held),
-        asks,
-    );
+        backend_list: Rc::clone(&backend_list),
+        handle: handle.clone(),
+        has_backend_list: Rc::clone(&held),
+        on_request,
+    });
     watcher.start_from(config.known);
     let heard = watcher.heard();
     let config_reload =
         ConfigReload::new(config.shape, settings.clone(), config.names.clone(), handle.clone(), learns)?;
     let (phase, phases) = watch::channel(Phase::Running);
     let most = config.client_sockets;
-    let clients = ClientConnections::new(
-        handle.clone(),
+    let clients = ClientConnections::new(ClientConnectionsOptions {
+        handle: handle.clone(),
         clock,
-        config_reload.client_classes(clock.now()),
-        &config.names,
-        Rc::clone(&held),
-        phases,
-        most,
-        config.large_bodies,
-        claims,
-        Rc::clone(&monitor),
-    );
+        classes: config_reload.client_classes(clock.now()),
+        names: &config.names,
+        has_backend_list: Rc::clone(&held),
+        phase: phases,
+        max_connections: most,
+        large_body_bytes: config.large_bodies,
+        idempotency_registry: claims,
+        stall_detector: Rc::clone(&monitor),
+    });
     let sockets = Sockets { clients: most, backends: config.backend_sockets };
     let admin_handler = files.map(|files| {
         let (listener, clients) = (Rc::clone(&listener), Rc::clone(&clients));
