--- a/crates/http-proxy/src/backend_pool.rs
+++ b/crates/http-proxy/src/backend_pool.rs
@@ -4,10 +4,10 @@
 //! module's to say, and it can only say so if it knows whether the last byte went out (`Wire` counts).
 
 use crate::body::{AtEnd, Content, Outgoing, Passing};
-use crate::bounds::ANSWER_HEAD_CAP;
+use crate::counting_socket::{Wire, WireIo};
 use crate::exchange::{Answered, Broken, Call, Payload, Reply, Served, exchange, least_size, request};
 use crate::min_transfer_rate;
-use crate::wire::{Wire, WireIo};
+use crate::size_limits::ANSWER_HEAD_CAP;
 use balancer::api::{Backend, BackendId, Micros, Outcome, Readiness};
 use bytes::Bytes;
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/http-proxy/src/body.rs
+++ b/crates/http-proxy/src/body.rs
@@ -1,7 +1,7 @@
 //! Bodies on their way through: kept whole where they are small, passed on as they come where they are not.
 
-use crate::bounds::BODY_MOST;
-use crate::connection::ClientConnection;
+use crate::client_connection::ClientConnection;
+use crate::size_limits::BODY_MOST;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
--- a/crates/http-proxy/src/connection.rs
+++ b/crates/http-proxy/src/client_connection.rs
@@ -2,11 +2,11 @@
 //! when. What it may still take, and whether it may be closed, is decided here by times that are given in; the socket is
 //! only passed through.
 
-mod ahead;
 mod framing;
+mod read_ahead_buffer;
 
-use self::ahead::Ahead;
 use self::framing::Framing;
+use self::read_ahead_buffer::Ahead;
 use crate::stall_detector::StallDetector;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -35,7 +35,7 @@
 /// that closes with no answer was not taken for nothing. Within what an ending process has at the least.
 const FIRST_WORD: Duration = Duration::from_millis(700);
 /// The bytes that are read ahead while a request is open, so that its client's leaving is seen behind them.
-const AHEAD: usize = crate::bounds::REQUEST_HEAD_CAP;
+const AHEAD: usize = crate::size_limits::REQUEST_HEAD_CAP;
 /// For how long a look that found the client there is good enough for an attempt to begin: the first one begins in the turn
 /// in which its request was looked at, and one more system call for each request would be for nothing. A twentieth of the
 /// time after which an attempt may not begin any more.
--- a/crates/http-proxy/src/connection/framing.rs
+++ b/crates/http-proxy/src/client_connection/framing.rs
@@ -2,7 +2,7 @@
 //! being answered, and whether more than the open request has come. Pure: no I/O, no clock.
 
 /// The bytes that are kept of what no request that was read yet belongs to.
-const KEPT: usize = crate::bounds::REQUEST_HEAD_CAP;
+const KEPT: usize = crate::size_limits::REQUEST_HEAD_CAP;
 
 /// What is still to come of the open request's body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/http-proxy/src/clients.rs
+++ b/crates/http-proxy/src/clients.rs
@@ -1,20 +1,20 @@
 //! The clients' side: the listener, requests in, answers out.
 
 mod closing;
-mod inbound;
-mod replies;
+mod local_responses;
+mod read_request;
 
 use self::closing::{End, linger, part};
-use self::inbound::IDEMPOTENCY_KEY;
-use self::replies::{Rejected, close, failure, plain, refusal};
+use self::local_responses::{Rejected, close, failure, plain, refusal};
+use self::read_request::IDEMPOTENCY_KEY;
 use crate::body::{Content, Large, Tracked};
-use crate::bounds::REQUEST_HEAD_CAP;
-use crate::claim::{Claim, Taken};
-use crate::classes::Classes;
-use crate::connection::{ClientConnection, ClientStream, Doing, Requester, Spared, is_quiet};
+use crate::class_registry::Classes;
+use crate::client_connection::{ClientConnection, ClientStream, Doing, Requester, Spared, is_quiet};
 use crate::exchange::{Call, Payload};
+use crate::idempotency_claim::{Claim, Taken};
 use crate::log::FailureLog;
 use crate::name_index::NameIndex;
+use crate::size_limits::REQUEST_HEAD_CAP;
 use crate::stall_detector::StallDetector;
 use crate::transport::{Handle, Reply};
 use balancer::api::{Micros, RequestId};
@@ -117,7 +117,7 @@
     pub phase: watch::Receiver<Phase>,
     /// How many client connections may be open at a time.
     pub max_connections: usize,
-    /// The bytes that buffered bodies of requests over [`BODY_CAP`](crate::bounds::BODY_CAP) may take in total.
+    /// The bytes that buffered bodies of requests over [`BODY_CAP`](crate::size_limits::BODY_CAP) may take in total.
     pub large_body_bytes: usize,
     /// The idempotency registry that the gRPC front end shares; `None` where there is no such front end.
     pub idempotency_registry: Option<idempotency::SharedRegistry>,
--- a/crates/http-proxy/src/clients/closing.rs
+++ b/crates/http-proxy/src/clients/closing.rs
@@ -1,6 +1,6 @@
 //! How a client's connection ends.
 
-use crate::bounds::BODY_CAP;
+use crate::size_limits::BODY_CAP;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/crates/http-proxy/src/clients/inbound.rs
+++ b/crates/http-proxy/src/clients/read_request.rs
@@ -1,13 +1,13 @@
 //! A request as it came from its client, checked and put into the engine's terms.
 
 use super::ClientConnections;
-use super::replies::{Rejected, TOO_LARGE};
+use super::local_responses::{Rejected, TOO_LARGE};
 use crate::body::{Reserved, Upload, exact_size, next_piece};
-use crate::bounds::{BODY_CAP, BODY_MOST};
-use crate::classes::Misfit;
-use crate::connection::{ClientConnection, Requester};
+use crate::class_registry::Misfit;
+use crate::client_connection::{ClientConnection, Requester};
 use crate::exchange::{Call, Payload, join};
 use crate::min_transfer_rate;
+use crate::size_limits::{BODY_CAP, BODY_MOST};
 use balancer::api::Micros;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
--- a/crates/http-proxy/src/config.rs
+++ b/crates/http-proxy/src/config.rs
@@ -1,7 +1,7 @@
 //! What the proxy is told at its start: the file that `EDGE_CONFIG` names, and the environment.
 
-use crate::bounds::{ANSWER_HEAD_CAP, BODY_CAP, REQUEST_HEAD_CAP};
 use crate::name_index::NameIndex;
+use crate::size_limits::{ANSWER_HEAD_CAP, BODY_CAP, REQUEST_HEAD_CAP};
 use admin::console::MAX_CONNECTIONS;
 use balancer::api::{Micros, Settings, SettingsError};
 use serde::Deserialize;
@@ -240,18 +240,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_all_connections_may_hold_fits_into_the_memory() {
-        for (sockets, memory_mb) in [(256, 32), (1_024, 32), (1_024, 192), (65_536, 64)] {
-            let limits = RawLimits { sockets: Some(sockets), memory_mb: Some(memory_mb) };
-            let (clients, backends, large) = shares(&limits, false);
-            let held =
-                clients * (REQUEST_HEAD_CAP + BODY_CAP) + backends * (ANSWER_HEAD_CAP + BODY_CAP) + large;
-            assert!(held <= (memory_mb << 20) / 5 * 4, "{held} bytes with {sockets} and {memory_mb}");
-            assert!(clients + backends < sockets);
-        }
-    }
-}
+mod tests;
--- a/crates/http-proxy/src/wire.rs
+++ b/crates/http-proxy/src/counting_socket.rs
@@ -1,6 +1,6 @@
 //! A socket to a backend that counts what it took.
 
-use crate::connection::is_quiet;
+use crate::client_connection::is_quiet;
 use socket2::SockRef;
 use std::cell::Cell;
 use std::io;
--- a/crates/http-proxy/src/exchange.rs
+++ b/crates/http-proxy/src/exchange.rs
@@ -1,8 +1,8 @@
 //! One request and its answer on a connection to a backend.
 
 use crate::body::{Outgoing, Upload, exact_size, next_piece};
-use crate::bounds::{BODY_CAP, BODY_MOST};
-use crate::connection::Requester;
+use crate::client_connection::Requester;
+use crate::size_limits::{BODY_CAP, BODY_MOST};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::SendRequest;
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -2,7 +2,7 @@
 
 use admin::exclusion_store::fingerprint;
 use balancer::api::{Micros, Settings};
-use http_proxy::classes::Classes as ClientClasses;
+use http_proxy::class_registry::Classes as ClientClasses;
 use http_proxy::clients::ClientConnections;
 use http_proxy::config::{Config, ConfigError};
 use http_proxy::log::log;
