--- a/crates/http-proxy/src/backend_list.rs
+++ b/crates/http-proxy/src/backend_list.rs
@@ -1,100 +1,103 @@
-//! The backends as discovery tells them, under the bans of the operators. Pure: no I/O, no clock.
+//! The backends that discovery lists, with the operators' exclusions applied. Pure: no I/O, no clock.
 //!
-//! A ban is laid over the list before the decisions see it: a backend that is out is listed as draining, and one that was
-//! called back as started at that moment, since operators restarts backends while they are out. So everything that holds for
-//! draining and for cold backends holds here, and the decisions know nothing of bans.
+//! Exclusions are applied before the balancer sees the list: an excluded backend is listed as draining, and a re-included one
+//! as started at that moment, since operators restart backends while they are excluded. The rules for draining and warming
+//! backends then apply, and the balancer needs no notion of exclusions.
 
 use crate::backend_pool::ListedBackend;
 use admin::exclusions::Exclusions;
 use balancer::api::{Micros, Readiness};
 use rustc_hash::FxHashMap;
 
-/// An entry of a list under its own name.
+/// A listed backend and its name.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct NamedBackend {
     /// Its name, the same at every proxy.
     pub name: String,
-    /// What is told of it.
+    /// Its entry in the list.
     pub listed: ListedBackend,
 }
 
-/// What is listed, and what is banned.
+/// The listed backends and the exclusions.
 #[derive(Debug, Default)]
 pub struct BackendList {
     listed: FxHashMap<String, ListedBackend>,
-    bans: Exclusions,
+    exclusions: Exclusions,
 }
 
 impl BackendList {
-    /// Nothing is listed yet, and these bans hold.
+    /// An empty list under these exclusions.
     #[must_use]
-    pub fn new(bans: Exclusions) -> Self {
-        Self { listed: FxHashMap::default(), bans }
+    pub fn new(exclusions: Exclusions) -> Self {
+        Self { listed: FxHashMap::default(), exclusions }
     }
 
-    /// The bans that hold.
+    /// The exclusions in force.
     #[must_use]
-    pub fn bans(&self) -> &Exclusions {
-        &self.bans
+    pub fn exclusions(&self) -> &Exclusions {
+        &self.exclusions
     }
 
-    /// Whether anybody has this name: a backend that is listed, or one that is out and will be remembered.
+    /// Whether a backend of this name is listed or excluded.
     #[must_use]
-    pub fn knows(&self, name: &str) -> bool {
-        self.listed.contains_key(name) || self.bans.is_out(name)
+    pub fn is_known(&self, name: &str) -> bool {
+        self.listed.contains_key(name) || self.exclusions.is_out(name)
     }
 
-    /// Backends that are listed as ready and are not out.
+    /// The number of backends that are listed as ready and not excluded.
     #[must_use]
-    pub fn serving(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         let ready = self.listed.iter().filter(|(_, l)| l.backend.readiness == Readiness::Ready);
-        ready.filter(|(name, _)| !self.bans.is_out(name)).count()
+        ready.filter(|(name, _)| !self.exclusions.is_out(name)).count()
     }
 
-    /// Takes a list, and gives it as the decisions are to see it.
-    pub fn take(&mut self, complete: bool, entries: Vec<Entry>) -> Vec<ListedBackend> {
-        if complete {
+    /// Applies a snapshot or a delta and returns its entries under the exclusions.
+    pub fn apply(&mut self, is_snapshot: bool, backends: Vec<NamedBackend>) -> Vec<ListedBackend> {
+        if is_snapshot {
             self.listed.clear();
         }
-        let mut told = Vec::with_capacity(entries.len());
-        for Entry { name, listed } in entries {
-            told.push(self.governed(&name, listed));
+        let mut updates = Vec::with_capacity(backends.len());
+        for NamedBackend { name, listed } in backends {
+            updates.push(self.with_exclusion(&name, listed));
             if listed.backend.readiness == Readiness::Removed {
                 self.listed.remove(&name);
             } else {
                 self.listed.insert(name, listed);
             }
         }
-        told
+        updates
     }
 
-    /// Something was told of these that can't be read: nothing new goes to those that are listed until they are told again.
-    pub fn drain(&mut self, names: &[String]) -> Vec<ListedBackend> {
-        let mut told = Vec::new();
+    /// Marks the listed ones of these backends as draining until they are listed anew, and returns their entries. For entries
+    /// that could not be parsed: what has changed is unknown, so nothing new is sent there.
+    pub fn mark_draining(&mut self, names: &[String]) -> Vec<ListedBackend> {
+        let mut updates = Vec::new();
         for name in names {
             if let Some(listed) = self.listed.get_mut(name) {
                 listed.backend.readiness = Readiness::Draining;
-                told.push(*listed);
+                updates.push(*listed);
             }
         }
-        told
+        updates
     }
 
-    /// Other bans hold from now on. Gives the entries that look otherwise for that.
-    pub fn govern(&mut self, bans: Exclusions) -> Vec<ListedBackend> {
-        let changed = self.bans.changed(&bans);
-        self.bans = bans;
-        changed.iter().filter_map(|name| Some(self.governed(name, *self.listed.get(name)?))).collect()
+    /// Replaces the exclusions and returns the entries that change by it.
+    pub fn set_exclusions(&mut self, exclusions: Exclusions) -> Vec<ListedBackend> {
+        let changed = self.exclusions.changed(&exclusions);
+        self.exclusions = exclusions;
+        changed.iter().filter_map(|name| Some(self.with_exclusion(name, *self.listed.get(name)?))).collect()
     }
 
-    fn governed(&self, name: &str, mut listed: ListedBackend) -> ListedBackend {
+    fn with_exclusion(&self, name: &str, mut listed: ListedBackend) -> ListedBackend {
         let backend = &mut listed.backend;
-        if self.bans.is_out(name) && backend.readiness == Readiness::Ready {
+        if self.exclusions.is_out(name) && backend.readiness == Readiness::Ready {
             backend.readiness = Readiness::Draining;
         }
-        // A start that the list tells later still counts: it is a further one.
-        if let Some(back) = self.bans.called_back(name) {
-            backend.started_at = Some(backend.started_at.map_or(back, |started: Micros| started.max(back)));
+        // A later start in the list is another restart and counts.
+        if let Some(included_at) = self.exclusions.called_back(name) {
+            let started_at =
+                backend.started_at.map_or(included_at, |started: Micros| started.max(included_at));
+            backend.started_at = Some(started_at);
         }
         listed
     }
--- a/crates/http-proxy/src/backend_list/tests.rs
+++ b/crates/http-proxy/src/backend_list/tests.rs
@@ -3,85 +3,90 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-fn entry(name: &str, readiness: Readiness, started: Option<Micros>) -> Entry {
+fn entry(name: &str, readiness: Readiness, started_at: Option<Micros>) -> NamedBackend {
     let id = name.bytes().map(u32::from).sum();
-    let backend = Backend { id, zone: 0, machine_kind: 0, cell: 0, readiness, started_at: started };
-    Entry {
+    let backend = Backend { id, zone: 0, machine_kind: 0, cell: 0, readiness, started_at };
+    NamedBackend {
         name: name.into(),
         listed: ListedBackend { backend, address: SocketAddr::from(([127, 0, 0, 1], 9)) },
     }
 }
 
 fn change(backend_list: &mut BackendList, change: impl FnOnce(&mut Exclusions)) -> Vec<ListedBackend> {
-    let mut bans = backend_list.bans().clone();
-    change(&mut bans);
-    backend_list.govern(bans)
+    let mut exclusions = backend_list.exclusions().clone();
+    change(&mut exclusions);
+    backend_list.set_exclusions(exclusions)
 }
 
 fn exclude(backend_list: &mut BackendList, name: &str) -> Vec<ListedBackend> {
-    change(backend_list, |bans| assert!(bans.exclude(name, 5).is_ok()))
+    change(backend_list, |exclusions| assert!(exclusions.exclude(name, 5).is_ok()))
 }
 
 #[test]
-fn a_ban_holds_whatever_the_list_says() {
+fn an_exclusion_overrides_every_list() {
     let mut backend_list = BackendList::default();
     let ready = |name| entry(name, Readiness::Ready, None);
-    backend_list.take(true, vec![ready("a"), ready("b")]);
-    let told = exclude(&mut backend_list, "a");
-    assert_eq!(told.iter().map(|l| l.backend.readiness).collect::<Vec<_>>(), [Readiness::Draining]);
-    assert!(exclude(&mut backend_list, "a").is_empty(), "nothing new");
-    assert_eq!(backend_list.serving(), 1);
-    // Told as changed, in a whole list, and after it was gone.
-    assert_eq!(backend_list.take(false, vec![ready("a")])[0].backend.readiness, Readiness::Draining);
+    backend_list.apply(true, vec![ready("a"), ready("b")]);
+    let updates = exclude(&mut backend_list, "a");
+    assert_eq!(updates.iter().map(|l| l.backend.readiness).collect::<Vec<_>>(), [Readiness::Draining]);
+    assert!(exclude(&mut backend_list, "a").is_empty(), "no change");
+    assert_eq!(backend_list.ready_count(), 1);
+    // Listed in a delta, in a snapshot, and after its removal.
+    assert_eq!(backend_list.apply(false, vec![ready("a")])[0].backend.readiness, Readiness::Draining);
     assert_eq!(
-        backend_list.take(true, vec![ready("a"), ready("b")])[0].backend.readiness,
+        backend_list.apply(true, vec![ready("a"), ready("b")])[0].backend.readiness,
         Readiness::Draining
     );
-    let gone = backend_list.take(false, vec![entry("a", Readiness::Removed, None)]);
-    assert_eq!(gone[0].backend.readiness, Readiness::Removed);
-    assert!(backend_list.knows("a"), "it is out and can be called back");
-    assert_eq!(backend_list.take(false, vec![ready("a")])[0].backend.readiness, Readiness::Draining);
-    assert!(!backend_list.knows("c"));
+    let removed = backend_list.apply(false, vec![entry("a", Readiness::Removed, None)]);
+    assert_eq!(removed[0].backend.readiness, Readiness::Removed);
+    assert!(backend_list.is_known("a"), "it is excluded and can be re-included");
+    assert_eq!(backend_list.apply(false, vec![ready("a")])[0].backend.readiness, Readiness::Draining);
+    assert!(!backend_list.is_known("c"));
 }
 
 #[test]
-fn a_backend_that_is_called_back_is_cold() {
+fn a_re_included_backend_is_warming_up() {
     let mut backend_list = BackendList::default();
-    backend_list.take(true, vec![entry("a", Readiness::Ready, Some(1_000))]);
+    backend_list.apply(true, vec![entry("a", Readiness::Ready, Some(1_000))]);
     exclude(&mut backend_list, "a");
-    let told = change(&mut backend_list, |bans| assert!(bans.include("a", 9_000)));
-    assert_eq!((told[0].backend.readiness, told[0].backend.started_at), (Readiness::Ready, Some(9_000)));
-    // The list tells the restart within the ban late: that is not a further one.
-    let late = backend_list.take(false, vec![entry("a", Readiness::Ready, Some(7_000))]);
+    let updates = change(&mut backend_list, |exclusions| assert!(exclusions.include("a", 9_000)));
+    assert_eq!(
+        (updates[0].backend.readiness, updates[0].backend.started_at),
+        (Readiness::Ready, Some(9_000))
+    );
+    // The list reports the restart during the exclusion late: that is not another restart.
+    let late = backend_list.apply(false, vec![entry("a", Readiness::Ready, Some(7_000))]);
     assert_eq!(late[0].backend.started_at, Some(9_000));
-    let again = backend_list.take(false, vec![entry("a", Readiness::Ready, Some(12_000))]);
-    assert_eq!(again[0].backend.started_at, Some(12_000));
-    let leaves = backend_list.take(false, vec![entry("a", Readiness::Draining, Some(12_000))]);
-    assert_eq!(leaves[0].backend.readiness, Readiness::Draining, "a call back does not undo the list");
+    let restarted = backend_list.apply(false, vec![entry("a", Readiness::Ready, Some(12_000))]);
+    assert_eq!(restarted[0].backend.started_at, Some(12_000));
+    let draining = backend_list.apply(false, vec![entry("a", Readiness::Draining, Some(12_000))]);
+    assert_eq!(draining[0].backend.readiness, Readiness::Draining, "re-inclusion does not override the list");
 }
 
 proptest! {
-    /// In whatever order lists and calls come, nothing that is out is ever told as ready.
+    /// Whatever the order of lists and operators' commands.
     #[test]
-    fn nothing_that_is_out_is_told_as_ready(steps in proptest::collection::vec((0_u8..4, 0_u8..4, 0_u8..3), 0..60)) {
+    fn an_excluded_backend_is_never_reported_as_ready(
+        steps in proptest::collection::vec((0_u8..4, 0_u8..4, 0_u8..3), 0..60),
+    ) {
         let mut backend_list = BackendList::default();
-        let mut told = FxHashMap::default();
+        let mut reported = FxHashMap::default();
         for (step, name, phase) in steps {
             let name = ["a", "b", "c", "d"][usize::from(name)];
             let phase = [Readiness::Ready, Readiness::Draining, Readiness::Removed][usize::from(phase)];
-            let news = match step {
+            let updates = match step {
                 0 => exclude(&mut backend_list, name),
-                1 => change(&mut backend_list, |bans| _ = bans.include(name, 6)),
-                2 => backend_list.take(false, vec![entry(name, phase, None)]),
+                1 => change(&mut backend_list, |exclusions| _ = exclusions.include(name, 6)),
+                2 => backend_list.apply(false, vec![entry(name, phase, None)]),
                 _ => {
-                    told.clear();
-                    backend_list.take(true, vec![entry(name, phase, None)])
+                    reported.clear();
+                    backend_list.apply(true, vec![entry(name, phase, None)])
                 }
             };
-            told.extend(news.iter().map(|l| (l.backend.id, l.backend.readiness)));
+            reported.extend(updates.iter().map(|l| (l.backend.id, l.backend.readiness)));
             for name in ["a", "b", "c", "d"] {
-                let seen = told.get(&entry(name, phase, None).listed.backend.id);
-                if backend_list.bans().is_out(name) {
+                let seen = reported.get(&entry(name, phase, None).listed.backend.id);
+                if backend_list.exclusions().is_out(name) {
                     prop_assert_ne!(seen, Some(&Readiness::Ready));
                 } else if backend_list.listed.get(name).is_some_and(|l| l.backend.readiness == Readiness::Ready) {
                     prop_assert_eq!(seen, Some(&Readiness::Ready));
--- /dev/null
+++ b/crates/http-proxy/src/backend_pool/health_check.rs
@@ -0,0 +1,63 @@
+//! Health checks of backends.
+
+use super::{AttemptEnd, BackendPool, PooledBackend};
+use crate::exchange::{ExchangeError, ForwardedRequest, ReceivedBody, RequestBody, build_request, exchange};
+use balancer::api::Outcome;
+use bytes::Bytes;
+use hyper::header::HeaderMap;
+use hyper::{Method, Uri};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, timeout_at};
+
+/// How long a health check may take once it has a connection.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+
+impl BackendPool {
+    /// Checks a backend's health; `with_load_report` requests its load report as well.
+    pub async fn check_health(
+        self: Rc<Self>,
+        backend: Rc<PooledBackend>,
+        with_load_report: bool,
+    ) -> AttemptEnd {
+        let deadline = Instant::now() + self.connect_timeout.get() + HEALTH_CHECK_TIMEOUT;
+        let mut connection = match self.take_or_connect(&backend, deadline).await {
+            Ok(connection) => connection,
+            Err(error) => return error.outcome().into(),
+        };
+        let request = health_check_request(with_load_report);
+        let outbound = build_request(&request, backend.address.get(), HEALTH_CHECK_TIMEOUT);
+        match timeout_at(deadline, exchange(&mut connection.sender, outbound)).await {
+            Err(_) => Outcome::Timeout.into(),
+            Ok(Err(ExchangeError::Malformed)) => Outcome::Malformed.into(),
+            Ok(Err(_)) => Outcome::Reset.into(),
+            Ok(Ok(response)) => {
+                let body = match &response.body {
+                    ReceivedBody::Complete(bytes) => String::from_utf8_lossy(bytes).into_owned(),
+                    ReceivedBody::Partial(_) => String::new(),
+                };
+                let mut end = self.response_end(response, backend, connection);
+                end.response = None;
+                let has_report_in_body = with_load_report
+                    && end.outcome == Outcome::Ok
+                    && end.load_report.is_empty()
+                    && !body.is_empty();
+                if has_report_in_body {
+                    end.load_report = self.parse_load_report(body.trim());
+                }
+                end
+            }
+        }
+    }
+}
+
+fn health_check_request(with_load_report: bool) -> ForwardedRequest {
+    ForwardedRequest {
+        method: Method::GET,
+        target: Uri::from_static(if with_load_report { "/metrics/load" } else { "/alive" }),
+        headers: HeaderMap::new(),
+        body: RequestBody::Buffered(Bytes::new()),
+        timeout: HEALTH_CHECK_TIMEOUT,
+        client: None,
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/body/streamed_upload.rs
@@ -0,0 +1,122 @@
+//! A request body that is forwarded while it arrives.
+
+use super::{BodyError, FramePoll, MemoryReservation, StreamedBody};
+use crate::size_limits::MAX_BODY_BYTES;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, Incoming};
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use tokio::time::Instant;
+
+/// A request body that is not buffered: it can be sent to one backend only, and only once.
+#[derive(Debug)]
+pub struct StreamedUpload {
+    received: RefCell<VecDeque<Bytes>>,
+    remaining: RefCell<Incoming>,
+    length: Option<u64>,
+    _reservation: Option<MemoryReservation>,
+    forwarded_bytes: Cell<u64>,
+    last_chunk_at: Cell<Instant>,
+    completed_at: Cell<Option<Instant>>,
+    client_failed: Cell<bool>,
+}
+
+impl StreamedUpload {
+    /// A body of which `received` has arrived, under `reservation`, and `remaining` has not. `length` is that of the complete
+    /// body in bytes, where the client gave one.
+    #[must_use]
+    pub fn new(
+        received: VecDeque<Bytes>,
+        reservation: Option<MemoryReservation>,
+        remaining: Incoming,
+        length: Option<u64>,
+    ) -> Rc<Self> {
+        Rc::new(Self {
+            received: RefCell::new(received),
+            remaining: RefCell::new(remaining),
+            length,
+            _reservation: reservation,
+            forwarded_bytes: Cell::new(0),
+            last_chunk_at: Cell::new(Instant::now()),
+            completed_at: Cell::new(None),
+            client_failed: Cell::new(false),
+        })
+    }
+
+    /// When the last byte was forwarded.
+    #[must_use]
+    pub fn completed_at(&self) -> Option<Instant> {
+        self.completed_at.get()
+    }
+
+    /// Whether the body failed on the client's side.
+    #[must_use]
+    pub fn has_client_failed(&self) -> bool {
+        self.client_failed.get()
+    }
+
+    /// When the last chunk arrived.
+    #[must_use]
+    pub fn last_chunk_at(&self) -> Instant {
+        self.last_chunk_at.get()
+    }
+
+    /// The bytes that were forwarded so far.
+    #[must_use]
+    pub fn forwarded_bytes(&self) -> u64 {
+        self.forwarded_bytes.get()
+    }
+
+    /// Whether a part of it was forwarded, so that it can't be sent again.
+    #[must_use]
+    pub fn is_consumed(&self) -> bool {
+        self.forwarded_bytes.get() > 0 || self.completed_at.get().is_some()
+    }
+
+    fn count_forwarded(&self, chunk: &Bytes) {
+        self.forwarded_bytes.set(self.forwarded_bytes.get() + chunk.len() as u64);
+    }
+
+    fn fail(&self, error: BodyError) -> FramePoll {
+        self.client_failed.set(true);
+        Poll::Ready(Some(Err(error)))
+    }
+}
+
+impl StreamedBody for Rc<StreamedUpload> {
+    fn length(&self) -> Option<u64> {
+        self.length
+    }
+
+    fn poll_frame(&mut self, cx: &mut Context<'_>) -> FramePoll {
+        if let Some(chunk) = self.received.borrow_mut().pop_front() {
+            self.count_forwarded(&chunk);
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
+        }
+        let mut remaining = self.remaining.borrow_mut();
+        loop {
+            let frame = match ready!(Pin::new(&mut *remaining).poll_frame(cx)) {
+                None => {
+                    self.completed_at.set(Some(Instant::now()));
+                    return Poll::Ready(None);
+                }
+                Some(Err(error)) => return self.fail(error.into()),
+                Some(Ok(frame)) => frame,
+            };
+            // Trailers belong to the client's framing, which is not forwarded.
+            let Ok(chunk) = frame.into_data() else { continue };
+            self.count_forwarded(&chunk);
+            self.last_chunk_at.set(Instant::now());
+            if self.forwarded_bytes() > MAX_BODY_BYTES {
+                return self.fail(BodyError::TooLarge);
+            }
+            if self.length == Some(self.forwarded_bytes()) {
+                self.completed_at.set(Some(Instant::now()));
+            }
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
+        }
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/body/tracked_response.rs
@@ -0,0 +1,47 @@
+//! A response body that marks its client connection as free when it ends.
+
+use super::{BodyError, FramePoll, ResponseBody};
+use crate::client_connection::ClientConnection;
+use bytes::Bytes;
+use hyper::body::{Body, SizeHint};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::Context;
+use tokio::time::Instant;
+
+/// The response to the open request of a client connection. Dropping it ends that request.
+pub struct TrackedResponse {
+    body: ResponseBody,
+    connection: Rc<ClientConnection>,
+}
+
+impl TrackedResponse {
+    /// The response to the request that is open on this connection.
+    #[must_use]
+    pub fn new(body: ResponseBody, connection: Rc<ClientConnection>) -> Self {
+        Self { body, connection }
+    }
+}
+
+impl Drop for TrackedResponse {
+    fn drop(&mut self) {
+        self.connection.finish_request(Instant::now());
+    }
+}
+
+impl Body for TrackedResponse {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
+        Pin::new(&mut self.body).poll_frame(cx)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
--- a/crates/http-proxy/src/class_registry.rs
+++ b/crates/http-proxy/src/class_registry.rs
@@ -1,65 +1,50 @@
-//! The classes that clients may name, and those that they could name until just now. Pure: no I/O, no clock.
+//! The request classes that clients may name, including those of the previous settings for a grace period. Pure: no I/O, no
+//! clock.
 
-use crate::idempotency_claim::Terms;
-use balancer::api::{Class as Decided, DedupScope, Idempotency, Micros, Settings};
+use crate::idempotency_claim::ClaimTerms;
+use balancer::api::{Class, DedupScope, Idempotency, Micros, Settings};
 use hyper::Method;
 use rustc_hash::FxHashMap;
 
-/// How long a class that was dropped or changed is still served as it was to clients that don't know yet: they take up a
-/// new one 1.2 s after the settings.
-const STILL_SERVED: Micros = 3_000_000;
+/// How long a removed or changed class is still served as it was, in microseconds. Clients apply new settings 1.2 s after
+/// the proxies.
+const PREVIOUS_CLASS_GRACE: Micros = 3_000_000;
 
-/// What requests of a class have to look like, and its place among the classes of the decisions.
+/// What requests of a class have to look like, and its position among the balancer's classes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Class {
-    /// Its place.
-    pub place: u8,
-    /// How long a client waits in all.
+pub struct RequestClass {
+    /// Its position in the settings.
+    pub index: u8,
+    /// How long a client waits in total, in microseconds.
     pub deadline: Micros,
-    /// How it may be repeated.
-    effect: Idempotency,
+    idempotency: Idempotency,
     method: Method,
 }
 
-/// Why a request is of no class.
+/// Why a request matches no class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Misfit {
+pub enum ClassMismatch {
     /// No class has this name.
-    Unknown,
-    /// The class is not asked with this method.
-    Method,
-    /// The class wants a key.
-    NoKey,
+    UnknownClass,
+    /// The class does not allow this method.
+    MethodNotAllowed,
+    /// The class requires an idempotency key.
+    MissingKey,
 }
 
-#[derive(Debug, Default)]
-struct Entry {
-    now: Option<Class>,
-    /// What it was, and until when that is still served.
-    before: Option<(Class, Micros)>,
-}
-
-/// All classes by their names.
-#[derive(Debug, Default)]
-pub struct Classes {
-    entries: FxHashMap<String, Entry>,
-    /// On what terms requests are held, by the class's place.
-    terms: Vec<Terms>,
-}
-
-impl Class {
-    fn new(place: usize, class: &Decided) -> Option<Self> {
+impl RequestClass {
+    fn new(index: usize, class: &Class) -> Option<Self> {
         Some(Self {
-            place: u8::try_from(place).ok()?,
+            index: u8::try_from(index).ok()?,
             deadline: class.deadline,
-            effect: class.idempotency,
+            idempotency: class.idempotency,
             method: if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST },
         })
     }
 
-    /// How widely its requests may be repeated, the least first, and for how long.
-    fn width(&self) -> (u8, Micros) {
-        match self.effect {
+    /// How freely its requests may be retried: in how wide a scope, the narrowest first, and for how long.
+    fn retry_freedom(&self) -> (u8, Micros) {
+        match self.idempotency {
             Idempotency::NonIdempotent => (0, 0),
             Idempotency::Keyed { scope: DedupScope::Cell, ttl } => (1, ttl),
             Idempotency::Keyed { scope: DedupScope::Zone, ttl } => (2, ttl),
@@ -68,66 +53,99 @@
         }
     }
 
-    fn fits(&self, method: &Method, has_key: bool) -> Result<&Self, Misfit> {
-        match () {
-            () if self.method != method => Err(Misfit::Method),
-            // Without its key a repeat would not be dropped.
-            () if matches!(self.effect, Idempotency::Keyed { .. }) && !has_key => Err(Misfit::NoKey),
-            () => Ok(self),
+    fn check(&self, method: &Method, has_key: bool) -> Result<&Self, ClassMismatch> {
+        if self.method != method {
+            return Err(ClassMismatch::MethodNotAllowed);
+        }
+        // Without its key a retry would not be deduplicated.
+        if matches!(self.idempotency, Idempotency::Keyed { .. }) && !has_key {
+            return Err(ClassMismatch::MissingKey);
         }
+        Ok(self)
     }
 }
 
-impl Classes {
-    /// From now on these classes hold: each name with its place in the settings.
-    pub fn hold<'a>(
+#[derive(Debug)]
+struct PreviousClass {
+    class: RequestClass,
+    served_until: Micros,
+}
+
+#[derive(Debug, Default)]
+struct ClassVersions {
+    current: Option<RequestClass>,
+    previous: Option<PreviousClass>,
+}
+
+/// The request classes by name.
+#[derive(Debug, Default)]
+pub struct ClassRegistry {
+    classes: FxHashMap<String, ClassVersions>,
+    /// By the class's position.
+    claim_terms: Vec<ClaimTerms>,
+}
+
+impl ClassRegistry {
+    /// Applies new settings at `now` (microseconds). `names` gives each name with its class's position in the settings.
+    pub fn update<'a>(
         &mut self,
         now: Micros,
         settings: &Settings,
-        named: impl Iterator<Item = (usize, &'a str)>,
+        names: impl Iterator<Item = (usize, &'a str)>,
     ) {
-        let until = now.saturating_add(STILL_SERVED);
-        let mut old = std::mem::take(&mut self.entries);
-        for (place, name) in named {
-            let class = settings.classes.get(place).and_then(|class| Class::new(place, class));
-            let was = old.remove(name).unwrap_or_default();
-            let before = match was.now {
-                Some(before) if Some(&before) != class.as_ref() => Some((before, until)),
-                _ => was.before,
+        let served_until = now.saturating_add(PREVIOUS_CLASS_GRACE);
+        let mut old_classes = std::mem::take(&mut self.classes);
+        for (index, name) in names {
+            let current = settings.classes.get(index).and_then(|class| RequestClass::new(index, class));
+            let old = old_classes.remove(name).unwrap_or_default();
+            let previous = match old.current {
+                Some(class) if Some(&class) != current.as_ref() => {
+                    Some(PreviousClass { class, served_until })
+                }
+                _ => old.previous,
             };
-            self.entries.insert(name.to_owned(), Entry { now: class, before });
+            self.classes.insert(name.to_owned(), ClassVersions { current, previous });
         }
-        for (name, was) in old {
-            let before = was.now.map(|before| (before, until)).or(was.before);
-            // What nobody can ask for any more is forgotten.
-            if before.as_ref().is_some_and(|(_, until)| *until > now) {
-                self.entries.insert(name, Entry { now: None, before });
+        for (name, old) in old_classes {
+            let removed = old.current.map(|class| PreviousClass { class, served_until });
+            let previous = removed.or(old.previous);
+            if previous.as_ref().is_some_and(|previous| previous.served_until > now) {
+                self.classes.insert(name, ClassVersions { current: None, previous });
             }
         }
-        self.terms = settings.classes.iter().map(Terms::of).collect();
+        self.claim_terms = settings.classes.iter().map(ClaimTerms::of).collect();
     }
 
-    /// The class of a request.
+    /// The class of a request at `now` (microseconds). Within the grace period the stricter of two versions applies, since
+    /// the client may know either.
     ///
     /// # Errors
-    /// Why it is of none.
-    pub fn find(&self, now: Micros, name: &str, method: &Method, has_key: bool) -> Result<&Class, Misfit> {
-        let entry = self.entries.get(name).ok_or(Misfit::Unknown)?;
-        let before = entry.before.as_ref().filter(|(_, until)| now < *until);
-        let before = before.and_then(|(class, _)| class.fits(method, has_key).ok());
-        let present = entry.now.as_ref().ok_or(Misfit::Unknown).and_then(|c| c.fits(method, has_key));
-        match (present, before) {
-            // Its client may not know yet: what either rule forbids is not done.
-            (Ok(present), Some(before)) if before.width() < present.width() => Ok(before),
-            (Err(_), Some(before)) => Ok(before),
-            (present, _) => present,
+    /// The request matches no class.
+    pub fn find(
+        &self,
+        now: Micros,
+        name: &str,
+        method: &Method,
+        has_key: bool,
+    ) -> Result<&RequestClass, ClassMismatch> {
+        let versions = self.classes.get(name).ok_or(ClassMismatch::UnknownClass)?;
+        let previous = versions.previous.as_ref().filter(|previous| now < previous.served_until);
+        let previous = previous.and_then(|previous| previous.class.check(method, has_key).ok());
+        let current = versions.current.as_ref().ok_or(ClassMismatch::UnknownClass);
+        let current = current.and_then(|class| class.check(method, has_key));
+        match (current, previous) {
+            (Ok(current), Some(previous)) if previous.retry_freedom() < current.retry_freedom() => {
+                Ok(previous)
+            }
+            (Err(_), Some(previous)) => Ok(previous),
+            (current, _) => current,
         }
     }
 
-    /// On what terms the requests of the class at this place are held.
+    /// How requests of the class at this position are registered; `None` if there is no such class.
     #[must_use]
-    pub fn terms(&self, place: u8) -> Option<Terms> {
-        self.terms.get(usize::from(place)).copied()
+    pub fn claim_terms(&self, index: u8) -> Option<ClaimTerms> {
+        self.claim_terms.get(usize::from(index)).copied()
     }
 }
 
--- a/crates/http-proxy/src/client_connection.rs
+++ b/crates/http-proxy/src/client_connection.rs
@@ -1,425 +1,313 @@
-//! A client's connection as its bytes show it: whether it rests, a head is on its way or a request is open, and since
-//! when. What it may still take, and whether it may be closed, is decided here by times that are given in; the socket is
-//! only passed through.
+//! The state of a client connection: whether it is idle, a head is arriving or a request is open, and since when. Timeouts
+//! and eviction are decided here from times that are passed in.
 
 mod framing;
+mod presence;
 mod read_ahead_buffer;
+pub mod socket_state;
+mod stream;
+
+pub use presence::ClientPresence;
+pub use stream::ClientStream;
 
 use self::framing::Framing;
-use self::read_ahead_buffer::Ahead;
+use self::read_ahead_buffer::ReadAheadBuffer;
+use self::socket_state::{is_quiet, is_read_closed};
+use crate::size_limits::MAX_REQUEST_HEAD_BYTES;
 use crate::stall_detector::StallDetector;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io;
-use std::mem::MaybeUninit;
-use std::pin::Pin;
-use std::rc::{Rc, Weak};
-use std::task::{Context, Poll, ready};
+use std::rc::Rc;
+use std::task::Context;
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
+use tokio::io::Interest;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a client may say nothing, from connecting or from its last answer on.
-pub const REST: Duration = Duration::from_millis(2_500);
+/// How long a connection may be idle, from connecting or from its last response on.
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long a head may take from its first byte on. Slow clients are promised 2 s.
-pub const HEAD: Duration = Duration::from_millis(2_500);
-/// What clients are promised for a head.
-const HEAD_PROMISED: Duration = Duration::from_millis(2_100);
-/// A client that has just come is about to say something.
-const JUST_COME: Duration = Duration::from_millis(50);
-/// How long a client may take no byte of an answer that waits for it.
-pub const STUCK: Duration = Duration::from_secs(10);
-/// How long a client may take for its first word while the process ends: it has connected in order to ask, and a connection
-/// that closes with no answer was not taken for nothing. Within what an ending process has at the least.
-const FIRST_WORD: Duration = Duration::from_millis(700);
-/// The bytes that are read ahead while a request is open, so that its client's leaving is seen behind them.
-const AHEAD: usize = crate::size_limits::REQUEST_HEAD_CAP;
-/// For how long a look that found the client there is good enough for an attempt to begin: the first one begins in the turn
-/// in which its request was looked at, and one more system call for each request would be for nothing. A twentieth of the
-/// time after which an attempt may not begin any more.
-const LOOK_HOLDS: Duration = Duration::from_millis(5);
+pub const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// After this time a head exceeds what clients are promised, and its connection may be evicted.
+const PROMISED_HEAD_TIME: Duration = Duration::from_millis(2_100);
+/// A new connection is expected to send its first request within this time.
+const JUST_CONNECTED_TIME: Duration = Duration::from_millis(50);
+/// How long a client may read nothing of a response that waits for it.
+pub const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a new connection may take for its first request during shutdown. Shorter than the minimum time that a shutdown
+/// takes.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
+/// The bytes that are read ahead while a request is open, to see the client's close behind them.
+const MAX_READ_AHEAD_BYTES: usize = MAX_REQUEST_HEAD_BYTES;
 /// The bytes that are read ahead at a time.
-const AHEAD_STEP: usize = 2_048;
+const READ_AHEAD_CHUNK_BYTES: usize = 2_048;
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doing {
-    /// No byte of a request has come since the last answer.
-    Resting,
-    /// A part of a head has come.
-    Heading,
+pub enum Activity {
+    /// No byte of a request has arrived since the last response.
+    Idle,
+    /// A part of a head has arrived.
+    ReadingHead,
     /// A request is open.
-    Asking,
+    Serving,
 }
 
-/// How well a connection can be spared, the best first.
+/// How suitable a connection is for eviction, the most suitable first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Spared {
-    /// It says nothing.
+pub enum EvictionClass {
+    /// It is idle.
     Idle,
-    /// Its head takes longer than any client is promised.
-    Overdue,
-    /// It has only just come.
-    JustCome,
-    /// A head is on its way.
-    Heading,
+    /// Its head takes longer than clients are promised.
+    HeadOverdue,
+    /// It was just opened.
+    JustConnected,
+    /// A head is arriving.
+    ReadingHead,
+}
+
+/// The order in which connections are evicted; `since` breaks ties, the oldest first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct EvictionRank {
+    /// How suitable the connection is.
+    pub class: EvictionClass,
+    /// When its present activity began.
+    pub since: Instant,
 }
 
-/// What is known of a client's connection.
+/// The state of a client connection.
 #[derive(Debug)]
 pub struct ClientConnection {
-    doing: Cell<Doing>,
-    /// Since when it is doing that.
-    since: Cell<Instant>,
-    /// Since when bytes wait that the client does not take.
-    stuck: Cell<Option<Instant>>,
-    /// Which of the bytes that came belong to which request.
+    activity: Cell<Activity>,
+    activity_since: Cell<Instant>,
+    /// Since when bytes wait that the client does not read.
+    write_stalled_since: Cell<Option<Instant>>,
     framing: RefCell<Framing>,
-    /// The earliest moment at which the last of them may have come.
-    heard_at: Cell<Instant>,
-    /// Since when it may have waited with bytes on it before it was accepted.
-    waited_since: Cell<Option<Instant>>,
-    monitor: Rc<StallDetector>,
-    /// A request came on it.
-    asked: Cell<bool>,
-    /// The open request is whole, so that what comes now is no part of it.
-    whole: Cell<bool>,
-    /// What was read of the next requests.
-    ahead: RefCell<Ahead>,
-    /// When the kernel was last asked whether the client has left.
-    looked: Cell<Option<Instant>>,
-    /// The client has left, and who waits to hear of it.
-    left: Cell<bool>,
-    leaves: Notify,
-    /// Ends the connection.
-    pub closes: Notify,
+    last_byte_at: Cell<Instant>,
+    /// Since when it may have waited with unread bytes before it was accepted.
+    queued_since: Cell<Option<Instant>>,
+    stall_detector: Rc<StallDetector>,
+    had_request: Cell<bool>,
+    /// What arrives now does not belong to the open request.
+    request_is_complete: Cell<bool>,
+    read_ahead: RefCell<ReadAheadBuffer>,
+    /// When the kernel was last asked whether the client has disconnected.
+    presence_checked_at: Cell<Option<Instant>>,
+    disconnected: Cell<bool>,
+    disconnect: Notify,
+    /// Asks the connection to close in favour of another one.
+    pub eviction: Notify,
 }
 
 impl ClientConnection {
-    /// A connection that has just come; `waited_since`: since when it may have stood with bytes on it.
+    /// A connection that was accepted at `now`. `queued_since`: since when it may have waited with unread bytes.
     #[must_use]
-    pub fn new(now: Instant, monitor: Rc<StallDetector>, waited_since: Option<Instant>) -> Rc<Self> {
+    pub fn new(now: Instant, stall_detector: Rc<StallDetector>, queued_since: Option<Instant>) -> Rc<Self> {
         Rc::new(Self {
-            doing: Cell::new(Doing::Resting),
-            since: Cell::new(now),
-            stuck: Cell::new(None),
+            activity: Cell::new(Activity::Idle),
+            activity_since: Cell::new(now),
+            write_stalled_since: Cell::new(None),
             framing: RefCell::default(),
-            heard_at: Cell::new(now),
-            waited_since: Cell::new(waited_since),
-            monitor,
-            asked: Cell::new(false),
-            whole: Cell::new(false),
-            ahead: RefCell::default(),
-            looked: Cell::new(None),
-            left: Cell::new(false),
-            leaves: Notify::new(),
-            closes: Notify::new(),
+            last_byte_at: Cell::new(now),
+            queued_since: Cell::new(queued_since),
+            stall_detector,
+            had_request: Cell::new(false),
+            request_is_complete: Cell::new(false),
+            read_ahead: RefCell::default(),
+            presence_checked_at: Cell::new(None),
+            disconnected: Cell::new(false),
+            disconnect: Notify::new(),
+            eviction: Notify::new(),
         })
     }
 
-    fn turn(&self, doing: Doing, now: Instant) {
-        self.doing.set(doing);
-        self.since.set(now);
+    /// What it is doing.
+    #[must_use]
+    pub fn activity(&self) -> Activity {
+        self.activity.get()
     }
 
-    /// Bytes have come, at this moment at the earliest.
-    fn heard(&self, bytes: &[u8], now: Instant, came: Instant) {
-        if self.doing.get() == Doing::Resting {
-            self.turn(Doing::Heading, now);
+    fn set_activity(&self, activity: Activity, now: Instant) {
+        self.activity.set(activity);
+        self.activity_since.set(now);
+    }
+
+    /// Records bytes that were read at `now` and arrived at `arrived_at` at the earliest.
+    fn receive(&self, bytes: &[u8], now: Instant, arrived_at: Instant) {
+        if self.activity() == Activity::Idle {
+            self.set_activity(Activity::ReadingHead, now);
         }
-        self.heard_at.set(came);
-        self.framing.borrow_mut().came(bytes);
+        self.last_byte_at.set(arrived_at);
+        self.framing.borrow_mut().receive(bytes);
     }
 
-    /// The earliest moment at which bytes may have come that the kernel gives at `now`.
-    fn came(&self, now: Instant) -> Instant {
-        self.waited_since.take().unwrap_or_else(|| self.monitor.earliest(now))
+    /// The earliest moment at which bytes may have arrived that are read at `now`.
+    fn earliest_arrival(&self, now: Instant) -> Instant {
+        self.queued_since.take().unwrap_or_else(|| self.stall_detector.earliest(now))
     }
 
-    /// The earliest moment at which the last byte that was read may have come.
+    /// The earliest moment at which the last byte may have arrived.
     #[must_use]
-    pub fn heard_at(&self) -> Instant {
-        self.heard_at.get()
+    pub fn last_byte_at(&self) -> Instant {
+        self.last_byte_at.get()
     }
 
-    /// The head of a request is whole.
-    pub fn asks(&self, now: Instant) {
-        self.asked.set(true);
-        self.framing.borrow_mut().head_was_read();
-        self.turn(Doing::Asking, now);
+    /// Records that the head of a request is complete.
+    pub fn start_request(&self, now: Instant) {
+        self.had_request.set(true);
+        self.framing.borrow_mut().start_request();
+        self.set_activity(Activity::Serving, now);
     }
 
-    /// The request has its answer.
-    pub fn answered(&self, now: Instant) {
+    /// Records that the request's response has ended.
+    pub fn finish_request(&self, now: Instant) {
         let mut framing = self.framing.borrow_mut();
-        framing.was_answered();
-        self.whole.set(false);
-        self.turn(if framing.has_more() { Doing::Heading } else { Doing::Resting }, now);
+        framing.finish_request();
+        self.request_is_complete.set(false);
+        let activity = if framing.has_pipelined_bytes() { Activity::ReadingHead } else { Activity::Idle };
+        self.set_activity(activity, now);
     }
 
-    /// All of the open request that can be waited for has come.
-    pub fn is_whole(&self) {
-        self.whole.set(true);
+    /// Records that the open request was received completely. Until then nothing is read ahead.
+    pub fn mark_request_complete(&self) {
+        self.request_is_complete.set(true);
     }
 
-    /// Whether what comes now is read ahead.
-    fn listens(&self) -> bool {
-        let open = self.doing() == Doing::Asking && self.whole.get() && !self.left.get();
-        open && self.ahead.borrow().len() < AHEAD
+    fn can_read_ahead(&self) -> bool {
+        let is_open = self.activity() == Activity::Serving
+            && self.request_is_complete.get()
+            && !self.has_disconnected();
+        is_open && self.read_ahead.borrow().len() < MAX_READ_AHEAD_BYTES
     }
 
-    fn leave(&self) {
-        self.left.set(true);
-        self.leaves.notify_one();
+    fn set_disconnected(&self) {
+        self.disconnected.set(true);
+        self.disconnect.notify_one();
     }
 
-    /// Whether the client has left: it has closed its connection, or ended its sending, which looks the same from here.
+    /// Whether the client has closed its connection or only its sending side: the two can't be told apart.
     #[must_use]
-    pub fn has_left(&self) -> bool {
-        self.left.get()
+    pub fn has_disconnected(&self) -> bool {
+        self.disconnected.get()
     }
 
-    /// Waits until the client has left.
-    pub async fn left(&self) {
-        while !self.left.get() {
-            self.leaves.notified().await;
+    /// Waits until the client has disconnected.
+    pub async fn disconnected(&self) {
+        while !self.has_disconnected() {
+            self.disconnect.notified().await;
         }
     }
 
-    /// Reads ahead what the kernel has, whether or not the runtime has been told of it.
-    pub fn look_ahead(&self, stream: &TcpStream) {
-        while self.listens() {
-            if self.read_ahead(stream).is_err() {
-                self.looked.set(Some(Instant::now()));
+    /// Reads ahead what the kernel has, whether or not the runtime has polled the socket.
+    pub fn read_ahead(&self, stream: &TcpStream) {
+        while self.can_read_ahead() {
+            if self.read_ahead_chunk(stream).is_err() {
+                self.presence_checked_at.set(Some(Instant::now()));
                 return;
             }
         }
     }
 
-    /// Reads ahead what comes while a request is open, so that the end of the client's sending is seen: the HTTP library
-    /// does not look while it has bytes of a further request.
-    pub fn listen(&self, stream: &TcpStream, cx: &mut Context<'_>) {
-        while self.listens() && stream.poll_read_ready(cx).is_ready() {
-            // Nothing there: the next turn registers for what comes.
-            let _ = stream.try_io(Interest::READABLE, || self.read_ahead(stream));
+    /// Reads ahead while a request is open, to see the client's close: the HTTP library does not read while it has bytes of a
+    /// pipelined request.
+    pub fn poll_read_ahead(&self, stream: &TcpStream, cx: &mut Context<'_>) {
+        while self.can_read_ahead() && stream.poll_read_ready(cx).is_ready() {
+            // With nothing to read, the next iteration registers for readiness.
+            let _ = stream.try_io(Interest::READABLE, || self.read_ahead_chunk(stream));
         }
     }
 
-    /// A client whose bytes are not read ahead, since they are a part of the open request or too many, may have left all
-    /// the same: the kernel tells of its end of sending behind what waits.
-    pub fn look_behind(&self, stream: &TcpStream) {
-        if self.doing() == Doing::Asking && !self.listens() && !self.left.get() && has_ended(stream) {
-            self.leave();
+    /// Detects the close of a client whose bytes are not read ahead, since they belong to the open request or are too many:
+    /// the kernel reports the close even behind unread bytes.
+    pub fn check_closed_behind_unread(&self, stream: &TcpStream) {
+        let may_be_unnoticed =
+            self.activity() == Activity::Serving && !self.can_read_ahead() && !self.has_disconnected();
+        if may_be_unnoticed && is_read_closed(stream) {
+            self.set_disconnected();
         }
     }
 
-    fn read_ahead(&self, stream: &TcpStream) -> io::Result<()> {
-        let mut bytes = [0; AHEAD_STEP];
+    fn read_ahead_chunk(&self, stream: &TcpStream) -> io::Result<()> {
+        let mut bytes = [0; READ_AHEAD_CHUNK_BYTES];
         match io::Read::read(&mut &*SockRef::from(stream), &mut bytes) {
-            Ok(0) => self.leave(),
-            Ok(count) => self.ahead.borrow_mut().push(&bytes[..count], self.came(Instant::now())),
+            Ok(0) => self.set_disconnected(),
+            Ok(count) => {
+                let arrived_at = self.earliest_arrival(Instant::now());
+                self.read_ahead.borrow_mut().push(&bytes[..count], arrived_at);
+            }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Err(error),
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(_) => self.leave(),
+            Err(_) => self.set_disconnected(),
         }
         Ok(())
     }
 
-    /// Whether nothing of a request has come that was not answered, neither here nor in the kernel. The runtime may not
-    /// have seen yet what the kernel knows already.
+    /// Whether no unanswered byte has arrived, neither read ahead nor in the kernel.
     #[must_use]
     pub fn is_quiet(&self, stream: &TcpStream) -> bool {
-        self.ahead.borrow().is_empty() && is_quiet(stream)
+        self.read_ahead.borrow().is_empty() && is_quiet(stream)
     }
 
-    /// Whether more has come than the open request: its client is owed an answer to that as well.
+    /// Whether bytes beyond the open request have arrived, which need a response as well.
     #[must_use]
-    pub fn has_more(&self, stream: &TcpStream) -> bool {
-        self.framing.borrow().has_more() || !self.is_quiet(stream)
+    pub fn has_pipelined_bytes(&self, stream: &TcpStream) -> bool {
+        self.framing.borrow().has_pipelined_bytes() || !self.is_quiet(stream)
     }
 
-    /// Whether the head that came holds both a length and an encoding. The HTTP library drops the length unseen.
+    /// Whether the head has both a length and a transfer encoding. The HTTP library drops the length silently.
     #[must_use]
     pub fn has_length_and_encoding(&self) -> bool {
         self.framing.borrow().has_length_and_encoding()
     }
 
-    /// Whether its time is over.
+    /// Whether its present activity has timed out.
     #[must_use]
-    pub fn is_over(&self, now: Instant) -> bool {
-        let since = now.saturating_duration_since(self.since.get());
-        let stuck = self.stuck.get().is_some_and(|at| now.saturating_duration_since(at) >= STUCK);
-        match self.doing.get() {
-            Doing::Resting => since >= REST,
-            Doing::Heading => since >= HEAD,
-            Doing::Asking => stuck,
+    pub fn has_timed_out(&self, now: Instant) -> bool {
+        let elapsed = now.saturating_duration_since(self.activity_since.get());
+        let is_write_stalled = self
+            .write_stalled_since
+            .get()
+            .is_some_and(|since| now.saturating_duration_since(since) >= WRITE_STALL_TIMEOUT);
+        match self.activity() {
+            Activity::Idle => elapsed >= IDLE_TIMEOUT,
+            Activity::ReadingHead => elapsed >= HEAD_TIMEOUT,
+            Activity::Serving => is_write_stalled,
         }
     }
 
-    /// How soon it may make room for another, the least first: those that say nothing, then heads that take longer than
-    /// any client is promised, then those that have only just come, and then other heads; among those the eldest. A
-    /// request that is open never gives way.
+    /// Its place in the order of eviction; `None` while a request is open, which is never evicted.
     #[must_use]
-    pub fn spare_rank(&self, now: Instant) -> Option<(Spared, Instant)> {
-        let since = self.since.get();
-        let age = now.saturating_duration_since(since);
-        let turn = match self.doing.get() {
-            Doing::Resting if age >= JUST_COME => Spared::Idle,
-            Doing::Heading if age >= HEAD_PROMISED => Spared::Overdue,
-            Doing::Resting => Spared::JustCome,
-            Doing::Heading => Spared::Heading,
-            Doing::Asking => return None,
+    pub fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
+        let since = self.activity_since.get();
+        let elapsed = now.saturating_duration_since(since);
+        let class = match self.activity() {
+            Activity::Idle if elapsed >= JUST_CONNECTED_TIME => EvictionClass::Idle,
+            Activity::ReadingHead if elapsed >= PROMISED_HEAD_TIME => EvictionClass::HeadOverdue,
+            Activity::Idle => EvictionClass::JustConnected,
+            Activity::ReadingHead => EvictionClass::ReadingHead,
+            Activity::Serving => return None,
         };
-        Some((turn, since))
+        Some(EvictionRank { class, since })
     }
 
-    /// Whether nothing of a request and nothing of an answer is on its way.
-    fn is_at_rest(&self) -> bool {
-        self.doing.get() == Doing::Resting && self.stuck.get().is_none()
+    fn is_idle(&self) -> bool {
+        self.activity() == Activity::Idle && self.write_stalled_since.get().is_none()
     }
 
-    /// Whether it may make room: nobody waits for an answer here.
+    /// Whether it may be evicted: no request is open.
     #[must_use]
-    pub fn may_close(&self) -> bool {
-        self.doing.get() == Doing::Heading || self.is_at_rest()
+    pub fn can_be_evicted(&self) -> bool {
+        self.activity() == Activity::ReadingHead || self.is_idle()
     }
 
-    /// Whether it may end with its process: it rests, and a client that has just connected had time to say why.
+    /// Whether it may close during shutdown: it is idle, and a new connection had time for its first request.
     #[must_use]
-    pub fn can_end(&self, now: Instant) -> bool {
-        let waits = !self.asked.get() && now.saturating_duration_since(self.since.get()) < FIRST_WORD;
-        self.is_at_rest() && !waits
-    }
-
-    /// What it is doing.
-    #[must_use]
-    pub fn doing(&self) -> Doing {
-        self.doing.get()
-    }
-}
-
-/// Whether nothing waits unread in the kernel. The runtime may not have seen yet what the kernel knows already.
-pub fn is_quiet(stream: &TcpStream) -> bool {
-    let mut byte = [MaybeUninit::uninit()];
-    let peeked = socket2::SockRef::from(stream).peek(&mut byte);
-    peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
-}
-
-/// Whether the other side has ended its sending, also behind bytes that wait unread.
-fn has_ended(stream: &TcpStream) -> bool {
-    let mut ready = std::pin::pin!(stream.ready(Interest::READABLE));
-    let polled = ready.as_mut().poll(&mut Context::from_waker(std::task::Waker::noop()));
-    matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
-}
-
-/// The client of an open request, as its connection shows it. It does not keep the connection.
-#[derive(Debug)]
-pub struct Requester {
-    connection: Rc<ClientConnection>,
-    stream: Weak<RefCell<TcpStream>>,
-}
-
-impl Requester {
-    /// The client on this connection.
-    #[must_use]
-    pub fn new(connection: &Rc<ClientConnection>, stream: &Rc<RefCell<TcpStream>>) -> Self {
-        Self { connection: Rc::clone(connection), stream: Rc::downgrade(stream) }
-    }
-
-    /// Whether the client has left by now. The runtime may not have heard yet what the kernel knows: after a process stood,
-    /// timers are told first, and a connection that has come up is used in the turn in which the close is heard.
-    pub async fn has_left(&self) -> bool {
-        let connection = &self.connection;
-        if connection.has_left() || connection.looked.get().is_some_and(|at| at.elapsed() < LOOK_HOLDS) {
-            return connection.has_left();
-        }
-        match self.stream.upgrade() {
-            None => return true,
-            Some(stream) => connection.look_ahead(&stream.borrow()),
-        }
-        if !connection.listens() {
-            // Only the runtime is told of an end behind unread bytes: it asks the kernel before this task has its turn again.
-            tokio::task::yield_now().await;
-            match self.stream.upgrade() {
-                None => return true,
-                Some(stream) => connection.look_behind(&stream.borrow()),
-            }
-            connection.looked.set(Some(Instant::now()));
-        }
-        connection.has_left()
-    }
-}
-
-/// A client's socket that tells its connection what passes.
-pub struct ClientStream {
-    stream: Rc<RefCell<TcpStream>>,
-    connection: Rc<ClientConnection>,
-}
-
-impl ClientStream {
-    /// The socket of this connection.
-    #[must_use]
-    pub fn new(stream: Rc<RefCell<TcpStream>>, connection: Rc<ClientConnection>) -> Self {
-        Self { stream, connection }
-    }
-
-    fn write(&self, poll: impl FnOnce(&TcpStream) -> Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        let polled = poll(&self.stream.borrow());
-        match polled {
-            Poll::Pending if self.connection.stuck.get().is_none() => {
-                self.connection.stuck.set(Some(Instant::now()));
-            }
-            Poll::Pending => {}
-            Poll::Ready(_) => self.connection.stuck.set(None),
-        }
-        polled
-    }
-}
-
-impl AsyncRead for ClientStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let ahead = self.connection.ahead.borrow_mut().take(buf.remaining());
-        let came = if let Some((bytes, came)) = ahead {
-            buf.put_slice(&bytes);
-            came
-        } else {
-            ready!(socket_io::poll_read(&self.stream.borrow(), cx, buf))?;
-            self.connection.came(Instant::now())
-        };
-        let bytes = &buf.filled()[before..];
-        if !bytes.is_empty() {
-            self.connection.heard(bytes, Instant::now(), came);
-        }
-        Poll::Ready(Ok(()))
-    }
-}
-
-impl AsyncWrite for ClientStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.write(|stream| socket_io::poll_write(stream, cx, buf))
-    }
-
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        self.write(|stream| socket_io::poll_write_vectored(stream, cx, bufs))
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(cx)
+    pub fn can_close(&self, now: Instant) -> bool {
+        let elapsed = now.saturating_duration_since(self.activity_since.get());
+        let awaits_first_request = !self.had_request.get() && elapsed < FIRST_REQUEST_TIMEOUT;
+        self.is_idle() && !awaits_first_request
     }
 }
 
--- a/crates/http-proxy/src/client_connection/framing/tests.rs
+++ b/crates/http-proxy/src/client_connection/framing/tests.rs
@@ -5,63 +5,63 @@
 const CHUNKED: &[u8] = b"POST /lift HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 
 #[test]
-fn requests_that_came_together_are_told_apart_however_they_were_cut() {
+fn separates_pipelined_requests_however_they_are_segmented() {
     let all = [GET, POST, b"\r\n", GET].concat();
     for size in [1, 7, 40, all.len()] {
         let mut framing = Framing::default();
-        all.chunks(size).for_each(|piece| framing.came(piece));
-        for more in [true, true, false] {
-            framing.head_was_read();
-            assert_eq!(framing.has_more(), more, "pieces of {size}");
-            framing.was_answered();
+        all.chunks(size).for_each(|segment| framing.receive(segment));
+        for has_pipelined in [true, true, false] {
+            framing.start_request();
+            assert_eq!(framing.has_pipelined_bytes(), has_pipelined, "segments of {size}");
+            framing.finish_request();
         }
     }
 }
 
 #[test]
-fn a_body_that_comes_later_belongs_to_the_open_request() {
+fn a_body_that_arrives_later_belongs_to_the_open_request() {
     let mut framing = Framing::default();
-    framing.came(&POST[..POST.len() - 3]);
-    framing.head_was_read();
-    assert!(!framing.has_more());
-    framing.came(b"llo");
-    assert!(!framing.has_more());
-    framing.came(b"G");
-    assert!(framing.has_more(), "a part of the next one");
-    framing.was_answered();
-    assert!(framing.has_more());
+    framing.receive(&POST[..POST.len() - 3]);
+    framing.start_request();
+    assert!(!framing.has_pipelined_bytes());
+    framing.receive(b"llo");
+    assert!(!framing.has_pipelined_bytes());
+    framing.receive(b"G");
+    assert!(framing.has_pipelined_bytes(), "a part of the next request");
+    framing.finish_request();
+    assert!(framing.has_pipelined_bytes());
 }
 
 #[test]
-fn what_comes_in_chunks_is_not_taken_for_a_further_request() {
+fn a_chunked_body_is_not_taken_for_a_pipelined_request() {
     let mut framing = Framing::default();
-    framing.came(CHUNKED);
-    framing.head_was_read();
-    framing.came(b"5\r\nhello\r\n");
-    assert!(!framing.has_more());
-    framing.was_answered();
-    assert!(!framing.has_more());
+    framing.receive(CHUNKED);
+    framing.start_request();
+    framing.receive(b"5\r\nhello\r\n");
+    assert!(!framing.has_pipelined_bytes());
+    framing.finish_request();
+    assert!(!framing.has_pipelined_bytes());
 }
 
-/// Whoever goes by the length finds another request in the body, also behind a request that came before it.
+/// A server that relies on the length finds another request within the body.
 #[test]
-fn a_length_beside_an_encoding_is_seen_in_a_head_that_came_behind_another_request() {
+fn detects_length_and_encoding_in_the_head_of_a_pipelined_request() {
     let both = b"POST /lift HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     let mut framing = Framing::default();
-    framing.came(&[GET, both].concat());
-    framing.head_was_read();
+    framing.receive(&[GET, both].concat());
+    framing.start_request();
     assert!(!framing.has_length_and_encoding());
-    framing.was_answered();
-    framing.head_was_read();
+    framing.finish_request();
+    framing.start_request();
     assert!(framing.has_length_and_encoding());
 }
 
 #[test]
-fn no_more_is_kept_than_a_head_may_have() {
+fn buffers_at_most_the_size_of_a_head() {
     let mut framing = Framing::default();
-    (0..100).for_each(|_| framing.came(&[b'y'; 1_000]));
-    assert_eq!(framing.behind.len(), KEPT);
-    framing.head_was_read();
-    framing.was_answered();
-    assert!(!framing.has_more());
+    (0..100).for_each(|_| framing.receive(&[b'y'; 1_000]));
+    assert_eq!(framing.pipelined.len(), MAX_REQUEST_HEAD_BYTES);
+    framing.start_request();
+    framing.finish_request();
+    assert!(!framing.has_pipelined_bytes());
 }
--- a/crates/http-proxy/src/client_connection/read_ahead_buffer.rs
+++ b/crates/http-proxy/src/client_connection/read_ahead_buffer.rs
@@ -1,46 +1,61 @@
-//! What was read of the next requests while one is open, with the times at which it may have come. Pure: no I/O, no clock.
+//! The bytes that were read beyond the open request, with the times at which they may have arrived. Pure: no I/O, no clock.
 
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Bytes in the order in which they came.
+/// Bytes of one read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReadAheadBytes {
+    /// The bytes.
+    pub bytes: Vec<u8>,
+    /// The earliest moment at which they may have arrived.
+    pub arrived_at: Instant,
+}
+
+/// What is left of one read.
+#[derive(Clone, Copy, Debug)]
+struct PendingRead {
+    byte_count: usize,
+    arrived_at: Instant,
+}
+
+/// Bytes in the order in which they arrived.
 #[derive(Debug, Default)]
-pub struct Ahead {
+pub struct ReadAheadBuffer {
     bytes: VecDeque<u8>,
-    /// How many bytes each read gave that are still here, and since when they may have been there.
-    reads: VecDeque<(usize, Instant)>,
+    reads: VecDeque<PendingRead>,
 }
 
-impl Ahead {
-    /// How many there are.
+impl ReadAheadBuffer {
+    /// The number of bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no bytes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// A read gave these.
-    pub fn push(&mut self, bytes: &[u8], came: Instant) {
+    /// Appends the bytes of one read.
+    pub fn push(&mut self, bytes: &[u8], arrived_at: Instant) {
         if !bytes.is_empty() {
             self.bytes.extend(bytes);
-            self.reads.push_back((bytes.len(), came));
+            self.reads.push_back(PendingRead { byte_count: bytes.len(), arrived_at });
         }
     }
 
-    /// Takes what one read gave, so many bytes of it at the most.
-    pub fn take(&mut self, most: usize) -> Option<(Vec<u8>, Instant)> {
-        let (left, came) = self.reads.front_mut()?;
-        let (count, came) = (most.min(*left), *came);
-        *left -= count;
-        if *left == 0 {
+    /// Takes bytes of the oldest read, `max_bytes` at the most; `None` if there are none.
+    pub fn take(&mut self, max_bytes: usize) -> Option<ReadAheadBytes> {
+        let read = self.reads.front_mut()?;
+        let (count, arrived_at) = (max_bytes.min(read.byte_count), read.arrived_at);
+        read.byte_count -= count;
+        if read.byte_count == 0 {
             self.reads.pop_front();
         }
-        Some((self.bytes.drain(..count).collect(), came))
+        Some(ReadAheadBytes { bytes: self.bytes.drain(..count).collect(), arrived_at })
     }
 }
 
--- a/crates/http-proxy/src/client_connection/read_ahead_buffer/tests.rs
+++ b/crates/http-proxy/src/client_connection/read_ahead_buffer/tests.rs
@@ -2,16 +2,17 @@
 use std::time::Duration;
 
 #[test]
-fn what_one_read_gave_is_handed_out_with_its_own_time() {
+fn keeps_the_arrival_time_of_each_read() {
     let first = Instant::now();
     let second = first + Duration::from_secs(1);
-    let mut ahead = Ahead::default();
-    ahead.push(b"abc", first);
-    ahead.push(b"", second);
-    ahead.push(b"de", second);
-    assert_eq!(ahead.len(), 5);
-    assert_eq!(ahead.take(2), Some((b"ab".to_vec(), first)));
-    assert_eq!(ahead.take(9), Some((b"c".to_vec(), first)));
-    assert_eq!(ahead.take(9), Some((b"de".to_vec(), second)));
-    assert!(ahead.is_empty() && ahead.take(9).is_none());
+    let read = |bytes: &[u8], arrived_at| Some(ReadAheadBytes { bytes: bytes.to_vec(), arrived_at });
+    let mut buffer = ReadAheadBuffer::default();
+    buffer.push(b"abc", first);
+    buffer.push(b"", second);
+    buffer.push(b"de", second);
+    assert_eq!(buffer.len(), 5);
+    assert_eq!(buffer.take(2), read(b"ab", first));
+    assert_eq!(buffer.take(9), read(b"c", first));
+    assert_eq!(buffer.take(9), read(b"de", second));
+    assert!(buffer.is_empty() && buffer.take(9).is_none());
 }
--- /dev/null
+++ b/crates/http-proxy/src/clients/admission.rs
@@ -0,0 +1,100 @@
+//! Submits parsed requests to the engine and waits for their outcomes.
+
+use super::ClientConnections;
+use super::guards::{DisconnectGuard, OpenRequestId};
+use super::local_responses::{RejectedRequest, failure_response, overload_response};
+use super::read_request::{IDEMPOTENCY_KEY, ParsedRequest};
+use crate::body::ResponseBody;
+use crate::client_connection::ClientConnection;
+use crate::exchange::{BackendResponse, ForwardedRequest};
+use crate::idempotency_claim::{ClaimRejection, IdempotencyClaim, RequestIdentity};
+use crate::transport::Responder;
+use balancer::api::Micros;
+use hyper::header::{CONTENT_TYPE, HeaderValue};
+use hyper::{Response, StatusCode};
+use request_engine::engine::{Dispatch, FinalOutcome, IncomingRequest, Overload};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// When a client may retry after a limit of this proxy was reached, in microseconds.
+const OVERLOAD_RETRY_DELAY: Micros = 1_000_000;
+
+impl ClientConnections {
+    /// Submits a request and waits for its outcome.
+    pub(super) async fn submit(
+        &self,
+        parsed: ParsedRequest,
+        connection: &ClientConnection,
+    ) -> Result<Response<ResponseBody>, RejectedRequest> {
+        // Nothing of it was executed.
+        if connection.has_disconnected() {
+            return Ok(overload_response(0));
+        }
+        let ParsedRequest { request, correlation_id } = parsed;
+        // Rule 2: a second request with the same id could be a duplicate of the first.
+        let Some(open_id) = OpenRequestId::acquire(&self.open_request_ids, correlation_id) else {
+            return Err(RejectedRequest(StatusCode::CONFLICT, "a request of this id is open\n"));
+        };
+        let claim = match self.claim(&request, &open_id.id) {
+            Ok(claim) => claim,
+            Err(ClaimRejection::RetryAfter(delay)) => return Ok(overload_response(delay)),
+            Err(ClaimRejection::Conflict(reason)) => {
+                return Err(RejectedRequest(StatusCode::CONFLICT, reason));
+            }
+            Err(ClaimRejection::Invalid(reason)) => {
+                return Err(RejectedRequest(StatusCode::BAD_REQUEST, reason));
+            }
+        };
+        let (sender, outcome) = oneshot::channel();
+        let request = match self.handle.admit(request, Responder::HttpClient(sender)) {
+            Ok(request) => request,
+            // Nothing of it was executed.
+            Err(Overload::Requests(_) | Overload::Leases(_)) => {
+                if let Some(claim) = claim {
+                    claim.settle(Some(&FinalOutcome::Rejected { retry_after: OVERLOAD_RETRY_DELAY }));
+                }
+                return Ok(overload_response(OVERLOAD_RETRY_DELAY));
+            }
+        };
+        let guard = DisconnectGuard::new(&self.handle, request);
+        let outcome = tokio::select! {
+            biased;
+            outcome = outcome => outcome,
+            // The guard notifies the engine. A client that closed only its sending side still gets a final response.
+            () = connection.disconnected() => return Ok(failure_response()),
+        };
+        guard.disarm();
+        if let Some(claim) = claim {
+            claim.settle(outcome.as_ref().ok());
+        }
+        Ok(match outcome {
+            Ok(FinalOutcome::Served(Some(served))) => served_response(served),
+            Ok(FinalOutcome::Rejected { retry_after }) => overload_response(retry_after),
+            Ok(FinalOutcome::Served(None) | FinalOutcome::Failed) | Err(_) => failure_response(),
+        })
+    }
+
+    /// Claims a request in the idempotency registry, where the gRPC front end shares one.
+    fn claim(
+        &self,
+        request: &IncomingRequest<Rc<ForwardedRequest>>,
+        correlation_id: &HeaderValue,
+    ) -> Result<Option<IdempotencyClaim<'_>>, ClaimRejection> {
+        let (Some(registry), Dispatch::Proxied(forwarded)) = (&self.idempotency_registry, &request.dispatch)
+        else {
+            return Ok(None);
+        };
+        let key = forwarded.headers.get(IDEMPOTENCY_KEY).map(HeaderValue::as_bytes);
+        let Some(terms) = self.classes.borrow().claim_terms(request.class) else { return Ok(None) };
+        let identity = RequestIdentity { id: correlation_id.as_bytes(), class: request.class, key };
+        IdempotencyClaim::acquire(registry, self.clock, identity, terms)
+    }
+}
+
+fn served_response(served: BackendResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(served.body);
+    if let Some(content_type) = served.content_type {
+        response.headers_mut().insert(CONTENT_TYPE, content_type);
+    }
+    response
+}
--- a/crates/http-proxy/src/clients/closing.rs
+++ b/crates/http-proxy/src/clients/closing.rs
@@ -1,44 +1,47 @@
-//! How a client's connection ends.
+//! How a client connection is closed.
 
-use crate::size_limits::BODY_CAP;
+use crate::size_limits::MAX_BUFFERED_BODY_BYTES;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a closing connection is read on, and how much of it, so that the kernel does not answer late
-/// bytes with a reset that destroys an answer on its way.
-const LINGER: Duration = Duration::from_millis(500);
-const LINGER_BYTES: usize = 4 * BODY_CAP;
+/// How long a closing connection is read, so that the kernel does not respond to late bytes with a reset, which would destroy
+/// a response in transit.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The number of bytes that are read in that time.
+const MAX_LINGER_BYTES: usize = 4 * MAX_BUFFERED_BODY_BYTES;
 
-/// How a client's connection has to end.
-pub(super) enum End {
-    /// An answer, or a part of one, may be on its way: what still comes is read, so that no reset destroys it.
-    Answered,
-    /// It was at rest. A request that crosses the close is not read: its client then sends it once more elsewhere.
-    Unasked,
-    /// An answer broke off on it: it is reset.
-    Broken,
-    /// It makes room at once.
-    Closed,
+/// How a client connection has to be closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CloseMode {
+    /// A response may be in transit: late bytes are read, so that no reset destroys it.
+    Linger,
+    /// The connection was idle. A request that crosses the close stays unread, so that its client can safely send it to
+    /// another server.
+    Idle,
+    /// A response was truncated: the connection is reset.
+    Reset,
+    /// Evicted: its descriptor is released at once.
+    Immediate,
 }
 
-/// Ends the sending side of a connection that was at rest and waits for the client to end its own. A request that crosses
-/// this stays unread, so that the close resets it and its client knows that it was not taken.
-pub(super) async fn part(mut stream: TcpStream) {
+/// Closes the sending side of an idle connection and waits for the client to close its own. A request that crosses this stays
+/// unread, so that the kernel resets the connection and the client knows that the request was not processed.
+pub(super) async fn close_idle(mut stream: TcpStream) {
     if stream.shutdown().await.is_ok() {
-        let _ = timeout(LINGER, stream.peek(&mut [0])).await;
+        let _ = timeout(LINGER_TIMEOUT, stream.peek(&mut [0])).await;
     }
 }
 
-/// Ends the sending side and reads what still comes, for a while.
-pub(super) async fn linger(mut stream: TcpStream) {
+/// Closes the sending side and reads late bytes for a while.
+pub(super) async fn close_with_linger(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
-    let _ = timeout(LINGER, async {
+    let _ = timeout(LINGER_TIMEOUT, async {
         let (mut buffer, mut read) = ([0; 2_048], 0);
-        while read < LINGER_BYTES {
+        while read < MAX_LINGER_BYTES {
             match stream.read(&mut buffer).await {
                 Ok(0) | Err(_) => return,
                 Ok(n) => read += n,
--- /dev/null
+++ b/crates/http-proxy/src/clients/serve.rs
@@ -0,0 +1,185 @@
+//! Serves the requests of one client connection, one after another.
+
+use super::closing::{CloseMode, close_idle, close_with_linger};
+use super::local_responses::{RejectedRequest, add_connection_close, rejection_response, text_response};
+use super::{ClientConnections, ShutdownPhase};
+use crate::body::{ResponseBody, TrackedResponse};
+use crate::client_connection::{Activity, ClientConnection, ClientPresence, ClientStream};
+use crate::exchange::RequestBody;
+use crate::size_limits::MAX_REQUEST_HEAD_BYTES;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use request_engine::engine::Dispatch;
+use std::cell::RefCell;
+use std::convert::Infallible;
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::Context;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, sleep};
+
+/// How often the timeouts of a connection are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// The same while idle connections close during shutdown.
+const CLOSING_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+
+type SharedStream = Rc<RefCell<TcpStream>>;
+
+impl ClientConnections {
+    /// Serves a connection until it closes.
+    pub(super) async fn serve_connection(self: Rc<Self>, stream: TcpStream, queued_since: Option<Instant>) {
+        let _ = stream.set_nodelay(true);
+        let connection = ClientConnection::new(Instant::now(), Rc::clone(&self.stall_detector), queued_since);
+        let index = self.connections.borrow_mut().insert(Rc::clone(&connection));
+        let stream = Rc::new(RefCell::new(stream));
+        let mode = self.serve_requests(&stream, &connection).await;
+        if let Some(stream) = Rc::into_inner(stream) {
+            match mode {
+                CloseMode::Linger => close_with_linger(stream.into_inner()).await,
+                CloseMode::Idle => close_idle(stream.into_inner()).await,
+                CloseMode::Reset => drop(stream.into_inner().set_zero_linger()),
+                CloseMode::Immediate => {}
+            }
+        }
+        self.connections.borrow_mut().remove(index);
+        self.open_connections.set(self.open_connections.get() - 1);
+        self.connection_closed.notify_waiters();
+    }
+
+    /// Serves requests until the connection has to close, and returns how.
+    async fn serve_requests(
+        self: &Rc<Self>,
+        stream: &SharedStream,
+        connection: &Rc<ClientConnection>,
+    ) -> CloseMode {
+        let (clients, served, socket) = (Rc::clone(self), Rc::clone(connection), Rc::clone(stream));
+        let service = service_fn(move |request| -> Pin<Box<dyn Future<Output = _>>> {
+            let (clients, connection, socket) = (Rc::clone(&clients), Rc::clone(&served), Rc::clone(&socket));
+            connection.start_request(Instant::now());
+            Box::pin(async move {
+                let response = clients.respond(request, &connection, &socket).await;
+                Ok::<_, Infallible>(response.map(|body| TrackedResponse::new(body, connection)))
+            })
+        });
+        let io = TokioIo::new(ClientStream::new(Rc::clone(stream), Rc::clone(connection)));
+        let mut builder = http1::Builder::new();
+        // The close of a client's sending side is detected by `ClientConnection`; its open request gets a final response.
+        let mut http =
+            builder.max_buf_size(MAX_REQUEST_HEAD_BYTES).half_close(true).serve_connection(io, service);
+        let mut poll_http = |cx: &mut Context<'_>| {
+            let polled = http.poll_without_shutdown(cx);
+            if polled.is_pending() {
+                connection.poll_read_ahead(&stream.borrow(), cx);
+            }
+            polled
+        };
+        let mut phase = self.phase.clone();
+        loop {
+            let is_closing = *phase.borrow_and_update() == ShutdownPhase::Closing;
+            let check_interval = if is_closing { CLOSING_CHECK_INTERVAL } else { CHECK_INTERVAL };
+            tokio::select! {
+                biased;
+                ended = std::future::poll_fn(&mut poll_http) => return match ended {
+                    // A response was truncated: a client that relies on the close must not take it for complete.
+                    Err(error) if error.is_user() => CloseMode::Reset,
+                    // A client that has disconnected was reported by its `DisconnectGuard`.
+                    Ok(()) | Err(_) => CloseMode::Linger,
+                },
+                Ok(()) = phase.changed() => {}
+                () = connection.eviction.notified() => {
+                    // Unread bytes may be a request, which the close would lose.
+                    if connection.can_be_evicted() && connection.is_quiet(&stream.borrow()) {
+                        return CloseMode::Immediate;
+                    }
+                }
+                () = sleep(check_interval) => {
+                    if let Some(mode) = due_close(connection, &stream.borrow(), is_closing) {
+                        return mode;
+                    }
+                }
+            }
+        }
+    }
+
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        connection: &Rc<ClientConnection>,
+        stream: &SharedStream,
+    ) -> Response<ResponseBody> {
+        let mut response = if request.uri().path() == "/up" {
+            self.up_response()
+        } else {
+            let responded = self.process(request, connection, stream).await;
+            responded.unwrap_or_else(|rejected| {
+                let mut response = rejection_response(&rejected);
+                // What follows an invalid request may be a part of it.
+                add_connection_close(&mut response);
+                response
+            })
+        };
+        if connection.has_disconnected() || self.closes_after_response(connection, stream) {
+            add_connection_close(&mut response);
+        }
+        response
+    }
+
+    /// During shutdown and close to the limit each response closes its connection, unless a pipelined request has arrived,
+    /// which the close would leave without a response.
+    fn closes_after_response(&self, connection: &ClientConnection, stream: &SharedStream) -> bool {
+        let is_near_limit = self.open_connections.get() * 8 >= self.max_connections.get() * 7;
+        let closes = self.phase() != ShutdownPhase::Running || is_near_limit;
+        closes && !connection.has_pipelined_bytes(&stream.borrow())
+    }
+
+    async fn process(
+        &self,
+        request: Request<Incoming>,
+        connection: &Rc<ClientConnection>,
+        stream: &SharedStream,
+    ) -> Result<Response<ResponseBody>, RejectedRequest> {
+        let client = ClientPresence::new(connection, stream);
+        let parsed = self.read_request(request, connection, client).await?;
+        let is_streamed = matches!(&parsed.request.dispatch,
+            Dispatch::Proxied(forwarded) if matches!(forwarded.body, RequestBody::Streamed(_)));
+        if !is_streamed {
+            connection.mark_request_complete();
+        }
+        // The client may have disconnected while the connection was in the accept queue or the process was stalled.
+        connection.read_ahead(&stream.borrow());
+        connection.check_closed_behind_unread(&stream.borrow());
+        self.submit(parsed, connection).await
+    }
+
+    fn up_response(&self) -> Response<ResponseBody> {
+        if self.has_backend_list.get() && self.phase() == ShutdownPhase::Running {
+            text_response(StatusCode::OK, "up\n")
+        } else {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "not serving\n")
+        }
+    }
+}
+
+/// How a connection has to close now, by its timeouts or because of the shutdown; `None` if it stays open.
+fn due_close(connection: &ClientConnection, stream: &TcpStream, is_closing: bool) -> Option<CloseMode> {
+    let now = Instant::now();
+    connection.check_closed_behind_unread(stream);
+    let has_timed_out = connection.has_timed_out(now);
+    match connection.activity() {
+        Activity::Serving if has_timed_out => Some(CloseMode::Linger),
+        // Unread bytes may be a request, which the close would lose.
+        Activity::ReadingHead if has_timed_out && connection.is_quiet(stream) => Some(CloseMode::Linger),
+        Activity::Idle
+            if (has_timed_out || (is_closing && connection.can_close(now)))
+                && connection.is_quiet(stream) =>
+        {
+            Some(CloseMode::Idle)
+        }
+        _ => None,
+    }
+}
--- a/crates/http-proxy/src/config.rs
+++ b/crates/http-proxy/src/config.rs
@@ -1,7 +1,7 @@
-//! What the proxy is told at its start: the file that `EDGE_CONFIG` names, and the environment.
+//! The configuration: the file that `EDGE_CONFIG` names, and environment variables for what it leaves out.
 
 use crate::name_index::NameIndex;
-use crate::size_limits::{ANSWER_HEAD_CAP, BODY_CAP, REQUEST_HEAD_CAP};
+use crate::size_limits::{MAX_BUFFERED_BODY_BYTES, MAX_REQUEST_HEAD_BYTES, MAX_RESPONSE_HEAD_BYTES};
 use admin::console::MAX_CONNECTIONS;
 use balancer::api::{Micros, Settings, SettingsError};
 use serde::Deserialize;
@@ -10,77 +10,70 @@
 use settings::reload::{ReloadError, has_all_keys};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::{env, fmt, fs, io};
+use std::{env, fs, io};
+use thiserror::Error;
 
-/// Descriptors that are neither clients nor backends: standard streams, the runtime, the listener, discovery.
+/// Descriptors that are used by neither clients nor backends: standard streams, the runtime, the listener, discovery.
 const RESERVED_SOCKETS: usize = 24;
-/// Those of a proxy with a console beside that: its listener and callers, its locks and what it writes.
+/// Descriptors that the operators' console takes beyond these: its listener and connections, lock files and snapshots.
 const CONSOLE_SOCKETS: usize = MAX_CONNECTIONS + 8;
 const DEFAULT_SOCKETS: usize = 1_024;
 const DEFAULT_MEMORY_MB: usize = 192;
-const DEFAULT_DIAL: Micros = 250_000;
+/// In microseconds.
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
-/// Why the proxy can't start.
-#[derive(Debug)]
+/// Why a configuration can't be used.
+#[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable of the environment is missing.
+    /// An environment variable is missing.
+    #[error("{0} is not set")]
     Missing(&'static str),
     /// The file can't be read.
+    #[error("cannot read {path}: {error}", path = .0.display(), error = .1)]
     Unreadable(PathBuf, io::Error),
-    /// The file is not the JSON that is wanted.
+    /// The file is not JSON of the expected form.
+    #[error("malformed configuration: {0}")]
     Malformed(serde_json::Error),
-    /// An address is missing or is none.
+    /// An address is missing or can't be parsed: the key and its value.
+    #[error("`{0}` is no address: `{1}`")]
     Address(&'static str, String),
-    /// A setting makes no sense.
+    /// A setting is invalid.
+    #[error("{0}")]
     Settings(SettingsError),
-    /// It can't take the place of the present configuration.
+    /// It can't replace the configuration in force.
+    #[error("{0}")]
     Reload(ReloadError),
 }
 
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Missing(name) => write!(f, "{name} is not set"),
-            Self::Unreadable(path, error) => write!(f, "cannot read {}: {error}", path.display()),
-            Self::Malformed(error) => write!(f, "malformed configuration: {error}"),
-            Self::Address(field, given) => write!(f, "`{field}` is no address: `{given}`"),
-            Self::Settings(error) => write!(f, "{error}"),
-            Self::Reload(error) => write!(f, "{error}"),
-        }
-    }
-}
-
-impl std::error::Error for ConfigError {}
-
-/// The configuration, checked.
+/// A checked configuration.
 #[derive(Debug)]
 pub struct Config {
     /// The proxy's name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Where discovery is called.
     pub discovery: SocketAddr,
-    /// Where the operators's calls come, if anywhere. Only a proxy with a console is replaced while it serves.
+    /// Where operators connect, if at all. Only a proxy with a console supports process replacement.
     pub console: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The list of backends as last known, in discovery's form.
-    pub known: Value,
-    /// The module's settings.
+    /// The last known backend list, in discovery's format.
+    pub known_backends: Value,
+    /// The balancer's settings.
     pub settings: Settings,
-    /// What the settings name.
+    /// The names in the settings.
     pub names: NameIndex,
-    /// The file as it came, without the list that it holds.
+    /// The complete file except for its backend list, to compare it with a reloaded one.
     pub shape: Value,
-    /// A connection that is not up after this time has failed.
-    pub dial_timeout: Micros,
-    /// Client connections that may be open at a time.
+    /// How long connecting to a backend may take, in microseconds.
+    pub connect_timeout: Micros,
+    /// The maximum number of open client connections.
     pub client_sockets: usize,
-    /// Backend connections that may be open at a time, idle ones too.
+    /// The maximum number of open backend connections, idle ones included.
     pub backend_sockets: usize,
-    /// Bytes that bodies of requests beyond the usual size may hold at a time.
-    pub large_bodies: usize,
+    /// The bytes that buffered request bodies over [`MAX_BUFFERED_BODY_BYTES`] may take in total.
+    pub large_body_bytes: usize,
 }
 
 #[derive(Deserialize)]
@@ -97,8 +90,8 @@
     seed: Value,
     #[serde(default)]
     limits: RawLimits,
-    #[serde(default)]
-    known: Value,
+    #[serde(default, rename = "known")]
+    known_backends: Value,
     settings: Value,
 }
 
@@ -116,7 +109,7 @@
     name: String,
 }
 
-/// The part of the settings that only the sockets need.
+/// The part of the settings that only the front end uses.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RawNames {
@@ -148,92 +141,105 @@
 }
 
 impl Config {
-    /// Reads the file that the environment names.
+    /// Reads the file that `EDGE_CONFIG` names.
     ///
     /// # Errors
-    /// Says in one line what is missing or wrong.
+    /// What is missing or invalid, in one line.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = PathBuf::from(env::var_os("EDGE_CONFIG").ok_or(ConfigError::Missing("EDGE_CONFIG"))?);
         Self::from_file(&path)
     }
 
-    /// Reads the file that the environment names again, to take the place of a configuration of this shape.
+    /// Reads the file that `EDGE_CONFIG` names to replace a configuration of this shape.
     ///
     /// # Errors
-    /// Says in one line what is missing or wrong, or was there before and is not now.
-    pub fn again(shape: &Value) -> Result<Self, ConfigError> {
+    /// What is missing or invalid, or a key that the replaced configuration has and this one lacks, in one line.
+    pub fn reload(shape: &Value) -> Result<Self, ConfigError> {
         let config = Self::from_env()?;
         has_all_keys(shape, &config.shape).map_err(ConfigError::Reload)?;
         Ok(config)
     }
 
-    /// Reads this file; the environment fills in what it leaves out.
+    /// Reads this file; environment variables supply what it leaves out.
     ///
     /// # Errors
-    /// Says in one line what is missing or wrong.
+    /// What is missing or invalid, in one line.
     pub fn from_file(path: &Path) -> Result<Self, ConfigError> {
         let text = fs::read(path).map_err(|e| ConfigError::Unreadable(path.into(), e))?;
         Self::parse(&text, |name| env::var(name).ok())
     }
 
-    /// Reads the configuration from JSON text; `variable` fills in what the text leaves out.
+    /// Reads the configuration from JSON text; `variable` supplies what the text leaves out.
     ///
     /// # Errors
-    /// Says what is missing or wrong.
+    /// What is missing or invalid, in one line.
     pub fn parse(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let mut shape: Value = serde_json::from_slice(text).map_err(ConfigError::Malformed)?;
         let raw: RawConfig = serde_json::from_slice(text).map_err(ConfigError::Malformed)?;
-        if let Some(known) = shape.get_mut("known") {
-            *known = Value::Null;
+        if let Some(known_backends) = shape.get_mut("known") {
+            *known_backends = Value::Null;
         }
         let address = |field: &'static str, given: Option<String>, name: &str| {
             let given = given.or_else(|| variable(name)).unwrap_or_default();
             given.parse().map_err(|_| ConfigError::Address(field, given))
         };
         let settings = serde_json::to_vec(&raw.settings).map_err(ConfigError::Malformed)?;
-        let more: RawNames = serde_json::from_value(raw.settings).map_err(ConfigError::Malformed)?;
+        let raw_names: RawNames = serde_json::from_value(raw.settings).map_err(ConfigError::Malformed)?;
         let named = |list: Vec<Named>| list.into_iter().map(|n| n.name).collect();
         let console = raw.console.or_else(|| variable("EDGE_CONSOLE")).filter(|given| !given.is_empty());
         let console = console.map(|given| address("console", Some(given), "EDGE_CONSOLE")).transpose()?;
-        let (client_sockets, backend_sockets, large_bodies) = shares(&raw.limits, console.is_some());
+        let capacity = Capacity::new(&raw.limits, console.is_some());
         Ok(Self {
             name: raw.name.or_else(|| variable("EDGE_NAME")).unwrap_or_default(),
             listen: address("listen", raw.listen, "EDGE_LISTEN")?,
             discovery: address("discovery", raw.discovery, "EDGE_DISCOVERY")?,
             console,
             seed: seed(&raw.seed),
-            known: raw.known,
+            known_backends: raw.known_backends,
             settings: parse_settings(&settings).map_err(ConfigError::Settings)?,
             names: NameIndex {
-                classes: named(more.classes),
-                tenants: named(more.tenants),
-                zones: more.failure_domains,
-                kinds: more.kinds,
-                report: more.load_report.fields,
+                classes: named(raw_names.classes),
+                tenants: named(raw_names.tenants),
+                zones: raw_names.failure_domains,
+                kinds: raw_names.kinds,
+                report: raw_names.load_report.fields,
             },
             shape,
-            dial_timeout: more.permissions.dial_timeout_us.filter(|&t| t > 0).unwrap_or(DEFAULT_DIAL),
-            client_sockets,
-            backend_sockets,
-            large_bodies,
+            connect_timeout: raw_names
+                .permissions
+                .dial_timeout_us
+                .filter(|&t| t > 0)
+                .unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            client_sockets: capacity.client_sockets,
+            backend_sockets: capacity.backend_sockets,
+            large_body_bytes: capacity.large_body_bytes,
         })
     }
 }
 
-/// Client connections, backend connections, and bytes of large bodies that there may be at a time. What all of
-/// them may hold has to fit into the memory: two fifths of it for the heads and bodies that came from clients, a
-/// fifth for those from backends, a fifth for large bodies.
-fn shares(limits: &RawLimits, console: bool) -> (usize, usize, usize) {
-    let reserved = RESERVED_SOCKETS + if console { CONSOLE_SOCKETS } else { 0 };
-    let free = limits.sockets.unwrap_or(DEFAULT_SOCKETS).max(2 * reserved) - reserved;
-    let fifth = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).saturating_mul(1 << 20) / 5;
-    // A client's connection may carry a request that waits for a backend's, so it gets the larger part.
-    let clients = (free * 3 / 5).min(2 * fifth / (REQUEST_HEAD_CAP + BODY_CAP));
-    let backends = (free - free * 3 / 5).min(fifth / (ANSWER_HEAD_CAP + BODY_CAP));
-    (clients.max(1), backends.max(1), fifth)
+/// The connections and buffered bodies that fit into the process's limits.
+#[derive(Clone, Copy, Debug)]
+struct Capacity {
+    client_sockets: usize,
+    backend_sockets: usize,
+    large_body_bytes: usize,
+}
+
+impl Capacity {
+    /// Divides the memory in fifths: two for the heads and bodies of requests, one for those of responses, one for large
+    /// bodies, and one for everything else.
+    fn new(limits: &RawLimits, has_console: bool) -> Self {
+        let reserved = RESERVED_SOCKETS + if has_console { CONSOLE_SOCKETS } else { 0 };
+        let free = limits.sockets.unwrap_or(DEFAULT_SOCKETS).max(2 * reserved) - reserved;
+        let fifth = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).saturating_mul(1 << 20) / 5;
+        // A client connection may carry a request that waits for a backend connection, so clients get the larger part.
+        let clients = (free * 3 / 5).min(2 * fifth / (MAX_REQUEST_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES));
+        let backends = (free - free * 3 / 5).min(fifth / (MAX_RESPONSE_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES));
+        Self { client_sockets: clients.max(1), backend_sockets: backends.max(1), large_body_bytes: fifth }
+    }
 }
 
-/// The seed comes as hexadecimal text; a number is taken as well.
+/// The seed is hexadecimal text or a number; without one it is drawn at random.
 fn seed(value: &Value) -> u64 {
     let text = value.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
     text.or_else(|| value.as_u64()).unwrap_or_else(|| fastrand::Rng::new().u64(..))
--- a/crates/http-proxy/src/counting_socket.rs
+++ b/crates/http-proxy/src/counting_socket.rs
@@ -1,6 +1,6 @@
-//! A socket to a backend that counts what it took.
+//! A backend socket that counts the bytes that the kernel accepted.
 
-use crate::client_connection::is_quiet;
+use crate::client_connection::socket_state::is_quiet;
 use socket2::SockRef;
 use std::cell::Cell;
 use std::io;
@@ -11,29 +11,28 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection's socket, with a count of the bytes that it took.
-///
-/// The socket counts as empty only once the kernel says so (`socket_io`).
-pub struct Wire {
+/// A socket with a count of the bytes that were written to it. The count decides whether a backend can have received a
+/// complete request (rule 2).
+pub struct CountingSocket {
     stream: TcpStream,
     written: Cell<u64>,
 }
 
-impl Wire {
-    /// A socket that has taken nothing yet.
+impl CountingSocket {
+    /// A socket that nothing was written to.
     #[must_use]
     pub fn new(stream: TcpStream) -> Rc<Self> {
         Rc::new(Self { stream, written: Cell::new(0) })
     }
 
-    /// The bytes that it took so far.
+    /// The bytes that were written so far.
     #[must_use]
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Whether nothing has come in since the last answer: neither the backend's goodbye nor stray bytes. The
-    /// runtime may not have seen yet what the kernel knows already, so the socket itself is asked.
+    /// Whether nothing has arrived since the last response: neither the backend's close nor stray bytes. Asks the kernel,
+    /// since the runtime may not have polled the socket yet.
     #[must_use]
     pub fn is_quiet(&self) -> bool {
         is_quiet(&self.stream)
@@ -49,16 +48,16 @@
     }
 }
 
-/// The half of a [`Wire`] that the HTTP side drives.
-pub struct WireIo(pub Rc<Wire>);
+/// The reading and writing side of a [`CountingSocket`], for the HTTP library.
+pub struct CountingSocketIo(pub Rc<CountingSocket>);
 
-impl AsyncRead for WireIo {
+impl AsyncRead for CountingSocketIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         socket_io::poll_read(&self.0.stream, cx, buf)
     }
 }
 
-impl AsyncWrite for WireIo {
+impl AsyncWrite for CountingSocketIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.0.poll_counted(|stream| socket_io::poll_write(stream, cx, buf))
     }
--- a/crates/http-proxy/src/discovery/start_times.rs
+++ b/crates/http-proxy/src/discovery/start_times.rs
@@ -1,86 +1,93 @@
-//! When backends started, on this proxy's clock. Pure: no I/O, no clock of its own.
+//! Start times of backends on this proxy's clock. Pure: no I/O, no clock of its own.
 //!
-//! Discovery tells a start by the wall clock of another machine. That one and this machine's may have been stepped apart, by
-//! seconds or an hour, and a backend that has just started would count as warm. So a start is bounded by when this proxy
-//! heard of it: no earlier than some seconds before the first sight, and before it by no more than the youngest start in the
-//! same list. The seconds are bounded in turn, so that they can at most double the capacity that a cold backend is taken for.
+//! Discovery reports a start by the wall clock of another machine, which may differ from this one's by seconds or an hour; a
+//! backend that has just started would then count as warmed up. So a start is bounded by when this proxy first saw it: at the
+//! earliest some seconds before that, and earlier only by as much as it precedes the latest start in the same list. The
+//! seconds are bounded as well, so that they can at most double the assumed capacity of a backend that is warming up.
 
 use balancer::api::{BackendId, Micros, SafetyLimits};
 use rustc_hash::FxHashMap;
 
-/// How late a list may be believed to tell a start.
-const MAX_LATE: Micros = 4_000_000;
-/// How long the start of a backend that has left the list is remembered: one that returns has not started anew.
-const REMEMBERED: Micros = 600_000_000;
-/// How many of those are remembered, the latest ones.
-const MAX_REMEMBERED: usize = 4_096;
+/// How late a list may report a start, in microseconds.
+const MAX_REPORT_DELAY: Micros = 4_000_000;
+/// How long the start of a removed backend is retained, in microseconds: a backend that returns has not restarted.
+const REMOVED_RETENTION: Micros = 600_000_000;
+/// The number of removed backends whose starts are retained, the latest ones.
+const MAX_REMOVED: usize = 4_096;
 
-/// A start that was told.
 #[derive(Clone, Copy, Debug)]
-struct Start {
-    /// In Unix milliseconds, as it was told.
-    told: u64,
-    started: Micros,
-    /// When the backend left the list.
-    left_at: Option<Micros>,
+struct KnownStart {
+    /// In Unix milliseconds, as discovery reported it.
+    reported_ms: u64,
+    /// On this proxy's clock, in microseconds.
+    started_at: Micros,
+    removed_at: Option<Micros>,
 }
 
-/// The starts that were told, each with its place on this proxy's clock.
+/// The reported starts and their times on this proxy's clock.
 #[derive(Debug)]
 pub struct StartTimes {
-    late: Micros,
-    known: FxHashMap<BackendId, Start>,
+    max_delay: Micros,
+    known: FxHashMap<BackendId, KnownStart>,
 }
 
 impl StartTimes {
-    /// No start is known.
+    /// Start times without any entry.
     #[must_use]
     pub fn new(safety: &SafetyLimits) -> Self {
         let doubled = safety.initial_capacity / (1.0 - safety.initial_capacity).max(f64::EPSILON);
-        let late = MAX_LATE.min((safety.warm_up_duration as f64 * doubled.clamp(0.0, 1.0)) as Micros);
-        Self { late, known: FxHashMap::default() }
+        let max_delay =
+            MAX_REPORT_DELAY.min((safety.warm_up_duration as f64 * doubled.clamp(0.0, 1.0)) as Micros);
+        Self { max_delay, known: FxHashMap::default() }
     }
 
-    /// Whether this start was told before.
+    /// Whether this start was reported before.
     #[must_use]
-    pub fn is_known(&self, id: BackendId, told: u64) -> bool {
-        self.known.get(&id).is_some_and(|start| start.told == told)
+    pub fn is_known(&self, id: BackendId, reported_ms: u64) -> bool {
+        self.known.get(&id).is_some_and(|start| start.reported_ms == reported_ms)
     }
 
-    /// When a backend started, as told in Unix milliseconds; 0 is long ago. `newest` is the latest of the starts that the same
-    /// list tells for the first time. A start that was told before keeps its place.
-    pub fn place(&mut self, now: Micros, id: BackendId, told: u64, newest: u64) -> Option<Micros> {
-        if told == 0 {
+    /// When a backend started, in microseconds on this proxy's clock; `None` if long ago, which is reported as 0.
+    /// `newest_ms` is the latest of the starts that the same list reports for the first time, in Unix milliseconds. A start
+    /// that was reported before does not change.
+    pub fn started_at(
+        &mut self,
+        now: Micros,
+        id: BackendId,
+        reported_ms: u64,
+        newest_ms: u64,
+    ) -> Option<Micros> {
+        if reported_ms == 0 {
             return None;
         }
-        if let Some(start) = self.known.get_mut(&id).filter(|start| start.told == told) {
-            start.left_at = None;
-            return Some(start.started);
+        if let Some(start) = self.known.get_mut(&id).filter(|start| start.reported_ms == reported_ms) {
+            start.removed_at = None;
+            return Some(start.started_at);
         }
-        let by_clocks = told.saturating_mul(1_000);
-        let before_newest = newest.saturating_sub(told).saturating_mul(1_000);
-        let earliest = now.saturating_sub(self.late).saturating_sub(before_newest);
-        // What lies far ahead was told by a clock that tells nothing here.
-        let is_far_ahead = by_clocks > now.saturating_add(MAX_LATE);
-        let started = if is_far_ahead { earliest } else { by_clocks.min(now).max(earliest) };
-        self.known.insert(id, Start { told, started, left_at: None });
-        Some(started)
+        let reported = reported_ms.saturating_mul(1_000);
+        let before_newest = newest_ms.saturating_sub(reported_ms).saturating_mul(1_000);
+        let earliest = now.saturating_sub(self.max_delay).saturating_sub(before_newest);
+        // A start far in the future shows that the clocks disagree.
+        let is_far_ahead = reported > now.saturating_add(MAX_REPORT_DELAY);
+        let started_at = if is_far_ahead { earliest } else { reported.min(now).max(earliest) };
+        self.known.insert(id, KnownStart { reported_ms, started_at, removed_at: None });
+        Some(started_at)
     }
 
-    /// Forgets those that left the list long ago. `is_listed` tells who is on it.
-    pub fn forget(&mut self, now: Micros, is_listed: impl Fn(BackendId) -> bool) {
+    /// Drops the starts of backends that were removed long ago.
+    pub fn expire_removed(&mut self, now: Micros, is_listed: impl Fn(BackendId) -> bool) {
         self.known.retain(|&id, start| {
             if is_listed(id) {
                 return true;
             }
-            let left_at = *start.left_at.get_or_insert(now);
-            now.saturating_sub(left_at) < REMEMBERED
+            let removed_at = *start.removed_at.get_or_insert(now);
+            now.saturating_sub(removed_at) < REMOVED_RETENTION
         });
-        let mut left: Vec<_> = self.known.values().filter_map(|start| start.left_at).collect();
-        if left.len() > MAX_REMEMBERED {
-            left.sort_unstable();
-            let since = left[left.len() - MAX_REMEMBERED];
-            self.known.retain(|_, start| start.left_at.is_none_or(|at| at >= since));
+        let mut removals: Vec<_> = self.known.values().filter_map(|start| start.removed_at).collect();
+        if removals.len() > MAX_REMOVED {
+            removals.sort_unstable();
+            let oldest_retained = removals[removals.len() - MAX_REMOVED];
+            self.known.retain(|_, start| start.removed_at.is_none_or(|at| at >= oldest_retained));
         }
     }
 }
--- a/crates/http-proxy/src/discovery/translator.rs
+++ b/crates/http-proxy/src/discovery/translator.rs
@@ -1,8 +1,8 @@
-//! Reads discovery's lists: its names to the module's numbers.
+//! Parses discovery's lists.
 
 use super::DiscoveryError;
 use super::start_times::StartTimes;
-use crate::backend_list::Entry;
+use crate::backend_list::NamedBackend;
 use crate::backend_pool::ListedBackend;
 use crate::log::log;
 use crate::name_index::NameIndex;
@@ -11,6 +11,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Deserialize;
 use serde_json::Value;
+use thiserror::Error;
 
 #[derive(Deserialize)]
 struct RawList {
@@ -35,45 +36,59 @@
     up_since_ms: u64,
 }
 
-/// An entry as it came.
-struct Member {
-    /// Its name, as far as it can be read.
+/// A list entry, parsed where possible.
+struct ListMember {
+    /// Its name, where that can be read.
     name: Option<String>,
-    read: Result<RawMember, String>,
+    parsed: Result<RawMember, MemberError>,
 }
 
-impl Member {
-    fn read(member: Value) -> Self {
+impl ListMember {
+    fn parse(member: Value) -> Self {
         let name = member.get("id").and_then(Value::as_str).map(str::to_owned);
-        Self { name, read: serde_json::from_value(member).map_err(|e| e.to_string()) }
+        Self { name, parsed: serde_json::from_value(member).map_err(MemberError::Malformed) }
     }
 }
 
-/// A list in the module's terms.
+/// Why a list entry is skipped.
+#[derive(Debug, Error)]
+enum MemberError {
+    /// Not JSON of the expected form.
+    #[error("{0}")]
+    Malformed(serde_json::Error),
+    #[error("`{0}` is no address")]
+    Address(String),
+    #[error("unknown phase `{0}`")]
+    Phase(String),
+    #[error("unknown locality `{0}`")]
+    Locality(String),
+}
+
+/// A list in the balancer's terms.
 #[derive(Debug)]
-pub struct List {
-    /// Its version.
+pub struct DiscoveryList {
+    /// Its revision.
     pub revision: u64,
     /// Whether it names all backends.
-    pub complete: bool,
-    /// The entries that make sense.
-    pub entries: Vec<Entry>,
-    /// The names of those that do not, as far as they can be read.
-    pub unreadable: Vec<String>,
+    pub is_complete: bool,
+    /// The valid entries.
+    pub backends: Vec<NamedBackend>,
+    /// The names of the invalid entries, where they can be read.
+    pub unreadable_names: Vec<String>,
 }
 
-/// Translates discovery's names.
+/// Translates discovery's names to the balancer's indices and ids.
 pub struct ListTranslator {
     clock: Clock,
     zones: FxHashMap<String, u16>,
     kinds: FxHashMap<String, u8>,
-    numbers: FxHashMap<String, BackendId>,
-    taken: FxHashSet<BackendId>,
-    starts: StartTimes,
+    ids: FxHashMap<String, BackendId>,
+    used_ids: FxHashSet<BackendId>,
+    start_times: StartTimes,
 }
 
 impl ListTranslator {
-    /// A translator that knows no backends yet.
+    /// A translator that has seen no backend.
     #[must_use]
     pub fn new(clock: Clock, names: &NameIndex, safety: &SafetyLimits) -> Self {
         let zones = names.zones.iter().cloned().zip(0..).collect();
@@ -82,95 +97,104 @@
             clock,
             zones,
             kinds,
-            numbers: FxHashMap::default(),
-            taken: FxHashSet::default(),
-            starts: StartTimes::new(safety),
+            ids: FxHashMap::default(),
+            used_ids: FxHashSet::default(),
+            start_times: StartTimes::new(safety),
         }
     }
 
-    /// Reads a list. Entries that make no sense are logged.
+    /// Parses a list. Invalid entries are logged and skipped.
     ///
     /// # Errors
-    /// Where the list as a whole is not what is wanted.
-    pub fn list(&mut self, json: Value) -> Result<List, DiscoveryError> {
+    /// The list is not of the expected form.
+    pub fn list(&mut self, json: Value) -> Result<DiscoveryList, DiscoveryError> {
         let raw: RawList = serde_json::from_value(json).map_err(DiscoveryError::Malformed)?;
-        let (mut entries, mut unreadable) = (Vec::with_capacity(raw.members.len()), Vec::new());
-        let members: Vec<_> = raw.members.into_iter().map(Member::read).collect();
+        let (mut backends, mut unreadable_names) = (Vec::with_capacity(raw.members.len()), Vec::new());
+        let members: Vec<_> = raw.members.into_iter().map(ListMember::parse).collect();
         let now = self.clock.now();
-        let newest = self.newest_start(&members);
-        for Member { name, read } in members {
-            match read.and_then(|member| self.entry(member, now, newest)) {
-                Ok(entry) => entries.push(entry),
-                Err(problem) => {
-                    log(format_args!("passing over an entry of the list: {problem}"));
-                    unreadable.extend(name);
+        let newest_start_ms = self.newest_start_ms(&members);
+        for ListMember { name, parsed } in members {
+            match parsed.and_then(|member| self.backend(member, now, newest_start_ms)) {
+                Ok(backend) => backends.push(backend),
+                Err(error) => {
+                    log(format_args!("skipped an invalid entry of the backend list: {error}"));
+                    unreadable_names.extend(name);
                 }
             }
         }
-        let list = List { revision: raw.revision, complete: raw.complete, entries, unreadable };
-        self.forget_gone(&list);
+        let list =
+            DiscoveryList { revision: raw.revision, is_complete: raw.complete, backends, unreadable_names };
+        self.drop_removed(&list);
         Ok(list)
     }
 
-    /// Where every backend has a new name, those that are gone must not pile up.
-    fn forget_gone(&mut self, list: &List) {
-        let stays = |l: &ListedBackend| l.backend.readiness != Readiness::Removed;
-        let listed = || list.entries.iter().map(|e| e.listed);
-        let named = |stay: bool| listed().filter(move |l| stays(l) == stay).map(|l| l.backend.id);
-        let (stay, gone): (FxHashSet<_>, FxHashSet<_>) = (named(true).collect(), named(false).collect());
-        if list.complete || !gone.is_empty() {
-            let keep = |id: &BackendId| stay.contains(id) || (!list.complete && !gone.contains(id));
-            self.numbers.retain(|_, id| keep(id));
-            self.taken.retain(keep);
-            self.starts.forget(self.clock.now(), |id| keep(&id));
+    /// Drops the ids of removed backends, which would accumulate where every backend gets a new name.
+    fn drop_removed(&mut self, list: &DiscoveryList) {
+        let is_present = |listed: &ListedBackend| listed.backend.readiness != Readiness::Removed;
+        let listed = || list.backends.iter().map(|named| named.listed);
+        let ids = |present: bool| {
+            listed().filter(move |listed| is_present(listed) == present).map(|listed| listed.backend.id)
+        };
+        let (present, removed): (FxHashSet<_>, FxHashSet<_>) = (ids(true).collect(), ids(false).collect());
+        if list.is_complete || !removed.is_empty() {
+            let is_retained =
+                |id: &BackendId| present.contains(id) || (!list.is_complete && !removed.contains(id));
+            self.ids.retain(|_, id| is_retained(id));
+            self.used_ids.retain(is_retained);
+            self.start_times.expire_removed(self.clock.now(), |id| is_retained(&id));
         }
     }
 
-    /// The latest of the starts that these tell for the first time.
-    fn newest_start(&mut self, members: &[Member]) -> u64 {
-        let read = members.iter().filter_map(|member| member.read.as_ref().ok());
-        let told: Vec<_> = read.map(|raw| (self.number(&raw.id), raw.up_since_ms)).collect();
-        let new = told.into_iter().filter(|&(id, told)| !self.starts.is_known(id, told));
-        new.map(|(_, told)| told).max().unwrap_or_default()
+    /// The latest of the starts that these members report for the first time, in Unix milliseconds.
+    fn newest_start_ms(&mut self, members: &[ListMember]) -> u64 {
+        let parsed = members.iter().filter_map(|member| member.parsed.as_ref().ok());
+        let starts: Vec<_> = parsed.map(|raw| (self.id(&raw.id), raw.up_since_ms)).collect();
+        let new_starts =
+            starts.into_iter().filter(|&(id, start_ms)| !self.start_times.is_known(id, start_ms));
+        new_starts.map(|(_, start_ms)| start_ms).max().unwrap_or_default()
     }
 
-    fn entry(&mut self, raw: RawMember, now: Micros, newest: u64) -> Result<Entry, String> {
+    fn backend(
+        &mut self,
+        raw: RawMember,
+        now: Micros,
+        newest_start_ms: u64,
+    ) -> Result<NamedBackend, MemberError> {
         let address = raw.host_port.parse();
-        let address = address.map_err(|_| format!("`{}` is no address", raw.host_port))?;
+        let address = address.map_err(|_| MemberError::Address(raw.host_port))?;
         let readiness = match raw.phase.as_str() {
             "active" => Readiness::Ready,
             "leaving" => Readiness::Draining,
             "left" => Readiness::Removed,
-            other => return Err(format!("unknown phase `{other}`")),
+            _ => return Err(MemberError::Phase(raw.phase)),
         };
         let zone = self.zones.get(&raw.locality).copied();
-        let zone = zone.ok_or_else(|| format!("unknown locality `{}`", raw.locality))?;
-        // A kind that the settings don't name can still be sent to.
-        let kind = self.kinds.get(&raw.flavor).copied().unwrap_or(0);
-        let id = self.number(&raw.id);
-        let started = self.starts.place(now, id, raw.up_since_ms, newest);
-        let backend =
-            Backend { id, zone, machine_kind: kind, cell: raw.cell, readiness, started_at: started };
-        Ok(Entry { name: raw.id, listed: ListedBackend { backend, address } })
+        let zone = zone.ok_or(MemberError::Locality(raw.locality))?;
+        // A backend of a kind that the settings don't name can still serve.
+        let machine_kind = self.kinds.get(&raw.flavor).copied().unwrap_or(0);
+        let id = self.id(&raw.id);
+        let started_at = self.start_times.started_at(now, id, raw.up_since_ms, newest_start_ms);
+        let backend = Backend { id, zone, machine_kind, cell: raw.cell, readiness, started_at };
+        Ok(NamedBackend { name: raw.id, listed: ListedBackend { backend, address } })
     }
 
-    /// A backend's number, the same at every proxy: the hash of its name. Two names that share a hash (one in
-    /// millions) are told apart by order, which costs nothing but that sameness.
-    fn number(&mut self, name: &str) -> BackendId {
-        if let Some(&number) = self.numbers.get(name) {
-            return number;
+    /// A backend's id, the same at every proxy: the hash of its name. Of two names with the same hash (one pair in millions)
+    /// the later one gets the next free id, which may differ between proxies.
+    fn id(&mut self, name: &str) -> BackendId {
+        if let Some(&id) = self.ids.get(name) {
+            return id;
         }
-        let mut number = fnv(name.as_bytes());
-        while !self.taken.insert(number) {
-            number = number.wrapping_add(1);
+        let mut id = fnv1a(name.as_bytes());
+        while !self.used_ids.insert(id) {
+            id = id.wrapping_add(1);
         }
-        self.numbers.insert(name.to_owned(), number);
-        number
+        self.ids.insert(name.to_owned(), id);
+        id
     }
 }
 
-/// FNV-1a, 32 bits: stable from one build and machine to the next.
-fn fnv(bytes: &[u8]) -> u32 {
+/// FNV-1a, 32 bits: the same in every build and on every machine.
+fn fnv1a(bytes: &[u8]) -> u32 {
     bytes.iter().fold(0x811c_9dc5, |hash, &byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
--- a/crates/http-proxy/src/idempotency_claim.rs
+++ b/crates/http-proxy/src/idempotency_claim.rs
@@ -1,121 +1,133 @@
-//! Rule 2 across fronts: a client's request that callers outside might ask for too is held in the table they share.
+//! Claims of clients' requests in the idempotency registry that the HTTP and the gRPC front end share (rule 2).
 
-use crate::exchange::Served;
+use crate::exchange::BackendResponse;
 use balancer::api::{Class, Idempotency, Micros};
 use request_engine::driver::clock::Clock;
 use request_engine::engine::FinalOutcome;
 use request_engine::idempotency::{
-    self, ClaimError, ClaimId, ClaimStatus, CompletedRequest, FinalStatus, FrontEnd, SharedRegistry,
+    ClaimError, ClaimId, ClaimStatus, CompletedRequest, ExecutionEffect, FinalStatus, FrontEnd,
+    SharedRegistry,
 };
 
-/// When a client may ask again for what another holds, microseconds.
-const ASK_RETRY_DELAY: Micros = 1_000_000;
+/// When a client may retry a request that another caller has in flight, in microseconds.
+const IN_FLIGHT_RETRY_DELAY: Micros = 1_000_000;
 
-/// The request is not this client's to have sent.
+/// Why a request must not be sent to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// Nothing of it has run here: refused, with the time to stay away.
-    Refused(Micros),
-    /// It has, or has had, an end whose answer is not kept.
-    NoAnswer(&'static str),
-    /// It can't be held.
-    Senseless(&'static str),
+pub enum ClaimRejection {
+    /// It has not run here; the client may retry after this delay in microseconds.
+    RetryAfter(Micros),
+    /// Another caller has completed it, or it conflicts with an earlier request. The text is the response's body.
+    Conflict(&'static str),
+    /// It can't be registered. The text is the response's body.
+    Invalid(&'static str),
 }
 
-/// On what terms the requests of a class are held.
+/// How the requests of a class are registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
-    /// Whether its requests are one another's repeats by their keys.
+pub struct ClaimTerms {
+    /// Whether requests with the same idempotency key are retries of one another.
     keyed: bool,
-    /// How long an answer is remembered for callers outside.
-    memory: Micros,
+    /// How long the final status is retained, in microseconds.
+    retention: Micros,
 }
 
-impl Terms {
+impl ClaimTerms {
     /// The terms of a class.
     #[must_use]
     pub fn of(class: &Class) -> Self {
         match class.idempotency {
-            Idempotency::Idempotent => Self { keyed: false, memory: 0 },
-            Idempotency::Keyed { ttl, .. } => Self { keyed: true, memory: ttl.max(class.deadline) },
-            Idempotency::NonIdempotent => Self { keyed: false, memory: class.deadline },
+            Idempotency::Idempotent => Self { keyed: false, retention: 0 },
+            Idempotency::Keyed { ttl, .. } => Self { keyed: true, retention: ttl.max(class.deadline) },
+            Idempotency::NonIdempotent => Self { keyed: false, retention: class.deadline },
         }
     }
 }
 
-/// A request that this front holds. One whose client leaves may have run.
-pub struct Claim<'a> {
-    claims: &'a SharedRegistry,
+/// What identifies a request in the registry.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestIdentity<'a> {
+    /// The correlation id.
+    pub id: &'a [u8],
+    /// Position of its class in the settings.
+    pub class: u8,
+    /// The idempotency key, if it has one.
+    pub key: Option<&'a [u8]>,
+}
+
+/// A request that the HTTP front end has in flight. Dropped unsettled, it counts as possibly executed.
+pub struct IdempotencyClaim<'a> {
+    registry: &'a SharedRegistry,
     clock: Clock,
     id: ClaimId,
-    memory: Micros,
+    retention: Micros,
     settled: bool,
 }
 
-impl<'a> Claim<'a> {
-    /// Takes the claim; `None` where this front itself had it before: as without callers outside, the backends then
-    /// drop the repeat or answer it.
+impl<'a> IdempotencyClaim<'a> {
+    /// Registers a request. `None` if this front end completed it before: the backends then deduplicate the retry, as they
+    /// do without a gRPC front end.
     ///
     /// # Errors
-    /// Where it is another's, or can't be held.
-    pub fn take(
-        claims: &'a SharedRegistry,
+    /// Another caller has it, the registry is full, or its names are invalid.
+    pub fn acquire(
+        registry: &'a SharedRegistry,
         clock: Clock,
-        id: &[u8],
-        class: u8,
-        key: Option<&[u8]>,
-        Terms { keyed, memory }: Terms,
-    ) -> Result<Option<Self>, Taken> {
+        request: RequestIdentity<'_>,
+        terms: ClaimTerms,
+    ) -> Result<Option<Self>, ClaimRejection> {
         let now = clock.now();
-        let claimed = claims.borrow_mut().claim(now, id, class, key.filter(|_| keyed));
+        let key = request.key.filter(|_| terms.keyed);
+        let claimed = registry.borrow_mut().claim(now, request.id, request.class, key);
         match claimed {
-            Ok(ClaimStatus::New(id)) => Ok(Some(Self { claims, clock, id, memory, settled: false })),
+            Ok(ClaimStatus::New(id)) => {
+                Ok(Some(Self { registry, clock, id, retention: terms.retention, settled: false }))
+            }
             Ok(ClaimStatus::Completed(CompletedRequest { front_end: FrontEnd::Proxied, .. })) => Ok(None),
             Ok(ClaimStatus::InFlight { .. }) | Err(ClaimError::Full(_)) => {
-                Err(Taken::Refused(ASK_RETRY_DELAY))
+                Err(ClaimRejection::RetryAfter(IN_FLIGHT_RETRY_DELAY))
             }
             Ok(ClaimStatus::Completed(CompletedRequest { status: FinalStatus::Rejected(until), .. })) => {
-                Err(Taken::Refused(until.saturating_sub(now)))
+                Err(ClaimRejection::RetryAfter(until.saturating_sub(now)))
             }
             Ok(ClaimStatus::Completed(_)) => {
-                Err(Taken::NoAnswer("another caller sent it: no answer is kept\n"))
+                Err(ClaimRejection::Conflict("another caller sent it: no answer is kept\n"))
+            }
+            Err(ClaimError::KeyMismatch) => Err(ClaimRejection::Conflict("this id came with another key\n")),
+            Err(ClaimError::InvalidName(_)) => {
+                Err(ClaimRejection::Invalid("the id or the key is too long\n"))
             }
-            Err(ClaimError::KeyMismatch) => Err(Taken::NoAnswer("this id came with another key\n")),
-            Err(ClaimError::InvalidName(_)) => Err(Taken::Senseless("the id or the key is too long\n")),
         }
     }
 
-    /// Its answer is on its way; `None`: there will be none.
-    pub fn settle(mut self, verdict: Option<&FinalOutcome<Served>>) {
+    /// Records the final outcome; `None` if there will be none.
+    pub fn settle(mut self, outcome: Option<&FinalOutcome<BackendResponse>>) {
         self.settled = true;
         let now = self.clock.now();
-        match verdict {
+        match outcome {
             Some(FinalOutcome::Served(_)) => {
-                self.end(now, FinalStatus::Served, idempotency::ExecutionEffect::Possible);
+                self.complete(now, FinalStatus::Served, ExecutionEffect::Possible);
             }
             Some(&FinalOutcome::Rejected { retry_after }) => {
-                self.end(
-                    now,
-                    FinalStatus::Rejected(now.saturating_add(retry_after)),
-                    idempotency::ExecutionEffect::None,
-                );
+                let until = now.saturating_add(retry_after);
+                self.complete(now, FinalStatus::Rejected(until), ExecutionEffect::None);
             }
             Some(FinalOutcome::Failed) | None => {
-                self.end(now, FinalStatus::Failed, idempotency::ExecutionEffect::Possible);
+                self.complete(now, FinalStatus::Failed, ExecutionEffect::Possible);
             }
         }
     }
 
-    fn end(&self, now: Micros, end: FinalStatus, effect: idempotency::ExecutionEffect) {
-        let remembered = CompletedRequest { front_end: FrontEnd::Proxied, status: end };
-        self.claims.borrow_mut().complete(now, self.id, remembered, effect, self.memory);
+    fn complete(&self, now: Micros, status: FinalStatus, effect: ExecutionEffect) {
+        let completed = CompletedRequest { front_end: FrontEnd::Proxied, status };
+        self.registry.borrow_mut().complete(now, self.id, completed, effect, self.retention);
     }
 }
 
-impl Drop for Claim<'_> {
+impl Drop for IdempotencyClaim<'_> {
     fn drop(&mut self) {
         if !self.settled {
-            self.end(self.clock.now(), FinalStatus::Unknown, idempotency::ExecutionEffect::Possible);
+            self.complete(self.clock.now(), FinalStatus::Unknown, ExecutionEffect::Possible);
         }
     }
 }
--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -1,5 +1,7 @@
-//! The proxy on real sockets. It carries out what the [engine](request_engine::engine) decides and
-//! reports what came of it; it never picks a backend, retries, holds or refuses by itself.
+//! The HTTP/1.1 front end: client connections, backend connections, and the discovery client.
+//!
+//! It carries out what the [engine](request_engine::engine) decides and reports the results; it never selects backends,
+//! retries, queues or sheds requests by itself.
 
 pub mod backend_list;
 pub mod backend_pool;
--- a/crates/http-proxy/src/name_index.rs
+++ b/crates/http-proxy/src/name_index.rs
@@ -1,6 +1,6 @@
-//! Names to positions.
+//! The names that the protocols use, in the order of the settings.
 
-/// The names that the protocol uses and the module knows by their position.
+/// Names by position: the balancer identifies each of these by its index.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
     /// Request classes.
@@ -9,7 +9,7 @@
     pub tenants: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Kinds of machines.
+    /// Machine kinds.
     pub kinds: Vec<String>,
     /// Fields of a load report.
     pub report: Vec<String>,
--- a/crates/http-proxy/src/size_limits.rs
+++ b/crates/http-proxy/src/size_limits.rs
@@ -1,12 +1,12 @@
-//! What a message may hold at the most.
+//! Size limits of the messages that the proxy forwards.
 
-/// The largest body that is kept whole for any request or answer, in bytes; larger ones are passed on as they come.
-pub const BODY_CAP: usize = 64 * 1024;
-/// The largest body that passes in either direction, in bytes. Those of 32 MB are usual for peers that send large ones;
-/// beyond half as much again something is wrong.
-pub const BODY_MOST: u64 = 48 << 20;
+/// The largest body that is buffered for any request or response, in bytes; larger ones are streamed.
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
+/// The largest body that is forwarded in either direction, in bytes: half as much again as the 32 MB that peers with
+/// large bodies usually send.
+pub const MAX_BODY_BYTES: u64 = 48 << 20;
 /// The largest head of a request, in bytes.
-pub const REQUEST_HEAD_CAP: usize = 16 * 1024;
-/// The largest head of an answer, and what a connection reads ahead, in bytes: one that does not end must not take
-/// memory until the request's time is up.
-pub const ANSWER_HEAD_CAP: usize = 16 * 1024;
+pub const MAX_REQUEST_HEAD_BYTES: usize = 16 * 1024;
+/// The largest head of a response and the read buffer of a backend connection, in bytes. Bounds the memory that an
+/// endless head takes.
+pub const MAX_RESPONSE_HEAD_BYTES: usize = 16 * 1024;
--- a/crates/http-proxy/src/transport.rs
+++ b/crates/http-proxy/src/transport.rs
@@ -1,7 +1,7 @@
-//! Carries the engine's commands out over connections to backends.
+//! Carries out the engine's commands over connections to backends.
 
 use crate::backend_pool::{BackendPool, ListedBackend};
-use crate::exchange::{Call, Payload, Served};
+use crate::exchange::{BackendResponse, ForwardedRequest, RequestBody};
 use crate::log::log;
 use balancer::api::{Backend, BackendId, MembershipUpdate, Outcome};
 use request_engine::driver::cancellation::CancellationSignal;
@@ -14,48 +14,48 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// What travels between clients and backends.
+/// The message types of the HTTP front end.
 #[derive(Debug)]
 pub struct Http;
 
-/// Where a final answer goes.
+/// Where a final outcome is delivered.
 #[derive(Debug)]
-pub enum Reply {
+pub enum Responder {
     /// To a client's connection.
-    Client(oneshot::Sender<FinalOutcome<Served>>),
-    /// To the front whose callers make their attempts themselves.
-    Outside(RequestHandle),
+    HttpClient(oneshot::Sender<FinalOutcome<BackendResponse>>),
+    /// To the gRPC front end, whose callers make their attempts under leases.
+    LeaseHolder(RequestHandle),
 }
 
-impl From<RequestHandle> for Reply {
-    fn from(ticket: RequestHandle) -> Self {
-        Self::Outside(ticket)
+impl From<RequestHandle> for Responder {
+    fn from(request: RequestHandle) -> Self {
+        Self::LeaseHolder(request)
     }
 }
 
 impl MessageTypes for Http {
-    type OutboundRequest = Rc<Call>;
-    type Responder = Reply;
-    type Response = Served;
+    type OutboundRequest = Rc<ForwardedRequest>;
+    type Responder = Responder;
+    type Response = BackendResponse;
 
-    fn is_single_use(work: &Rc<Call>) -> bool {
-        matches!(work.body, Payload::Passed(_))
+    fn is_single_use(request: &Rc<ForwardedRequest>) -> bool {
+        matches!(request.body, RequestBody::Streamed(_))
     }
 }
 
-/// The way to the engine.
+/// The handle of the engine.
 pub type Handle = driver::Handle<ProxyTransport>;
 
-/// The transport of this proxy's own connections.
+/// The transport over this proxy's own connections.
 pub struct ProxyTransport {
-    /// The backends, and the connections to them.
+    /// The backends and the connections to them.
     pub backend_pool: Rc<BackendPool>,
-    /// Asks discovery for changes, where it has to be asked.
+    /// Requests a subscription from discovery, where that is a shared service.
     pub subscribe: mpsc::UnboundedSender<()>,
-    /// Whether load reports come with probes alone.
-    pub report_by_probe: bool,
-    /// What is said to callers that make their attempts themselves; nothing where there are none.
-    pub outside: Rc<LeaseEventQueue>,
+    /// Whether load reports come with health checks only.
+    pub report_by_health_check: bool,
+    /// Events for the holders of leases; unused without a gRPC front end.
+    pub lease_events: Rc<LeaseEventQueue>,
 }
 
 impl Transport for ProxyTransport {
@@ -64,56 +64,63 @@
     fn start_attempt(
         &self,
         backend: BackendId,
-        work: Rc<Call>,
+        request: Rc<ForwardedRequest>,
         times: AttemptTimes,
-        recall: Rc<CancellationSignal>,
-    ) -> impl Future<Output = AttemptEnd<Served>> + 'static {
-        let (backend_pool, server) = (Rc::clone(&self.backend_pool), self.backend_pool.server(backend));
+        cancellation: Rc<CancellationSignal>,
+    ) -> impl Future<Output = AttemptEnd<BackendResponse>> + 'static {
+        let (pool, backend) = (Rc::clone(&self.backend_pool), self.backend_pool.backend(backend));
         async move {
-            match server {
-                Some(server) => backend_pool.attempt(server, work, times, recall).await,
+            match backend {
+                Some(backend) => pool.attempt(backend, request, times, cancellation).await,
                 None => Outcome::NotSent.into(),
             }
         }
     }
 
-    fn check_health(&self, backend: BackendId) -> impl Future<Output = AttemptEnd<Served>> + 'static {
-        let (backend_pool, server, deep) =
-            (Rc::clone(&self.backend_pool), self.backend_pool.server(backend), self.report_by_probe);
+    fn check_health(
+        &self,
+        backend: BackendId,
+    ) -> impl Future<Output = AttemptEnd<BackendResponse>> + 'static {
+        let (pool, backend) = (Rc::clone(&self.backend_pool), self.backend_pool.backend(backend));
+        let with_load_report = self.report_by_health_check;
         async move {
-            match server {
-                Some(server) => backend_pool.probe(server, deep).await,
+            match backend {
+                Some(backend) => pool.check_health(backend, with_load_report).await,
                 None => Outcome::NotSent.into(),
             }
         }
     }
 
-    fn respond(&self, reply: Reply, verdict: FinalOutcome<Served>) {
-        match reply {
-            // A client that has left meanwhile is told of by its own guard.
-            Reply::Client(sender) => drop(sender.send(verdict)),
-            Reply::Outside(ticket) => {
-                let verdict = match verdict {
+    fn respond(&self, responder: Responder, outcome: FinalOutcome<BackendResponse>) {
+        match responder {
+            // The engine learns of a client that has disconnected from its `DisconnectGuard`.
+            Responder::HttpClient(sender) => drop(sender.send(outcome)),
+            Responder::LeaseHolder(request) => {
+                let outcome = match outcome {
                     FinalOutcome::Served(_) => FinalOutcome::Served(None),
                     FinalOutcome::Rejected { retry_after } => FinalOutcome::Rejected { retry_after },
                     FinalOutcome::Failed => FinalOutcome::Failed,
                 };
-                self.outside.push(LeaseEvent::Completed(ticket, verdict));
+                self.lease_events.push(LeaseEvent::Completed(request, outcome));
             }
         }
     }
 
-    fn grant_lease(&self, reply: Option<&Reply>, grant: LeaseGrant) {
-        match reply {
-            Some(&Reply::Outside(ticket)) => self.outside.push(LeaseEvent::Granted(ticket, grant)),
-            // A client asks for none; one that is granted all the same runs out by itself.
-            Some(Reply::Client(_)) | None => log(format_args!("nobody asked for lease {}", grant.lease)),
+    fn grant_lease(&self, responder: Option<&Responder>, grant: LeaseGrant) {
+        match responder {
+            Some(&Responder::LeaseHolder(request)) => {
+                self.lease_events.push(LeaseEvent::Granted(request, grant));
+            }
+            // HTTP clients request no leases; such a lease expires.
+            Some(Responder::HttpClient(_)) | None => {
+                log(format_args!("lease {} was granted without a holder", grant.lease));
+            }
         }
     }
 
-    fn revoke_lease(&self, reply: Option<&Reply>, lease: LeaseId) {
-        if let Some(&Reply::Outside(ticket)) = reply {
-            self.outside.push(LeaseEvent::Revoked(ticket, lease));
+    fn revoke_lease(&self, responder: Option<&Responder>, lease: LeaseId) {
+        if let Some(&Responder::LeaseHolder(request)) = responder {
+            self.lease_events.push(LeaseEvent::Revoked(request, lease));
         }
     }
 
@@ -130,23 +137,23 @@
     }
 }
 
-/// How a list of backends is to be read.
+/// What a list of backends contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum UpdateKind {
     /// Changed entries.
     Delta,
     /// The complete list.
-    Full,
-    /// The complete list as last held.
-    Cached,
-    /// A call to discovery failed.
+    Snapshot,
+    /// The last known complete list.
+    CachedSnapshot,
+    /// Nothing: a call to discovery failed.
     Failed,
 }
 
-/// Hands a list on: to the sockets first, so that an attempt which this very list starts finds its backend.
-pub fn update_backends(handle: &Handle, scope: Scope, entries: &[ListedBackend]) {
+/// Applies a list to the connection pool and then to the engine, so that an attempt that the list triggers finds its backend.
+pub fn update_backends(handle: &Handle, kind: UpdateKind, entries: &[ListedBackend]) {
     let backend_pool = &handle.transport().backend_pool;
-    if matches!(scope, Scope::Full | Scope::Cached) {
+    if matches!(kind, UpdateKind::Snapshot | UpdateKind::CachedSnapshot) {
         let listed: FxHashSet<_> = entries.iter().map(|e| e.backend.id).collect();
         backend_pool.retain(|id| listed.contains(&id));
     }
@@ -154,10 +161,10 @@
         backend_pool.update(backend.id, *address, backend.readiness, backend.started_at);
     }
     let backends: Vec<Backend> = entries.iter().map(|e| e.backend).collect();
-    handle.update_membership(match scope {
-        Scope::Delta => MembershipUpdate::Delta(&backends),
-        Scope::Full => MembershipUpdate::Snapshot(&backends),
-        Scope::Cached => MembershipUpdate::CachedSnapshot(&backends),
-        Scope::Failed => MembershipUpdate::Failed,
+    handle.update_membership(match kind {
+        UpdateKind::Delta => MembershipUpdate::Delta(&backends),
+        UpdateKind::Snapshot => MembershipUpdate::Snapshot(&backends),
+        UpdateKind::CachedSnapshot => MembershipUpdate::CachedSnapshot(&backends),
+        UpdateKind::Failed => MembershipUpdate::Failed,
     });
 }
--- a/crates/http-proxy/tests/golden.rs
+++ b/crates/http-proxy/tests/golden.rs
@@ -28,16 +28,16 @@
         config.discovery,
         config.console,
         config.seed,
-        config.known,
+        config.known_backends,
         names.classes,
         names.tenants,
         names.zones,
         names.kinds,
         names.report,
-        config.dial_timeout,
+        config.connect_timeout,
         config.client_sockets,
         config.backend_sockets,
-        config.large_bodies
+        config.large_body_bytes
     )
 }
 
--- a/crates/http-proxy/tests/outage.rs
+++ b/crates/http-proxy/tests/outage.rs
@@ -1,105 +1,87 @@
-//! A whole fleet, in virtual time, before a discovery service that was down: when is the first call of each proxy answered?
-//! The decisions and the turns are the proxy's own; the service has one queue.
+//! Simulates the recovery of a discovery service in virtual time: when does each proxy of a fleet get its first response? Uses
+//! the balancer and the call schedule of the proxy; the service has one queue.
 
 use balancer::api::{Action, Event, MembershipUpdate, Micros, Settings};
 use balancer::balancer::Balancer;
-use http_proxy::poll_schedule::{Failure, OPENING_LIMIT, PollSchedule};
+use http_proxy::poll_schedule::{CallFailure, PollSchedule, START_TIMEOUT};
 use settings::parse_settings;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Within this time after discovery could be reached a change counts as told.
-const TOLD: Micros = 6 * SECOND;
-/// The service fails calls that waited longer.
-const PATIENCE: Micros = 2 * SECOND;
-/// When the service goes down, on the clock of all.
-const DOWN: Micros = 1_796_148_000_123_456;
+/// A change has to be known this long after discovery was reachable, in microseconds.
+const NOTIFICATION_LIMIT: Micros = 6 * SECOND;
+/// The service fails calls that were queued for longer, in microseconds.
+const QUEUE_TIMEOUT: Micros = 2 * SECOND;
+/// When the service fails, on the clock that all proxies share.
+const OUTAGE_BEGAN: Micros = 1_796_148_000_123_456;
 
-/// What calls meet while the service is down.
+/// How calls fail while the service is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
-    /// A refusal at once.
+    /// They are refused at once.
     Refuses,
-    /// Nothing, not even after the return.
+    /// They get no response, not even after the recovery.
     Silent,
-    /// Nothing, and a reset at the return.
-    ResetsAtReturn,
+    /// They get no response, and a reset at the recovery.
+    ResetsAtRecovery,
 }
 
-/// The service and what it has to do.
+/// The service and its queue.
 struct Service {
     outage: Outage,
-    back: Micros,
-    /// What a call costs it, at the least and at the most.
+    recovered_at: Micros,
+    /// The minimum and maximum time that a call takes it.
     cost: (Micros, Micros),
-    /// Whether calls that it fails cost as much.
+    /// Whether failed calls take as long.
     pays_for_failures: bool,
     busy_until: Micros,
-    chance: fastrand::Rng,
+    random: fastrand::Rng,
 }
 
 impl Service {
-    /// How a call that begins now ends, and when.
-    fn call(&mut self, now: Micros) -> (Micros, Result<(), Failure>) {
-        if now < self.back {
-            let limit = now + OPENING_LIMIT;
+    /// When a call that starts at `now` ends, and how.
+    fn call(&mut self, now: Micros) -> (Micros, Result<(), CallFailure>) {
+        if now < self.recovered_at {
+            let limit = now + START_TIMEOUT;
             return match self.outage {
-                Outage::Refuses => (now + MS, Err(Failure::Refused(MS))),
-                Outage::ResetsAtReturn if self.back < limit => {
-                    (self.back, Err(Failure::Refused(self.back - now)))
+                Outage::Refuses => (now + MS, Err(CallFailure::Rejected(MS))),
+                Outage::ResetsAtRecovery if self.recovered_at < limit => {
+                    (self.recovered_at, Err(CallFailure::Rejected(self.recovered_at - now)))
                 }
-                Outage::Silent | Outage::ResetsAtReturn => (limit, Err(Failure::Unreached)),
+                Outage::Silent | Outage::ResetsAtRecovery => (limit, Err(CallFailure::Unreachable)),
             };
         }
         let begins = self.busy_until.max(now);
-        let done = begins + self.chance.u64(self.cost.0..=self.cost.1);
-        let fails = begins - now > PATIENCE;
+        let done = begins + self.random.u64(self.cost.0..=self.cost.1);
+        let fails = begins - now > QUEUE_TIMEOUT;
         if !fails || self.pays_for_failures {
             self.busy_until = done;
         }
-        if fails { (now + PATIENCE, Err(Failure::Refused(PATIENCE))) } else { (done, Ok(())) }
+        if fails { (now + QUEUE_TIMEOUT, Err(CallFailure::Rejected(QUEUE_TIMEOUT))) } else { (done, Ok(())) }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    Failed(Failure4),
+    Failed(CallFailure),
     Timer(u32),
-    Begins,
-    Answered,
-}
-
-/// `Failure` with an order, for the queue of events.
-type Failure4 = (u8, Micros);
-
-fn ordered(failure: Failure) -> Failure4 {
-    match failure {
-        Failure::Silent => (0, 0),
-        Failure::Refused(after) => (1, after),
-        Failure::Unreached => (2, 0),
-    }
-}
-
-fn plain((kind, after): Failure4) -> Failure {
-    match kind {
-        0 => Failure::Silent,
-        1 => Failure::Refused(after),
-        _ => Failure::Unreached,
-    }
+    CallStarts,
+    CallSucceeded,
 }
 
 struct Proxy {
     balancer: Balancer,
-    turns: PollSchedule,
-    told: Option<Micros>,
+    schedule: PollSchedule,
+    /// After the recovery, in microseconds.
+    first_response: Option<Micros>,
     calls: u32,
 }
 
-fn settings(me: u32, balancers: u32) -> Settings {
+fn settings(index: u32, balancers: u32) -> Settings {
     let text = format!(
-        r#"{{"me": {me}, "balancers": {balancers}, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
+        r#"{{"me": {index}, "balancers": {balancers}, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
             "membershipMode": "on_request",
             "classes": [{{"name": "read", "aimUs": 100000, "deadlineUs": 1000000, "worth": 1.0, "lateWorth": 0.5,
                           "effect": "retryable", "group": "cell", "keyTtlUs": 3000000}}],
@@ -110,110 +92,123 @@
     parse_settings(text.as_bytes()).expect("settings")
 }
 
-/// A fleet of which the proxies `here` lose their watches at one moment, and the service returns after `outage`.
+/// An outage of `duration` in which the proxies `indices` of a fleet lose their watches at one moment.
 struct Trial {
     balancers: u32,
-    here: Vec<u32>,
-    kind: Outage,
-    lasts: Micros,
+    indices: Vec<u32>,
+    outage: Outage,
+    /// In microseconds.
+    duration: Micros,
     cost: (Micros, Micros),
     pays_for_failures: bool,
-    /// A planted fault: each proxy waits so much longer before it asks again.
-    late_by: Micros,
+    /// An injected fault: each proxy delays its calls by this time, in microseconds.
+    extra_delay: Micros,
     seed: u64,
 }
 
 impl Trial {
-    /// How long after the return each proxy had its first answer, in order of the answers.
+    /// How long after the recovery each proxy got its first response, in ascending order.
     fn run(&self) -> Vec<Micros> {
-        let mut chance = fastrand::Rng::with_seed(self.seed);
-        let back = DOWN + self.lasts;
+        let mut random = fastrand::Rng::with_seed(self.seed);
+        let recovered_at = OUTAGE_BEGAN + self.duration;
         let mut service = Service {
-            outage: self.kind,
-            back,
+            outage: self.outage,
+            recovered_at,
             cost: self.cost,
             pays_for_failures: self.pays_for_failures,
             busy_until: 0,
-            chance: chance.fork(),
+            random: random.fork(),
         };
         let mut proxies: Vec<_> = self
-            .here
+            .indices
             .iter()
-            .map(|&me| {
-                let settings = settings(me, self.balancers);
-                let mut turns = PollSchedule::of(me, self.balancers, settings.safety.max_poll_interval);
-                // The watch has been up for a while.
-                turns.begun(DOWN - chance.u64(0..20 * SECOND));
-                turns.answered();
-                let balancer = Balancer::new(settings, chance.u64(..), DOWN - SECOND).expect("settings");
-                Proxy { balancer, turns, told: None, calls: 0 }
+            .map(|&index| {
+                let settings = settings(index, self.balancers);
+                let mut schedule =
+                    PollSchedule::new(index, self.balancers, settings.safety.max_poll_interval);
+                // The watch has been running for a while.
+                schedule.call_started(OUTAGE_BEGAN - random.u64(0..20 * SECOND));
+                schedule.call_succeeded();
+                let balancer =
+                    Balancer::new(settings, random.u64(..), OUTAGE_BEGAN - SECOND).expect("settings");
+                Proxy { balancer, schedule, first_response: None, calls: 0 }
             })
             .collect();
         let mut due: BinaryHeap<_> = (0..proxies.len())
-            .map(|which| Reverse((DOWN, which, Step::Failed(ordered(Failure::Unreached)))))
+            .map(|proxy_index| Reverse((OUTAGE_BEGAN, proxy_index, Step::Failed(CallFailure::Unreachable))))
             .collect();
-        while let Some(Reverse((now, which, step))) = due.pop() {
-            assert!(now < back + 3_600 * SECOND, "an hour, and proxy {which} has heard nothing");
-            let proxy = &mut proxies[which];
+        while let Some(Reverse((now, proxy_index, step))) = due.pop() {
+            assert!(
+                now < recovered_at + 3_600 * SECOND,
+                "proxy {proxy_index} got no response within an hour"
+            );
+            let proxy = &mut proxies[proxy_index];
             let mut actions = Vec::new();
             match step {
                 Step::Failed(failure) => {
-                    proxy.turns.failed(plain(failure));
+                    proxy.schedule.call_failed(failure);
                     proxy.balancer.handle(now, Event::Membership(MembershipUpdate::Failed), &mut actions);
                 }
                 Step::Timer(token) => proxy.balancer.handle(now, Event::TimerExpired(token), &mut actions),
-                Step::Begins => {
-                    proxy.turns.begun(now);
+                Step::CallStarts => {
+                    proxy.schedule.call_started(now);
                     proxy.calls += 1;
-                    let (at, end) = service.call(now);
-                    let step = end.map_or_else(|failure| Step::Failed(ordered(failure)), |()| Step::Answered);
-                    due.push(Reverse((at, which, step)));
+                    let (at, result) = service.call(now);
+                    let step = result.map_or_else(Step::Failed, |()| Step::CallSucceeded);
+                    due.push(Reverse((at, proxy_index, step)));
                 }
-                Step::Answered => proxy.told = Some(now - back),
+                Step::CallSucceeded => proxy.first_response = Some(now - recovered_at),
             }
             for action in actions {
                 match action {
                     Action::SetTimer { delay: after, token } => {
-                        due.push(Reverse((now + after + self.late_by, which, Step::Timer(token))));
+                        due.push(Reverse((now + after + self.extra_delay, proxy_index, Step::Timer(token))));
                     }
                     Action::Subscribe => {
-                        due.push(Reverse((proxy.turns.at(now, true), which, Step::Begins)));
+                        due.push(Reverse((
+                            proxy.schedule.next_call_at(now, true),
+                            proxy_index,
+                            Step::CallStarts,
+                        )));
                     }
-                    other => panic!("a fleet without requests does nothing else: {other:?}"),
+                    other => panic!("unexpected action of a fleet without requests: {other:?}"),
                 }
             }
         }
-        let mut told: Vec<_> = proxies.iter().map(|proxy| proxy.told.expect("an answer")).collect();
-        told.sort_unstable();
-        told
+        let mut responses: Vec<_> =
+            proxies.iter().map(|proxy| proxy.first_response.expect("a response")).collect();
+        responses.sort_unstable();
+        responses
     }
 }
 
-/// Moments of return over five rounds, at no multiple of anything.
-fn moments() -> impl Iterator<Item = Micros> {
+/// Durations of outages over five rounds, in microseconds, in steps that match no other interval.
+fn outage_durations() -> impl Iterator<Item = Micros> {
     (0..113).map(|step| step * 223 * MS + 7)
 }
 
-const OUTAGES: [Outage; 3] = [Outage::Refuses, Outage::Silent, Outage::ResetsAtReturn];
+const OUTAGES: [Outage; 3] = [Outage::Refuses, Outage::Silent, Outage::ResetsAtRecovery];
 
-/// The latest first answer of a fleet over all kinds of outage and moments of return.
-fn latest(balancers: u32, here: &[u32], cost: (Micros, Micros)) -> (Micros, String) {
+/// The latest first response of a fleet over all kinds and durations of outages, and in which of them.
+fn latest_response(balancers: u32, indices: &[u32], cost: (Micros, Micros)) -> (Micros, String) {
     let worst = OUTAGES
         .into_iter()
-        .flat_map(|kind| moments().flat_map(move |lasts| [true, false].map(|pays| (kind, lasts, pays))))
-        .map(|(kind, lasts, pays_for_failures)| {
+        .flat_map(|outage| {
+            outage_durations().flat_map(move |duration| [true, false].map(|pays| (outage, duration, pays)))
+        })
+        .map(|(outage, duration, pays_for_failures)| {
             let trial = Trial {
                 balancers,
-                here: here.to_vec(),
-                kind,
-                lasts,
+                indices: indices.to_vec(),
+                outage,
+                duration,
                 cost,
                 pays_for_failures,
-                late_by: 0,
-                seed: lasts,
+                extra_delay: 0,
+                seed: duration,
             };
-            let told = *trial.run().last().expect("a proxy");
-            (told, format!("{kind:?}, {lasts} us, failures cost: {pays_for_failures}"))
+            let response = *trial.run().last().expect("a proxy");
+            (response, format!("{outage:?}, {duration} us, failures cost: {pays_for_failures}"))
         });
     worst.max().expect("trials")
 }
@@ -223,8 +218,8 @@
 }
 
 #[test]
-fn each_proxy_of_a_fleet_that_the_service_can_carry_is_told_in_time() {
-    // The calls of all within 6 s: at 160 ms 36 proxies, at 100 ms 57, at 60 ms 94; 300 at 19 ms.
+fn every_proxy_is_notified_in_time_where_the_service_can_handle_the_fleet() {
+    // The calls of all proxies fit into 6 s: 36 at 160 ms, 57 at 100 ms, 94 at 60 ms, 300 at 19 ms.
     for (balancers, cost) in [
         (1, 160),
         (5, 160),
@@ -237,45 +232,48 @@
         (100, 55),
         (300, 19),
     ] {
-        let (told, when) = latest(balancers, &all(balancers), (cost * MS, cost * MS));
-        assert!(told < TOLD, "{balancers} at {cost} ms: {told} us; {when}");
-        println!("{balancers} at {cost} ms: {told} us at the latest; {when}");
+        let (response, when) = latest_response(balancers, &all(balancers), (cost * MS, cost * MS));
+        assert!(response < NOTIFICATION_LIMIT, "{balancers} at {cost} ms: {response} us; {when}");
+        println!("{balancers} at {cost} ms: {response} us at the latest; {when}");
     }
     for balancers in [1, 5, 26] {
-        let (told, when) = latest(balancers, &all(balancers), (60 * MS, 160 * MS));
-        assert!(told < TOLD, "{balancers} at 60 to 160 ms: {told} us; {when}");
+        let (response, when) = latest_response(balancers, &all(balancers), (60 * MS, 160 * MS));
+        assert!(response < NOTIFICATION_LIMIT, "{balancers} at 60 to 160 ms: {response} us; {when}");
     }
 }
 
-/// Whichever it is: the others have their watches, or are gone.
+/// A single proxy that lost its watch, whichever it is.
 #[test]
-fn each_proxy_of_a_large_fleet_is_told_in_time_where_the_service_has_time_for_it() {
+fn a_single_proxy_of_a_large_fleet_is_notified_in_time() {
     for (balancers, step) in [(5, 1), (26, 1), (100, 1), (300, 7)] {
-        for me in (0..balancers).step_by(step) {
-            for kind in OUTAGES {
-                for lasts in moments() {
+        for index in (0..balancers).step_by(step) {
+            for outage in OUTAGES {
+                for duration in outage_durations() {
                     let cost = (60 * MS, 160 * MS);
                     let trial = Trial {
                         balancers,
-                        here: vec![me],
-                        kind,
-                        lasts,
+                        indices: vec![index],
+                        outage,
+                        duration,
                         cost,
                         pays_for_failures: true,
-                        late_by: 0,
-                        seed: lasts,
+                        extra_delay: 0,
+                        seed: duration,
                     };
-                    let told = trial.run()[0];
-                    assert!(told < TOLD, "{me} of {balancers}: {told} us; {kind:?}, {lasts} us");
+                    let response = trial.run()[0];
+                    assert!(
+                        response < NOTIFICATION_LIMIT,
+                        "{index} of {balancers}: {response} us; {outage:?}, {duration} us"
+                    );
                 }
             }
         }
     }
 }
 
-/// Beyond that size not all can be told in time, and calls that fail must not keep the service in debt for ever.
+/// Not all proxies of such a fleet can be notified in time, but failing calls must not keep the service overloaded forever.
 #[test]
-fn a_fleet_that_the_service_cannot_carry_hears_all_the_same() {
+fn every_proxy_is_notified_eventually_where_the_fleet_overloads_the_service() {
     for (balancers, cost) in [
         (100, (60, 60)),
         (100, (60, 100)),
@@ -286,16 +284,26 @@
     ] {
         for pays_for_failures in [true, false] {
             let cost = (cost.0 * MS, cost.1 * MS);
-            let kind = Outage::Refuses;
-            let lasts = 8 * SECOND;
-            let here = all(balancers);
-            let trial = Trial { balancers, here, kind, lasts, cost, pays_for_failures, late_by: 0, seed: 1 };
-            let told = trial.run();
-            let in_time = told.iter().filter(|&&told| told < TOLD).count() as Micros;
-            assert!(in_time >= PATIENCE / cost.1, "{balancers} at {cost:?}: {in_time} in time");
-            let work = Micros::from(balancers) * cost.1;
-            let last = told.last().expect("a proxy");
-            assert!(*last < 10 * work, "{balancers} at {cost:?}, {pays_for_failures}: {last} us");
+            let outage = Outage::Refuses;
+            let duration = 8 * SECOND;
+            let indices = all(balancers);
+            let trial = Trial {
+                balancers,
+                indices,
+                outage,
+                duration,
+                cost,
+                pays_for_failures,
+                extra_delay: 0,
+                seed: 1,
+            };
+            let responses = trial.run();
+            let in_time =
+                responses.iter().filter(|&&response| response < NOTIFICATION_LIMIT).count() as Micros;
+            assert!(in_time >= QUEUE_TIMEOUT / cost.1, "{balancers} at {cost:?}: {in_time} in time");
+            let total_cost = Micros::from(balancers) * cost.1;
+            let last = responses.last().expect("a proxy");
+            assert!(*last < 10 * total_cost, "{balancers} at {cost:?}, {pays_for_failures}: {last} us");
             println!(
                 "{balancers} at {cost:?}, failures cost: {pays_for_failures}: {in_time} in time, the last after {last} us"
             );
@@ -303,25 +311,27 @@
     }
 }
 
-/// What goes beyond the 6 s is found.
+/// Checks the simulation itself.
 #[test]
-fn a_longer_backoff_is_found_out() {
-    let late = |late_by| {
-        OUTAGES.into_iter().flat_map(|kind| moments().map(move |lasts| (kind, lasts))).any(|(kind, lasts)| {
-            let here = vec![95];
-            let cost = (60 * MS, 60 * MS);
-            let trial = Trial {
-                balancers: 100,
-                here,
-                kind,
-                lasts,
-                cost,
-                pays_for_failures: true,
-                late_by,
-                seed: lasts,
-            };
-            trial.run()[0] >= TOLD
-        })
+fn detects_a_delay_beyond_the_limit() {
+    let is_late = |extra_delay| {
+        OUTAGES.into_iter().flat_map(|outage| outage_durations().map(move |duration| (outage, duration))).any(
+            |(outage, duration)| {
+                let indices = vec![95];
+                let cost = (60 * MS, 60 * MS);
+                let trial = Trial {
+                    balancers: 100,
+                    indices,
+                    outage,
+                    duration,
+                    cost,
+                    pays_for_failures: true,
+                    extra_delay,
+                    seed: duration,
+                };
+                trial.run()[0] >= NOTIFICATION_LIMIT
+            },
+        )
     };
-    assert!(!late(0) && late(2 * SECOND));
+    assert!(!is_late(0) && is_late(2 * SECOND));
 }
--- a/crates/proxy-server/src/admin_handler.rs
+++ b/crates/proxy-server/src/admin_handler.rs
@@ -11,7 +11,7 @@
 use http_proxy::backend_list::BackendList;
 use http_proxy::clients::ClientConnections;
 use http_proxy::log::{FailureLog, log};
-use http_proxy::transport::{Handle, Scope, update_backends};
+use http_proxy::transport::{Handle, UpdateKind, update_backends};
 use request_engine::driver::clock::Clock;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -95,12 +95,12 @@
     }
 
     async fn exclude(self: &Rc<Self>, id: &str) -> ConsoleResponse {
-        if !self.backend_list.borrow().knows(id) {
+        if !self.backend_list.borrow().is_known(id) {
             return ConsoleResponse::Failure(format!("no backend is called {id}"));
         }
         match self.change(Change::Exclude(id.to_owned(), self.clock.now())).await {
             Ok(Changed { new, unkept }) => {
-                let still = self.backend_list.borrow().serving();
+                let still = self.backend_list.borrow().ready_count();
                 let was = if new { "is" } else { "was already" };
                 ConsoleResponse::Success(format!("{id} {was} out; {still} backends serve{unkept}"))
             }
@@ -109,7 +109,7 @@
     }
 
     async fn include(self: &Rc<Self>, id: &str) -> ConsoleResponse {
-        if !self.backend_list.borrow().knows(id) {
+        if !self.backend_list.borrow().is_known(id) {
             return ConsoleResponse::Failure(format!("no backend is called {id}"));
         }
         match self.change(Change::Include(id.to_owned(), self.clock.now())).await {
@@ -124,7 +124,7 @@
     /// Changes the bans: in force at once, since that is owed from the call on whatever the disk does, and then kept, so that
     /// it outlives this process.
     async fn change(self: &Rc<Self>, change: Change) -> Result<Changed, TooManyExclusions> {
-        let mut bans = self.backend_list.borrow().bans().clone();
+        let mut bans = self.backend_list.borrow().exclusions().clone();
         let new = self.files.change(&mut bans, change)?;
         self.govern(bans);
         // It goes on where the caller has gone, or its second is over.
@@ -139,7 +139,7 @@
     }
 
     async fn keep_pending(&self) -> Result<(), StoreError> {
-        let held = self.backend_list.borrow().bans().clone();
+        let held = self.backend_list.borrow().exclusions().clone();
         let bans = self.files.keep_pending(&held, self.clock.now()).await?;
         self.govern(bans);
         Ok(())
@@ -159,13 +159,13 @@
 
     fn govern(&self, bans: Exclusions) {
         let out = bans.out().collect::<Vec<_>>().join(" ");
-        if self.backend_list.borrow().bans().changed(&bans).is_empty() {
+        if self.backend_list.borrow().exclusions().changed(&bans).is_empty() {
             return;
         }
         log(format_args!("out of service now: {}", if out.is_empty() { "none" } else { &out }));
-        let changed = self.backend_list.borrow_mut().govern(bans);
+        let changed = self.backend_list.borrow_mut().set_exclusions(bans);
         if !changed.is_empty() {
-            update_backends(&self.handle, Scope::Delta, &changed);
+            update_backends(&self.handle, UpdateKind::Delta, &changed);
         }
     }
 
@@ -205,8 +205,8 @@
         let peers = self.files.peers();
         if stand.beside(peers) {
             log(format_args!("{peers} further processes of this proxy run"));
-            self.clients.allow(stand.part(self.sockets.clients));
-            self.handle.transport().backend_pool.allow(stand.part(self.sockets.backends));
+            self.clients.set_max_connections(stand.part(self.sockets.clients));
+            self.handle.transport().backend_pool.set_max_sockets(stand.part(self.sockets.backends));
         }
         if self.held.get() && stand.holds_list() && peers > 0 {
             self.go_on();
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -2,7 +2,7 @@
 
 use admin::exclusion_store::fingerprint;
 use balancer::api::{Micros, Settings};
-use http_proxy::class_registry::Classes as ClientClasses;
+use http_proxy::class_registry::ClassRegistry;
 use http_proxy::clients::ClientConnections;
 use http_proxy::config::{Config, ConfigError};
 use http_proxy::log::log;
@@ -59,9 +59,9 @@
 
     /// The classes as clients name them.
     #[must_use]
-    pub fn client_classes(&self, now: Micros) -> ClientClasses {
-        let mut classes = ClientClasses::default();
-        classes.hold(now, &self.settings, self.classes.named());
+    pub fn client_classes(&self, now: Micros) -> ClassRegistry {
+        let mut classes = ClassRegistry::default();
+        classes.update(now, &self.settings, self.classes.named());
         classes
     }
 
@@ -102,7 +102,7 @@
 
     /// Everything is read and checked before anything changes; then all of it changes in one step.
     fn renew(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
-        let config = Config::again(&self.shape)?;
+        let config = Config::reload(&self.shape)?;
         let mut classes = self.classes.clone();
         let settings = classes.renew(&self.settings, &config.settings, &config.names.classes);
         let settings = settings.map_err(ConfigError::Reload)?;
@@ -110,8 +110,8 @@
         self.handle
             .transport()
             .backend_pool
-            .retune(config.dial_timeout, settings.permissions.idle_connection_timeout);
-        clients.classes().borrow_mut().hold(self.handle.clock().now(), &settings, classes.named());
+            .set_timeouts(config.connect_timeout, settings.permissions.idle_connection_timeout);
+        clients.classes().borrow_mut().update(self.handle.clock().now(), &settings, classes.named());
         self.longest.set(longest(&classes, &settings));
         self.learns.set(learnt_of(&classes, &self.names));
         if settings != self.settings {
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -114,7 +114,7 @@
     );
     println!(
         "  at most {} connections from clients and {} to backends, {} bytes of large bodies",
-        config.client_sockets, config.backend_sockets, config.large_bodies
+        config.client_sockets, config.backend_sockets, config.large_body_bytes
     );
     if let Some((path, extproc)) = extproc {
         let bounds = &extproc.bounds;
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -11,7 +11,7 @@
 use external_processor::{decision_service, settings as extproc};
 use http_proxy::backend_list::BackendList;
 use http_proxy::backend_pool::BackendPool;
-use http_proxy::clients::{ClientConnections, ClientConnectionsOptions, Completed, Phase};
+use http_proxy::clients::{BacklogDrain, ClientConnections, ClientConnectionsOptions, ShutdownPhase};
 use http_proxy::config::Config;
 use http_proxy::discovery::{DiscoveryWatcher, DiscoveryWatcherOptions, ListTranslator, OnRequestDiscovery};
 use http_proxy::log::log;
@@ -141,7 +141,7 @@
         let carrier = handle.transport();
         let backend_pool = Rc::clone(&carrier.backend_pool);
         let endpoints = Box::new(move |backend| backend_pool.address(backend));
-        let inbox = Rc::clone(&carrier.outside);
+        let inbox = Rc::clone(&carrier.lease_events);
         let bridge = Bridge::new(decisions, bounds, claims, handle.clone(), inbox, endpoints);
         let (way, ends) = bridge::way(settings.bounds.queue);
         let subject = ServerContext {
@@ -185,7 +185,7 @@
     let asked = settings.discovery_on_request;
     let backend_pool = BackendPool::new(
         config.backend_sockets,
-        config.dial_timeout,
+        config.connect_timeout,
         settings.permissions.idle_connection_timeout,
         config.names.report.clone(),
     );
@@ -214,10 +214,14 @@
     let bounds = EngineLimits { requests, leases };
     let engine = Engine::new(settings.clone(), bounds, config.seed, config.seed ^ clock.now(), clock.now())?;
     let (subscribe, subscriptions) = mpsc::unbounded_channel();
-    let report_by_probe = settings.load_report_by_health_check;
-    let outside = Rc::new(LeaseEventQueue::default());
-    let carrier =
-        ProxyTransport { backend_pool: Rc::clone(&backend_pool), subscribe, report_by_probe, outside };
+    let report_by_health_check = settings.load_report_by_health_check;
+    let lease_events = Rc::new(LeaseEventQueue::default());
+    let carrier = ProxyTransport {
+        backend_pool: Rc::clone(&backend_pool),
+        subscribe,
+        report_by_health_check,
+        lease_events,
+    };
     let handle = Handle::new(engine, clock, carrier);
     // Clients' requests are held beside those of callers, so that both fronts share the table.
     let claims = extproc.as_ref().map(|e| shared_claims(e.bounds.remembered));
@@ -232,7 +236,7 @@
     let (discovery, addresses) = watch::channel(config.discovery);
     let on_request = asked.then(|| OnRequestDiscovery {
         subscribe_requests: subscriptions,
-        schedule: PollSchedule::of(
+        schedule: PollSchedule::new(
             settings.instance_index,
             settings.instance_count,
             settings.safety.max_poll_interval,
@@ -247,11 +251,11 @@
         has_backend_list: Rc::clone(&held),
         on_request,
     });
-    watcher.start_from(config.known);
-    let heard = watcher.heard();
+    watcher.start_from(config.known_backends);
+    let heard = watcher.call_ended();
     let config_reload =
         ConfigReload::new(config.shape, settings.clone(), config.names.clone(), handle.clone(), learns)?;
-    let (phase, phases) = watch::channel(Phase::Running);
+    let (phase, phases) = watch::channel(ShutdownPhase::Running);
     let most = config.client_sockets;
     let clients = ClientConnections::new(ClientConnectionsOptions {
         handle: handle.clone(),
@@ -261,7 +265,7 @@
         has_backend_list: Rc::clone(&held),
         phase: phases,
         max_connections: most,
-        large_body_bytes: config.large_bodies,
+        large_body_bytes: config.large_body_bytes,
         idempotency_registry: claims,
         stall_detector: Rc::clone(&monitor),
     });
@@ -295,7 +299,7 @@
     let ending = handle.clone();
     let engine = tokio::task::spawn_local(handle.run());
     tokio::task::spawn_local(watcher.run());
-    tokio::task::spawn_local(backend_pool.sweep());
+    tokio::task::spawn_local(backend_pool.close_expired());
     tokio::task::spawn_local(Rc::clone(&monitor).run());
     let accepting = Rc::clone(&clients).accept(Rc::clone(&listener), opened);
     tokio::task::spawn_local(async move {
@@ -357,31 +361,32 @@
     clients: &Rc<ClientConnections>,
     handle: &Handle,
     listener: &TcpListener,
-    phase: &watch::Sender<Phase>,
+    phase: &watch::Sender<ShutdownPhase>,
     began: Instant,
     longest: Duration,
 ) {
     let longest = longest.min(DRAIN_LONGEST);
     let least = MIN_DRAIN.min(longest + CONNECTIONS_COME);
     handle.set_response_deadline(handle.clock().at(began) + micros(longest + ANSWER_SLACK));
-    let _ = phase.send(Phase::Draining);
-    while began.elapsed() < least || (clients.quiet() < DRAIN_QUIET && began.elapsed() < longest) {
+    let _ = phase.send(ShutdownPhase::Draining);
+    while began.elapsed() < least || (clients.time_since_accept() < DRAIN_QUIET && began.elapsed() < longest)
+    {
         sleep(DRAIN_STEP).await;
     }
-    let _ = phase.send(Phase::Closing);
+    let _ = phase.send(ShutdownPhase::Closing);
     let end = began + longest + DRAIN_SLACK;
     loop {
         while clients.open() > 0 {
-            if timeout_at(end, clients.one_ended()).await.is_err() {
+            if timeout_at(end, clients.connection_closed()).await.is_err() {
                 return;
             }
         }
         // The exit resets what stands in the listener's queue. Nothing comes between this look and the exit but what the
         // kernel completes in that moment.
-        match clients.take_completed(listener) {
-            Completed::Taken => {}
-            Completed::Failed if Instant::now() < end => sleep(LOOK_RETRY_DELAY).await,
-            Completed::None | Completed::Failed => return,
+        match clients.drain_backlog(listener) {
+            BacklogDrain::Accepted => {}
+            BacklogDrain::Failed if Instant::now() < end => sleep(LOOK_RETRY_DELAY).await,
+            BacklogDrain::Empty | BacklogDrain::Failed => return,
         }
     }
 }
