--- a/crates/http-proxy/src/clients/admission.rs
+++ b/crates/http-proxy/src/clients/admission.rs
@@ -33,18 +33,23 @@
         let ParsedRequest { request, correlation_id } = parsed;
         // Rule 2: a second request with the same id could be a duplicate of the first.
         let Some(open_id) = OpenRequestId::acquire(&self.open_request_ids, correlation_id) else {
-            return Err(RejectedRequest(StatusCode::CONFLICT, "a request of this id is open\n"));
-        };
-        let claim = match self.claim(&request, &open_id.id) {
-            Ok(claim) => claim,
-            Err(ClaimRejection::RetryAfter(delay)) => return Ok(overload_response(delay)),
-            Err(ClaimRejection::Conflict(reason)) => {
-                return Err(RejectedRequest(StatusCode::CONFLICT, reason));
-            }
-            Err(ClaimRejection::Invalid(reason)) => {
-                return Err(RejectedRequest(StatusCode::BAD_REQUEST, reason));
-            }
+            return Err(RejectedRequest::new(StatusCode::CONFLICT, "a request of this id is open\n"));
         };
+        match self.claim(&request, &open_id.id) {
+            Ok(claim) => Ok(self.await_outcome(request, claim, connection).await),
+            Err(ClaimRejection::RetryAfter(delay)) => Ok(overload_response(delay)),
+            Err(ClaimRejection::Conflict(reason)) => Err(RejectedRequest::new(StatusCode::CONFLICT, reason)),
+            Err(ClaimRejection::Invalid(reason)) => Err(RejectedRequest::bad_request(reason)),
+        }
+    }
+
+    /// Hands a request to the engine, waits for its outcome and settles its claim.
+    async fn await_outcome(
+        &self,
+        request: IncomingRequest<Rc<ForwardedRequest>>,
+        claim: Option<IdempotencyClaim<'_>>,
+        connection: &ClientConnection,
+    ) -> Response<ResponseBody> {
         let (sender, outcome) = oneshot::channel();
         let request = match self.handle.admit(request, Responder::HttpClient(sender)) {
             Ok(request) => request,
@@ -53,7 +58,7 @@
                 if let Some(claim) = claim {
                     claim.settle(Some(&FinalOutcome::Rejected { retry_after: OVERLOAD_RETRY_DELAY }));
                 }
-                return Ok(overload_response(OVERLOAD_RETRY_DELAY));
+                return overload_response(OVERLOAD_RETRY_DELAY);
             }
         };
         let guard = DisconnectGuard::new(&self.handle, request);
@@ -61,17 +66,17 @@
             biased;
             outcome = outcome => outcome,
             // The guard notifies the engine. A client that closed only its sending side still gets a final response.
-            () = connection.disconnected() => return Ok(failure_response()),
+            () = connection.disconnected() => return failure_response(),
         };
         guard.disarm();
         if let Some(claim) = claim {
             claim.settle(outcome.as_ref().ok());
         }
-        Ok(match outcome {
+        match outcome {
             Ok(FinalOutcome::Served(Some(served))) => served_response(served),
             Ok(FinalOutcome::Rejected { retry_after }) => overload_response(retry_after),
             Ok(FinalOutcome::Served(None) | FinalOutcome::Failed) | Err(_) => failure_response(),
-        })
+        }
     }
 
     /// Claims a request in the idempotency registry, where the gRPC front end shares one.
--- a/crates/http-proxy/src/clients/local_responses.rs
+++ b/crates/http-proxy/src/clients/local_responses.rs
@@ -6,12 +6,26 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// A request that is rejected before it reaches the engine: the status and the body of its response.
+/// A request that is rejected before it reaches the engine.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RejectedRequest(pub(super) StatusCode, pub(super) &'static str);
+pub(super) struct RejectedRequest {
+    status: StatusCode,
+    /// The body of the response.
+    reason: &'static str,
+}
+
+impl RejectedRequest {
+    pub(super) const BODY_TOO_LARGE: Self =
+        Self::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+
+    pub(super) const fn new(status: StatusCode, reason: &'static str) -> Self {
+        Self { status, reason }
+    }
 
-pub(super) const BODY_TOO_LARGE: RejectedRequest =
-    RejectedRequest(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+    pub(super) const fn bad_request(reason: &'static str) -> Self {
+        Self::new(StatusCode::BAD_REQUEST, reason)
+    }
+}
 
 pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::buffered(Bytes::from_static(text.as_bytes())));
@@ -21,9 +35,8 @@
 }
 
 pub(super) fn rejection_response(rejected: &RejectedRequest) -> Response<ResponseBody> {
-    let &RejectedRequest(status, reason) = rejected;
-    let mut response = text_response(status, reason);
-    if status == StatusCode::METHOD_NOT_ALLOWED {
+    let mut response = text_response(rejected.status, rejected.reason);
+    if rejected.status == StatusCode::METHOD_NOT_ALLOWED {
         response.headers_mut().insert(header::ALLOW, HeaderValue::from_static("GET, POST"));
     }
     response
--- a/crates/http-proxy/src/clients/read_body.rs
+++ b/crates/http-proxy/src/clients/read_body.rs
@@ -78,6 +78,6 @@
     let rate_end = started_at + timeout_after(received as u64);
     let deadline = rate_end.min(Instant::now() + SILENCE_TIMEOUT);
     let chunk = timeout_at(deadline, next_chunk(body)).await;
-    let chunk = chunk.map_err(|_| RejectedRequest(StatusCode::REQUEST_TIMEOUT, "the body is late\n"))?;
-    chunk.map_err(|_| RejectedRequest(StatusCode::BAD_REQUEST, "the body is broken\n"))
+    let chunk = chunk.map_err(|_| RejectedRequest::new(StatusCode::REQUEST_TIMEOUT, "the body is late\n"))?;
+    chunk.map_err(|_| RejectedRequest::bad_request("the body is broken\n"))
 }
--- a/crates/http-proxy/src/clients/read_request.rs
+++ b/crates/http-proxy/src/clients/read_request.rs
@@ -2,7 +2,7 @@
 
 use super::ClientConnections;
 use super::forwarded_head::{end_to_end_headers, origin_form};
-use super::local_responses::{BODY_TOO_LARGE, RejectedRequest};
+use super::local_responses::RejectedRequest;
 use crate::body::exact_size;
 use crate::class_registry::{ClassMismatch, RequestClass};
 use crate::client_connection::{ClientConnection, ClientPresence};
@@ -68,7 +68,8 @@
         // The time of a request counts from its last byte. The end of a streamed body is still to come.
         let arrived_at = self.clock.at(connection.last_byte_at());
         let headers = end_to_end_headers(head.headers);
-        let target = origin_form(head.uri).ok_or(bad_request("the target makes no sense\n"))?;
+        let target =
+            origin_form(head.uri).ok_or(RejectedRequest::bad_request("the target makes no sense\n"))?;
         let attempt_timeout = timeout.saturating_sub(ANSWER_MARGIN.min(timeout / 2));
         let timeout = match &body {
             RequestBody::Buffered(_) => timeout,
@@ -102,7 +103,7 @@
             .get(CORRELATION_ID)
             .filter(|_| text(headers, &CORRELATION_ID).is_some_and(|id| !id.is_empty()))
             .cloned()
-            .ok_or(bad_request("X-Correlation-Id is missing\n"))?;
+            .ok_or(RejectedRequest::bad_request("X-Correlation-Id is missing\n"))?;
         let tenant = self.tenant(headers)?;
         let timeout = time_left(headers)?.min(class.deadline);
         Ok(RequestParameters { class, correlation_id, tenant, timeout })
@@ -112,16 +113,16 @@
         let headers = &head.headers;
         let name = head.uri.path().split('/').nth(1).unwrap_or_default();
         if headers.contains_key(SERVICE_CLASS) && text(headers, &SERVICE_CLASS) != Some(name) {
-            return Err(bad_request("the class of the header is not that of the path\n"));
+            return Err(RejectedRequest::bad_request("the class of the header is not that of the path\n"));
         }
         let has_key = text(headers, &IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty());
         let class = self.classes.borrow().find(self.clock.now(), name, &head.method, has_key).cloned();
         class.map_err(|mismatch| match mismatch {
-            ClassMismatch::UnknownClass => bad_request("unknown class\n"),
+            ClassMismatch::UnknownClass => RejectedRequest::bad_request("unknown class\n"),
             ClassMismatch::MethodNotAllowed => {
-                RejectedRequest(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class\n")
+                RejectedRequest::new(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class\n")
             }
-            ClassMismatch::MissingKey => bad_request("Idempotency-Key is missing\n"),
+            ClassMismatch::MissingKey => RejectedRequest::bad_request("Idempotency-Key is missing\n"),
         })
     }
 
@@ -130,14 +131,10 @@
             return Ok(0);
         }
         let tenant = text(headers, &ACCOUNT).and_then(|account| self.tenants.get(account));
-        tenant.copied().ok_or(bad_request("unknown account\n"))
+        tenant.copied().ok_or(RejectedRequest::bad_request("unknown account\n"))
     }
 }
 
-fn bad_request(reason: &'static str) -> RejectedRequest {
-    RejectedRequest(StatusCode::BAD_REQUEST, reason)
-}
-
 /// The value of a header that is visible ASCII.
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
@@ -151,13 +148,13 @@
 ) -> Result<(), RejectedRequest> {
     // Rule 2: a server that relies on the length may find another request within the body.
     if headers.contains_key(TRANSFER_ENCODING) && connection.has_length_and_encoding() {
-        return Err(bad_request("Content-Length beside Transfer-Encoding\n"));
+        return Err(RejectedRequest::bad_request("Content-Length beside Transfer-Encoding\n"));
     }
     if body.size_hint().lower() > MAX_BODY_BYTES {
-        return Err(BODY_TOO_LARGE);
+        return Err(RejectedRequest::BODY_TOO_LARGE);
     }
     if UNIQUE.iter().any(|name| headers.get_all(name).iter().nth(1).is_some()) {
-        return Err(bad_request("a header comes twice\n"));
+        return Err(RejectedRequest::bad_request("a header comes twice\n"));
     }
     Ok(())
 }
@@ -167,7 +164,8 @@
     // The integer's own parser would accept a sign.
     let digits = text(headers, &TIME_LEFT).filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let millis = digits.and_then(|v| v.parse::<u64>().ok()).filter(|&ms| ms <= MAX_TIME_LEFT_MS);
-    let millis = millis.ok_or(bad_request("X-Time-Left-Ms is missing or makes no sense\n"))?;
+    let millis =
+        millis.ok_or(RejectedRequest::bad_request("X-Time-Left-Ms is missing or makes no sense\n"))?;
     Ok(millis * 1_000)
 }
 
--- a/crates/http-proxy/tests/outage.rs
+++ b/crates/http-proxy/tests/outage.rs
@@ -28,12 +28,24 @@
     ResetsAtRecovery,
 }
 
+/// The time that a call takes the service, in microseconds.
+#[derive(Clone, Copy, Debug)]
+struct CallCost {
+    min: Micros,
+    max: Micros,
+}
+
+impl CallCost {
+    const fn from_ms(min_ms: Micros, max_ms: Micros) -> Self {
+        Self { min: min_ms * MS, max: max_ms * MS }
+    }
+}
+
 /// The service and its queue.
 struct Service {
     outage: Outage,
     recovered_at: Micros,
-    /// The minimum and maximum time that a call takes it.
-    cost: (Micros, Micros),
+    cost: CallCost,
     /// Whether failed calls take as long.
     pays_for_failures: bool,
     busy_until: Micros,
@@ -54,7 +66,7 @@
             };
         }
         let begins = self.busy_until.max(now);
-        let done = begins + self.random.u64(self.cost.0..=self.cost.1);
+        let done = begins + self.random.u64(self.cost.min..=self.cost.max);
         let fails = begins - now > QUEUE_TIMEOUT;
         if !fails || self.pays_for_failures {
             self.busy_until = done;
@@ -79,9 +91,9 @@
     calls: u32,
 }
 
-fn settings(index: u32, balancers: u32) -> Settings {
+fn settings(index: u32, fleet_size: u32) -> Settings {
     let text = format!(
-        r#"{{"me": {index}, "balancers": {balancers}, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
+        r#"{{"me": {index}, "balancers": {fleet_size}, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
             "membershipMode": "on_request",
             "classes": [{{"name": "read", "aimUs": 100000, "deadlineUs": 1000000, "worth": 1.0, "lateWorth": 0.5,
                           "effect": "retryable", "group": "cell", "keyTtlUs": 3000000}}],
@@ -94,12 +106,12 @@
 
 /// An outage of `duration` in which the proxies `indices` of a fleet lose their watches at one moment.
 struct Trial {
-    balancers: u32,
+    fleet_size: u32,
     indices: Vec<u32>,
     outage: Outage,
     /// In microseconds.
     duration: Micros,
-    cost: (Micros, Micros),
+    cost: CallCost,
     pays_for_failures: bool,
     /// An injected fault: each proxy delays its calls by this time, in microseconds.
     extra_delay: Micros,
@@ -123,9 +135,9 @@
             .indices
             .iter()
             .map(|&index| {
-                let settings = settings(index, self.balancers);
+                let settings = settings(index, self.fleet_size);
                 let mut schedule =
-                    PollSchedule::new(index, self.balancers, settings.safety.max_poll_interval);
+                    PollSchedule::new(index, self.fleet_size, settings.safety.max_poll_interval);
                 // The watch has been running for a while.
                 schedule.call_started(OUTAGE_BEGAN - random.u64(0..20 * SECOND));
                 schedule.call_succeeded();
@@ -189,8 +201,17 @@
 
 const OUTAGES: [Outage; 3] = [Outage::Refuses, Outage::Silent, Outage::ResetsAtRecovery];
 
+/// The latest first response of a fleet.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Latest {
+    /// After the recovery, in microseconds.
+    response: Micros,
+    /// The kind of outage and its parameters.
+    scenario: String,
+}
+
 /// The latest first response of a fleet over all kinds and durations of outages, and in which of them.
-fn latest_response(balancers: u32, indices: &[u32], cost: (Micros, Micros)) -> (Micros, String) {
+fn latest_response(fleet_size: u32, indices: &[u32], cost: CallCost) -> Latest {
     let worst = OUTAGES
         .into_iter()
         .flat_map(|outage| {
@@ -198,7 +219,7 @@
         })
         .map(|(outage, duration, pays_for_failures)| {
             let trial = Trial {
-                balancers,
+                fleet_size,
                 indices: indices.to_vec(),
                 outage,
                 duration,
@@ -208,19 +229,20 @@
                 seed: duration,
             };
             let response = *trial.run().last().expect("a proxy");
-            (response, format!("{outage:?}, {duration} us, failures cost: {pays_for_failures}"))
+            let scenario = format!("{outage:?}, {duration} us, failures cost: {pays_for_failures}");
+            Latest { response, scenario }
         });
     worst.max().expect("trials")
 }
 
-fn all(balancers: u32) -> Vec<u32> {
-    (0..balancers).collect()
+fn all(fleet_size: u32) -> Vec<u32> {
+    (0..fleet_size).collect()
 }
 
 #[test]
 fn every_proxy_is_notified_in_time_where_the_service_can_handle_the_fleet() {
     // The calls of all proxies fit into 6 s: 36 at 160 ms, 57 at 100 ms, 94 at 60 ms, 300 at 19 ms.
-    for (balancers, cost) in [
+    for (fleet_size, cost) in [
         (1, 160),
         (5, 160),
         (6, 160),
@@ -232,26 +254,28 @@
         (100, 55),
         (300, 19),
     ] {
-        let (response, when) = latest_response(balancers, &all(balancers), (cost * MS, cost * MS));
-        assert!(response < NOTIFICATION_LIMIT, "{balancers} at {cost} ms: {response} us; {when}");
-        println!("{balancers} at {cost} ms: {response} us at the latest; {when}");
+        let Latest { response, scenario } =
+            latest_response(fleet_size, &all(fleet_size), CallCost::from_ms(cost, cost));
+        assert!(response < NOTIFICATION_LIMIT, "{fleet_size} at {cost} ms: {response} us; {scenario}");
+        println!("{fleet_size} at {cost} ms: {response} us at the latest; {scenario}");
     }
-    for balancers in [1, 5, 26] {
-        let (response, when) = latest_response(balancers, &all(balancers), (60 * MS, 160 * MS));
-        assert!(response < NOTIFICATION_LIMIT, "{balancers} at 60 to 160 ms: {response} us; {when}");
+    for fleet_size in [1, 5, 26] {
+        let Latest { response, scenario } =
+            latest_response(fleet_size, &all(fleet_size), CallCost::from_ms(60, 160));
+        assert!(response < NOTIFICATION_LIMIT, "{fleet_size} at 60 to 160 ms: {response} us; {scenario}");
     }
 }
 
 /// A single proxy that lost its watch, whichever it is.
 #[test]
 fn a_single_proxy_of_a_large_fleet_is_notified_in_time() {
-    for (balancers, step) in [(5, 1), (26, 1), (100, 1), (300, 7)] {
-        for index in (0..balancers).step_by(step) {
+    for (fleet_size, step) in [(5, 1), (26, 1), (100, 1), (300, 7)] {
+        for index in (0..fleet_size).step_by(step) {
             for outage in OUTAGES {
                 for duration in outage_durations() {
-                    let cost = (60 * MS, 160 * MS);
+                    let cost = CallCost::from_ms(60, 160);
                     let trial = Trial {
-                        balancers,
+                        fleet_size,
                         indices: vec![index],
                         outage,
                         duration,
@@ -263,7 +287,7 @@
                     let response = trial.run()[0];
                     assert!(
                         response < NOTIFICATION_LIMIT,
-                        "{index} of {balancers}: {response} us; {outage:?}, {duration} us"
+                        "{index} of {fleet_size}: {response} us; {outage:?}, {duration} us"
                     );
                 }
             }
@@ -274,7 +298,7 @@
 /// Not all proxies of such a fleet can be notified in time, but failing calls must not keep the service overloaded forever.
 #[test]
 fn every_proxy_is_notified_eventually_where_the_fleet_overloads_the_service() {
-    for (balancers, cost) in [
+    for (fleet_size, (min_ms, max_ms)) in [
         (100, (60, 60)),
         (100, (60, 100)),
         (100, (160, 160)),
@@ -283,12 +307,12 @@
         (300, (160, 160)),
     ] {
         for pays_for_failures in [true, false] {
-            let cost = (cost.0 * MS, cost.1 * MS);
+            let cost = CallCost::from_ms(min_ms, max_ms);
             let outage = Outage::Refuses;
             let duration = 8 * SECOND;
-            let indices = all(balancers);
+            let indices = all(fleet_size);
             let trial = Trial {
-                balancers,
+                fleet_size,
                 indices,
                 outage,
                 duration,
@@ -300,12 +324,12 @@
             let responses = trial.run();
             let in_time =
                 responses.iter().filter(|&&response| response < NOTIFICATION_LIMIT).count() as Micros;
-            assert!(in_time >= QUEUE_TIMEOUT / cost.1, "{balancers} at {cost:?}: {in_time} in time");
-            let total_cost = Micros::from(balancers) * cost.1;
+            assert!(in_time >= QUEUE_TIMEOUT / cost.max, "{fleet_size} at {cost:?}: {in_time} in time");
+            let total_cost = Micros::from(fleet_size) * cost.max;
             let last = responses.last().expect("a proxy");
-            assert!(*last < 10 * total_cost, "{balancers} at {cost:?}, {pays_for_failures}: {last} us");
+            assert!(*last < 10 * total_cost, "{fleet_size} at {cost:?}, {pays_for_failures}: {last} us");
             println!(
-                "{balancers} at {cost:?}, failures cost: {pays_for_failures}: {in_time} in time, the last after {last} us"
+                "{fleet_size} at {cost:?}, failures cost: {pays_for_failures}: {in_time} in time, the last after {last} us"
             );
         }
     }
@@ -318,9 +342,9 @@
         OUTAGES.into_iter().flat_map(|outage| outage_durations().map(move |duration| (outage, duration))).any(
             |(outage, duration)| {
                 let indices = vec![95];
-                let cost = (60 * MS, 60 * MS);
+                let cost = CallCost::from_ms(60, 60);
                 let trial = Trial {
-                    balancers: 100,
+                    fleet_size: 100,
                     indices,
                     outage,
                     duration,
