--- /dev/null
+++ b/crates/http-proxy/src/class_registry.rs
@@ -0,0 +1,153 @@
+//! The request classes that clients may name, including those of the previous settings for a grace period. Pure: no I/O, no
+//! clock.
+
+use crate::idempotency_claim::ClaimTerms;
+use balancer::api::{Class, DedupScope, Idempotency, Micros, Settings};
+use hyper::Method;
+use rustc_hash::FxHashMap;
+
+/// How long a removed or changed class is still served as it was, in microseconds. Clients apply new settings 1.2 s after
+/// the proxies.
+const PREVIOUS_CLASS_GRACE: Micros = 3_000_000;
+
+/// What requests of a class have to look like, and its position among the balancer's classes.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RequestClass {
+    /// Its position in the settings.
+    pub index: u8,
+    /// How long a client waits in total, in microseconds.
+    pub deadline: Micros,
+    idempotency: Idempotency,
+    method: Method,
+}
+
+/// Why a request matches no class.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClassMismatch {
+    /// No class has this name.
+    UnknownClass,
+    /// The class does not allow this method.
+    MethodNotAllowed,
+    /// The class requires an idempotency key.
+    MissingKey,
+}
+
+impl RequestClass {
+    fn new(index: usize, class: &Class) -> Option<Self> {
+        Some(Self {
+            index: u8::try_from(index).ok()?,
+            deadline: class.deadline,
+            idempotency: class.idempotency,
+            method: if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST },
+        })
+    }
+
+    /// How freely its requests may be retried: in how wide a scope, the narrowest first, and for how long.
+    fn retry_freedom(&self) -> (u8, Micros) {
+        match self.idempotency {
+            Idempotency::NonIdempotent => (0, 0),
+            Idempotency::Keyed { scope: DedupScope::Cell, ttl } => (1, ttl),
+            Idempotency::Keyed { scope: DedupScope::Zone, ttl } => (2, ttl),
+            Idempotency::Keyed { scope: DedupScope::All, ttl } => (3, ttl),
+            Idempotency::Idempotent => (4, 0),
+        }
+    }
+
+    fn check(&self, method: &Method, has_key: bool) -> Result<&Self, ClassMismatch> {
+        if self.method != method {
+            return Err(ClassMismatch::MethodNotAllowed);
+        }
+        // Without its key a retry would not be deduplicated.
+        if matches!(self.idempotency, Idempotency::Keyed { .. }) && !has_key {
+            return Err(ClassMismatch::MissingKey);
+        }
+        Ok(self)
+    }
+}
+
+#[derive(Debug)]
+struct PreviousClass {
+    class: RequestClass,
+    served_until: Micros,
+}
+
+#[derive(Debug, Default)]
+struct ClassVersions {
+    current: Option<RequestClass>,
+    previous: Option<PreviousClass>,
+}
+
+/// The request classes by name.
+#[derive(Debug, Default)]
+pub struct ClassRegistry {
+    classes: FxHashMap<String, ClassVersions>,
+    /// By the class's position.
+    claim_terms: Vec<ClaimTerms>,
+}
+
+impl ClassRegistry {
+    /// Applies new settings at `now` (microseconds). `names` gives each name with its class's position in the settings.
+    pub fn update<'a>(
+        &mut self,
+        now: Micros,
+        settings: &Settings,
+        names: impl Iterator<Item = (usize, &'a str)>,
+    ) {
+        let served_until = now.saturating_add(PREVIOUS_CLASS_GRACE);
+        let mut old_classes = std::mem::take(&mut self.classes);
+        for (index, name) in names {
+            let current = settings.classes.get(index).and_then(|class| RequestClass::new(index, class));
+            let old = old_classes.remove(name).unwrap_or_default();
+            let previous = match old.current {
+                Some(class) if Some(&class) != current.as_ref() => {
+                    Some(PreviousClass { class, served_until })
+                }
+                _ => old.previous,
+            };
+            self.classes.insert(name.to_owned(), ClassVersions { current, previous });
+        }
+        for (name, old) in old_classes {
+            let removed = old.current.map(|class| PreviousClass { class, served_until });
+            let previous = removed.or(old.previous);
+            if previous.as_ref().is_some_and(|previous| previous.served_until > now) {
+                self.classes.insert(name, ClassVersions { current: None, previous });
+            }
+        }
+        self.claim_terms = settings.classes.iter().map(ClaimTerms::of).collect();
+    }
+
+    /// The class of a request at `now` (microseconds). Within the grace period the stricter of two versions applies, since
+    /// the client may know either.
+    ///
+    /// # Errors
+    /// The request matches no class.
+    pub fn find(
+        &self,
+        now: Micros,
+        name: &str,
+        method: &Method,
+        has_key: bool,
+    ) -> Result<&RequestClass, ClassMismatch> {
+        let versions = self.classes.get(name).ok_or(ClassMismatch::UnknownClass)?;
+        let previous = versions.previous.as_ref().filter(|previous| now < previous.served_until);
+        let previous = previous.and_then(|previous| previous.class.check(method, has_key).ok());
+        let current = versions.current.as_ref().ok_or(ClassMismatch::UnknownClass);
+        let current = current.and_then(|class| class.check(method, has_key));
+        match (current, previous) {
+            (Ok(current), Some(previous)) if previous.retry_freedom() < current.retry_freedom() => {
+                Ok(previous)
+            }
+            (Err(_), Some(previous)) => Ok(previous),
+            (current, _) => current,
+        }
+    }
+
+    /// How requests of the class at this position are registered; `None` if there is no such class.
+    #[must_use]
+    pub fn claim_terms(&self, index: u8) -> Option<ClaimTerms> {
+        self.claim_terms.get(usize::from(index)).copied()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/http-proxy/src/client_connection/framing/tests.rs
@@ -0,0 +1,67 @@
+use super::*;
+
+const GET: &[u8] = b"GET /read HTTP/1.1\r\nHost: x\r\n\r\n";
+const POST: &[u8] = b"POST /lift HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello";
+const CHUNKED: &[u8] = b"POST /lift HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
+
+#[test]
+fn separates_pipelined_requests_however_they_are_segmented() {
+    let all = [GET, POST, b"\r\n", GET].concat();
+    for size in [1, 7, 40, all.len()] {
+        let mut framing = Framing::default();
+        all.chunks(size).for_each(|segment| framing.receive(segment));
+        for has_pipelined in [true, true, false] {
+            framing.start_request();
+            assert_eq!(framing.has_pipelined_bytes(), has_pipelined, "segments of {size}");
+            framing.finish_request();
+        }
+    }
+}
+
+#[test]
+fn a_body_that_arrives_later_belongs_to_the_open_request() {
+    let mut framing = Framing::default();
+    framing.receive(&POST[..POST.len() - 3]);
+    framing.start_request();
+    assert!(!framing.has_pipelined_bytes());
+    framing.receive(b"llo");
+    assert!(!framing.has_pipelined_bytes());
+    framing.receive(b"G");
+    assert!(framing.has_pipelined_bytes(), "a part of the next request");
+    framing.finish_request();
+    assert!(framing.has_pipelined_bytes());
+}
+
+#[test]
+fn a_chunked_body_is_not_taken_for_a_pipelined_request() {
+    let mut framing = Framing::default();
+    framing.receive(CHUNKED);
+    framing.start_request();
+    framing.receive(b"5\r\nhello\r\n");
+    assert!(!framing.has_pipelined_bytes());
+    framing.finish_request();
+    assert!(!framing.has_pipelined_bytes());
+}
+
+/// A server that relies on the length finds another request within the body.
+#[test]
+fn detects_length_and_encoding_in_the_head_of_a_pipelined_request() {
+    let both = b"POST /lift HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+    let mut framing = Framing::default();
+    framing.receive(&[GET, both].concat());
+    framing.start_request();
+    assert!(!framing.has_length_and_encoding());
+    framing.finish_request();
+    framing.start_request();
+    assert!(framing.has_length_and_encoding());
+}
+
+#[test]
+fn buffers_at_most_the_size_of_a_head() {
+    let mut framing = Framing::default();
+    (0..100).for_each(|_| framing.receive(&[b'y'; 1_000]));
+    assert_eq!(framing.pipelined.len(), MAX_REQUEST_HEAD_BYTES);
+    framing.start_request();
+    framing.finish_request();
+    assert!(!framing.has_pipelined_bytes());
+}
--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -1,21 +1,23 @@
-//! The proxy on real sockets. It carries out what the [engine](request_engine::engine) decides and
-//! reports what came of it; it never picks a backend, retries, holds or refuses by itself.
+//! The HTTP/1.1 front end: client connections, backend connections, and the discovery client.
+//!
+//! It carries out what the [engine](request_engine::engine) decides and reports the results; it never selects backends,
+//! retries, queues or sheds requests by itself.
 
 pub mod backend_list;
 pub mod backend_pool;
 pub mod body;
-pub mod bounds;
-pub mod claim;
-pub mod classes;
+pub mod class_registry;
+pub mod client_connection;
 pub mod clients;
 pub mod config;
-pub mod connection;
+pub mod counting_socket;
 pub mod discovery;
 pub mod exchange;
+pub mod idempotency_claim;
 pub mod log;
 pub mod min_transfer_rate;
 pub mod name_index;
 pub mod poll_schedule;
+pub mod size_limits;
 pub mod stall_detector;
 pub mod transport;
-pub mod wire;
--- a/crates/proxy-server/src/admin_handler.rs
+++ b/crates/proxy-server/src/admin_handler.rs
@@ -12,7 +12,7 @@
 use http_proxy::backend_list::BackendList;
 use http_proxy::clients::ClientConnections;
 use http_proxy::log::{FailureLog, log};
-use http_proxy::transport::{Handle, Scope, update_backends};
+use http_proxy::transport::{Handle, UpdateKind, update_backends};
 use request_engine::driver::clock::Clock;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -94,12 +94,12 @@
     }
 
     async fn exclude(self: &Rc<Self>, id: &str) -> ConsoleResponse {
-        if !self.context.backend_list.borrow().knows(id) {
+        if !self.context.backend_list.borrow().is_known(id) {
             return unknown_backend(id);
         }
         match self.change(ExclusionChange::Exclude(id.to_owned(), self.clock.now())).await {
             Ok(ChangeOutcome { is_new, persistence_note }) => {
-                let serving = self.context.backend_list.borrow().serving();
+                let serving = self.context.backend_list.borrow().ready_count();
                 let verb = if is_new { "is" } else { "was already" };
                 ConsoleResponse::Success(format!(
                     "{id} {verb} out; {serving} backends serve{persistence_note}"
@@ -110,7 +110,7 @@
     }
 
     async fn include(self: &Rc<Self>, id: &str) -> ConsoleResponse {
-        if !self.context.backend_list.borrow().knows(id) {
+        if !self.context.backend_list.borrow().is_known(id) {
             return unknown_backend(id);
         }
         match self.change(ExclusionChange::Include(id.to_owned(), self.clock.now())).await {
@@ -127,7 +127,7 @@
     /// Changes the exclusions: the change is in force at once, whatever the state of the disk, and is then persisted so that
     /// it outlives this process.
     async fn change(self: &Rc<Self>, change: ExclusionChange) -> Result<ChangeOutcome, TooManyExclusions> {
-        let mut exclusions = self.context.backend_list.borrow().bans().clone();
+        let mut exclusions = self.context.backend_list.borrow().exclusions().clone();
         let is_new = self.context.state.change(&mut exclusions, change)?;
         self.apply(exclusions);
         // A task of its own, so that it goes on after the client has disconnected or the wait has ended.
@@ -142,7 +142,7 @@
     }
 
     async fn persist_changes(&self) -> Result<(), StoreError> {
-        let current = self.context.backend_list.borrow().bans().clone();
+        let current = self.context.backend_list.borrow().exclusions().clone();
         let exclusions = self.context.state.persist_changes(&current, self.clock.now()).await?;
         self.apply(exclusions);
         Ok(())
@@ -151,14 +151,14 @@
     /// Puts these exclusions in force.
     fn apply(&self, exclusions: Exclusions) {
         let backend_list = &self.context.backend_list;
-        if backend_list.borrow().bans().differing_ids(&exclusions).is_empty() {
+        if backend_list.borrow().exclusions().differing_ids(&exclusions).is_empty() {
             return;
         }
         let ids = exclusions.excluded_ids().collect::<Vec<_>>().join(" ");
         log(format_args!("excluded backends now: {}", if ids.is_empty() { "none" } else { &ids }));
-        let changed = backend_list.borrow_mut().govern(exclusions);
+        let changed = backend_list.borrow_mut().set_exclusions(exclusions);
         if !changed.is_empty() {
-            update_backends(&self.context.handle, Scope::Delta, &changed);
+            update_backends(&self.context.handle, UpdateKind::Delta, &changed);
         }
     }
 }
--- a/crates/proxy-server/src/admin_handler/peers.rs
+++ b/crates/proxy-server/src/admin_handler/peers.rs
@@ -52,8 +52,8 @@
         if status.set_peer_count(peer_count) {
             log(format_args!("{peer_count} other processes of this proxy are running"));
             let limits = self.context.limits;
-            self.context.clients.allow(status.quota_of(limits.clients));
-            self.context.handle.transport().backend_pool.allow(status.quota_of(limits.backends));
+            self.context.clients.set_max_connections(status.quota_of(limits.clients));
+            self.context.handle.transport().backend_pool.set_max_sockets(status.quota_of(limits.backends));
         }
         if self.context.has_backend_list.get() && status.set_backend_list_received() && peer_count > 0 {
             self.restore_learned_limits();
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -2,7 +2,7 @@
 
 use admin::fingerprint::fingerprint;
 use balancer::api::{Micros, Settings};
-use http_proxy::classes::Classes as ClientClasses;
+use http_proxy::class_registry::ClassRegistry as ClientClasses;
 use http_proxy::clients::ClientConnections;
 use http_proxy::config::{Config, ConfigError};
 use http_proxy::log::log;
@@ -67,7 +67,7 @@
     #[must_use]
     pub(crate) fn client_classes(&self, now: Micros) -> ClientClasses {
         let mut classes = ClientClasses::default();
-        classes.hold(now, &self.settings, self.classes.named());
+        classes.update(now, &self.settings, self.classes.named());
         classes
     }
 
@@ -110,7 +110,7 @@
 
     /// Reads and checks the complete configuration before it changes anything. Returns discovery's address.
     fn reload(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
-        let config = Config::again(&self.shape)?;
+        let config = Config::reload(&self.shape)?;
         let mut classes = self.classes.clone();
         let settings = classes.renew(&self.settings, &config.settings, &config.names.classes);
         let settings = settings.map_err(ConfigError::Reload)?;
@@ -118,8 +118,8 @@
         self.handle
             .transport()
             .backend_pool
-            .retune(config.dial_timeout, settings.permissions.idle_connection_timeout);
-        clients.classes().borrow_mut().hold(self.handle.clock().now(), &settings, classes.named());
+            .set_timeouts(config.connect_timeout, settings.permissions.idle_connection_timeout);
+        clients.classes().borrow_mut().update(self.handle.clock().now(), &settings, classes.named());
         self.longest_deadline.set(longest_deadline(&classes, &settings));
         self.fingerprint.set(learning_fingerprint(&classes, &self.names));
         self.log_changes(&config, &settings, &classes);
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -139,7 +139,7 @@
     );
     println!(
         "  at most {} connections from clients and {} to backends, {} bytes of large bodies",
-        config.client_sockets, config.backend_sockets, config.large_bodies
+        config.client_sockets, config.backend_sockets, config.large_body_bytes
     );
     if let Some((path, settings)) = external_processor {
         let bounds = &settings.bounds;
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -175,10 +175,10 @@
 
     /// Spawns the engine and all that runs beside it. Returns the engine's task, which ends only by a fault.
     fn spawn_tasks(&self, watcher: DiscoveryWatcher, accept_immediately: bool) -> JoinHandle<()> {
-        let first_response = watcher.heard();
+        let first_response = watcher.call_ended();
         let engine_task = tokio::task::spawn_local(self.handle.clone().run());
         tokio::task::spawn_local(watcher.run());
-        tokio::task::spawn_local(Rc::clone(&self.handle.transport().backend_pool).sweep());
+        tokio::task::spawn_local(Rc::clone(&self.handle.transport().backend_pool).close_expired());
         tokio::task::spawn_local(Rc::clone(&self.listener.stall_detector).run());
         let clients = Rc::clone(&self.client_front_end.connections);
         let accepting = clients.accept(Rc::clone(&self.listener.socket), self.listener.opened_at);
--- a/crates/proxy-server/src/server/client_front_end.rs
+++ b/crates/proxy-server/src/server/client_front_end.rs
@@ -1,7 +1,7 @@
 //! The HTTP front end for clients.
 
-use http_proxy::classes::Classes;
-use http_proxy::clients::{ClientConnections, Phase};
+use http_proxy::class_registry::ClassRegistry;
+use http_proxy::clients::{ClientConnections, ClientConnectionsOptions, ShutdownPhase};
 use http_proxy::config::Config;
 use http_proxy::stall_detector::StallDetector;
 use http_proxy::transport::Handle;
@@ -14,7 +14,7 @@
 pub(super) struct ClientFrontEndOptions<'a> {
     pub(super) config: &'a Config,
     pub(super) handle: &'a Handle,
-    pub(super) classes: Classes,
+    pub(super) classes: ClassRegistry,
     pub(super) has_backend_list: Rc<Cell<bool>>,
     /// The requests in flight, shared with the external processor if it is enabled.
     pub(super) registry: Option<SharedRegistry>,
@@ -24,26 +24,26 @@
 /// The client connections, and the phase that controls them.
 pub(super) struct ClientFrontEnd {
     pub(super) connections: Rc<ClientConnections>,
-    pub(super) phase: watch::Sender<Phase>,
+    pub(super) phase: watch::Sender<ShutdownPhase>,
 }
 
 impl ClientFrontEnd {
     pub(super) fn create(options: ClientFrontEndOptions<'_>) -> Self {
         let ClientFrontEndOptions { config, handle, classes, has_backend_list, registry, stall_detector } =
             options;
-        let (phase, phases) = watch::channel(Phase::Running);
-        let connections = ClientConnections::new(
-            handle.clone(),
-            handle.clock(),
+        let (phase, phases) = watch::channel(ShutdownPhase::Running);
+        let connections = ClientConnections::new(ClientConnectionsOptions {
+            handle: handle.clone(),
+            clock: handle.clock(),
             classes,
-            &config.names,
+            names: &config.names,
             has_backend_list,
-            phases,
-            config.client_sockets,
-            config.large_bodies,
-            registry,
+            phase: phases,
+            max_connections: config.client_sockets,
+            large_body_bytes: config.large_body_bytes,
+            idempotency_registry: registry,
             stall_detector,
-        );
+        });
         Self { connections, phase }
     }
 }
--- a/crates/proxy-server/src/server/discovery.rs
+++ b/crates/proxy-server/src/server/discovery.rs
@@ -3,7 +3,7 @@
 use admin::exclusions::Exclusions;
 use http_proxy::backend_list::BackendList;
 use http_proxy::config::Config;
-use http_proxy::discovery::{DiscoveryWatcher, ListTranslator};
+use http_proxy::discovery::{DiscoveryWatcher, DiscoveryWatcherOptions, ListTranslator, OnRequestDiscovery};
 use http_proxy::poll_schedule::PollSchedule;
 use http_proxy::transport::Handle;
 use std::cell::{Cell, RefCell};
@@ -24,35 +24,35 @@
 
 impl DiscoveryParts {
     /// Creates the watcher, and gives it the backend list of the configuration, which is taken out of `config`.
-    /// `poll_requests` are followed where the settings leave it to the engine when discovery is polled.
+    /// `subscribe_requests` are followed where the settings leave it to the engine when discovery is polled.
     pub(super) fn create(
         config: &mut Config,
         exclusions: Exclusions,
-        poll_requests: mpsc::UnboundedReceiver<()>,
+        subscribe_requests: mpsc::UnboundedReceiver<()>,
         handle: &Handle,
     ) -> Self {
         let settings = &config.settings;
         let has_backend_list = Rc::new(Cell::new(false));
         let translator = ListTranslator::new(handle.clock(), &config.names, &settings.safety);
         let (address_sender, addresses) = watch::channel(config.discovery);
-        let schedule = || {
-            PollSchedule::of(
+        let on_request = settings.discovery_on_request.then(|| OnRequestDiscovery {
+            subscribe_requests,
+            schedule: PollSchedule::new(
                 settings.instance_index,
                 settings.instance_count,
                 settings.safety.max_poll_interval,
-            )
-        };
-        let polling = settings.discovery_on_request.then(|| (poll_requests, schedule()));
+            ),
+        });
         let backend_list = Rc::new(RefCell::new(BackendList::new(exclusions)));
-        let mut watcher = DiscoveryWatcher::new(
+        let mut watcher = DiscoveryWatcher::new(DiscoveryWatcherOptions {
             addresses,
             translator,
-            Rc::clone(&backend_list),
-            handle.clone(),
-            Rc::clone(&has_backend_list),
-            polling,
-        );
-        watcher.start_from(mem::take(&mut config.known));
+            backend_list: Rc::clone(&backend_list),
+            handle: handle.clone(),
+            has_backend_list: Rc::clone(&has_backend_list),
+            on_request,
+        });
+        watcher.start_from(mem::take(&mut config.known_backends));
         Self { watcher, backend_list, has_backend_list, address_sender }
     }
 }
--- a/crates/proxy-server/src/server/drain.rs
+++ b/crates/proxy-server/src/server/drain.rs
@@ -1,7 +1,7 @@
 //! Draining: after the stop signal, requests in flight and connections that still arrive are finished within a bounded time.
 
 use balancer::api::Micros;
-use http_proxy::clients::{ClientConnections, Completed, Phase};
+use http_proxy::clients::{BacklogDrain, ClientConnections, ShutdownPhase};
 use http_proxy::transport::Handle;
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     pub(super) clients: &'a Rc<ClientConnections>,
     pub(super) handle: &'a Handle,
     pub(super) listener: &'a TcpListener,
-    pub(super) phase: &'a watch::Sender<Phase>,
+    pub(super) phase: &'a watch::Sender<ShutdownPhase>,
     /// The earliest time at which the stop signal may have come.
     pub(super) began: Instant,
     /// The longest deadline of the classes in force.
@@ -47,16 +47,16 @@
         let response_deadline =
             self.handle.clock().at(self.began) + micros(longest_deadline + RESPONSE_SLACK);
         self.handle.set_response_deadline(response_deadline);
-        let _ = self.phase.send(Phase::Draining);
+        let _ = self.phase.send(ShutdownPhase::Draining);
         self.wait_for_arrivals(longest_deadline).await;
-        let _ = self.phase.send(Phase::Closing);
+        let _ = self.phase.send(ShutdownPhase::Closing);
         self.close_connections(self.began + longest_deadline + DRAIN_SLACK).await;
     }
 
     async fn wait_for_arrivals(&self, longest_deadline: Duration) {
         let min_drain = MIN_DRAIN.min(longest_deadline + ARRIVAL_GRACE);
         while self.began.elapsed() < min_drain
-            || (self.clients.quiet() < QUIET_PERIOD && self.began.elapsed() < longest_deadline)
+            || (self.clients.time_since_accept() < QUIET_PERIOD && self.began.elapsed() < longest_deadline)
         {
             sleep(DRAIN_POLL_INTERVAL).await;
         }
@@ -66,16 +66,16 @@
     async fn close_connections(&self, end: Instant) {
         loop {
             while self.clients.open() > 0 {
-                if timeout_at(end, self.clients.one_ended()).await.is_err() {
+                if timeout_at(end, self.clients.connection_closed()).await.is_err() {
                     return;
                 }
             }
             // The exit resets connections in the listener's queue. After this check only those are lost that the kernel
             // completes in the moment before the exit.
-            match self.clients.take_completed(self.listener) {
-                Completed::Taken => {}
-                Completed::Failed if Instant::now() < end => sleep(ACCEPT_RETRY_DELAY).await,
-                Completed::None | Completed::Failed => return,
+            match self.clients.drain_backlog(self.listener) {
+                BacklogDrain::Accepted => {}
+                BacklogDrain::Failed if Instant::now() < end => sleep(ACCEPT_RETRY_DELAY).await,
+                BacklogDrain::Empty | BacklogDrain::Failed => return,
             }
         }
     }
--- a/crates/proxy-server/src/server/engine.rs
+++ b/crates/proxy-server/src/server/engine.rs
@@ -40,13 +40,13 @@
         let transport = ProxyTransport {
             backend_pool: BackendPool::new(
                 config.backend_sockets,
-                config.dial_timeout,
+                config.connect_timeout,
                 settings.permissions.idle_connection_timeout,
                 config.names.report.clone(),
             ),
             subscribe,
-            report_by_probe: settings.load_report_by_health_check,
-            outside: Rc::new(LeaseEventQueue::default()),
+            report_by_health_check: settings.load_report_by_health_check,
+            lease_events: Rc::new(LeaseEventQueue::default()),
         };
         Ok(Self { handle: Handle::new(engine, clock, transport), poll_requests })
     }
--- a/crates/proxy-server/src/server/grpc_front_end.rs
+++ b/crates/proxy-server/src/server/grpc_front_end.rs
@@ -41,7 +41,7 @@
         let backend_pool = Rc::clone(&transport.backend_pool);
         let engine = EngineContext {
             handle: handle.clone(),
-            lease_events: Rc::clone(&transport.outside),
+            lease_events: Rc::clone(&transport.lease_events),
             endpoints: Box::new(move |backend| backend_pool.address(backend)),
         };
         let bridge = Bridge::new(&config.settings, limits, registry, engine);
