--- a/crates/external-processor/src/bridge.rs
+++ b/crates/external-processor/src/bridge.rs
@@ -1,6 +1,6 @@
-//! Connects the gRPC services' thread to the engine's: callers' messages arrive on a bounded queue, the
-//! [decision service](crate::decision_service) decides, and replies go to each caller's own bounded channel. A caller that
-//! does not read its replies is dropped, so that it delays no other caller.
+//! Connects the gRPC services' thread to the engine's: callers' messages arrive on a bounded queue, the [decision
+//! service](crate::decision_service) decides, and replies go to each caller's own bounded channel. A caller that does
+//! not read its replies is dropped, so that it delays no other caller.
 
 use crate::decision_request::InvalidRequest;
 use crate::decision_service::{
--- a/crates/external-processor/src/decision_request.rs
+++ b/crates/external-processor/src/decision_request.rs
@@ -1,5 +1,5 @@
-//! Builds a [`DecisionRequest`] from HTTP headers or message fields: class and tenant names become positions, and a missing,
-//! duplicate or invalid field is an error that names it. No I/O and no clock.
+//! Builds a [`DecisionRequest`] from HTTP headers or message fields: class and tenant names become positions, and a
+//! missing, duplicate or invalid field is an error that names it. No I/O and no clock.
 
 use crate::decision_service::DecisionRequest;
 use crate::settings::Headers;
--- a/crates/external-processor/src/decision_service/mod.rs
+++ b/crates/external-processor/src/decision_service/mod.rs
@@ -1,11 +1,11 @@
-//! Decisions for external clients: which request may make an attempt, the reply to each message, and what is withdrawn when
-//! a caller ends. No I/O and no clock; the engine is behind [`LeaseEngine`].
+//! Decisions for external clients: which request may make an attempt, the reply to each message, and what is
+//! withdrawn when a caller ends. No I/O and no clock; the engine is behind [`LeaseEngine`].
 //!
 //! 1. Every message gets exactly one [`Reply`], unless its caller has ended.
-//! 2. A request's id and its key belong to one caller at a time ([`request_engine::idempotency`]). A request that may have
-//!    run is retried only by the engine's own decisions.
-//! 3. An attempt whose decision can't have reached its caller counts as never sent; one that reached it and is not reported
-//!    counts as one that may have run.
+//! 2. A request's id and its key belong to one caller at a time ([`request_engine::idempotency`]). A request that may
+//!    have run is retried only by the engine's own decisions.
+//! 3. An attempt whose decision can't have reached its caller counts as never sent; one that reached it and is not
+//!    reported counts as one that may have run.
 
 mod caller_messages;
 mod lease_events;
--- a/crates/external-processor/src/envoy.rs
+++ b/crates/external-processor/src/envoy.rs
@@ -1,8 +1,8 @@
-//! One stream of Envoy's `ext_proc` filter: the messages of one HTTP request in order, and the response to each. No I/O and
-//! no clock.
+//! One stream of Envoy's `ext_proc` filter: the messages of one HTTP request in order, and the response to each. No
+//! I/O and no clock.
 //!
-//! Envoy sends the request itself, once: the response to the request's headers names the backend, and the HTTP response's
-//! headers are the report of the attempt. A rejection is an immediate response.
+//! Envoy sends the request itself, once: the response to the request's headers names the backend, and the HTTP
+//! response's headers are the report of the attempt. A rejection is an immediate response.
 
 use crate::decision_request::{InvalidRequest, RequestCatalog};
 use crate::decision_service::{DecisionRequest, RejectReason, Reply, SendDecision};
@@ -304,8 +304,8 @@
         }
     }
 
-    /// The response for the reply to the report: a request that never ran is rejected, any other backend response passes
-    /// unchanged.
+    /// The response for the reply to the report: a request that never ran is rejected, any other backend response
+    /// passes unchanged.
     pub fn reported(&mut self, now: Micros, reply: Reply) -> Box<ProcessingResponse> {
         let previous = std::mem::replace(&mut self.state, State::Finished);
         match (previous, reply) {
--- a/crates/external-processor/src/grpc_codec.rs
+++ b/crates/external-processor/src/grpc_codec.rs
@@ -1,4 +1,5 @@
-//! Converts the messages of the gRPC service `Decisions` to and from those of the decision service. No I/O and no clock.
+//! Converts the messages of the gRPC service `Decisions` to and from those of the decision service. No I/O and no
+//! clock.
 
 use crate::decision_request::{InvalidRequest, RequestCatalog, RequestFields};
 use crate::decision_service::{
--- a/crates/external-processor/src/server/mod.rs
+++ b/crates/external-processor/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! The gRPC services, on a thread and a runtime of their own: parsing callers' messages must not delay the proxy's requests
-//! or the decisions.
+//! The gRPC services, on a thread and a runtime of their own: parsing callers' messages must not delay the proxy's
+//! requests or the decisions.
 
 mod decisions;
 mod envoy;
--- a/crates/external-processor/src/settings.rs
+++ b/crates/external-processor/src/settings.rs
@@ -72,7 +72,8 @@
     pub per_caller: usize,
     /// Active leases; at the limit requests are rejected.
     pub leases: usize,
-    /// Requests in flight and retained final answers; at the limit requests are rejected, and no answer is removed early.
+    /// Requests in flight and retained final answers; at the limit requests are rejected, and no answer is removed
+    /// early.
     #[serde(rename = "remembered")]
     pub retained: usize,
     /// Queued messages for the decision service; at the limit callers wait.
--- a/crates/external-processor/tests/decision_service.rs
+++ b/crates/external-processor/tests/decision_service.rs
@@ -290,8 +290,8 @@
     }
 }
 
-/// Runs random operations of callers. The harness checks after each step that no id or key ran twice where it must not, and
-/// at the end that every message had its one reply.
+/// Runs random operations of callers. The harness checks after each step that no id or key ran twice where it must
+/// not, and at the end that every message had its one reply.
 fn run_random_operations(seed: u64) -> Counts {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut harness = Harness::new(rng.u32(1..8));
--- a/crates/external-processor/tests/harness/engine_at_time.rs
+++ b/crates/external-processor/tests/harness/engine_at_time.rs
@@ -17,8 +17,8 @@
     type Response = ();
 }
 
-/// The engine as the decision service uses it, with the harness's clock. The events that a call causes are queued at once,
-/// as the driver does.
+/// The engine as the decision service uses it, with the harness's clock. The events that a call causes are queued at
+/// once, as the driver does.
 pub struct EngineAtTime<'a> {
     pub engine: &'a mut Engine<NoMessages>,
     pub now: Micros,
--- a/crates/external-processor/tests/harness/mod.rs
+++ b/crates/external-processor/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! The decision service and the real engine with simulated callers and backends. The harness keeps its own record of what
-//! may have run and of the replies, independent of both.
+//! The decision service and the real engine with simulated callers and backends. The harness keeps its own record of
+//! what may have run and of the replies, independent of both.
 
 mod engine_at_time;
 #[path = "../../../request-engine/tests/harness/settings.rs"]
--- a/crates/http-proxy/src/clients/inbound.rs
+++ b/crates/http-proxy/src/clients/inbound.rs
@@ -13,7 +13,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, StatusCode, Uri};
-use request_engine::engine::{RESPONSE_MARGIN, Dispatch, IncomingRequest};
+use request_engine::engine::{Dispatch, IncomingRequest, RESPONSE_MARGIN};
 use request_engine::request_key::request_key;
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -1,8 +1,8 @@
-//! The asynchronous part: front ends call the engine through a [`Handle`], a [`Transport`] executes its commands, and one
-//! task sleeps until the next timer.
+//! The asynchronous part: front ends call the engine through a [`Handle`], a [`Transport`] executes its commands, and
+//! one task sleeps until the next timer.
 //!
-//! All of it runs on one thread, in a `LocalSet`. A front end's call runs the engine at once, without a queue that could
-//! grow and without a task switch per request.
+//! All of it runs on one thread, in a `LocalSet`. A front end's call runs the engine at once, without a queue that
+//! could grow and without a task switch per request.
 
 pub mod cancellation;
 pub mod clock;
--- a/crates/request-engine/src/engine/events.rs
+++ b/crates/request-engine/src/engine/events.rs
@@ -10,8 +10,8 @@
 };
 
 impl<X: MessageTypes> Engine<X> {
-    /// Admits a request. Its final answer comes as one [`Command::Respond`](crate::engine::Command::Respond), unless its
-    /// client disconnects first.
+    /// Admits a request. Its final answer comes as one [`Command::Respond`](crate::engine::Command::Respond), unless
+    /// its client disconnects first.
     ///
     /// # Errors
     /// At one of [`EngineLimits`](crate::engine::EngineLimits): the request was not admitted and gets no command.
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -5,8 +5,8 @@
 //!    nothing can be answered afterwards.
 //! 2. No effect twice: an attempt finishes once, and the balancer receives its result in the same step. A lease that
 //!    expires counts as an attempt that may have run.
-//! 3. Draining backends: a proxied attempt starts at once; the holder of a lease may start for [`SEND_WINDOW`] only, and
-//!    the lease is revoked when its backend drains or is removed.
+//! 3. Draining backends: a proxied attempt starts at once; the holder of a lease may start for [`SEND_WINDOW`] only,
+//!    and the lease is revoked when its backend drains or is removed.
 //! 4. Warming backends: both kinds of attempts come from the balancer's [`Action::Send`], after its slow-start budget.
 
 mod attempts;
--- a/crates/request-engine/src/idempotency.rs
+++ b/crates/request-engine/src/idempotency.rs
@@ -1,9 +1,9 @@
-//! Deduplication of requests: a correlation id, and for keyed classes an idempotency key, belongs to one claim at a time,
-//! whichever front end or client claims it first. No I/O and no clock.
+//! Deduplication of requests: a correlation id, and for keyed classes an idempotency key, belongs to one claim at a
+//! time, whichever front end or client claims it first. No I/O and no clock.
 //!
-//! Rule 2 across front ends: two clients that submit the same request get one execution between them, and a client that
-//! submits it again gets the recorded final answer. An answer is retained for its class's retention time. The registry is
-//! bounded; at the bound a new claim is rejected, and no claim is removed before its time.
+//! Rule 2 across front ends: two clients that submit the same request get one execution between them, and a client
+//! that submits it again gets the recorded final answer. An answer is retained for its class's retention time. The
+//! registry is bounded; at the bound a new claim is rejected, and no claim is removed before its time.
 
 use balancer::api::Micros;
 use rustc_hash::FxHashMap;
--- a/crates/request-engine/src/lease.rs
+++ b/crates/request-engine/src/lease.rs
@@ -1,8 +1,8 @@
 //! Leases: the permission for an external client to make one attempt itself. No I/O and no clock.
 //!
-//! A lease is settled exactly once: by its holder's report or by its expiry. Its id is a fencing token: the incarnation
-//! of the engine that granted it and a serial number that is unique in that incarnation. A report on a settled lease, or
-//! on a lease of another engine, is classified, counted, and changes nothing.
+//! A lease is settled exactly once: by its holder's report or by its expiry. Its id is a fencing token: the
+//! incarnation of the engine that granted it and a serial number that is unique in that incarnation. A report on a
+//! settled lease, or on a lease of another engine, is classified, counted, and changes nothing.
 
 use balancer::api::{BackendId, Micros, RequestId};
 use rustc_hash::FxHashMap;
--- a/crates/request-engine/src/lease_events.rs
+++ b/crates/request-engine/src/lease_events.rs
@@ -1,9 +1,9 @@
 //! Events for a front end whose clients make their attempts themselves, in order, each with the front end's handle of
 //! the request.
 //!
-//! A [`Transport`](crate::driver::Transport) must not call the engine back while it executes a command, so the front end
-//! takes the events from a queue afterwards. The queue is bounded by the engine's limits: one final answer per open
-//! request, one grant and one revocation per lease.
+//! A [`Transport`](crate::driver::Transport) must not call the engine back while it executes a command, so the front
+//! end takes the events from a queue afterwards. The queue is bounded by the engine's limits: one final answer per
+//! open request, one grant and one revocation per lease.
 
 use crate::lease::LeaseId;
 use crate::messages::{FinalOutcome, LeaseGrant};
--- a/crates/request-engine/tests/edge_cases.rs
+++ b/crates/request-engine/tests/edge_cases.rs
@@ -27,7 +27,8 @@
     let mut harness = ten_backends();
     let (client, grant) = harness.submit_leased(1);
     let grant = grant.expect("a lease");
-    // The report is in transit while the lease expires: a non-idempotent request that may have run fails without a retry.
+    // The report is in transit while the lease expires: a non-idempotent request that may have run fails without a
+    // retry.
     harness.advance_time(grant.give_up_at + REPORT_GRACE - harness.now);
     assert_eq!(harness.clients[&client].outcome, Some(FinalOutcome::Failed));
     assert_eq!(harness.finish_attempt((client, 0), Outcome::Ok), Err(LeaseError::Late));
--- a/crates/request-engine/tests/idempotency.rs
+++ b/crates/request-engine/tests/idempotency.rs
@@ -97,8 +97,100 @@
     id: u8,
     key: Option<u8>,
     has_run: bool,
-    /// The answer and when it is removed.
-    answer: Option<(u32, Micros)>,
+    answer: Option<ExpectedAnswer>,
+}
+
+#[derive(Clone, Copy)]
+struct ExpectedAnswer {
+    answer: u32,
+    expires_at: Micros,
+}
+
+impl ExpectedClaim {
+    /// Whether a new claim with this key has to find this one.
+    fn owns_key(&self, key: Option<u8>) -> bool {
+        key.is_some() && self.key == key && (self.answer.is_none() || self.has_run)
+    }
+}
+
+const CAPACITY: usize = 6;
+const CLASS: u8 = 3;
+
+/// The registry and a simple model of it.
+struct Model {
+    registry: IdempotencyRegistry<u32>,
+    expected_claims: Vec<ExpectedClaim>,
+    now: Micros,
+    answer_count: u32,
+}
+
+impl Model {
+    fn new() -> Self {
+        let registry = IdempotencyRegistry::new(CAPACITY);
+        Self { registry, expected_claims: Vec::new(), now: 0, answer_count: 0 }
+    }
+
+    fn run_step(&mut self, step: &Step) -> Result<(), TestCaseError> {
+        let now = self.now;
+        let is_retained = |claim: &ExpectedClaim| claim.answer.is_none_or(|answer| answer.expires_at > now);
+        self.expected_claims.retain(is_retained);
+        match *step {
+            Step::Wait(time) => self.now += time,
+            Step::Complete { index, has_run, retention } => self.complete(index, has_run, retention)?,
+            Step::Claim { id, key } => self.claim(id, key)?,
+        }
+        prop_assert!(self.registry.len() <= CAPACITY);
+        Ok(())
+    }
+
+    fn complete(&mut self, index: usize, has_run: bool, retention: Micros) -> Result<(), TestCaseError> {
+        let Some(expected) = self.expected_claims.get_mut(index) else { return Ok(()) };
+        self.answer_count += 1;
+        let effect = if has_run { ExecutionEffect::Possible } else { ExecutionEffect::None };
+        prop_assert_eq!(
+            self.registry.complete(self.now, expected.claim, self.answer_count, effect, retention),
+            expected.answer.is_none()
+        );
+        if expected.answer.is_none() {
+            let expires_at = self.now + retention;
+            expected.has_run = has_run;
+            expected.answer = Some(ExpectedAnswer { answer: self.answer_count, expires_at });
+        }
+        Ok(())
+    }
+
+    fn claim(&mut self, id: u8, key: Option<u8>) -> Result<(), TestCaseError> {
+        let key_bytes = key.map(|key| [key]);
+        let status = self.registry.claim(self.now, &[id], CLASS, key_bytes.as_ref().map(|key| &key[..]));
+        let same_id = self.expected_claims.iter().find(|expected| expected.id == id);
+        let same_key = self.expected_claims.iter().find(|expected| expected.owns_key(key));
+        match (same_id, same_key) {
+            (Some(expected), _) if expected.key != key => {
+                prop_assert_eq!(status, Err(ClaimError::KeyMismatch));
+            }
+            (Some(expected), _) | (None, Some(expected)) => match (status, expected.answer) {
+                (Ok(ClaimStatus::Completed(answer)), Some(given)) => {
+                    prop_assert_eq!(answer, given.answer);
+                }
+                (Ok(ClaimStatus::InFlight { owner, .. }), None) => {
+                    prop_assert_eq!(owner, expected.claim);
+                }
+                (status, given) => {
+                    let given = given.map(|given| given.answer);
+                    prop_assert!(false, "{:?} where {:?} was given", status, given);
+                }
+            },
+            (None, None) if self.expected_claims.len() >= CAPACITY => {
+                prop_assert_eq!(status, Err(ClaimError::Full(CAPACITY)));
+            }
+            (None, None) => {
+                let claim = new(status);
+                let expected = ExpectedClaim { claim, id, key, has_run: true, answer: None };
+                self.expected_claims.push(expected);
+            }
+        }
+        Ok(())
+    }
 }
 
 proptest! {
@@ -106,44 +198,9 @@
     fn keys_have_one_owner_and_answers_last_for_their_retention(
         steps in prop::collection::vec(step(), 1..200)
     ) {
-        let (mut claims, mut expected_claims, mut now, mut answers) = (IdempotencyRegistry::new(6), Vec::<ExpectedClaim>::new(), 0, 0);
-        for step in steps {
-            expected_claims.retain(|k| k.answer.is_none_or(|(_, expires_at)| expires_at > now));
-            match step {
-                Step::Wait(time) => now += time,
-                Step::Complete { index, has_run, retention } => {
-                    let Some(k) = expected_claims.get_mut(index) else { continue };
-                    answers += 1;
-                    prop_assert_eq!(
-                        claims.complete(now, k.claim, answers, if has_run { ExecutionEffect::Possible } else { ExecutionEffect::None }, retention),
-                        k.answer.is_none()
-                    );
-                    if k.answer.is_none() {
-                        (k.has_run, k.answer) = (has_run, Some((answers, now + retention)));
-                    }
-                }
-                Step::Claim { id, key } => {
-                    let bytes = key.map(|k| [k]);
-                    let got = claims.claim(now, &[id], 3, bytes.as_ref().map(|k| &k[..]));
-                    let same_id = expected_claims.iter().find(|k| k.id == id);
-                    let same_key = expected_claims.iter().find(|k| key.is_some() && k.key == key && (k.answer.is_none() || k.has_run));
-                    let answer_of = |k: &ExpectedClaim| k.answer.map(|(answer, _)| answer);
-                    match (same_id, same_key) {
-                        (Some(k), _) if k.key != key => prop_assert_eq!(got, Err(ClaimError::KeyMismatch)),
-                        (Some(k), _) | (None, Some(k)) => match (got, answer_of(k)) {
-                            (Ok(ClaimStatus::Completed(answer)), Some(given)) => prop_assert_eq!(answer, given),
-                            (Ok(ClaimStatus::InFlight { owner, .. }), None) => prop_assert_eq!(owner, k.claim),
-                            (got, given) => prop_assert!(false, "{:?} where {:?} was given", got, given),
-                        },
-                        (None, None) if expected_claims.len() >= 6 => prop_assert_eq!(got, Err(ClaimError::Full(6))),
-                        (None, None) => {
-                            let claim = new(got);
-                            expected_claims.push(ExpectedClaim { claim, id, key, has_run: true, answer: None });
-                        }
-                    }
-                }
-            }
-            prop_assert!(claims.len() <= 6);
+        let mut model = Model::new();
+        for step in &steps {
+            model.run_step(step)?;
         }
     }
 }
--- a/crates/request-engine/tests/simultaneous_events.rs
+++ b/crates/request-engine/tests/simultaneous_events.rs
@@ -1,4 +1,5 @@
-//! Events that end a request come from several sources; after a pause of the process they arrive at one time, in any order.
+//! Events that end a request come from several sources; after a pause of the process they arrive at one time, in any
+//! order.
 
 mod harness;
 
