--- a/crates/admin/src/console.rs
+++ b/crates/admin/src/console.rs
@@ -18,7 +18,7 @@
 
 /// Connections open at a time.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a client may take to send its line, and again to receive the response.
+/// How long a client may take to send its line, and how long to receive the response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a connection is still read after its response: unread input would make the kernel reset the connection, and the
 /// client could lose the response.
--- a/crates/proxy-server/tests/operations/console.rs
+++ b/crates/proxy-server/tests/operations/console.rs
@@ -47,7 +47,7 @@
     assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
     assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
     assert_eq!(served(&mut client, "out", 40), "b".repeat(40));
-    // Whatever the list reports: active again, removed, back.
+    // Whatever the list reports: active once more, removed, returned.
     discovery.post(false, &[entry("s-a", a.address, "active", 0)]);
     assert_eq!(served(&mut client, "told", 20), "b".repeat(20));
     discovery.post(false, &[entry("s-a", a.address, "left", 0)]);
--- a/crates/proxy-server/tests/proxy/limits.rs
+++ b/crates/proxy-server/tests/proxy/limits.rs
@@ -1,8 +1,7 @@
-//! Bounded resources: capacity, descriptors, connections; and a configuration that cannot be used.
+//! Bounded resources: capacity, descriptors, connections.
 
 use crate::support::*;
 use crate::{fill, full_backend};
-use std::io::Read;
 
 #[test]
 fn rejects_without_capacity_with_retry_after() {
@@ -80,20 +79,3 @@
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 503);
     drop(clients);
 }
-
-#[test]
-fn invalid_configuration_ends_the_start_with_one_line() {
-    let bad_address = r#"{"listen":"here","discovery":"127.0.0.1:1","settings":{}}"#;
-    for (name, config, expected) in [
-        ("no-json", "{", "malformed configuration"),
-        ("no-settings", "{}", "settings"),
-        ("bad-address", bad_address, "listen"),
-    ] {
-        let mut child = spawn_proxy(name, config);
-        let mut text = String::new();
-        child.stderr.take().expect("standard error").read_to_string(&mut text).expect("text");
-        assert_eq!(child.wait().expect("it ends").code(), Some(1));
-        assert_eq!(text.lines().count(), 1, "{text}");
-        assert!(text.contains(expected), "{text}");
-    }
-}
--- a/crates/proxy-server/tests/proxy/main.rs
+++ b/crates/proxy-server/tests/proxy/main.rs
@@ -12,6 +12,7 @@
 mod responses;
 mod retries_after_disconnect;
 mod shutdown;
+mod startup;
 #[path = "../support/mod.rs"]
 mod support;
 
