--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The interface of the decision module: its [`Settings`], the [`Event`]s that it is given and the [`Action`]s that it
-//! returns. Nothing here does I/O or reads a clock; the time comes in with each call.
+//! The interface of the decisions: their [`Settings`], the [`Event`]s that an instance is notified of, and the [`Action`]s
+//! that it returns. Nothing here does I/O or reads a clock; the time comes in with each call.
 
 mod action;
 mod event;
@@ -15,7 +15,7 @@
 pub use outcome::Outcome;
 pub use settings::{
     Class, DedupScope, Idempotency, LoadReportFields, MAX_TENANTS, Permissions, SafetyLimits, Settings,
-    SettingsError, Tenant,
+    SettingsError, SettingsProblem, Tenant,
 };
 
 /// A point in time or a duration, in microseconds.
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -141,13 +141,57 @@
     pub safety: SafetyLimits,
 }
 
+/// What is wrong with a setting.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SettingsProblem {
+    /// It is 0, negative or not a number.
+    NotPositive,
+    /// It is negative or not a finite number.
+    Negative,
+    /// It is not in 0..=1.
+    NotFraction,
+    /// It is 0 or an empty list.
+    NoneGiven,
+    /// A deadline is shorter than the latency objective of its class.
+    DeadlineUnderObjective,
+    /// There are more than [`MAX_TENANTS`] tenants.
+    TooManyTenants {
+        /// Their number.
+        count: usize,
+    },
+    /// It is none of the known values.
+    UnknownValue {
+        /// The value.
+        value: String,
+    },
+    /// It cannot be parsed; the parser's message.
+    Malformed(String),
+}
+
+impl fmt::Display for SettingsProblem {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NotPositive => f.write_str("must be above 0"),
+            Self::Negative => f.write_str("must be 0 or more"),
+            Self::NotFraction => f.write_str("must lie in 0..=1"),
+            Self::NoneGiven => f.write_str("there must be at least one"),
+            Self::DeadlineUnderObjective => f.write_str("must not be under the aim"),
+            Self::TooManyTenants { count } => {
+                write!(f, "{count} tenants, and at most {MAX_TENANTS} are told apart; leave out some")
+            }
+            Self::UnknownValue { value } => write!(f, "unknown value `{value}`"),
+            Self::Malformed(message) => f.write_str(message),
+        }
+    }
+}
+
 /// A setting that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Which setting.
+    /// Which setting, as configuration files name it.
     pub field: String,
     /// What is wrong with it.
-    pub problem: String,
+    pub problem: SettingsProblem,
 }
 
 impl fmt::Display for SettingsError {
@@ -158,9 +202,9 @@
 
 impl std::error::Error for SettingsError {}
 
-/// An error at `field` unless its value is good.
-fn check(is_good: bool, field: &str, problem: &str) -> Result<(), SettingsError> {
-    if is_good { Ok(()) } else { Err(SettingsError { field: field.into(), problem: problem.into() }) }
+/// An error at `field` unless its value is valid.
+fn check(is_valid: bool, field: &str, problem: SettingsProblem) -> Result<(), SettingsError> {
+    if is_valid { Ok(()) } else { Err(SettingsError { field: field.into(), problem }) }
 }
 
 fn is_fraction(value: f64) -> bool {
@@ -174,11 +218,15 @@
 impl Class {
     fn validate(&self, index: usize) -> Result<(), SettingsError> {
         let field = |name: &str| format!("classes[{index}].{name}");
-        check(self.latency_objective > 0, &field("aim"), "must be above 0")?;
-        check(self.deadline >= self.latency_objective, &field("deadline"), "must not be under the aim")?;
-        check(is_not_negative(self.priority_weight), &field("worth"), "must be 0 or more")?;
-        check(is_fraction(self.late_weight_fraction), &field("late_worth"), "must lie in 0..=1")?;
-        check(is_not_negative(self.objective_work_factor), &field("aim_stretch"), "must be 0 or more")
+        check(self.latency_objective > 0, &field("aim"), SettingsProblem::NotPositive)?;
+        check(
+            self.deadline >= self.latency_objective,
+            &field("deadline"),
+            SettingsProblem::DeadlineUnderObjective,
+        )?;
+        check(is_not_negative(self.priority_weight), &field("worth"), SettingsProblem::Negative)?;
+        check(is_fraction(self.late_weight_fraction), &field("late_worth"), SettingsProblem::NotFraction)?;
+        check(is_not_negative(self.objective_work_factor), &field("aim_stretch"), SettingsProblem::Negative)
     }
 }
 
@@ -188,26 +236,25 @@
     /// # Errors
     /// The first setting that is out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        check(self.instance_count > 0, "balancers", "there must be at least one")?;
-        check(!self.classes.is_empty(), "classes", "there must be at least one")?;
+        check(self.instance_count > 0, "balancers", SettingsProblem::NoneGiven)?;
+        check(!self.classes.is_empty(), "classes", SettingsProblem::NoneGiven)?;
         for (index, class) in self.classes.iter().enumerate() {
             class.validate(index)?;
         }
         self.validate_tenants()?;
-        check(is_fraction(self.over_quota_weight), "over_share_worth", "must lie in 0..=1")?;
-        check(self.permissions.max_attempts > 0, "max_attempts", "there must be at least one")?;
-        check(is_fraction(self.safety.initial_capacity), "cold_from", "must lie in 0..=1")?;
+        check(is_fraction(self.over_quota_weight), "over_share_worth", SettingsProblem::NotFraction)?;
+        check(self.permissions.max_attempts > 0, "max_attempts", SettingsProblem::NoneGiven)?;
+        check(is_fraction(self.safety.initial_capacity), "cold_from", SettingsProblem::NotFraction)?;
         let factor = self.safety.overload_factor;
-        check(factor.is_finite() && factor > 0.0, "fall_multiple", "must be above 0")
+        check(factor.is_finite() && factor > 0.0, "fall_multiple", SettingsProblem::NotPositive)
     }
 
     fn validate_tenants(&self) -> Result<(), SettingsError> {
         let count = self.tenants.len();
-        let problem = format!("{count} tenants, and at most {MAX_TENANTS} are told apart; leave out some");
-        check(count <= MAX_TENANTS, "tenants", &problem)?;
+        check(count <= MAX_TENANTS, "tenants", SettingsProblem::TooManyTenants { count })?;
         for (index, tenant) in self.tenants.iter().enumerate() {
             let field = format!("tenants[{index}].allowance_per_s");
-            check(is_not_negative(tenant.quota_per_s), &field, "must be 0 or more")?;
+            check(is_not_negative(tenant.quota_per_s), &field, SettingsProblem::Negative)?;
         }
         Ok(())
     }
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -3,7 +3,7 @@
 use crate::raw::{RawClass, RawPermissions, RawReport, RawSafety, RawSettings};
 use balancer::api::{
     Class, DedupScope, Idempotency, LoadReportFields, Permissions, SafetyLimits, Settings, SettingsError,
-    Tenant,
+    SettingsProblem, Tenant,
 };
 
 /// Largest number of machine kinds that the decisions tell apart.
@@ -20,7 +20,7 @@
             path if path == "." => "settings".to_owned(),
             path => format!("settings.{path}"),
         };
-        SettingsError { field, problem: error.inner().to_string() }
+        SettingsError { field, problem: SettingsProblem::Malformed(error.inner().to_string()) }
     })?;
     let settings = raw.into_settings()?;
     settings.validate()?;
@@ -28,7 +28,7 @@
 }
 
 fn unknown_value(field: &str, value: &str) -> SettingsError {
-    SettingsError { field: field.into(), problem: format!("unknown value `{value}`") }
+    SettingsError { field: field.into(), problem: SettingsProblem::UnknownValue { value: value.into() } }
 }
 
 impl RawSettings {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -47,7 +47,7 @@
         assert_eq!(parse_settings(json.as_bytes()).expect_err("invalid settings").field, field);
     }
     let missing = parse_settings(SETTINGS.replace("\"safety\"", "\"sagety\"").as_bytes());
-    assert!(missing.expect_err("a key is missing").problem.contains("safety"));
+    assert!(missing.expect_err("a key is missing").problem.to_string().contains("safety"));
 }
 
 /// One more would have the same index as the first one, and share its quota.
@@ -61,5 +61,6 @@
     assert_eq!(parsed_tenants(MAX_TENANTS), Ok(MAX_TENANTS));
     let error = parsed_tenants(MAX_TENANTS + 1).expect_err("one too many");
     assert_eq!(error.field, "tenants");
-    assert!(error.problem.contains("65537") && error.problem.contains("65536"), "{error}");
+    let problem = error.problem.to_string();
+    assert!(problem.contains("65537") && problem.contains("65536"), "{error}");
 }
