--- a/crates/testbed/src/model.rs
+++ b/crates/testbed/src/backend_model.rs
@@ -8,28 +8,28 @@
 
 /// What a box is.
 #[derive(Clone, Copy, Debug)]
-pub struct BoxSpec {
+pub struct BackendSpec {
     /// Work that runs at full speed at a time.
     pub cores: f64,
     /// Speed of a core beside the usual one.
     pub speed: f64,
     /// Requests that it holds at the most.
-    pub holds: usize,
+    pub capacity: usize,
     /// Part of its capacity with which it starts.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// After how long it is warm.
-    pub cold_time: Micros,
+    pub warm_up_duration: Micros,
 }
 
 /// What became of a request that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrived {
+pub enum Admission {
     /// It runs and will be answered.
-    Taken,
+    Accepted,
     /// It was taken and will never be answered.
     Swallowed,
     /// Turned away unseen.
-    Full,
+    Rejected,
 }
 
 struct Job {
@@ -38,8 +38,8 @@
 }
 
 /// A box's process.
-pub struct BoxModel {
-    spec: BoxSpec,
+pub struct BackendModel {
+    spec: BackendSpec,
     now: Micros,
     /// `None`: long ago.
     started: Option<Micros>,
@@ -51,10 +51,10 @@
     drains: bool,
 }
 
-impl BoxModel {
+impl BackendModel {
     /// A process that began to run at `started`; `None`: long ago.
     #[must_use]
-    pub fn new(spec: BoxSpec, now: Micros, started: Option<Micros>) -> Self {
+    pub fn new(spec: BackendSpec, now: Micros, started: Option<Micros>) -> Self {
         let (jobs, swallowed, slow) = (Vec::new(), 0, 1.0);
         Self { spec, now, started, jobs, swallowed, slow, hangs: false, stands: false, drains: false }
     }
@@ -67,8 +67,8 @@
 
     fn warmth(&self, at: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let age = at.saturating_sub(started) as f64 / self.spec.cold_time.max(1) as f64;
-        self.spec.cold_from + (1.0 - self.spec.cold_from) * age.min(1.0)
+        let age = at.saturating_sub(started) as f64 / self.spec.warm_up_duration.max(1) as f64;
+        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * age.min(1.0)
     }
 
     /// The speed of each request now, in work a second of time.
@@ -80,17 +80,17 @@
     }
 
     /// A request with so much work (microseconds on a core) arrives.
-    pub fn arrive(&mut self, now: Micros, id: u64, work: Micros) -> Arrived {
+    pub fn arrive(&mut self, now: Micros, id: u64, work: Micros) -> Admission {
         debug_assert!(now >= self.now, "advance comes first");
-        if self.drains || self.jobs.len() + self.swallowed >= self.spec.holds {
-            return Arrived::Full;
+        if self.drains || self.jobs.len() + self.swallowed >= self.spec.capacity {
+            return Admission::Rejected;
         }
         if self.hangs {
             self.swallowed += 1;
-            return Arrived::Swallowed;
+            return Admission::Swallowed;
         }
         self.jobs.push(Job { id, left: work as f64 });
-        Arrived::Taken
+        Admission::Accepted
     }
 
     /// Lets time pass; gives the requests that are done, in the order in which they ended.
@@ -116,7 +116,7 @@
             return None;
         }
         let done = self.now + (least / speed).ceil().max(1.0) as Micros;
-        let warming = self.started.is_some_and(|s| self.now < s + self.spec.cold_time);
+        let warming = self.started.is_some_and(|s| self.now < s + self.spec.warm_up_duration);
         Some(if warming { done.min(self.now + WARM_STEP) } else { done })
     }
 
@@ -154,24 +154,30 @@
 mod tests {
     use super::*;
 
-    const SPEC: BoxSpec = BoxSpec { cores: 2.0, speed: 1.0, holds: 4, cold_from: 0.5, cold_time: 1_000_000 };
+    const SPEC: BackendSpec = BackendSpec {
+        cores: 2.0,
+        speed: 1.0,
+        capacity: 4,
+        initial_capacity: 0.5,
+        warm_up_duration: 1_000_000,
+    };
 
     #[test]
     fn requests_share_the_cores() {
-        let mut model = BoxModel::new(SPEC, 0, None);
+        let mut model = BackendModel::new(SPEC, 0, None);
         for id in 0..4 {
-            assert_eq!(model.arrive(0, id, 10_000), Arrived::Taken);
+            assert_eq!(model.arrive(0, id, 10_000), Admission::Accepted);
         }
-        assert_eq!(model.arrive(0, 4, 10_000), Arrived::Full);
+        assert_eq!(model.arrive(0, 4, 10_000), Admission::Rejected);
         assert!(model.advance(19_999).is_empty());
         assert_eq!(model.advance(20_001), [0, 1, 2, 3]);
-        assert_eq!(model.arrive(20_001, 5, 10_000), Arrived::Taken);
+        assert_eq!(model.arrive(20_001, 5, 10_000), Admission::Accepted);
         assert_eq!(model.next(), Some(30_001), "alone it has a core to itself");
     }
 
     #[test]
     fn a_cold_box_is_slower_and_warms_up() {
-        let mut model = BoxModel::new(SPEC, 0, Some(0));
+        let mut model = BackendModel::new(SPEC, 0, Some(0));
         assert_eq!((model.capacity(0), model.capacity(500_000), model.capacity(9_000_000)), (1.0, 1.5, 2.0));
         model.arrive(0, 1, 100_000);
         model.arrive(0, 2, 100_000);
@@ -181,9 +187,9 @@
 
     #[test]
     fn a_hung_box_swallows_a_standing_one_goes_on_later() {
-        let mut model = BoxModel::new(SPEC, 0, None);
+        let mut model = BackendModel::new(SPEC, 0, None);
         model.set_hangs(true);
-        assert_eq!(model.arrive(0, 1, 10), Arrived::Swallowed);
+        assert_eq!(model.arrive(0, 1, 10), Admission::Swallowed);
         assert!(model.advance(1_000_000).is_empty());
         model.set_hangs(false);
         model.arrive(1_000_000, 2, 10_000);
--- a/crates/testbed/src/call_queue.rs
+++ b/crates/testbed/src/call_queue.rs
@@ -5,7 +5,7 @@
 
 /// What becomes of a call, and when it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     /// Worked through by then.
     Done(Micros),
     /// It has waited too long by then and fails; the service has done nothing for it.
@@ -31,12 +31,12 @@
     }
 
     /// A call comes.
-    pub fn come(&mut self, now: Micros) -> Fate {
+    pub fn come(&mut self, now: Micros) -> CallOutcome {
         let begins = self.free_at.max(now);
         if begins > now + self.fails_after {
-            return Fate::Failed(now + self.fails_after);
+            return CallOutcome::Failed(now + self.fails_after);
         }
         self.free_at = begins + self.rng.u64(self.call.0..=self.call.1);
-        Fate::Done(self.free_at)
+        CallOutcome::Done(self.free_at)
     }
 }
--- a/crates/testbed/src/matrix.rs
+++ b/crates/testbed/src/connection_fault_matrix.rs
@@ -3,7 +3,7 @@
 //! No box is sick on these days. Whatever is lost beyond what the troubles take by themselves, and every ejection, is
 //! the proxy's doing.
 
-use crate::script::{Script, ScriptError, Trouble, What};
+use crate::script::{BackendFault, BackendFaultKind, Script, ScriptError};
 use crate::sockets::{self, Day, SocketsError};
 use balancer::api::{Micros, Outcome};
 use std::fmt;
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     /// The trouble.
-    pub what: What,
+    pub what: BackendFaultKind,
     /// How it comes.
     pub pattern: Pattern,
     /// Boxes; one proxy is before them.
@@ -66,9 +66,9 @@
     /// Where its figures can't be played.
     pub fn script(&self) -> Result<Script, ScriptError> {
         let mut script = Script::parse(SCRIPT, Path::new("connections.toml"))?;
-        (script.seed, script.seconds, script.fleet.boxes) = (self.seed, self.seconds, self.boxes);
+        (script.seed, script.seconds, script.fleet.backends) = (self.seed, self.seconds, self.boxes);
         script.traffic.per_s = (self.boxes as f64 * PER_BOX).min(MAX_PER_S);
-        let trouble = |at_s: f64, for_s: f64, degree: f64| Trouble {
+        let trouble = |at_s: f64, for_s: f64, degree: f64| BackendFault {
             what: self.what,
             at_s,
             for_s,
@@ -76,7 +76,7 @@
             zone: None,
             degree,
         };
-        script.trouble = match self.pattern {
+        script.backend_faults = match self.pattern {
             Pattern::Calm => Vec::new(),
             Pattern::Steady(degree) => vec![trouble(0.0, self.seconds, degree)],
             Pattern::Bursts => (0..(self.seconds / BURST_EVERY_S) as u32)
@@ -112,7 +112,7 @@
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (all, how) = (
-            &self.day.judgement.all,
+            &self.day.judgement.total,
             match self.case.pattern {
                 Pattern::Calm => "calm".to_owned(),
                 Pattern::Steady(degree) => format!("{:.0} %", degree * 100.0),
@@ -125,11 +125,11 @@
             self.case.boxes,
             format!("{:?}", self.case.what),
             all.goodput(),
-            self.day.judgement.worst,
-            all.attempts as f64 / all.asked.max(1) as f64,
+            self.day.judgement.worst_goodput,
+            all.attempts as f64 / all.requests.max(1) as f64,
             self.day.hits,
             self.day.ejections,
-            all.refused,
+            all.rejected,
             all.failed,
         )?;
         for class in &self.day.judgement.classes {
@@ -141,7 +141,7 @@
             }
         }
         if !self.day.judgement.is_clean() {
-            write!(f, "  RULES BROKEN {:?}", self.day.judgement.broken)?;
+            write!(f, "  RULES BROKEN {:?}", self.day.judgement.violations)?;
         }
         Ok(())
     }
@@ -153,8 +153,8 @@
     let mut cases = Vec::new();
     for boxes in [2, 60] {
         let case = |what, pattern| Case { what, pattern, boxes, seconds, seed };
-        cases.push(case(What::Reset, Pattern::Calm));
-        for what in What::OF_CONNECTIONS {
+        cases.push(case(BackendFaultKind::Reset, Pattern::Calm));
+        for what in BackendFaultKind::OF_CONNECTIONS {
             let patterns = [0.01, 0.05, 0.2].map(Pattern::Steady);
             cases.extend(patterns.map(|pattern| case(what, pattern)));
             cases.push(case(what, Pattern::Bursts));
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,7 +1,7 @@
 //! The first run: one real proxy between stand-ins, with troubles, as a live table.
 
-use crate::judge::Judgement;
-use crate::script::{Script, ScriptError, What};
+use crate::invariant_checker::CheckReport;
+use crate::script::{BackendFaultKind, Script, ScriptError};
 use crate::sockets::{self, Live, Second, SocketsError};
 use balancer::api::Micros;
 use std::fmt::Write as _;
@@ -55,24 +55,24 @@
 #[must_use]
 pub fn programme(script: &Script) -> String {
     let mut text = String::new();
-    for (i, trouble) in script.trouble.iter().enumerate() {
+    for (i, trouble) in script.backend_faults.iter().enumerate() {
         let what = match trouble.what {
-            What::Crash => "die, and come back cold",
-            What::Hang => "take requests and answer none",
-            What::Pause => "stand still",
-            What::Slow => "get slower",
-            What::Reset => "break connections",
-            What::ResetRequest => "break connections while requests come",
-            What::BreakAnswer => "break connections in the middle of answers",
-            What::CloseAfter => "close connections right behind answers",
-            What::Silence => "let kept connections fall silent",
-            What::ResetNew => "reset new connections",
-            What::AcceptLate => "read new connections late",
-            What::Spoil => "answer nonsense",
-            What::Drain => "drain",
-            What::DiscoveryDown => "are not told of: discovery is silent",
+            BackendFaultKind::Crash => "die, and come back cold",
+            BackendFaultKind::Hang => "take requests and answer none",
+            BackendFaultKind::Pause => "stand still",
+            BackendFaultKind::Slow => "get slower",
+            BackendFaultKind::Reset => "break connections",
+            BackendFaultKind::ResetRequest => "break connections while requests come",
+            BackendFaultKind::BreakAnswer => "break connections in the middle of answers",
+            BackendFaultKind::CloseAfter => "close connections right behind answers",
+            BackendFaultKind::Silence => "let kept connections fall silent",
+            BackendFaultKind::ResetNew => "reset new connections",
+            BackendFaultKind::AcceptLate => "read new connections late",
+            BackendFaultKind::Spoil => "answer nonsense",
+            BackendFaultKind::Drain => "drain",
+            BackendFaultKind::DiscoveryDown => "are not told of: discovery is silent",
         };
-        let count = script.struck(i).len();
+        let count = script.faulty_backends(i).len();
         let _ = writeln!(text, "  at {:.0} s for {:.0} s {count} boxes {what}", trouble.at_s, trouble.for_s);
     }
     text
@@ -82,12 +82,12 @@
 ///
 /// # Errors
 /// Where it can't be played.
-pub fn play(script: &Script, slack: Micros) -> Result<Judgement, SocketsError> {
+pub fn play(script: &Script, slack: Micros) -> Result<CheckReport, SocketsError> {
     let fleet = &script.fleet;
     println!("{}", script.title);
     println!(
         "boxes {}, proxies {}, {} requests a second for {} s, on loopback sockets; times count from when all is up",
-        fleet.boxes, fleet.proxies, script.traffic.per_s, script.seconds
+        fleet.backends, fleet.proxies, script.traffic.per_s, script.seconds
     );
     print!("{}", programme(script));
     println!("\n time   asked served refused failed   goodput   boxes");
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// Where it can't be played.
-pub fn demo() -> Result<Judgement, DemoError> {
+pub fn demo() -> Result<CheckReport, DemoError> {
     let script = Script::parse(SCRIPT, Path::new("demo.toml"))?;
     let judgement = play(&script, SLACK)?;
     if judgement.is_clean() {
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -1,7 +1,7 @@
 //! Processes of the program: started on loopback addresses of their own, asked whether they are ready, signalled, and
 //! ended with the laboratory. They are known by what `spawn` gave, never by a name.
 
-use super::{FleetError, keep};
+use super::{FleetError, process_guard};
 use crate::address::{self, Held};
 use crate::script::Script;
 use crate::sockets::up;
@@ -129,7 +129,7 @@
         let file = self.folder.join(format!("config-{}.json", self.starts));
         let log = self.folder.join(format!("log-{}", self.starts));
         fs::write(&file, config.to_string())?;
-        let child = keep::command(&machine.keeper, machine.descriptors, &machine.proxy)
+        let child = process_guard::command(&machine.keeper, machine.descriptors, &machine.proxy)
             .env("EDGE_CONFIG", &file)
             .env("TMPDIR", self.folder.join("tmp"))
             .stdin(Stdio::null())
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -3,8 +3,8 @@
 //! was called names the proxy. UDP: each process has a face, and what a face gets goes on from the sender's own face.
 
 use crate::address;
-use crate::links::{Line, Link, Links};
-use crate::script::{Between, Way};
+use crate::links::{BandwidthQueue, Link, Links};
+use crate::script::{Direction, LinkEndpoints};
 use crate::sockets::{listen_on_loopback, reset};
 use balancer::api::Micros;
 use std::collections::HashMap;
@@ -57,7 +57,7 @@
 pub fn streams(
     links: &Rc<Links>,
     clock: &Clock,
-    between: Between,
+    between: LinkEndpoints,
     peer: usize,
     target: Target,
 ) -> io::Result<u16> {
@@ -81,7 +81,7 @@
 
 async fn carry(links: Rc<Links>, clock: Clock, link: Link, near: TcpStream, target: Option<SocketAddr>) {
     // Where the link is cut a new connection comes up here and is silent: from inside a process no more can be done.
-    due(&links, &clock, link, Way::Out, 0).await;
+    due(&links, &clock, link, Direction::Out, 0).await;
     let far = match target {
         Some(target) => TcpStream::connect(target).await,
         None => Err(io::ErrorKind::ConnectionRefused.into()),
@@ -90,8 +90,8 @@
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (near_in, near_out) = near.into_split();
     let (far_in, far_out) = far.into_split();
-    let mut out = pin!(pump(Rc::clone(&links), clock.clone(), link, Way::Out, near_in, far_out));
-    let mut back = pin!(pump(links, clock, link, Way::Back, far_in, near_out));
+    let mut out = pin!(pump(Rc::clone(&links), clock.clone(), link, Direction::Out, near_in, far_out));
+    let mut back = pin!(pump(links, clock, link, Direction::Back, far_in, near_out));
     // A side that breaks takes the other one with it, as it would without a relay; one that only ends does not.
     tokio::select! {
         whole = &mut out => if whole { back.await; },
@@ -99,7 +99,7 @@
     }
 }
 
-async fn due(links: &Links, clock: &Clock, link: Link, way: Way, nth: u64) {
+async fn due(links: &Links, clock: &Clock, link: Link, way: Direction, nth: u64) {
     if let Some((began, now)) = clock.now() {
         let passage = links.piece(link, way, now, nth);
         let at = (now + passage.delay).max(passage.not_before);
@@ -115,13 +115,13 @@
     links: Rc<Links>,
     clock: Clock,
     link: Link,
-    way: Way,
+    way: Direction,
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
 ) -> bool {
     let (sender, mut pieces) = mpsc::channel::<(Option<Instant>, Vec<u8>)>(PIECES);
     let reading = async move {
-        let (mut line, mut nth) = (Line::default(), 0);
+        let (mut line, mut nth) = (BandwidthQueue::default(), 0);
         loop {
             let mut piece = Vec::with_capacity(PIECE);
             let read = from.read_buf(&mut piece).await;
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -1,11 +1,11 @@
 //! Results as rows: one JSON line each, a table for people, medians over seeds. Pure.
 
-use crate::cold_sums::ColdUse;
-use crate::judge::{Judgement, judge_in_order};
+use crate::invariant_checker::{CheckReport, check_ordered};
 use crate::plan::Plan;
 use crate::reference::{self, Policy};
 use crate::restarts::Restarts;
 use crate::script::Script;
+use crate::slow_start_load::SlowStartLoad;
 use crate::spread::{self, Spread};
 use crate::virtual_time;
 use balancer::api::SettingsError;
@@ -52,7 +52,7 @@
     pub spread: Spread,
     /// What cold boxes got of what they bear, where any started.
     #[serde(default)]
-    pub cold: Option<ColdUse>,
+    pub cold: Option<SlowStartLoad>,
     /// How soon processes that were started anew were ready, where there were any.
     #[serde(default)]
     pub restarts: Option<Restarts>,
@@ -85,9 +85,9 @@
 impl Row {
     /// The row of a day that was judged.
     #[must_use]
-    pub fn new(script: &Script, way: &str, judged: &Judgement, spread: Spread) -> Self {
-        let all = &judged.all;
-        let asked = all.asked + all.missed;
+    pub fn new(script: &Script, way: &str, judged: &CheckReport, spread: Spread) -> Self {
+        let all = &judged.total;
+        let asked = all.requests + all.undelivered;
         Self {
             script: script.title.clone(),
             build: build(),
@@ -97,13 +97,13 @@
             asked,
             worth: all.goodput(),
             in_time: all.in_time as f64 / (asked as f64).max(1.0),
-            refused: all.refused,
+            refused: all.rejected,
             failed: all.failed,
-            missed: all.missed,
+            missed: all.undelivered,
             excused: all.excused,
             p50_ms: judged.percentile(0.5) as f64 / 1e3,
             p99_ms: judged.percentile(0.99) as f64 / 1e3,
-            broken: judged.broken,
+            broken: judged.violations,
             spread,
             cold: None,
             restarts: None,
@@ -125,7 +125,7 @@
     let plan = Plan::draw(script);
     let row = |policy: Policy| {
         let seen = reference::play(script, &plan, policy).in_order();
-        let judged = judge_in_order(script, &seen, 0);
+        let judged = check_ordered(script, &seen, 0);
         let spread = spread::measure(script, &plan, &seen, reference::START);
         let way = serde_json::to_value(policy).ok().and_then(|v| v.as_str().map(str::to_owned));
         Row::new(script, &way.unwrap_or_default(), &judged, spread)
--- a/crates/testbed/src/fleet/day.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -1,15 +1,15 @@
 //! A day over processes, from the first one's start to the last one's end.
 
-use super::keep;
+use super::process_guard;
 use super::processes::{END_TIMEOUT, Folder, Machine, Place, Process, cpu_s};
 use super::relay::{self, Clock};
 use super::report::{Cost, Row};
-use crate::cold_sums;
-use crate::judge::{Record, Seen, judge_in_order};
+use crate::invariant_checker::{Observation, ObservationLog, check_ordered};
 use crate::links::Links;
-use crate::plan::{Act, Plan, TAIL};
+use crate::plan::{Plan, ProcessAction, TAIL};
 use crate::restarts;
-use crate::script::{Between, Known, Script, ScriptError, micros};
+use crate::script::{InitialList, LinkEndpoints, Script, ScriptError, micros};
+use crate::slow_start_load;
 use crate::sockets::{Board, Shard};
 use crate::spread;
 use balancer::api::Micros;
@@ -57,7 +57,7 @@
 }
 
 /// What a thread of stand-ins gives when the day is over.
-type Taken = (Record, Vec<u32>);
+type Taken = (ObservationLog, Vec<u32>);
 
 struct StandIns {
     agents: Vec<SocketAddr>,
@@ -77,7 +77,7 @@
             format!("{} processes, {MAX_PROCESSES} at most; more in virtual time", script.fleet.proxies);
         return Err(ScriptError::Value("fleet.proxies".into(), problem).into());
     }
-    keep::all_descriptors()?;
+    process_guard::all_descriptors()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, day(script, machine))
 }
@@ -98,7 +98,7 @@
         let _ = begin.send(began);
     }
     let own_before = cpu_s(std::process::id()).unwrap_or(0.0);
-    director.record.borrow_mut().add(began, Seen::Begun);
+    director.record.borrow_mut().add(began, Observation::ScenarioStarted);
     let director = Rc::new(RefCell::new(director));
     direct(&director, &board, began).await;
     let end = began + micros(script.seconds).max(board.plan.quiet_after());
@@ -123,11 +123,11 @@
     late.sort_unstable();
     let late_p99_ms = late.get(late.len() * 99 / 100).map_or(0.0, |&us| f64::from(us) / 1e3);
     let seen = record.in_order();
-    let judged = judge_in_order(script, &seen, machine.slack);
-    judged.words.iter().for_each(|words| eprintln!("{words}"));
+    let judged = check_ordered(script, &seen, machine.slack);
+    judged.messages.iter().for_each(|words| eprintln!("{words}"));
     let spread = spread::measure(script, &board.plan, &seen, began);
     let mut row = Row::new(script, "processes", &judged, spread);
-    row.cold = cold_sums::measure(script, &board.plan, &seen);
+    row.cold = slow_start_load::measure(script, &board.plan, &seen);
     row.restarts = restarts::measure(&seen);
     row.handed_on = handed_on;
     row.cost = Some(Cost { proxy_cpu_s, rig_cpu_s, late_p99_ms, spoilt: late_p99_ms > LATE });
@@ -206,7 +206,7 @@
 }
 
 fn open_relays(board: &Arc<Board>, clock: &Clock) -> Result<Option<Relays>, FleetError> {
-    if board.script.link.is_empty() {
+    if board.script.link_faults.is_empty() {
         return Ok(None);
     }
     let (told, heard) = mpsc::channel();
@@ -231,24 +231,25 @@
 
 fn relays(board: &Arc<Board>, clock: &Clock) -> io::Result<Relays> {
     let (script, links) = (&board.script, Rc::new(Links::new(&board.script)));
-    if script.has_links(Between::Boxes) {
+    if script.has_links(LinkEndpoints::Boxes) {
         let port = |at_box: usize| {
             let address = board.face(at_box).address();
-            relay::streams(&links, clock, Between::Boxes, at_box, Rc::new(move |_| address))
+            relay::streams(&links, clock, LinkEndpoints::Boxes, at_box, Rc::new(move |_| address))
         };
-        board.relay_boxes((0..script.fleet.boxes).map(port).collect::<io::Result<Vec<_>>>()?);
+        board.relay_boxes((0..script.fleet.backends).map(port).collect::<io::Result<Vec<_>>>()?);
     }
     let mut discovery = None;
-    if script.has_links(Between::Discovery) {
+    if script.has_links(LinkEndpoints::Discovery) {
         let targets: Arc<OnceLock<Vec<SocketAddr>>> = Arc::default();
         let of = Arc::clone(&targets);
         let target = move |proxy: usize| of.get().and_then(|agents| agents.get(proxy).copied());
-        discovery = Some((relay::streams(&links, clock, Between::Discovery, 0, Rc::new(target))?, targets));
+        discovery =
+            Some((relay::streams(&links, clock, LinkEndpoints::Discovery, 0, Rc::new(target))?, targets));
     }
-    if script.has_links(Between::Clients) {
+    if script.has_links(LinkEndpoints::Clients) {
         let front = Arc::downgrade(board);
         let target = move |proxy: usize| front.upgrade().and_then(|board| board.entrance(proxy).listens());
-        board.relay_clients(relay::streams(&links, clock, Between::Clients, 0, Rc::new(target))?);
+        board.relay_clients(relay::streams(&links, clock, LinkEndpoints::Clients, 0, Rc::new(target))?);
     }
     Ok(Relays { discovery })
 }
@@ -262,7 +263,7 @@
     /// Processes that were told to end and whose place another one has taken.
     leaving: Vec<(usize, Process)>,
     lists: Vec<Value>,
-    record: RefCell<Record>,
+    record: RefCell<ObservationLog>,
     crashed: Option<FleetError>,
     cpu_s: f64,
     // Last, so that it goes when the processes have.
@@ -285,19 +286,19 @@
         })
     }
 
-    fn saw(&self, seen: Seen) {
+    fn saw(&self, seen: Observation) {
         self.record.borrow_mut().add(self.board.now(), seen);
     }
 
-    fn start(&mut self, proxy: usize, list: Known) -> io::Result<Process> {
+    fn start(&mut self, proxy: usize, list: InitialList) -> io::Result<Process> {
         let nothing = json!({"revision": 0, "complete": true, "members": []});
-        let known = if list == Known::Old { &self.lists[proxy] } else { &nothing };
+        let known = if list == InitialList::Old { &self.lists[proxy] } else { &nothing };
         self.places[proxy].start(&self.board.script, &self.machine, known)
     }
 
     async fn start_all(&mut self) -> Result<(), FleetError> {
         for proxy in 0..self.places.len() {
-            let process = self.start(proxy, Known::Old)?;
+            let process = self.start(proxy, InitialList::Old)?;
             self.running.push(Some(process));
         }
         for proxy in 0..self.places.len() {
@@ -320,7 +321,7 @@
             process.kill();
         }
         // Whatever it had taken is gone with it; nobody can ask it any more.
-        self.saw(Seen::Killed { proxy });
+        self.saw(Observation::ProxyKilled { proxy });
     }
 
     /// It should run: where it has ended, it has crashed.
@@ -389,34 +390,34 @@
     for event in &board.plan.processes {
         board.sleep_until(began + event.at).await;
         let proxy = event.proxy;
-        match event.act {
-            Act::Kill => {
+        match event.action {
+            ProcessAction::Kill => {
                 director.borrow_mut().kill(proxy);
-                let notice = Duration::from_micros(micros(board.script.fleet.front_notice_s));
+                let notice = Duration::from_micros(micros(board.script.fleet.front_end_detection_s));
                 close_later(board, proxy, notice);
             }
-            Act::Term => {
+            ProcessAction::Term => {
                 if let Some(process) = &mut director.borrow_mut().running[proxy] {
                     process.terminate();
                 }
                 close_later(board, proxy, TERM_NOTICE);
             }
-            Act::Reap => director.borrow_mut().reap(proxy),
-            Act::Stop(until) => {
+            ProcessAction::Reap => director.borrow_mut().reap(proxy),
+            ProcessAction::Stop(until) => {
                 let mut director = director.borrow_mut();
                 if let Some(process) = &mut director.running[proxy] {
                     process.stop();
-                    director.saw(Seen::Stalled { proxy, until: began + until });
+                    director.saw(Observation::ProxyStalled { proxy, until: began + until });
                 }
             }
-            Act::Continue => {
+            ProcessAction::Continue => {
                 if let Some(process) = &mut director.borrow_mut().running[proxy] {
                     process.go_on();
                 }
             }
-            Act::Start(list) => {
+            ProcessAction::Start(list) => {
                 // From here it has its time to be ready, whatever the start itself takes.
-                director.borrow().saw(Seen::Restarted { proxy });
+                director.borrow().saw(Observation::ProxyRestarted { proxy });
                 let started = director.borrow_mut().start(proxy, list);
                 let Ok(process) = started else { continue };
                 let (console, listen) = (process.console(), director.borrow().places[proxy].listen());
@@ -426,13 +427,13 @@
                     if Process::wait_until_up(listen).await {
                         board.entrance(proxy).set_open(true);
                         let mut director = director.borrow_mut();
-                        director.saw(Seen::Up { proxy });
+                        director.saw(Observation::ProxyReady { proxy });
                         let running = director.running.get_mut(proxy).and_then(Option::as_mut);
                         running.into_iter().filter(|p| p.console() == console).for_each(Process::got_ready);
                     }
                 });
             }
-            Act::Replace => {
+            ProcessAction::Replace => {
                 tokio::task::spawn_local(replace(Rc::clone(director), proxy));
             }
         }
@@ -455,7 +456,7 @@
 
 /// Another process takes the place of one that serves on until it is told to end.
 async fn replace(director: Rc<RefCell<Director>>, proxy: usize) {
-    let started = director.borrow_mut().start(proxy, Known::Old);
+    let started = director.borrow_mut().start(proxy, InitialList::Old);
     let Ok(process) = started else { return };
     let console = process.console();
     director.borrow_mut().leaving.push((proxy, process));
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/invariant_checker.rs
@@ -2,7 +2,7 @@
 //! says of itself.
 
 use crate::links::{Link, Links};
-use crate::script::{Between, ClassSpec, EffectSpec, Script, Way, micros};
+use crate::script::{ClassSpec, Direction, IdempotencySpec, LinkEndpoints, Script, micros};
 use balancer::api::Micros;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::fmt;
@@ -22,11 +22,11 @@
 
 /// What a client got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ResponseKind {
     /// A box's whole answer.
     Served,
     /// 429 or 503.
-    Refused,
+    Rejected,
     /// Any other answer.
     Failed,
     /// An answer that no box made.
@@ -35,9 +35,9 @@
 
 /// What a stand-in saw.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// A client's request was written whole to a proxy.
-    Asked {
+    RequestSent {
         /// The request.
         id: u64,
         /// Its class.
@@ -48,83 +48,83 @@
         proxy: usize,
     },
     /// The client got an answer whole.
-    Answered {
+    ResponseReceived {
         /// The request.
         id: u64,
         /// What.
-        got: Got,
+        kind: ResponseKind,
     },
     /// A request's last byte reached a box, which began it (or swallowed it, which may be the same).
-    Began {
+    AttemptStarted {
         /// The request.
         id: u64,
         /// The box.
-        at_box: usize,
+        backend: usize,
         /// Work, microseconds on a core.
         work: Micros,
     },
     /// A request reached a box that turned it away unseen.
-    TurnedAway {
+    AttemptRejected {
         /// The request.
         id: u64,
         /// The box.
-        at_box: usize,
+        backend: usize,
     },
     /// A proxy was told whether a box may be sent to.
-    Told {
+    BackendNotified {
         /// The proxy.
         proxy: usize,
         /// The box.
-        at_box: usize,
+        backend: usize,
         /// Whether it may.
         ready: bool,
     },
     /// A box's process started, cold.
-    Started {
+    BackendStarted {
         /// The box.
-        at_box: usize,
+        backend: usize,
     },
     /// The connection had ended before the request was read: nobody took it, and the client may ask once more.
-    Untaken {
+    RequestNotAccepted {
         /// The request.
         id: u64,
     },
     /// A client's request reached no proxy: the front went on dealing to one that was gone.
-    Missed {
+    RequestUndelivered {
         /// Its class.
         class: usize,
     },
     /// A proxy's process is killed outright: what it had taken goes with it.
-    Killed {
+    ProxyKilled {
         /// The proxy.
         proxy: usize,
     },
     /// A proxy's process is started anew: it knows nothing that its predecessor was told.
-    Restarted {
+    ProxyRestarted {
         /// The proxy.
         proxy: usize,
     },
     /// A proxy's process that was started anew says that it serves.
-    Up {
+    ProxyReady {
         /// The proxy.
         proxy: usize,
     },
     /// A proxy's process stands still until then.
-    Stalled {
+    ProxyStalled {
         /// The proxy.
         proxy: usize,
         /// When it goes on.
         until: Micros,
     },
     /// A box took a new connection.
-    Connected {
+    BackendConnected {
         /// The box.
-        at_box: usize,
+        backend: usize,
     },
     /// The day begins: faults of links count from here.
-    Begun,
+    ScenarioStarted,
     /// A proxy called discovery.
-    Called {
+    DiscoveryCalled {
         /// The proxy.
         proxy: usize,
     },
@@ -132,13 +132,13 @@
 
 /// All that was seen and when.
 #[derive(Default)]
-pub struct Record {
-    seen: Vec<(Micros, Seen)>,
+pub struct ObservationLog {
+    seen: Vec<(Micros, Observation)>,
 }
 
-impl Record {
+impl ObservationLog {
     /// Adds what was seen.
-    pub fn add(&mut self, at: Micros, seen: Seen) {
+    pub fn add(&mut self, at: Micros, seen: Observation) {
         self.seen.push((at, seen));
     }
 
@@ -149,7 +149,7 @@
 
     /// What was seen, in the order of time.
     #[must_use]
-    pub fn in_order(&self) -> Vec<(Micros, Seen)> {
+    pub fn in_order(&self) -> Vec<(Micros, Observation)> {
         let mut seen = self.seen.clone();
         seen.sort_by_key(|(at, _)| *at);
         seen
@@ -172,57 +172,57 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
     /// Asked.
-    pub asked: u64,
+    pub requests: u64,
     /// Served within the aim.
     pub in_time: u64,
     /// Served later.
     pub late: u64,
     /// Refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed.
     pub failed: u64,
     /// Attempts that boxes saw.
     pub attempts: u64,
     /// Reached no proxy.
-    pub missed: u64,
+    pub undelivered: u64,
     /// Gone with a process that was killed, or without an answer in time from one that was stopped.
     pub excused: u64,
     /// Worth asked for.
-    pub worth: f64,
+    pub total_weight: f64,
     /// Worth earned.
-    pub earned: f64,
+    pub earned_weight: f64,
 }
 
 impl Tally {
     /// Worth earned over worth asked for.
     #[must_use]
     pub fn goodput(&self) -> f64 {
-        if self.worth > 0.0 { self.earned / self.worth } else { 1.0 }
+        if self.total_weight > 0.0 { self.earned_weight / self.total_weight } else { 1.0 }
     }
 }
 
 /// The judgement.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Judgement {
+pub struct CheckReport {
     /// All requests.
-    pub all: Tally,
+    pub total: Tally,
     /// By class, in the script's order.
     pub classes: Vec<Tally>,
     /// Goodput of the worst window.
-    pub worst: f64,
+    pub worst_goodput: f64,
     /// Breaks of rules 1 to 4.
-    pub broken: [u64; 4],
+    pub violations: [u64; 4],
     /// The first of them in words.
-    pub words: Vec<String>,
+    pub messages: Vec<String>,
     /// Times from asking to a served answer, ascending, microseconds.
     pub latencies: Vec<Micros>,
 }
 
-impl Judgement {
+impl CheckReport {
     /// Whether no rule broke.
     #[must_use]
     pub fn is_clean(&self) -> bool {
-        self.broken == [0; 4]
+        self.violations == [0; 4]
     }
 
     /// The time under which this part of the served answers stayed, microseconds.
@@ -233,36 +233,40 @@
     }
 
     fn breaks(&mut self, rule: usize, at: Micros, words: &str) {
-        self.broken[rule - 1] += 1;
-        if self.words.len() < WORDED {
-            self.words.push(format!("rule {rule} at {:.3} s: {words}", at as f64 / 1e6));
+        self.violations[rule - 1] += 1;
+        if self.messages.len() < WORDED {
+            self.messages.push(format!("rule {rule} at {:.3} s: {words}", at as f64 / 1e6));
         }
     }
 }
 
-impl fmt::Display for Judgement {
+impl fmt::Display for CheckReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let all = &self.all;
+        let all = &self.total;
         writeln!(
             f,
             "goodput {:.3}, worst 5 s {:.3}; asked {}, in time {}, late {}, refused {}, failed {}, attempts {}{}",
             all.goodput(),
-            self.worst,
-            all.asked,
+            self.worst_goodput,
+            all.requests,
             all.in_time,
             all.late,
-            all.refused,
+            all.rejected,
             all.failed,
             all.attempts,
-            match (all.missed, all.excused) {
+            match (all.undelivered, all.excused) {
                 (0, 0) => String::new(),
                 (missed, excused) => format!(", missed {missed}, excused {excused}"),
             }
         )?;
         let ms = |part| self.percentile(part) as f64 / 1e3;
         writeln!(f, "served within (ms): p50 {:.1}, p90 {:.1}, p99 {:.1}", ms(0.5), ms(0.9), ms(0.99))?;
-        self.words.iter().try_for_each(|line| writeln!(f, "{line}"))?;
-        write!(f, "rules broken: {} {} {} {}", self.broken[0], self.broken[1], self.broken[2], self.broken[3])
+        self.messages.iter().try_for_each(|line| writeln!(f, "{line}"))?;
+        write!(
+            f,
+            "rules broken: {} {} {} {}",
+            self.violations[0], self.violations[1], self.violations[2], self.violations[3]
+        )
     }
 }
 
@@ -271,7 +275,7 @@
     asked: Micros,
     end: Micros,
     proxy: usize,
-    got: Option<Got>,
+    got: Option<ResponseKind>,
     answered: Micros,
     /// Its process was killed under it, or was gone when it was written.
     killed: bool,
@@ -288,13 +292,13 @@
 
 /// Judges a day. `slack` is what the machine may be late by: 0 in virtual time.
 #[must_use]
-pub fn judge(script: &Script, record: &Record, slack: Micros) -> Judgement {
-    judge_in_order(script, &record.in_order(), slack)
+pub fn check(script: &Script, record: &ObservationLog, slack: Micros) -> CheckReport {
+    check_ordered(script, &record.in_order(), slack)
 }
 
 /// The same of what is in the order of time already.
 #[must_use]
-pub fn judge_in_order(script: &Script, seen: &[(Micros, Seen)], slack: Micros) -> Judgement {
+pub fn check_ordered(script: &Script, seen: &[(Micros, Observation)], slack: Micros) -> CheckReport {
     let mut day = Day::new(script, slack);
     for &(at, seen) in seen {
         day.see(at, seen);
@@ -315,14 +319,15 @@
     /// Proxies whose process was killed and not started since.
     dead: FxHashSet<usize>,
     boxes: Vec<ColdBox>,
-    out: Judgement,
+    out: CheckReport,
 }
 
 impl<'a> Day<'a> {
     fn new(script: &'a Script, slack: Micros) -> Self {
         let mut boxes = Vec::new();
-        boxes.resize_with(script.fleet.boxes, ColdBox::default);
-        let out = Judgement { classes: vec![Tally::default(); script.class.len()], ..Judgement::default() };
+        boxes.resize_with(script.fleet.backends, ColdBox::default);
+        let out =
+            CheckReport { classes: vec![Tally::default(); script.classes.len()], ..CheckReport::default() };
         let (requests, barred, stalls) = (FxHashMap::default(), FxHashMap::default(), FxHashMap::default());
         let (links, began) = (Links::new(script), None);
         Self { script, slack, requests, barred, links, began, stalls, dead: FxHashSet::default(), boxes, out }
@@ -331,17 +336,17 @@
     /// By how much links between a proxy and somebody make things late that are sent between these times.
     fn late(
         &self,
-        between: Between,
+        between: LinkEndpoints,
         proxy: usize,
         peer: usize,
-        ways: &[Way],
+        ways: &[Direction],
         from: Micros,
         to: Micros,
     ) -> Micros {
         let Some(began) = self.began.filter(|_| self.script.has_links(between)) else { return 0 };
         let (from, to) = (from.saturating_sub(began), to.saturating_sub(began));
         let link = Link { between, proxy, peer };
-        ways.iter().map(|&way| self.links.most_late(link, way, from, to)).sum()
+        ways.iter().map(|&way| self.links.max_delay(link, way, from, to)).sum()
     }
 
     /// When the proxy's process stood still between these times, if it did. Time that passes while it stands is none
@@ -359,14 +364,14 @@
             Some((_, until)) => end.max(until),
             None => end,
         };
-        due + self.late(Between::Clients, proxy, 0, &[Way::Out, Way::Back], asked, due)
+        due + self.late(LinkEndpoints::Clients, proxy, 0, &[Direction::Out, Direction::Back], asked, due)
     }
 
-    fn see(&mut self, at: Micros, seen: Seen) {
+    fn see(&mut self, at: Micros, seen: Observation) {
         match seen {
-            Seen::Begun => self.began = Some(at),
-            Seen::Asked { id, class, end, proxy } => self.asked(at, id, class, end, proxy),
-            Seen::Untaken { id } => {
+            Observation::ScenarioStarted => self.began = Some(at),
+            Observation::RequestSent { id, class, end, proxy } => self.asked(at, id, class, end, proxy),
+            Observation::RequestNotAccepted { id } => {
                 let untaken = self.requests.get_mut(&id).is_some_and(|request| {
                     request.taken = false;
                     request.began.is_empty()
@@ -375,35 +380,39 @@
                     self.out.breaks(1, at, &format!("request {id} was taken, and its connection ended"));
                 }
             }
-            Seen::Answered { id, got } => self.answered(at, id, got),
-            Seen::Began { id, at_box, work } => {
+            Observation::ResponseReceived { id, kind: got } => self.answered(at, id, got),
+            Observation::AttemptStarted { id, backend: at_box, work } => {
                 self.reached(at, id, at_box);
                 self.began(at, id, at_box);
                 self.cold(at, at_box, work);
             }
-            Seen::TurnedAway { id, at_box } => self.reached(at, id, at_box),
-            Seen::Told { proxy, at_box, ready: true } => {
+            Observation::AttemptRejected { id, backend: at_box } => self.reached(at, id, at_box),
+            Observation::BackendNotified { proxy, backend: at_box, ready: true } => {
                 self.barred.remove(&(proxy, at_box));
             }
-            Seen::Told { proxy, at_box, ready: false } => {
+            Observation::BackendNotified { proxy, backend: at_box, ready: false } => {
                 self.barred.entry((proxy, at_box)).or_insert(at);
             }
-            Seen::Missed { class } => {
-                self.out.classes[class].missed += 1;
-                self.out.classes[class].worth += self.script.class[class].worth;
+            Observation::RequestUndelivered { class } => {
+                self.out.classes[class].undelivered += 1;
+                self.out.classes[class].total_weight += self.script.classes[class].priority_weight;
             }
-            Seen::Killed { proxy } => {
+            Observation::ProxyKilled { proxy } => {
                 self.dead.insert(proxy);
                 let open = self.requests.values_mut().filter(|r| r.proxy == proxy && r.got.is_none());
                 open.for_each(|request| request.killed = true);
             }
-            Seen::Restarted { proxy } => {
+            Observation::ProxyRestarted { proxy } => {
                 self.dead.remove(&proxy);
                 self.barred.retain(|&(p, _), _| p != proxy);
             }
-            Seen::Stalled { proxy, until } => self.stalls.entry(proxy).or_default().push((at, until)),
-            Seen::Connected { .. } | Seen::Called { .. } | Seen::Up { .. } => {}
-            Seen::Started { at_box } => {
+            Observation::ProxyStalled { proxy, until } => {
+                self.stalls.entry(proxy).or_default().push((at, until))
+            }
+            Observation::BackendConnected { .. }
+            | Observation::DiscoveryCalled { .. }
+            | Observation::ProxyReady { .. } => {}
+            Observation::BackendStarted { backend: at_box } => {
                 self.boxes[at_box] = ColdBox { started: Some(at), work: Vec::new() };
             }
         }
@@ -421,7 +430,7 @@
         }
     }
 
-    fn answered(&mut self, at: Micros, id: u64, got: Got) {
+    fn answered(&mut self, at: Micros, id: u64, got: ResponseKind) {
         let Some(request) = self.requests.get_mut(&id) else {
             return self.out.breaks(1, at, &format!("an answer to {id}, which nobody asked"));
         };
@@ -440,10 +449,13 @@
             );
             self.out.breaks(1, at, &words);
         }
-        if got == Got::Forged || (got == Got::Served && began == 0) {
+        if got == ResponseKind::Forged || (got == ResponseKind::Served && began == 0) {
             self.out.breaks(1, at, &format!("request {id} got an answer that no box made"));
         }
-        if got == Got::Refused && began > 0 && self.script.class[class].effect != EffectSpec::Safe {
+        if got == ResponseKind::Rejected
+            && began > 0
+            && self.script.classes[class].idempotency != IdempotencySpec::Safe
+        {
             self.out.breaks(2, at, &format!("request {id} was refused and may have run"));
         }
     }
@@ -457,8 +469,8 @@
         if let Some(&told) = self.barred.get(&(proxy, at_box))
             && let told =
                 self.stood(proxy, told, told + DRAIN_GRACE).map_or(told, |(_, until)| told.max(until))
-            && let told = told + self.late(Between::Discovery, proxy, 0, &[Way::Back], told, told)
-            && let on_the_way = self.late(Between::Boxes, proxy, at_box, &[Way::Out], told, at)
+            && let told = told + self.late(LinkEndpoints::Discovery, proxy, 0, &[Direction::Back], told, told)
+            && let on_the_way = self.late(LinkEndpoints::Boxes, proxy, at_box, &[Direction::Out], told, at)
             && at > told + DRAIN_GRACE + self.slack + on_the_way
         {
             let late = (at - told) as f64 / 1e6;
@@ -472,19 +484,20 @@
 
     fn began(&mut self, at: Micros, id: u64, at_box: usize) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let class: &ClassSpec = &self.script.class[request.class];
-        let doubled = request.began.first().is_some_and(|&(first, at_first)| match class.effect {
-            EffectSpec::Safe => false,
-            EffectSpec::Unsafe => true,
-            EffectSpec::KeyedZone | EffectSpec::KeyedCell => {
-                let same = match class.effect {
-                    EffectSpec::KeyedZone => self.script.zone(at_first) == self.script.zone(at_box),
+        let class: &ClassSpec = &self.script.classes[request.class];
+        let doubled = request.began.first().is_some_and(|&(first, at_first)| match class.idempotency {
+            IdempotencySpec::Safe => false,
+            IdempotencySpec::Unsafe => true,
+            IdempotencySpec::KeyedZone | IdempotencySpec::KeyedCell => {
+                let same = match class.idempotency {
+                    IdempotencySpec::KeyedZone => self.script.zone(at_first) == self.script.zone(at_box),
                     _ => self.script.cell(at_first) == self.script.cell(at_box),
                 };
-                !same || at > first + micros(class.key_s) + self.slack
+                !same || at > first + micros(class.dedup_s) + self.slack
             }
         });
-        let refused = request.got == Some(Got::Refused) && class.effect != EffectSpec::Safe;
+        let refused =
+            request.got == Some(ResponseKind::Rejected) && class.idempotency != IdempotencySpec::Safe;
         request.began.push((at, at_box));
         if doubled || refused {
             let why = if doubled { "ran twice" } else { "ran after it was refused" };
@@ -497,15 +510,15 @@
         let fleet = &self.script.fleet;
         let cold = &mut self.boxes[at_box];
         let Some(started) = cold.started else { return };
-        if at > started + micros(fleet.cold_s) + FALL_TIME {
+        if at > started + micros(fleet.warm_up_s) + FALL_TIME {
             return;
         }
         cold.work.push((at, work));
         let from = at.saturating_sub(FALL_TIME).max(started);
         cold.work.retain(|&(when, _)| when >= from);
         let sent: f64 = cold.work.iter().map(|&(_, work)| work as f64).sum();
-        let age = (from - started) as f64 / micros(fleet.cold_s).max(1) as f64;
-        let capacity = fleet.cores * (fleet.cold_from + (1.0 - fleet.cold_from) * age.min(1.0));
+        let age = (from - started) as f64 / micros(fleet.warm_up_s).max(1) as f64;
+        let capacity = fleet.cores * (fleet.initial_capacity + (1.0 - fleet.initial_capacity) * age.min(1.0));
         let most = FALL_MULTIPLE * capacity * FALL_TIME as f64 + FALL_SLACK_REQUESTS * work as f64;
         if sent > most {
             let times = sent / (capacity * FALL_TIME as f64);
@@ -513,47 +526,47 @@
         }
     }
 
-    fn finish(mut self) -> Judgement {
+    fn finish(mut self) -> CheckReport {
         let mut windows: FxHashMap<Micros, (f64, f64)> = FxHashMap::default();
         let began = self.requests.values().map(|r| r.asked).min().unwrap_or(0);
         let mut ids: Vec<u64> = self.requests.keys().copied().collect();
         ids.sort_unstable();
         for id in ids {
             let Some(request) = self.requests.get(&id) else { continue };
-            let class = &self.script.class[request.class];
+            let class = &self.script.classes[request.class];
             let tally = &mut self.out.classes[request.class];
-            tally.worth += class.worth;
+            tally.total_weight += class.priority_weight;
             if !request.taken {
-                tally.missed += 1;
+                tally.undelivered += 1;
                 continue;
             }
-            tally.asked += 1;
+            tally.requests += 1;
             let took = request.answered.saturating_sub(request.asked);
             let earned = match request.got {
-                Some(Got::Served) if took <= class.aim_ms * 1_000 => {
+                Some(ResponseKind::Served) if took <= class.latency_objective_ms * 1_000 => {
                     tally.in_time += 1;
-                    class.worth
+                    class.priority_weight
                 }
-                Some(Got::Served) => {
+                Some(ResponseKind::Served) => {
                     tally.late += 1;
-                    class.worth * class.late_worth
+                    class.priority_weight * class.late_weight_fraction
                 }
-                Some(Got::Refused) => {
-                    tally.refused += 1;
+                Some(ResponseKind::Rejected) => {
+                    tally.rejected += 1;
                     0.0
                 }
-                Some(Got::Failed | Got::Forged) => {
+                Some(ResponseKind::Failed | ResponseKind::Forged) => {
                     tally.failed += 1;
                     0.0
                 }
                 None => 0.0,
             };
-            tally.earned += earned;
-            if request.got == Some(Got::Served) {
+            tally.earned_weight += earned;
+            if request.got == Some(ResponseKind::Served) {
                 self.out.latencies.push(took);
             }
             let window = windows.entry((request.asked - began) / WINDOW).or_default();
-            (window.0, window.1) = (window.0 + earned, window.1 + class.worth);
+            (window.0, window.1) = (window.0 + earned, window.1 + class.priority_weight);
             let (proxy, asked, end) = (request.proxy, request.asked, request.end);
             let excused = request.killed || self.due(proxy, asked, end) > end;
             if request.got.is_none() && excused {
@@ -569,19 +582,19 @@
         // A last window of a few requests says nothing.
         let fair = windows.values().map(|w| w.1).fold(0.0, f64::max) / 4.0;
         let worst = windows.values().filter(|w| w.1 >= fair && w.1 > 0.0).map(|w| w.0 / w.1);
-        self.out.worst = worst.fold(1.0, f64::min);
+        self.out.worst_goodput = worst.fold(1.0, f64::min);
         for tally in self.out.classes.clone() {
-            let all = &mut self.out.all;
-            all.asked += tally.asked;
+            let all = &mut self.out.total;
+            all.requests += tally.requests;
             all.in_time += tally.in_time;
             all.late += tally.late;
-            all.refused += tally.refused;
+            all.rejected += tally.rejected;
             all.failed += tally.failed;
             all.attempts += tally.attempts;
-            all.missed += tally.missed;
+            all.undelivered += tally.undelivered;
             all.excused += tally.excused;
-            all.worth += tally.worth;
-            all.earned += tally.earned;
+            all.total_weight += tally.total_weight;
+            all.earned_weight += tally.earned_weight;
         }
         self.out
     }
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,7 +1,7 @@
 //! What becomes of a message on a link, by script. Pure: told who sends what to whom and when, it says when that arrives,
 //! if at all. The seed fixes what is hit: the n-th message of a link has the same fate in each run.
 
-use crate::script::{Between, LinkFault, Script, Way, micros, zone_of};
+use crate::script::{Direction, LinkEndpoints, LinkFault, Script, micros, zone_of};
 use balancer::api::Micros;
 
 /// A segment that was lost over TCP comes again after this, twice as long each time, up to so many times.
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Link {
     /// What kind of party the other one is.
-    pub between: Between,
+    pub between: LinkEndpoints,
     /// The proxy; among proxies, the one with the lower number.
     pub proxy: usize,
     /// The other one's number, where it has one.
@@ -24,15 +24,15 @@
 impl Link {
     /// The link between two proxies, and the way from the first to the second.
     #[must_use]
-    pub fn of_proxies(from: usize, to: usize) -> (Self, Way) {
-        let way = if from < to { Way::Out } else { Way::Back };
-        (Self { between: Between::Proxies, proxy: from.min(to), peer: from.max(to) }, way)
+    pub fn of_proxies(from: usize, to: usize) -> (Self, Direction) {
+        let way = if from < to { Direction::Out } else { Direction::Back };
+        (Self { between: LinkEndpoints::Proxies, proxy: from.min(to), peer: from.max(to) }, way)
     }
 }
 
 /// What becomes of a datagram: how much later each copy of it arrives. None: it is lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fate {
+pub struct DatagramDelivery {
     /// The datagram.
     pub first: Option<Micros>,
     /// Its double.
@@ -70,7 +70,11 @@
             from: micros(fault.at_s),
             to: micros(fault.at_s + fault.for_s),
         };
-        Self { seed: script.seed, zones: script.fleet.zones, rules: script.link.iter().map(rule).collect() }
+        Self {
+            seed: script.seed,
+            zones: script.fleet.zones,
+            rules: script.link_faults.iter().map(rule).collect(),
+        }
     }
 
     fn draw(&self, rule: usize, link: Link, what: u64, nth: u64) -> fastrand::Rng {
@@ -79,15 +83,16 @@
     }
 
     /// Whether a rule is in force on a link and way at this time.
-    fn holds(&self, number: usize, link: Link, way: Way, now: Micros) -> bool {
+    fn holds(&self, number: usize, link: Link, way: Direction, now: Micros) -> bool {
         let Rule { fault, from, to } = &self.rules[number];
         let zone = |proxy: usize| zone_of(proxy, self.zones);
         let in_zone = fault.zone.is_none_or(|z| {
             // Among proxies a zone is hit where its links lead outside.
-            let (a, b) = (zone(link.proxy) == z, link.between == Between::Proxies && zone(link.peer) == z);
+            let (a, b) =
+                (zone(link.proxy) == z, link.between == LinkEndpoints::Proxies && zone(link.peer) == z);
             a != b
         });
-        let this_way = fault.way == Way::Both || fault.way == way;
+        let this_way = fault.way == Direction::Both || fault.way == way;
         (*from..*to).contains(&now)
             && fault.between == link.between
             && this_way
@@ -95,19 +100,19 @@
             && (fault.part >= 1.0 || self.draw(number, link, 1, 0).f64() < fault.part)
     }
 
-    fn in_force(&self, link: Link, way: Way, now: Micros) -> impl Iterator<Item = (usize, &Rule)> {
+    fn in_force(&self, link: Link, way: Direction, now: Micros) -> impl Iterator<Item = (usize, &Rule)> {
         let held = move |(number, _): &(usize, &Rule)| self.holds(*number, link, way, now);
         self.rules.iter().enumerate().filter(held)
     }
 
     /// What becomes of the n-th datagram of a link and way.
     #[must_use]
-    pub fn datagram(&self, link: Link, way: Way, now: Micros, nth: u64) -> Fate {
+    pub fn datagram(&self, link: Link, way: Direction, now: Micros, nth: u64) -> DatagramDelivery {
         let (mut delay, mut double) = (0, false);
         for (number, Rule { fault, .. }) in self.in_force(link, way, now) {
             let mut rng = self.draw(number, link, 2 + way as u64, nth + 1);
             if fault.cut || rng.f64() < fault.drop {
-                return Fate::default();
+                return DatagramDelivery::default();
             }
             delay += late(fault, &mut rng);
             double |= rng.f64() < fault.duplicate;
@@ -115,12 +120,12 @@
                 delay += REORDER + 2 * micros((fault.delay_ms + fault.spread_ms) / 1e3);
             }
         }
-        Fate { first: Some(delay), second: double.then_some(delay + REORDER) }
+        DatagramDelivery { first: Some(delay), second: double.then_some(delay + REORDER) }
     }
 
     /// What becomes of the n-th piece of a stream.
     #[must_use]
-    pub fn piece(&self, link: Link, way: Way, now: Micros, nth: u64) -> Passage {
+    pub fn piece(&self, link: Link, way: Direction, now: Micros, nth: u64) -> Passage {
         let mut passage = Passage::default();
         for (number, Rule { fault, to, .. }) in self.in_force(link, way, now) {
             let mut rng = self.draw(number, link, 2 + way as u64, nth + 1);
@@ -136,7 +141,7 @@
 
     /// By how much what is sent on a stream between two times may be late at the most: what a judge has to allow for.
     #[must_use]
-    pub fn most_late(&self, link: Link, way: Way, from: Micros, to: Micros) -> Micros {
+    pub fn max_delay(&self, link: Link, way: Direction, from: Micros, to: Micros) -> Micros {
         let late = self.rules.iter().enumerate().filter_map(|(number, rule)| {
             let now = from.max(rule.from);
             if now > to || !self.holds(number, link, way, now) {
@@ -153,7 +158,7 @@
 
     /// Bytes that may pass in a second; none: any number.
     #[must_use]
-    pub fn bandwidth(&self, link: Link, way: Way, now: Micros) -> Option<f64> {
+    pub fn bandwidth(&self, link: Link, way: Direction, now: Micros) -> Option<f64> {
         let limits = self.in_force(link, way, now).map(|(_, rule)| rule.fault.kbytes_s * 1e3);
         limits.filter(|&limit| limit > 0.0).min_by(f64::total_cmp)
     }
@@ -165,11 +170,11 @@
 
 /// When what is written to a line of limited bandwidth has passed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Line {
+pub struct BandwidthQueue {
     free_at: Micros,
 }
 
-impl Line {
+impl BandwidthQueue {
     /// So many bytes come at a time; gives when the last one has passed.
     pub fn pass(&mut self, now: Micros, bytes: usize, per_s: Option<f64>) -> Micros {
         let takes = per_s.map_or(0, |per_s| (bytes as f64 / per_s * 1e6) as Micros);
@@ -193,7 +198,7 @@
     }
 
     const fn to_box(proxy: usize, peer: usize) -> Link {
-        Link { between: Between::Boxes, proxy, peer }
+        Link { between: LinkEndpoints::Boxes, proxy, peer }
     }
 
     #[test]
@@ -202,7 +207,7 @@
         let (links, again) = (links(rules), links(rules));
         let all = (0..40).flat_map(|p| (0..6).map(move |b| to_box(p, b)));
         let late = |links: &Links, now| -> Vec<Link> {
-            all.clone().filter(|&l| links.piece(l, Way::Out, now, 3).delay == 200_000).collect()
+            all.clone().filter(|&l| links.piece(l, Direction::Out, now, 3).delay == 200_000).collect()
         };
         let hit = late(&links, 5_000_000);
         assert!((10..45).contains(&hit.len()), "{} of 240 links", hit.len());
@@ -215,8 +220,8 @@
         let rules = "{ between = \"boxes\", at_s = 1.0, for_s = 2.0, cut = true }, \
             { between = \"proxies\", at_s = 1.0, for_s = 2.0, cut = true, way = \"out\" }";
         let links = links(rules);
-        assert_eq!(links.piece(to_box(1, 1), Way::Back, 1_500_000, 0).not_before, 3_000_000);
-        let late = |from, to| links.most_late(to_box(1, 1), Way::Back, from, to);
+        assert_eq!(links.piece(to_box(1, 1), Direction::Back, 1_500_000, 0).not_before, 3_000_000);
+        let late = |from, to| links.max_delay(to_box(1, 1), Direction::Back, from, to);
         assert_eq!(
             (late(0, 900_000), late(1_500_000, 1_600_000), late(3_000_000, 9_000_000)),
             (0, 1_500_000, 0)
@@ -244,18 +249,22 @@
             delay_ms = 5.0, spread_ms = 10.0 }";
         let links = links(rules);
         let (link, way) = Link::of_proxies(3, 4);
-        let fates: Vec<Fate> = (0..10_000).map(|nth| links.datagram(link, way, 1, nth)).collect();
-        let part = |of: &dyn Fn(&Fate) -> bool| fates.iter().filter(|f| of(f)).count() as f64 / 1e4;
+        let fates: Vec<DatagramDelivery> = (0..10_000).map(|nth| links.datagram(link, way, 1, nth)).collect();
+        let part =
+            |of: &dyn Fn(&DatagramDelivery) -> bool| fates.iter().filter(|f| of(f)).count() as f64 / 1e4;
         assert!((part(&|f| f.first.is_none()) - 0.4).abs() < 0.02);
         assert!((part(&|f| f.second.is_some()) - 0.06).abs() < 0.01);
         assert!((part(&|f| f.first.is_some_and(|late| late >= 5_000 + REORDER)) - 0.12).abs() < 0.02);
         assert!(fates.iter().filter_map(|f| f.first).all(|late| late >= 5_000));
-        assert!(links.piece(to_box(3, 4), Way::Out, 1, 0) == Passage::default(), "another kind of link");
+        assert!(
+            links.piece(to_box(3, 4), Direction::Out, 1, 0) == Passage::default(),
+            "another kind of link"
+        );
     }
 
     #[test]
     fn a_line_of_limited_bandwidth_passes_one_thing_after_another() {
-        let mut line = Line::default();
+        let mut line = BandwidthQueue::default();
         assert_eq!(line.pass(0, 1_000, Some(10_000.0)), 100_000);
         assert_eq!(line.pass(50_000, 1_000, Some(10_000.0)), 200_000);
         assert_eq!(line.pass(500_000, 1_000, None), 500_000);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -11,12 +11,12 @@
 use std::process::ExitCode;
 use testbed::callers::{self, Campaign};
 use testbed::cost::{self, Figures, Load};
-use testbed::fleet::{self, Machine, keep, report};
+use testbed::fleet::{self, Machine, process_guard, report};
 use testbed::scale::fleet::Setting;
 use testbed::scale::fleet::script::ScaleScript;
 use testbed::scale::slopes;
 use testbed::script::Script;
-use testbed::{demo, matrix, scale, virtual_time};
+use testbed::{connection_fault_matrix, demo, scale, virtual_time};
 
 /// Stand-ins, fault scripts, a judge of the four rules, and measurements. Ends with code 0 where no rule broke, 1
 /// where one did, 2 where nothing could be played.
@@ -372,9 +372,9 @@
 
 fn measure_connections(seconds: f64, seed: u64, only: &str) -> Result<bool, Box<dyn Error>> {
     println!("one proxy, {seconds} s a case, seed {seed}; no box is sick, so every ejection is a wrong one");
-    println!("{}", matrix::HEAD);
+    println!("{}", connection_fault_matrix::HEAD);
     let mut clean = true;
-    for case in matrix::cases(seconds, seed) {
+    for case in connection_fault_matrix::cases(seconds, seed) {
         let name = format!("{:?}", case.what).to_lowercase();
         if name.contains(&only.to_lowercase()) {
             let row = case.play()?;
@@ -416,7 +416,7 @@
         }
         Command::Scale { scale: Scale::Slopes { order } } => measure_slopes(order),
         Command::Keep { parent, descriptors, command } => {
-            Err(keep::become_program(parent, descriptors, &command).into())
+            Err(process_guard::become_program(parent, descriptors, &command).into())
         }
         Command::Pass { boxes } => {
             cost::pass_through(&boxes)?;
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,7 +1,7 @@
 //! What a script comes to, drawn ahead: who asks what where and when, and what happens to which process. Pure; the same
 //! script and seed give the same plan, for processes, virtual time and the references alike.
 
-use crate::script::{Known, ProcessWhat, Script, WorkSpec, micros};
+use crate::script::{InitialList, ProcessFaultKind, Script, WorkSpec, micros};
 use balancer::api::Micros;
 
 /// The most of an exponential draw, in means: a single one must not fill a box for the whole day.
@@ -29,7 +29,7 @@
 
 /// What happens to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum ProcessAction {
     /// SIGKILL.
     Kill,
     /// SIGTERM.
@@ -41,7 +41,7 @@
     /// SIGCONT.
     Continue,
     /// It starts, with this list.
-    Start(Known),
+    Start(InitialList),
     /// Another process takes its place while it serves.
     Replace,
 }
@@ -54,7 +54,7 @@
     /// The proxy.
     pub proxy: usize,
     /// What.
-    pub act: Act,
+    pub action: ProcessAction,
 }
 
 /// Everything that was drawn.
@@ -93,8 +93,8 @@
             return all;
         }
         let class = script.draw_class(&mut rng);
-        let [from, to] = script.class[class].work_ms;
-        let work_ms = match script.class[class].work {
+        let [from, to] = script.classes[class].work_ms;
+        let work_ms = match script.classes[class].work {
             WorkSpec::Even => from + rng.f64() * (to - from),
             WorkSpec::Exponential => {
                 let mean = f64::midpoint(from, to);
@@ -157,26 +157,26 @@
     let deadline = script.longest_deadline();
     let end = micros(script.seconds) + deadline + TAIL;
     let mut events = Vec::new();
-    for (index, fault) in script.process.iter().enumerate() {
-        let struck = script.struck_proxies(index);
+    for (index, fault) in script.process_faults.iter().enumerate() {
+        let struck = script.faulty_proxies(index);
         let wave = struck.len().div_ceil(fault.waves as usize).max(1);
         for (number, proxies) in struck.chunks(wave).enumerate() {
             let from = micros(fault.at_s + fault.wave_s * number as f64);
             let to = from + micros(fault.for_s);
-            let mut push = |at, proxy, act| events.push(ProcessEvent { at, proxy, act });
+            let mut push = |at, proxy, act| events.push(ProcessEvent { at, proxy, action: act });
             for (rank, &proxy) in proxies.iter().enumerate() {
                 match fault.what {
-                    ProcessWhat::Kill => {
-                        push(from, proxy, Act::Kill);
-                        push(to, proxy, Act::Start(fault.list));
+                    ProcessFaultKind::Kill => {
+                        push(from, proxy, ProcessAction::Kill);
+                        push(to, proxy, ProcessAction::Start(fault.list));
                     }
-                    ProcessWhat::End => {
+                    ProcessFaultKind::End => {
                         let reaped = from + deadline + END_GRACE;
-                        push(from, proxy, Act::Term);
-                        push(reaped, proxy, Act::Reap);
-                        push(to.max(reaped), proxy, Act::Start(fault.list));
+                        push(from, proxy, ProcessAction::Term);
+                        push(reaped, proxy, ProcessAction::Reap);
+                        push(to.max(reaped), proxy, ProcessAction::Start(fault.list));
                     }
-                    ProcessWhat::Stall => {
+                    ProcessFaultKind::Stall => {
                         let every = micros(fault.every_s);
                         // Processes that stand again and again run one after another, not all at once.
                         let later = every * rank as Micros / proxies.len() as Micros;
@@ -186,11 +186,11 @@
                             due.then_some(late)
                         });
                         for late in again {
-                            push(from + late, proxy, Act::Stop(to + late));
-                            push(to + late, proxy, Act::Continue);
+                            push(from + late, proxy, ProcessAction::Stop(to + late));
+                            push(to + late, proxy, ProcessAction::Continue);
                         }
                     }
-                    ProcessWhat::Replace => push(from, proxy, Act::Replace),
+                    ProcessFaultKind::Replace => push(from, proxy, ProcessAction::Replace),
                 }
             }
         }
@@ -244,18 +244,20 @@
             { what = \"kill\", at_s = 2.0, for_s = 1.0, part = 0.7, waves = 3, wave_s = 1.0, list = \"nothing\" },\
             { what = \"end\", at_s = 9.0, part = 0.1 }, { what = \"stall\", at_s = 12.0, for_s = 2.0, part = 0.1 }]";
         let plan = Plan::draw(&script(faults));
-        let of = |wanted: Act| plan.processes.iter().filter(|e| e.act == wanted).collect::<Vec<_>>();
-        let (kills, starts) = (of(Act::Kill), of(Act::Start(Known::Nothing)));
+        let of =
+            |wanted: ProcessAction| plan.processes.iter().filter(|e| e.action == wanted).collect::<Vec<_>>();
+        let (kills, starts) = (of(ProcessAction::Kill), of(ProcessAction::Start(InitialList::Nothing)));
         assert_eq!((kills.len(), starts.len()), (14, 14));
         assert_eq!(kills.iter().filter(|e| e.at == 2_000_000).count(), 5);
         for kill in &kills {
             let back = starts.iter().find(|s| s.proxy == kill.proxy).expect("it comes back");
             assert_eq!(back.at, kill.at + 1_000_000);
         }
-        let (ends, reaps, backs) = (of(Act::Term), of(Act::Reap), of(Act::Start(Known::Old)));
+        let (ends, reaps, backs) =
+            (of(ProcessAction::Term), of(ProcessAction::Reap), of(ProcessAction::Start(InitialList::Old)));
         assert_eq!((ends.len(), reaps.len(), backs.len()), (2, 2, 2));
         assert_eq!(reaps[0].at, 9_000_000 + 1_500_000 + END_GRACE, "SIGKILL comes no sooner than this");
-        assert_eq!(of(Act::Stop(14_000_000)).len(), 2);
-        assert_eq!(of(Act::Continue).len(), 2);
+        assert_eq!(of(ProcessAction::Stop(14_000_000)).len(), 2);
+        assert_eq!(of(ProcessAction::Continue).len(), 2);
     }
 }
--- a/crates/testbed/src/reference.rs
+++ b/crates/testbed/src/reference.rs
@@ -1,10 +1,10 @@
 //! What plain choices would have made of the same arrivals, before the same boxes with the same troubles. Pure, in
 //! virtual time. References have no processes that fail and no links: they are what spread alone can reach.
 
-use crate::judge::{Got, Record, Seen};
-use crate::model::{Arrived, BoxModel};
+use crate::backend_model::{Admission, BackendModel};
+use crate::invariant_checker::{Observation, ObservationLog, ResponseKind};
 use crate::plan::Plan;
-use crate::script::{Script, Trouble, What, micros};
+use crate::script::{BackendFault, BackendFaultKind, Script, micros};
 use balancer::api::Micros;
 use serde::Serialize;
 use std::cmp::Reverse;
@@ -49,7 +49,7 @@
     rng: fastrand::Rng,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     sequence: u64,
-    boxes: Vec<Option<BoxModel>>,
+    boxes: Vec<Option<BackendModel>>,
     due: Vec<Micros>,
     drains: Vec<bool>,
     /// Requests that a box holds, by their place in the plan.
@@ -58,12 +58,12 @@
     out: Vec<Vec<u16>>,
     turn: Vec<usize>,
     queue: VecDeque<usize>,
-    record: Record,
+    record: ObservationLog,
 }
 
 /// Plays a day; gives what a stand-in would have seen.
 #[must_use]
-pub fn play(script: &Script, plan: &Plan, policy: Policy) -> Record {
+pub fn play(script: &Script, plan: &Plan, policy: Policy) -> ObservationLog {
     let mut world = World::new(script, plan, policy);
     while let Some(Reverse((at, _, event))) = world.events.pop() {
         match event {
@@ -79,10 +79,10 @@
 
 impl<'a> World<'a> {
     fn new(script: &'a Script, plan: &'a Plan, policy: Policy) -> Self {
-        let (boxes, proxies) = (script.fleet.boxes, script.fleet.proxies);
+        let (boxes, proxies) = (script.fleet.backends, script.fleet.proxies);
         let mut rng = fastrand::Rng::with_seed(script.seed ^ 0x7265_6665_7265_6e63);
         let turn = (0..proxies).map(|_| rng.usize(0..boxes)).collect();
-        let model = |b| Some(BoxModel::new(script.box_spec(b), START, None));
+        let model = |b| Some(BackendModel::new(script.box_spec(b), START, None));
         let mut world = Self {
             script,
             plan,
@@ -97,9 +97,9 @@
             out: vec![vec![0; boxes]; proxies],
             turn,
             queue: VecDeque::new(),
-            record: Record::default(),
+            record: ObservationLog::default(),
         };
-        for (index, trouble) in script.trouble.iter().enumerate() {
+        for (index, trouble) in script.backend_faults.iter().enumerate() {
             world.at(START + micros(trouble.at_s), Event::Trouble { index, begins: true });
             world.at(START + micros(trouble.at_s + trouble.for_s), Event::Trouble { index, begins: false });
         }
@@ -117,14 +117,15 @@
     fn ask(&mut self, now: Micros, which: usize) {
         let arrival = self.plan.arrivals[which];
         let (class, proxy) = (usize::from(arrival.class), usize::from(arrival.proxy));
-        let patience = self.script.class[class].deadline_ms * 1_000;
-        self.record.add(now, Seen::Asked { id: which as u64, class, end: now + patience, proxy });
+        let patience = self.script.classes[class].deadline_ms * 1_000;
+        self.record
+            .add(now, Observation::RequestSent { id: which as u64, class, end: now + patience, proxy });
         if self.policy == Policy::KnowsAll {
             self.queue.push_back(which);
             self.at(now + patience / HOLD_PART, Event::Held(which));
             return self.serve_queue(now);
         }
-        let Some(at_box) = self.choose(proxy) else { return self.answer(now, which, Got::Refused) };
+        let Some(at_box) = self.choose(proxy) else { return self.answer(now, which, ResponseKind::Rejected) };
         self.send(now, which, at_box);
     }
 
@@ -178,35 +179,38 @@
     fn give_up(&mut self, now: Micros, which: usize) {
         if let Some(place) = self.queue.iter().position(|&w| w == which) {
             self.queue.remove(place);
-            self.answer(now, which, Got::Refused);
+            self.answer(now, which, ResponseKind::Rejected);
         }
     }
 
     fn send(&mut self, now: Micros, which: usize, at_box: usize) {
         self.catch_up(now, at_box);
         let arrival = self.plan.arrivals[which];
-        let Some(model) = &mut self.boxes[at_box] else { return self.answer(now, which, Got::Failed) };
-        if model.arrive(now, which as u64, arrival.work) == Arrived::Full {
-            self.record.add(now, Seen::TurnedAway { id: which as u64, at_box });
-            return self.answer(now, which, Got::Refused);
+        let Some(model) = &mut self.boxes[at_box] else {
+            return self.answer(now, which, ResponseKind::Failed);
+        };
+        if model.arrive(now, which as u64, arrival.work) == Admission::Rejected {
+            self.record.add(now, Observation::AttemptRejected { id: which as u64, backend: at_box });
+            return self.answer(now, which, ResponseKind::Rejected);
         }
-        self.record.add(now, Seen::Began { id: which as u64, at_box, work: arrival.work });
+        self.record
+            .add(now, Observation::AttemptStarted { id: which as u64, backend: at_box, work: arrival.work });
         self.holds[at_box].push(which);
         self.out[usize::from(arrival.proxy)][at_box] += 1;
         self.look_again(at_box);
     }
 
-    fn answer(&mut self, now: Micros, which: usize, got: Got) {
+    fn answer(&mut self, now: Micros, which: usize, got: ResponseKind) {
         let arrival = self.plan.arrivals[which];
-        let patience = self.script.class[usize::from(arrival.class)].deadline_ms * 1_000;
+        let patience = self.script.classes[usize::from(arrival.class)].deadline_ms * 1_000;
         // Whoever is not answered in its time has left; a plain choice ends the request then.
         let at = now.min(START + arrival.at + patience);
-        let got = if at < now { Got::Failed } else { got };
-        self.record.add(at, Seen::Answered { id: which as u64, got });
+        let got = if at < now { ResponseKind::Failed } else { got };
+        self.record.add(at, Observation::ResponseReceived { id: which as u64, kind: got });
     }
 
     fn look_again(&mut self, at_box: usize) {
-        let next = self.boxes[at_box].as_ref().and_then(BoxModel::next).unwrap_or(Micros::MAX);
+        let next = self.boxes[at_box].as_ref().and_then(BackendModel::next).unwrap_or(Micros::MAX);
         if std::mem::replace(&mut self.due[at_box], next) != next && next < Micros::MAX {
             self.at(next, Event::Box(at_box));
         }
@@ -217,7 +221,7 @@
         let done = self.boxes[at_box].as_mut().map_or_else(Vec::new, |model| model.advance(now));
         for which in done {
             self.leaves(at_box, which as usize);
-            self.answer(now, which as usize, Got::Served);
+            self.answer(now, which as usize, ResponseKind::Served);
         }
     }
 
@@ -237,9 +241,9 @@
     }
 
     fn trouble(&mut self, now: Micros, index: usize, begins: bool) {
-        for at_box in self.script.struck(index) {
+        for at_box in self.script.faulty_backends(index) {
             self.catch_up(now, at_box);
-            self.strike(now, at_box, &self.script.trouble[index], begins);
+            self.strike(now, at_box, &self.script.backend_faults[index], begins);
             self.look_again(at_box);
         }
         if self.policy == Policy::KnowsAll {
@@ -247,28 +251,30 @@
         }
     }
 
-    fn strike(&mut self, now: Micros, at_box: usize, trouble: &Trouble, begins: bool) {
+    fn strike(&mut self, now: Micros, at_box: usize, trouble: &BackendFault, begins: bool) {
         match (trouble.what, &mut self.boxes[at_box]) {
-            (What::Crash, model) if begins => {
+            (BackendFaultKind::Crash, model) if begins => {
                 *model = None;
                 for which in std::mem::take(&mut self.holds[at_box]) {
                     self.leaves(at_box, which);
-                    self.answer(now, which, Got::Failed);
+                    self.answer(now, which, ResponseKind::Failed);
                 }
             }
-            (What::Crash, model) => {
-                *model = Some(BoxModel::new(self.script.box_spec(at_box), now, Some(now)));
-                self.record.add(now, Seen::Started { at_box });
+            (BackendFaultKind::Crash, model) => {
+                *model = Some(BackendModel::new(self.script.box_spec(at_box), now, Some(now)));
+                self.record.add(now, Observation::BackendStarted { backend: at_box });
             }
-            (What::Drain, _) => self.drains[at_box] = begins,
-            (What::Hang, Some(model)) => {
+            (BackendFaultKind::Drain, _) => self.drains[at_box] = begins,
+            (BackendFaultKind::Hang, Some(model)) => {
                 model.set_hangs(begins);
                 if !begins {
                     self.let_go_swallowed(now, at_box);
                 }
             }
-            (What::Pause, Some(model)) => model.set_stands(begins),
-            (What::Slow, Some(model)) => model.set_slow(if begins { trouble.degree } else { 1.0 }),
+            (BackendFaultKind::Pause, Some(model)) => model.set_stands(begins),
+            (BackendFaultKind::Slow, Some(model)) => {
+                model.set_slow(if begins { trouble.degree } else { 1.0 })
+            }
             // What goes wrong with connections is no matter of the choice.
             _ => {}
         }
@@ -276,12 +282,12 @@
 
     /// What a hung box took is answered by nobody.
     fn let_go_swallowed(&mut self, now: Micros, at_box: usize) {
-        let held = self.boxes[at_box].as_ref().map_or(0, BoxModel::held);
+        let held = self.boxes[at_box].as_ref().map_or(0, BackendModel::held);
         let swallowed = self.holds[at_box].len().saturating_sub(held);
         let kept = self.holds[at_box].len() - swallowed;
         for which in self.holds[at_box].split_off(kept) {
             self.leaves(at_box, which);
-            self.answer(now, which, Got::Failed);
+            self.answer(now, which, ResponseKind::Failed);
         }
     }
 }
@@ -289,7 +295,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::judge::judge;
+    use crate::invariant_checker::check;
     use std::path::Path;
 
     fn day(load: f64, more: &str) -> Script {
@@ -306,17 +312,17 @@
     fn figures_are_those_of_the_known_queues() {
         let script = day(0.6, "");
         let plan = Plan::draw(&script);
-        let judged = |policy| judge(&script, &play(&script, &plan, policy), 0);
+        let judged = |policy| check(&script, &play(&script, &plan, policy), 0);
         let (all, chance) = (judged(Policy::KnowsAll), judged(Policy::Random));
         // 60 servers at 60 % hardly ever let one wait: answers take their work, whose 99th part in 100 is 184 ms.
         assert!((150_000..220_000).contains(&all.percentile(0.99)), "{all}");
-        assert_eq!((all.broken, all.all.refused), ([0; 4], 0));
+        assert_eq!((all.violations, all.total.rejected), ([0; 4], 0));
         // One server that holds 8 at 60 % turns 0.7 % away.
-        let part = chance.all.refused as f64 / chance.all.asked as f64;
+        let part = chance.total.rejected as f64 / chance.total.requests as f64;
         assert!((0.003..0.012).contains(&part), "{chance}");
-        assert_eq!(chance.broken, [0; 4]);
+        assert_eq!(chance.violations, [0; 4]);
         let turns = judged(Policy::RoundRobin);
-        assert!(judged(Policy::TwoChoices).all.goodput() > 0.9 && turns.all.goodput() > 0.9);
+        assert!(judged(Policy::TwoChoices).total.goodput() > 0.9 && turns.total.goodput() > 0.9);
     }
 
     #[test]
@@ -326,9 +332,9 @@
         let script = day(0.5, &format!("trouble = [{list}]"));
         let plan = Plan::draw(&script);
         for policy in Policy::ALL {
-            let judged = judge(&script, &play(&script, &plan, policy), 0);
-            assert_eq!(judged.broken[0], 0, "{policy:?}: {judged}");
-            assert!(judged.all.failed + judged.all.refused > 0, "{policy:?}: the troubles do harm");
+            let judged = check(&script, &play(&script, &plan, policy), 0);
+            assert_eq!(judged.violations[0], 0, "{policy:?}: {judged}");
+            assert!(judged.total.failed + judged.total.rejected > 0, "{policy:?}: the troubles do harm");
         }
     }
 }
--- a/crates/testbed/src/restarts.rs
+++ b/crates/testbed/src/restarts.rs
@@ -1,6 +1,6 @@
 //! How soon processes that were started anew were ready, as their `/up` told whoever asked from outside. Pure.
 
-use crate::judge::Seen;
+use crate::invariant_checker::Observation;
 use balancer::api::Micros;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -31,17 +31,19 @@
 
 /// Counts them; `None` where none was started anew. `seen` is in the order of time.
 #[must_use]
-pub fn measure(seen: &[(Micros, Seen)]) -> Option<Restarts> {
+pub fn measure(seen: &[(Micros, Observation)]) -> Option<Restarts> {
     let mut starting: FxHashMap<usize, Micros> = FxHashMap::default();
     let (mut out, mut times) = (Restarts::default(), Vec::new());
     for &(at, what) in seen {
         match what {
-            Seen::Restarted { proxy } => {
+            Observation::ProxyRestarted { proxy } => {
                 out.restarted += 1;
                 starting.insert(proxy, at);
             }
-            Seen::Up { proxy } => times.extend(starting.remove(&proxy).map(|since| at - since)),
-            Seen::Killed { proxy } => {
+            Observation::ProxyReady { proxy } => {
+                times.extend(starting.remove(&proxy).map(|since| at - since))
+            }
+            Observation::ProxyKilled { proxy } => {
                 let gone = starting.remove(&proxy).is_some_and(|since| at - since < READY_TIMEOUT);
                 out.restarted -= u64::from(gone);
             }
--- a/crates/testbed/src/scale/fleet/hollow.rs
+++ b/crates/testbed/src/scale/fleet/hollow.rs
@@ -278,7 +278,7 @@
 /// # Errors
 /// Where it can't be reached, or says what makes no sense.
 pub fn serve(rig: SocketAddr) -> io::Result<()> {
-    crate::fleet::keep::all_descriptors()?;
+    crate::fleet::process_guard::all_descriptors()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let stream = TcpStream::connect(rig).await?;
--- a/crates/testbed/src/scale/fleet/programs.rs
+++ b/crates/testbed/src/scale/fleet/programs.rs
@@ -3,7 +3,7 @@
 
 use super::ScaleError;
 use crate::address::Held;
-use crate::fleet::{Folder, cpu_s, keep, memory};
+use crate::fleet::{Folder, cpu_s, memory, process_guard};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::ffi::OsString;
@@ -44,7 +44,7 @@
         let log = folder.path().join(format!("{name}.log"));
         let failed = |error| ScaleError::Start(name.to_owned(), error);
         let file = File::options().create(true).append(true).open(&log).map_err(failed)?;
-        let child = keep::command(keeper, DESCRIPTORS, program)
+        let child = process_guard::command(keeper, DESCRIPTORS, program)
             .args(arguments)
             .env("RUST_LOG", "info")
             .stdin(Stdio::null())
--- a/crates/testbed/src/scale/fleet/run.rs
+++ b/crates/testbed/src/scale/fleet/run.rs
@@ -15,7 +15,7 @@
 use super::strays::strays;
 use super::words::{Hollow, Plant, now};
 use super::{ScaleError, words};
-use crate::fleet::{Folder, Machine, keep};
+use crate::fleet::{Folder, Machine, process_guard};
 use control_plane::record::{Change, Key, Kind, ServiceId, SourceId, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -52,7 +52,7 @@
 /// Where it can't be played to its end; what was not as it must be is in the report.
 pub fn play(script: &ScaleScript, setting: &Setting) -> Result<Report, ScaleError> {
     script.check()?;
-    keep::all_descriptors()?;
+    process_guard::all_descriptors()?;
     let folder = Folder::new()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let report = LocalSet::new().block_on(&runtime, async {
--- a/crates/testbed/src/scale/slopes/mod.rs
+++ b/crates/testbed/src/scale/slopes/mod.rs
@@ -16,7 +16,7 @@
 pub use quantities::{Family, QUANTITIES, Quantity};
 pub use sheet::{Host, Row};
 
-use crate::fleet::keep;
+use crate::fleet::process_guard;
 use fit::FitError;
 use quantities::FAMILIES;
 use sheet::{Origin, Sheet};
@@ -259,7 +259,7 @@
         machine: host(),
         program: version(&order.proxy)?,
     };
-    let descriptors = keep::all_descriptors()?;
+    let descriptors = process_guard::all_descriptors()?;
     if descriptors < DESCRIPTORS {
         return Err(ScaleError::Descriptors(descriptors));
     }
--- a/crates/testbed/src/scale/slopes/subject.rs
+++ b/crates/testbed/src/scale/slopes/subject.rs
@@ -2,7 +2,7 @@
 
 use super::ScaleError;
 use crate::address::Held;
-use crate::fleet::{Folder, keep};
+use crate::fleet::{Folder, process_guard};
 use crate::http1;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -123,7 +123,7 @@
         let listen = Held::new(Ipv4Addr::LOCALHOST)?;
         let (file, log) = (folder.path().join("config.json"), folder.path().join("log"));
         fs::write(&file, config(&shape, 0, listen.address(), discovery, descriptors))?;
-        let child = keep::command(keeper, descriptors, proxy)
+        let child = process_guard::command(keeper, descriptors, proxy)
             .env_remove("EDGE_CONSOLE")
             .env_remove("EDGE_EXTPROC")
             .env("EDGE_CONFIG", &file)
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -5,9 +5,9 @@
 mod validation;
 
 pub use discovery::{Discovery, DiscoveryMode};
-pub use faults::{Between, Known, LinkFault, ProcessFault, ProcessWhat, Way};
+pub use faults::{Direction, InitialList, LinkEndpoints, LinkFault, ProcessFault, ProcessFaultKind};
 
-use crate::model::BoxSpec;
+use crate::backend_model::BackendSpec;
 use balancer::api::Micros;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -18,7 +18,7 @@
 /// The longest script, in seconds: a run is bounded.
 const MAX_SECONDS: f64 = 600.0;
 /// The largest fleet, and the most proxies.
-const MAX_BOXES: usize = 20_000;
+const MAX_BACKENDS: usize = 20_000;
 const MAX_PROXIES: usize = 2_000;
 /// The most requests of one run.
 const MAX_REQUESTS: f64 = 5_000_000.0;
@@ -49,31 +49,36 @@
     /// How long clients ask, seconds.
     pub seconds: f64,
     /// The boxes and proxies.
-    pub fleet: Fleet,
+    pub fleet: FleetSpec,
     /// How proxies hear of boxes.
     #[serde(default)]
     pub discovery: Discovery,
     /// What clients do.
     pub traffic: Traffic,
     /// Request classes.
-    pub class: Vec<ClassSpec>,
+    #[serde(rename = "class")]
+    pub classes: Vec<ClassSpec>,
     /// What goes wrong with boxes and discovery.
     #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    #[serde(rename = "trouble")]
+    pub backend_faults: Vec<BackendFault>,
     /// What goes wrong with processes of the proxy.
     #[serde(default)]
-    pub process: Vec<ProcessFault>,
+    #[serde(rename = "process")]
+    pub process_faults: Vec<ProcessFault>,
     /// What goes wrong between two parties (over processes alone).
     #[serde(default)]
-    pub link: Vec<LinkFault>,
+    #[serde(rename = "link")]
+    pub link_faults: Vec<LinkFault>,
 }
 
 /// The boxes and proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
+pub struct FleetSpec {
     /// Number of boxes.
-    pub boxes: usize,
+    #[serde(rename = "boxes")]
+    pub backends: usize,
     /// Number of proxies.
     pub proxies: usize,
     /// Zones; boxes and proxies are dealt out among them in turn.
@@ -83,16 +88,20 @@
     /// Cores of a box: work that runs at full speed at a time.
     pub cores: f64,
     /// Requests that a box holds at the most, running and queued, for each core; more are turned away.
-    pub holds: f64,
+    #[serde(rename = "holds")]
+    pub queue_per_core: f64,
     /// Part of its capacity with which a box starts.
     #[serde(default = "a_third")]
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub initial_capacity: f64,
     /// After how long it is warm, seconds.
     #[serde(default = "eight")]
-    pub cold_s: f64,
+    #[serde(rename = "cold_s")]
+    pub warm_up_s: f64,
     /// What proxies are told of that in place of it, seconds: a planted fault of the settings.
     #[serde(default)]
-    pub told_cold_s: Option<f64>,
+    #[serde(rename = "told_cold_s")]
+    pub configured_warm_up_s: Option<f64>,
     /// How far the wall clock by which discovery tells starts is behind the proxies', seconds; below 0 it is ahead.
     #[serde(default)]
     pub clock_behind_s: f64,
@@ -101,13 +110,15 @@
     pub cross_zone_ms: f64,
     /// How late news of the boxes are, seconds: from this to twice this.
     #[serde(default = "one")]
-    pub news_s: f64,
+    #[serde(rename = "news_s")]
+    pub notification_delay_s: f64,
     /// Speeds of the boxes' cores beside the usual one, dealt out in turn; none: all alike.
     #[serde(default)]
     pub speeds: Vec<f64>,
     /// How long the front goes on sending to a proxy whose process is gone, seconds.
     #[serde(default = "one")]
-    pub front_notice_s: f64,
+    #[serde(rename = "front_notice_s")]
+    pub front_end_detection_s: f64,
 }
 
 /// What clients do.
@@ -152,10 +163,12 @@
     /// Its name, the first part of the path.
     pub name: String,
     /// `safe`, `unsafe`, `keyed-zone` or `keyed-cell`.
-    pub effect: EffectSpec,
+    #[serde(rename = "effect")]
+    pub idempotency: IdempotencySpec,
     /// How long repeats are dropped, seconds.
     #[serde(default = "three")]
-    pub key_s: f64,
+    #[serde(rename = "key_s")]
+    pub dedup_s: f64,
     /// Its part of the traffic; the parts need not add up to 1.
     pub share: f64,
     /// Work on a core, milliseconds, from and to.
@@ -164,14 +177,17 @@
     #[serde(default)]
     pub work: WorkSpec,
     /// Wanted within, milliseconds.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: u64,
     /// The client waits for this long, milliseconds.
     pub deadline_ms: u64,
     /// Worth of an answer within the aim.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Part of it for a later one.
     #[serde(default)]
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_weight_fraction: f64,
 }
 
 /// How work is drawn.
@@ -188,7 +204,7 @@
 /// What a repeat does.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum EffectSpec {
+pub enum IdempotencySpec {
     /// Safe to repeat.
     Safe,
     /// Must not run twice.
@@ -202,9 +218,9 @@
 /// One trouble.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct BackendFault {
     /// What happens.
-    pub what: What,
+    pub what: BackendFaultKind,
     /// When it begins, seconds.
     pub at_s: f64,
     /// How long it lasts, seconds.
@@ -223,7 +239,7 @@
 /// Kinds of trouble.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum BackendFaultKind {
     /// The process dies, and comes back cold.
     Crash,
     /// Requests are taken and none is answered.
@@ -254,7 +270,7 @@
     DiscoveryDown,
 }
 
-impl What {
+impl BackendFaultKind {
     /// The troubles of connections, which say nothing of their boxes.
     pub const OF_CONNECTIONS: [Self; 7] = [
         Self::Reset,
@@ -323,23 +339,23 @@
 
     /// Which boxes a trouble has, by chance but the same for the same seed.
     #[must_use]
-    pub fn struck(&self, index: usize) -> Vec<usize> {
-        let trouble = &self.trouble[index];
+    pub fn faulty_backends(&self, index: usize) -> Vec<usize> {
+        let trouble = &self.backend_faults[index];
         if let Some(zone) = trouble.zone {
-            return (0..self.fleet.boxes).filter(|&b| self.zone(b) == zone).collect();
+            return (0..self.fleet.backends).filter(|&b| self.zone(b) == zone).collect();
         }
         let mut rng = fastrand::Rng::with_seed(self.seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9));
-        let mut all: Vec<usize> = (0..self.fleet.boxes).collect();
+        let mut all: Vec<usize> = (0..self.fleet.backends).collect();
         rng.shuffle(&mut all);
-        all.truncate((self.fleet.boxes as f64 * trouble.part).round() as usize);
+        all.truncate((self.fleet.backends as f64 * trouble.part).round() as usize);
         all
     }
 
     /// A class by chance, each as often as its share says.
     #[must_use]
     pub fn draw_class(&self, rng: &mut fastrand::Rng) -> usize {
-        let mut draw = rng.f64() * self.class.iter().map(|c| c.share).sum::<f64>();
-        let class = self.class.iter().position(|c| {
+        let mut draw = rng.f64() * self.classes.iter().map(|c| c.share).sum::<f64>();
+        let class = self.classes.iter().position(|c| {
             draw -= c.share;
             draw < 0.0
         });
@@ -349,21 +365,21 @@
     /// Mean work of a request, milliseconds on a core of the usual speed.
     #[must_use]
     pub fn mean_work_ms(&self) -> f64 {
-        let shares = self.class.iter().map(|c| c.share).sum::<f64>();
-        self.class.iter().map(|c| c.share * (c.work_ms[0] + c.work_ms[1]) / 2.0).sum::<f64>() / shares
+        let shares = self.classes.iter().map(|c| c.share).sum::<f64>();
+        self.classes.iter().map(|c| c.share * (c.work_ms[0] + c.work_ms[1]) / 2.0).sum::<f64>() / shares
     }
 
     /// Requests a second that keep all boxes busy.
     #[must_use]
     pub fn capacity_per_s(&self) -> f64 {
-        let cores: f64 = (0..self.fleet.boxes).map(|b| self.speed(b) * self.fleet.cores).sum();
+        let cores: f64 = (0..self.fleet.backends).map(|b| self.speed(b) * self.fleet.cores).sum();
         cores * 1e3 / self.mean_work_ms()
     }
 
     /// The longest time that a client waits.
     #[must_use]
     pub fn longest_deadline(&self) -> Micros {
-        self.class.iter().map(|c| c.deadline_ms * 1_000).max().unwrap_or(0)
+        self.classes.iter().map(|c| c.deadline_ms * 1_000).max().unwrap_or(0)
     }
 
     /// The speed of a box's cores beside the usual one.
@@ -375,13 +391,13 @@
 
     /// What a box is.
     #[must_use]
-    pub fn box_spec(&self, at_box: usize) -> BoxSpec {
-        BoxSpec {
+    pub fn box_spec(&self, at_box: usize) -> BackendSpec {
+        BackendSpec {
             cores: self.fleet.cores,
             speed: self.speed(at_box),
-            holds: (self.fleet.cores * self.fleet.holds).ceil() as usize,
-            cold_from: self.fleet.cold_from,
-            cold_time: micros(self.fleet.cold_s),
+            capacity: (self.fleet.cores * self.fleet.queue_per_core).ceil() as usize,
+            initial_capacity: self.fleet.initial_capacity,
+            warm_up_duration: micros(self.fleet.warm_up_s),
         }
     }
 
@@ -414,21 +430,21 @@
     /// The settings of a proxy in the form that a configuration holds.
     #[must_use]
     pub fn settings(&self, proxy: usize) -> Value {
-        let cold_s = self.fleet.told_cold_s.unwrap_or(self.fleet.cold_s);
+        let cold_s = self.fleet.configured_warm_up_s.unwrap_or(self.fleet.warm_up_s);
         let mode = match self.discovery.mode {
             DiscoveryMode::Pushed => "pushed",
             DiscoveryMode::Asked => "on_request",
         };
         let class = |c: &ClassSpec| {
-            let (effect, group) = match c.effect {
-                EffectSpec::Safe => ("retryable", ""),
-                EffectSpec::Unsafe => ("fragile", ""),
-                EffectSpec::KeyedZone => ("dedup", "zone"),
-                EffectSpec::KeyedCell => ("dedup", "cell"),
+            let (effect, group) = match c.idempotency {
+                IdempotencySpec::Safe => ("retryable", ""),
+                IdempotencySpec::Unsafe => ("fragile", ""),
+                IdempotencySpec::KeyedZone => ("dedup", "zone"),
+                IdempotencySpec::KeyedCell => ("dedup", "cell"),
             };
-            json!({"name": c.name, "aimUs": c.aim_ms * 1_000, "deadlineUs": c.deadline_ms * 1_000,
-                "worth": c.worth, "lateWorth": c.late_worth, "effect": effect, "group": group,
-                "keyTtlUs": micros(c.key_s)})
+            json!({"name": c.name, "aimUs": c.latency_objective_ms * 1_000, "deadlineUs": c.deadline_ms * 1_000,
+                "worth": c.priority_weight, "lateWorth": c.late_weight_fraction, "effect": effect, "group": group,
+                "keyTtlUs": micros(c.dedup_s)})
         };
         // Each tenant may have its part of nine tenths of what the fleet can do.
         let tenants = f64::from(self.traffic.tenants);
@@ -438,13 +454,13 @@
         let zones: Vec<String> = (0..self.fleet.zones).map(|z| format!("z{z}")).collect();
         json!({"me": proxy, "balancers": self.fleet.proxies, "zone": self.zone(proxy),
             "failureDomains": zones, "kinds": ["box"], "membershipMode": mode,
-            "classes": self.class.iter().map(class).collect::<Vec<_>>(),
+            "classes": self.classes.iter().map(class).collect::<Vec<_>>(),
             "tenants": names.collect::<Vec<_>>(), "overShareWorth": 0.2,
             "penalties": {"crossZone": 0.05, "probe": 0.01},
             "permissions": {"maxAttempts": 5, "secondCopies": false, "cancel": true, "probes": false,
                 "connIdleUs": 15_000_000, "multiplex": 1, "retryAfter": true, "maxRetryAfterUs": 2_000_000,
                 "dialTimeoutUs": 250_000},
-            "safety": {"askWithinUs": 10_000_000, "coldFrom": self.fleet.cold_from,
+            "safety": {"askWithinUs": 10_000_000, "coldFrom": self.fleet.initial_capacity,
                 "coldUs": micros(cold_s), "fallMultiple": 3.0, "fallUs": 2_000_000}})
     }
 }
@@ -480,8 +496,8 @@
     #[test]
     fn a_good_script_is_read_and_its_settings_make_sense() {
         let script = parse(GOOD).expect("a good script");
-        assert_eq!(script.struck(0).len(), 6);
-        assert_eq!(script.struck(0), script.struck(0), "the same boxes for the same seed");
+        assert_eq!(script.faulty_backends(0).len(), 6);
+        assert_eq!(script.faulty_backends(0), script.faulty_backends(0), "the same boxes for the same seed");
         let settings = script.settings(1).to_string();
         assert!(settings::parse_settings(settings.as_bytes()).is_ok(), "{settings}");
         // Each cell lies in one zone.
--- a/crates/testbed/src/script/faults.rs
+++ b/crates/testbed/src/script/faults.rs
@@ -8,7 +8,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ProcessFault {
     /// What happens.
-    pub what: ProcessWhat,
+    pub what: ProcessFaultKind,
     /// When it begins, seconds.
     pub at_s: f64,
     /// How long the process is gone, or stands; seconds.
@@ -29,7 +29,7 @@
     pub every_s: f64,
     /// The list of boxes with which a process starts again.
     #[serde(default)]
-    pub list: Known,
+    pub list: InitialList,
 }
 
 const fn one_wave() -> u32 {
@@ -39,7 +39,7 @@
 /// Kinds of faults of processes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum ProcessWhat {
+pub enum ProcessFaultKind {
     /// It is killed outright (SIGKILL), and started again after a while.
     Kill,
     /// It is told to end (SIGTERM), and started again after a while.
@@ -53,7 +53,7 @@
 /// The list with which a process starts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Known {
+pub enum InitialList {
     /// The one of the day's beginning.
     #[default]
     Old,
@@ -66,7 +66,7 @@
 #[serde(deny_unknown_fields)]
 pub struct LinkFault {
     /// Between whom.
-    pub between: Between,
+    pub between: LinkEndpoints,
     /// When it begins, seconds.
     pub at_s: f64,
     /// How long it lasts, seconds.
@@ -79,7 +79,7 @@
     pub zone: Option<u16>,
     /// Which way.
     #[serde(default)]
-    pub way: Way,
+    pub way: Direction,
     /// Nothing passes.
     #[serde(default)]
     pub cut: bool,
@@ -110,7 +110,7 @@
 /// Between whom a link lies.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
-pub enum Between {
+pub enum LinkEndpoints {
     /// Clients and proxies.
     Clients,
     /// Proxies and boxes.
@@ -125,7 +125,7 @@
 /// proxies, from the one with the lower number.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum Direction {
     /// Both.
     #[default]
     Both,
@@ -138,18 +138,18 @@
 impl Script {
     /// Which proxies a fault of processes has, by chance but the same for the same seed.
     #[must_use]
-    pub fn struck_proxies(&self, index: usize) -> Vec<usize> {
+    pub fn faulty_proxies(&self, index: usize) -> Vec<usize> {
         let mut rng =
             fastrand::Rng::with_seed(self.seed ^ (index as u64 + 1).wrapping_mul(0xd6e8_feb8_6659_fd93));
         let mut all: Vec<usize> = (0..self.fleet.proxies).collect();
         rng.shuffle(&mut all);
-        all.truncate((self.fleet.proxies as f64 * self.process[index].part).round() as usize);
+        all.truncate((self.fleet.proxies as f64 * self.process_faults[index].part).round() as usize);
         all
     }
 
     /// Whether anything goes wrong with links of this kind.
     #[must_use]
-    pub fn has_links(&self, between: Between) -> bool {
-        self.link.iter().any(|link| link.between == between)
+    pub fn has_links(&self, between: LinkEndpoints) -> bool {
+        self.link_faults.iter().any(|link| link.between == between)
     }
 }
--- a/crates/testbed/src/script/validation.rs
+++ b/crates/testbed/src/script/validation.rs
@@ -1,8 +1,8 @@
 //! Validation of a fault script: the first key whose value is out of range, by its name in the file.
 
 use super::{
-    ClassSpec, LinkFault, MAX_BOXES, MAX_PROXIES, MAX_REQUESTS, MAX_SECONDS, ProcessFault, ProcessWhat,
-    Script, ScriptError, Trouble, What,
+    BackendFault, BackendFaultKind, ClassSpec, LinkFault, MAX_BACKENDS, MAX_PROXIES, MAX_REQUESTS,
+    MAX_SECONDS, ProcessFault, ProcessFaultKind, Script, ScriptError,
 };
 
 /// The most waves of one fault of processes.
@@ -43,13 +43,13 @@
         self.check_discovery()?;
         self.check_traffic()?;
         self.check_classes()?;
-        for (index, trouble) in self.trouble.iter().enumerate() {
+        for (index, trouble) in self.backend_faults.iter().enumerate() {
             self.check_backend_fault(index, trouble)?;
         }
-        for (index, process) in self.process.iter().enumerate() {
+        for (index, process) in self.process_faults.iter().enumerate() {
             self.check_process_fault(index, process)?;
         }
-        for (index, link) in self.link.iter().enumerate() {
+        for (index, link) in self.link_faults.iter().enumerate() {
             self.check_link_fault(index, link)?;
         }
         Ok(())
@@ -57,21 +57,21 @@
 
     fn check_fleet(&self) -> Result<(), ScriptError> {
         let fleet = &self.fleet;
-        within("fleet.boxes", fleet.boxes as f64, 1.0, MAX_BOXES as f64)?;
+        within("fleet.boxes", fleet.backends as f64, 1.0, MAX_BACKENDS as f64)?;
         within("fleet.proxies", fleet.proxies as f64, 1.0, MAX_PROXIES as f64)?;
         within("fleet.zones", f64::from(fleet.zones), 1.0, 64.0)?;
         within("fleet.cells", f64::from(fleet.cells), 1.0, 1_000.0)?;
         within("fleet.cores", fleet.cores, 0.01, 1_000.0)?;
-        within("fleet.holds", fleet.holds, 1.0, 1_000.0)?;
-        within("fleet.cold_from", fleet.cold_from, 0.01, 1.0)?;
-        within("fleet.cold_s", fleet.cold_s, 0.0, 600.0)?;
+        within("fleet.holds", fleet.queue_per_core, 1.0, 1_000.0)?;
+        within("fleet.cold_from", fleet.initial_capacity, 0.01, 1.0)?;
+        within("fleet.cold_s", fleet.warm_up_s, 0.0, 600.0)?;
         within("fleet.clock_behind_s", fleet.clock_behind_s, -86_400.0, 86_400.0)?;
-        within("fleet.told_cold_s", fleet.told_cold_s.unwrap_or(fleet.cold_s), 0.0, 600.0)?;
+        within("fleet.told_cold_s", fleet.configured_warm_up_s.unwrap_or(fleet.warm_up_s), 0.0, 600.0)?;
         within("fleet.cross_zone_ms", fleet.cross_zone_ms, 0.0, 1_000.0)?;
-        within("fleet.news_s", fleet.news_s, 0.0, 60.0)?;
-        within("fleet.front_notice_s", fleet.front_notice_s, 0.0, 60.0)?;
-        if fleet.speeds.len() > MAX_BOXES {
-            return invalid("fleet.speeds", format!("{} speeds; at most {MAX_BOXES}", fleet.speeds.len()));
+        within("fleet.news_s", fleet.notification_delay_s, 0.0, 60.0)?;
+        within("fleet.front_notice_s", fleet.front_end_detection_s, 0.0, 60.0)?;
+        if fleet.speeds.len() > MAX_BACKENDS {
+            return invalid("fleet.speeds", format!("{} speeds; at most {MAX_BACKENDS}", fleet.speeds.len()));
         }
         for (index, &speed) in fleet.speeds.iter().enumerate() {
             within(&format!("fleet.speeds[{index}]"), speed, 0.01, 100.0)?;
@@ -102,14 +102,14 @@
     }
 
     fn check_classes(&self) -> Result<(), ScriptError> {
-        let count = self.class.len();
+        let count = self.classes.len();
         if !(1..=MAX_CLASSES).contains(&count) {
             return invalid("class", format!("{count} classes; 1 to {MAX_CLASSES} are possible"));
         }
-        for (index, class) in self.class.iter().enumerate() {
+        for (index, class) in self.classes.iter().enumerate() {
             check_class(index, class)?;
         }
-        if self.class.iter().all(|class| class.share == 0.0) {
+        if self.classes.iter().all(|class| class.share == 0.0) {
             return invalid("class", "no class has a share of the traffic");
         }
         Ok(())
@@ -123,12 +123,13 @@
         Ok(())
     }
 
-    fn check_backend_fault(&self, index: usize, fault: &Trouble) -> Result<(), ScriptError> {
+    fn check_backend_fault(&self, index: usize, fault: &BackendFault) -> Result<(), ScriptError> {
         let field = |name: &str| format!("trouble[{index}].{name}");
         within(&field("at_s"), fault.at_s, 0.0, self.seconds)?;
         within(&field("for_s"), fault.for_s, 0.0, MAX_SECONDS)?;
         within(&field("part"), fault.part, 0.0, 1.0)?;
-        let (min_degree, max_degree) = if fault.what == What::Slow { (1.0, 100.0) } else { (0.0, 1.0) };
+        let (min_degree, max_degree) =
+            if fault.what == BackendFaultKind::Slow { (1.0, 100.0) } else { (0.0, 1.0) };
         if fault.what.has_degree() {
             within(&field("degree"), fault.degree, min_degree, max_degree)?;
         }
@@ -145,7 +146,7 @@
         if fault.every_s == 0.0 {
             return Ok(());
         }
-        if fault.what != ProcessWhat::Stall {
+        if fault.what != ProcessFaultKind::Stall {
             return invalid(field("every_s"), "only a `stall` comes again");
         }
         // As often as all of them can be signalled, and with a moment between two of them.
@@ -173,9 +174,9 @@
     within(&field("share"), class.share, 0.0, 1e6)?;
     within(&field("work_ms[0]"), class.work_ms[0], 0.01, class.work_ms[1])?;
     within(&field("work_ms[1]"), class.work_ms[1], 0.01, 60_000.0)?;
-    within(&field("aim_ms"), class.aim_ms as f64, 1.0, class.deadline_ms as f64)?;
+    within(&field("aim_ms"), class.latency_objective_ms as f64, 1.0, class.deadline_ms as f64)?;
     within(&field("deadline_ms"), class.deadline_ms as f64, 1.0, 60_000.0)?;
-    within(&field("worth"), class.worth, 0.0, 1e6)?;
-    within(&field("late_worth"), class.late_worth, 0.0, 1.0)?;
-    within(&field("key_s"), class.key_s, 0.0, 3_600.0)
+    within(&field("worth"), class.priority_weight, 0.0, 1e6)?;
+    within(&field("late_worth"), class.late_weight_fraction, 0.0, 1.0)?;
+    within(&field("key_s"), class.dedup_s, 0.0, 3_600.0)
 }
--- a/crates/testbed/src/cold_sums.rs
+++ b/crates/testbed/src/slow_start_load.rs
@@ -5,7 +5,7 @@
 //! settings allow it then: `fallMultiple` times the capacity that it has at the window's beginning, for as long as the
 //! window lasts. What it turns away counts too: that is work which reached it.
 
-use crate::judge::{FALL_MULTIPLE, FALL_TIME, Got, Seen};
+use crate::invariant_checker::{FALL_MULTIPLE, FALL_TIME, Observation, ResponseKind};
 use crate::plan::Plan;
 use crate::script::{Script, micros};
 use balancer::api::Micros;
@@ -15,7 +15,7 @@
 
 /// How much of what they bear cold backends got, and what was refused meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ColdUse {
+pub struct SlowStartLoad {
     /// Starts of backends.
     pub starts: u64,
     /// The most that came to one of them in any window, in parts of N + 2 root N + 2: beyond 1 it falls.
@@ -28,7 +28,7 @@
     pub refused: u64,
 }
 
-impl ColdUse {
+impl SlowStartLoad {
     /// Part of the requests asked while any backend was cold that was refused.
     #[must_use]
     pub fn refused_part(&self) -> f64 {
@@ -40,8 +40,8 @@
 #[must_use]
 pub fn allowed(script: &Script, at_box: usize, age: Micros) -> f64 {
     let fleet = &script.fleet;
-    let age = age as f64 / micros(fleet.cold_s).max(1) as f64;
-    let part = fleet.cold_from + (1.0 - fleet.cold_from) * age.min(1.0);
+    let age = age as f64 / micros(fleet.warm_up_s).max(1) as f64;
+    let part = fleet.initial_capacity + (1.0 - fleet.initial_capacity) * age.min(1.0);
     let per_s = fleet.cores * script.speed(at_box) * 1e3 / script.mean_work_ms();
     FALL_MULTIPLE * part * per_s * FALL_TIME as f64 / 1e6
 }
@@ -83,19 +83,19 @@
 
 /// Measures it; `None` where no backend started. `seen` is in the order of time.
 #[must_use]
-pub fn measure(script: &Script, plan: &Plan, seen: &[(Micros, Seen)]) -> Option<ColdUse> {
-    let cold = micros(script.fleet.cold_s);
+pub fn measure(script: &Script, plan: &Plan, seen: &[(Micros, Observation)]) -> Option<SlowStartLoad> {
+    let cold = micros(script.fleet.warm_up_s);
     let mean = script.mean_work_ms() * 1e3;
     let work_of = |id: u64| plan.arrivals.get(id as usize).map_or(1.0, |arrival| arrival.work as f64 / mean);
-    let asked_last = seen.iter().rev().find(|(_, seen)| matches!(seen, Seen::Asked { .. }));
+    let asked_last = seen.iter().rev().find(|(_, seen)| matches!(seen, Observation::RequestSent { .. }));
     let asked_last = asked_last.map_or(0, |&(at, _)| at);
-    let mut out = ColdUse::default();
-    let mut current: Vec<Option<usize>> = vec![None; script.fleet.boxes];
+    let mut out = SlowStartLoad::default();
+    let mut current: Vec<Option<usize>> = vec![None; script.fleet.backends];
     let mut lives: Vec<Life> = Vec::new();
     let (mut any_until, mut meanwhile) = (None, FxHashSet::default());
     for &(at, what) in seen {
         match what {
-            Seen::Started { at_box } => {
+            Observation::BackendStarted { backend: at_box } => {
                 out.starts += 1;
                 current[at_box] = Some(lives.len());
                 any_until = any_until.max(Some(at + cold));
@@ -104,10 +104,11 @@
                 let windows = vec![0.0; (span / FALL_TIME) as usize];
                 lives.push(Life { at_box, started: at, lately: VecDeque::new(), sum: 0.0, windows });
             }
-            Seen::Began { at_box, .. } | Seen::TurnedAway { at_box, .. } => {
+            Observation::AttemptStarted { backend: at_box, .. }
+            | Observation::AttemptRejected { backend: at_box, .. } => {
                 let work = match what {
-                    Seen::Began { work, .. } => work as f64 / mean,
-                    Seen::TurnedAway { id, .. } => work_of(id),
+                    Observation::AttemptStarted { work, .. } => work as f64 / mean,
+                    Observation::AttemptRejected { id, .. } => work_of(id),
                     _ => 0.0,
                 };
                 let life = current[at_box].and_then(|place| lives.get_mut(place));
@@ -115,11 +116,13 @@
                     out.most = out.most.max(life.add(script, at, work));
                 }
             }
-            Seen::Asked { id, .. } if any_until.is_some_and(|until| at < until) => {
+            Observation::RequestSent { id, .. } if any_until.is_some_and(|until| at < until) => {
                 // A client that had to come again asks once.
                 out.asked += u64::from(meanwhile.insert(id));
             }
-            Seen::Answered { id, got: Got::Refused } => out.refused += u64::from(meanwhile.remove(&id)),
+            Observation::ResponseReceived { id, kind: ResponseKind::Rejected } => {
+                out.refused += u64::from(meanwhile.remove(&id))
+            }
             _ => {}
         }
     }
--- a/crates/testbed/src/sockets.rs
+++ b/crates/testbed/src/sockets.rs
@@ -2,19 +2,19 @@
 //! clients. Stand-ins record what they saw for the judge. Here one thread holds them all; the process laboratory deals
 //! them out among several.
 
-mod board;
-mod boxes;
+mod backends;
 mod clients;
 mod discovery;
 mod shard;
+mod shared_state;
 mod threads;
 
-pub(crate) use board::Board;
-pub(crate) use boxes::reset;
+pub(crate) use backends::reset;
 pub(crate) use clients::up;
 pub(crate) use shard::Shard;
+pub(crate) use shared_state::Board;
 
-use crate::judge::{Judgement, judge};
+use crate::invariant_checker::{CheckReport, check};
 use crate::plan::Plan;
 use crate::script::{Script, ScriptError};
 use balancer::api::{Micros, Outcome};
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct Day {
     /// What the stand-ins make of it.
-    pub judgement: Judgement,
+    pub judgement: CheckReport,
     /// How often a trouble of answers or connections hit.
     pub hits: u64,
     /// Ends of attempts at all proxies by outcome, in the order of [`Outcome::ALL`].
@@ -106,7 +106,7 @@
 /// Where a stand-in or a proxy can't be started, or the script wants faults of processes or links, for which proxies
 /// have to be processes. Broken rules are no error but in the judgement.
 pub fn play(script: &Script, slack: Micros, watch: impl FnMut(&Second)) -> Result<Day, SocketsError> {
-    if !script.process.is_empty() || !script.link.is_empty() {
+    if !script.process_faults.is_empty() || !script.link_faults.is_empty() {
         let problem = "faults of processes and links are played by `fleet`";
         return Err(ScriptError::Value("process, link".into(), problem.into()).into());
     }
@@ -146,17 +146,20 @@
         }
     }
     threads::stop_all(proxies).await?;
-    let judgement = judge(script, &shard.record(), slack);
+    let judgement = check(script, &shard.record(), slack);
     Ok(Day { judgement, hits: shard.hits(), outcomes, ejections })
 }
 
 fn second(board: &Board, shard: &Shard, proxy: &Proxy, at: u64, slack: Micros) -> Second {
     let limits = proxy.shown.lock().map(|shown| shown.0.clone()).unwrap_or_default();
-    let so_far = judge(&board.script, &shard.record(), slack);
+    let so_far = check(&board.script, &shard.record(), slack);
     // Those that still wait look lost to the judge.
-    let open =
-        so_far.all.asked - so_far.all.in_time - so_far.all.late - so_far.all.refused - so_far.all.failed;
-    let mut broken = so_far.broken;
+    let open = so_far.total.requests
+        - so_far.total.in_time
+        - so_far.total.late
+        - so_far.total.rejected
+        - so_far.total.failed;
+    let mut broken = so_far.violations;
     broken[0] = broken[0].saturating_sub(open);
     let (up, draining) = board.in_service();
     Second { at, live: shard.live(), limits, up, draining, broken }
--- a/crates/testbed/src/sockets/boxes.rs
+++ b/crates/testbed/src/sockets/backends.rs
@@ -1,12 +1,12 @@
 //! Boxes on sockets: the model behind a listener, and connections that break when it says so.
 
-use super::board::Face;
 use super::shard::Shared;
+use super::shared_state::Face;
 use crate::address::Held;
+use crate::backend_model::{Admission, BackendModel};
 use crate::http1::{self, Message};
-use crate::judge::Seen;
-use crate::model::{Arrived, BoxModel};
-use crate::script::{Trouble, What};
+use crate::invariant_checker::Observation;
+use crate::script::{BackendFault, BackendFaultKind};
 use balancer::api::Micros;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -29,14 +29,14 @@
     index: usize,
     address: Held,
     /// `None`: its process is dead.
-    model: RefCell<Option<BoxModel>>,
+    model: RefCell<Option<BackendModel>>,
     /// Who waits for which of the model's requests.
     waiting: RefCell<FxHashMap<u64, oneshot::Sender<()>>>,
     wake: Notify,
     /// Counts deaths and starts; connections and listener of an earlier life end.
     life: watch::Sender<u64>,
     /// What goes wrong with answers and connections, and how often.
-    faults: RefCell<FxHashMap<What, f64>>,
+    faults: RefCell<FxHashMap<BackendFaultKind, f64>>,
     next: Cell<u64>,
     rng: RefCell<fastrand::Rng>,
 }
@@ -59,7 +59,7 @@
         let (high, low) = (index / 200, index % 200);
         let address = Held::new(Ipv4Addr::new(127, 0, 10 + high as u8, 1 + low as u8))?;
         let listener = listen(address.address())?;
-        let model = BoxModel::new(shared.board.script.box_spec(index), shared.board.now(), None);
+        let model = BackendModel::new(shared.board.script.box_spec(index), shared.board.now(), None);
         let stand_in = Rc::new(Self {
             shared: Rc::clone(shared),
             index,
@@ -145,13 +145,13 @@
 
     async fn connection(self: Rc<Self>, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        self.shared.saw(Seen::Connected { at_box: self.index });
+        self.shared.saw(Observation::BackendConnected { backend: self.index });
         let mut life = self.life.subscribe();
-        if self.strikes(What::ResetNew, None) {
+        if self.strikes(BackendFaultKind::ResetNew, None) {
             reset(&stream);
             return;
         }
-        if self.strikes(What::AcceptLate, None) {
+        if self.strikes(BackendFaultKind::AcceptLate, None) {
             sleep(LATE).await;
         }
         let mut buffer = Vec::new();
@@ -170,16 +170,16 @@
         let mut kept = false;
         while let Some(request) = http1::read(stream, buffer, false).await? {
             let id = request.id();
-            if kept && self.strikes(What::Silence, id) {
+            if kept && self.strikes(BackendFaultKind::Silence, id) {
                 // Until the proxy closes it.
                 while stream.read(&mut [0; 1_024]).await? > 0 {}
                 return Ok(());
             }
-            if self.strikes(What::ResetRequest, id) {
+            if self.strikes(BackendFaultKind::ResetRequest, id) {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             self.respond(stream, &request).await?;
-            if self.strikes(What::CloseAfter, id) {
+            if self.strikes(BackendFaultKind::CloseAfter, id) {
                 return Ok(());
             }
             kept = true;
@@ -189,7 +189,7 @@
 
     /// Whether a trouble of connections hits now. For a request its id decides, so that the same requests are hit
     /// whatever the order in which they come.
-    fn strikes(&self, what: What, id: Option<u64>) -> bool {
+    fn strikes(&self, what: BackendFaultKind, id: Option<u64>) -> bool {
         let degree = self.faults.borrow().get(&what).copied().unwrap_or(0.0);
         if degree == 0.0 {
             return false;
@@ -221,56 +221,56 @@
         let arrived = self.model.borrow_mut().as_mut().map(|model| model.arrive(now, job, work));
         match arrived {
             None => return Err(io::ErrorKind::ConnectionReset.into()),
-            Some(Arrived::Full) => {
-                self.shared.saw(Seen::TurnedAway { id, at_box });
+            Some(Admission::Rejected) => {
+                self.shared.saw(Observation::AttemptRejected { id, backend: at_box });
                 return http1::answer(stream, "503 Service Unavailable", "X-Unprocessed: 1\r\n", b"").await;
             }
-            Some(Arrived::Taken | Arrived::Swallowed) => {}
+            Some(Admission::Accepted | Admission::Swallowed) => {}
         }
-        self.shared.saw(Seen::Began { id, at_box, work });
+        self.shared.saw(Observation::AttemptStarted { id, backend: at_box, work });
         let (done, waiting) = oneshot::channel();
         self.waiting.borrow_mut().insert(job, done);
         self.wake.notify_one();
-        if self.strikes(What::Reset, Some(id)) {
+        if self.strikes(BackendFaultKind::Reset, Some(id)) {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         if waiting.await.is_err() {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         let served = super::clients::body(id);
-        if self.strikes(What::BreakAnswer, Some(id)) {
+        if self.strikes(BackendFaultKind::BreakAnswer, Some(id)) {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", served.len());
             stream.write_all(head.as_bytes()).await?;
             stream.write_all(&served.as_bytes()[..served.len() / 2]).await?;
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        if self.strikes(What::Spoil, Some(id)) {
+        if self.strikes(BackendFaultKind::Spoil, Some(id)) {
             stream.write_all(b"HTP/9 what\r\n\r\n").await?;
             return Err(io::ErrorKind::InvalidData.into());
         }
         http1::answer(stream, "200 OK", "", served.as_bytes()).await
     }
 
-    pub(crate) fn strike(&self, trouble: &Trouble, begins: bool) {
+    pub(crate) fn strike(&self, trouble: &BackendFault, begins: bool) {
         self.advance();
         let degree = if begins { trouble.degree } else { 0.0 };
         match trouble.what {
-            What::Crash if begins => self.die(),
-            What::Crash => self.rise(),
-            What::Drain => {
+            BackendFaultKind::Crash if begins => self.die(),
+            BackendFaultKind::Crash => self.rise(),
+            BackendFaultKind::Drain => {
                 self.face().set_drains(begins);
                 self.with_model(|model| model.set_drains(begins));
             }
-            What::Hang => self.with_model(|model| model.set_hangs(begins)),
-            What::Pause => self.with_model(|model| model.set_stands(begins)),
-            What::Slow => self.with_model(|model| model.set_slow(degree)),
-            What::DiscoveryDown => {}
+            BackendFaultKind::Hang => self.with_model(|model| model.set_hangs(begins)),
+            BackendFaultKind::Pause => self.with_model(|model| model.set_stands(begins)),
+            BackendFaultKind::Slow => self.with_model(|model| model.set_slow(degree)),
+            BackendFaultKind::DiscoveryDown => {}
             what => _ = self.faults.borrow_mut().insert(what, degree),
         }
         self.wake.notify_one();
     }
 
-    fn with_model(&self, change: impl FnOnce(&mut BoxModel)) {
+    fn with_model(&self, change: impl FnOnce(&mut BackendModel)) {
         if let Some(model) = self.model.borrow_mut().as_mut() {
             change(model);
         }
@@ -289,9 +289,9 @@
         }
         let now = self.shared.board.now();
         *self.model.borrow_mut() =
-            Some(BoxModel::new(self.shared.board.script.box_spec(self.index), now, Some(now)));
+            Some(BackendModel::new(self.shared.board.script.box_spec(self.index), now, Some(now)));
         self.face().rises(now);
-        self.shared.saw(Seen::Started { at_box: self.index });
+        self.shared.saw(Observation::BackendStarted { backend: self.index });
         self.life.send_modify(|life| *life += 1);
     }
 }
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -3,9 +3,9 @@
 use super::Live;
 use super::shard::Shared;
 use crate::http1::{self, Message};
-use crate::judge::{Got, Seen};
+use crate::invariant_checker::{Observation, ResponseKind};
 use crate::plan::Arrival;
-use crate::script::EffectSpec;
+use crate::script::IdempotencySpec;
 use balancer::api::Micros;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -117,43 +117,46 @@
                 let kills = self.shared.board.entrance(proxy).kills();
                 self.ask(&Ask { id, class, proxy, tenant: arrival.tenant, kills }).await;
             }
-            None => self.shared.saw(Seen::Missed { class }),
+            None => self.shared.saw(Observation::RequestUndelivered { class }),
         }
     }
 
     async fn ask(&self, ask: &Ask) {
-        let class = &self.shared.board.script.class[ask.class];
+        let class = &self.shared.board.script.classes[ask.class];
         let end = self.shared.board.now() + class.deadline_ms * 1_000;
         let mut stage = Stage::Unwritten;
         let listening = self.shared.board.instant(end) + LISTENS_ON;
         let answer = timeout_at(listening, self.exchange(ask, end, &mut stage)).await;
         let mut live = self.shared.live.get();
         live.asked += 1;
-        live.worth.0 += class.worth;
+        live.worth.0 += class.priority_weight;
         let got = match &answer {
             Ok(Ok(answer)) => Some(match answer.status {
-                200 if answer.body == body(ask.id).as_bytes() => Got::Served,
-                200 => Got::Forged,
-                429 | 503 => Got::Refused,
-                _ => Got::Failed,
+                200 if answer.body == body(ask.id).as_bytes() => ResponseKind::Served,
+                200 => ResponseKind::Forged,
+                429 | 503 => ResponseKind::Rejected,
+                _ => ResponseKind::Failed,
             }),
             // A request that was never taken is nobody's to answer; one that was is lost, which the judge sees.
             Ok(Err(_)) | Err(_) => None,
         };
         match got {
-            Some(Got::Served) => {
+            Some(ResponseKind::Served) => {
                 live.served += 1;
                 let took = self.shared.board.now() + class.deadline_ms * 1_000 - end;
-                let in_time = took <= class.aim_ms * 1_000;
-                live.worth.1 += class.worth * if in_time { 1.0 } else { class.late_worth };
+                let in_time = took <= class.latency_objective_ms * 1_000;
+                live.worth.1 +=
+                    class.priority_weight * if in_time { 1.0 } else { class.late_weight_fraction };
             }
-            Some(Got::Refused) => live.refused += 1,
+            Some(ResponseKind::Rejected) => live.refused += 1,
             _ => live.failed += 1,
         }
         self.shared.live.set(live);
         match got {
-            Some(got) => self.shared.saw(Seen::Answered { id: ask.id, got }),
-            None if stage == Stage::Unwritten => self.shared.saw(Seen::Missed { class: ask.class }),
+            Some(got) => self.shared.saw(Observation::ResponseReceived { id: ask.id, kind: got }),
+            None if stage == Stage::Unwritten => {
+                self.shared.saw(Observation::RequestUndelivered { class: ask.class })
+            }
             None => {}
         }
     }
@@ -173,7 +176,7 @@
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             *stage = Stage::Untaken;
-            self.shared.saw(Seen::Untaken { id: ask.id });
+            self.shared.saw(Observation::RequestNotAccepted { id: ask.id });
         }
         let address = self.shared.board.way_to_proxy(ask.proxy).ok_or(io::ErrorKind::AddrNotAvailable)?;
         let stream = TcpStream::connect(address).await?;
@@ -198,7 +201,7 @@
         }
         if std::mem::replace(stage, Stage::Written) != Stage::Written {
             let (id, class, proxy) = (ask.id, ask.class, ask.proxy);
-            self.shared.saw_at(at, Seen::Asked { id, class, end, proxy });
+            self.shared.saw_at(at, Observation::RequestSent { id, class, end, proxy });
         }
         let answer = match http1::read(&mut conn.stream, &mut conn.buffer, true).await {
             Ok(answer) => answer,
@@ -213,10 +216,10 @@
     }
 
     fn request(&self, ask: &Ask, end: Micros) -> String {
-        let class = &self.shared.board.script.class[ask.class];
+        let class = &self.shared.board.script.classes[ask.class];
         let left = end.saturating_sub(self.shared.board.now()) / 1_000;
-        let method = if class.effect == EffectSpec::Safe { "GET" } else { "POST" };
-        let keyed = matches!(class.effect, EffectSpec::KeyedZone | EffectSpec::KeyedCell);
+        let method = if class.idempotency == IdempotencySpec::Safe { "GET" } else { "POST" };
+        let keyed = matches!(class.idempotency, IdempotencySpec::KeyedZone | IdempotencySpec::KeyedCell);
         let key = if keyed { format!("Idempotency-Key: {:032x}\r\n", ask.id) } else { String::new() };
         let tenants = self.shared.board.script.traffic.tenants;
         let account = if tenants > 0 { format!("X-Account: t{}\r\n", ask.tenant) } else { String::new() };
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -4,10 +4,10 @@
 use super::listen_on_loopback;
 use super::shard::Shared;
 use crate::address;
-use crate::call_queue::{CallQueue, Fate};
+use crate::call_queue::{CallOutcome, CallQueue};
 use crate::http1;
 use crate::http1::Message;
-use crate::judge::Seen;
+use crate::invariant_checker::Observation;
 use crate::script::micros;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -107,7 +107,7 @@
             queue,
             watched: Cell::new(None),
         });
-        let entries = (0..shared.board.script.fleet.boxes).map(|at_box| agent.entry(at_box)).collect();
+        let entries = (0..shared.board.script.fleet.backends).map(|at_box| agent.entry(at_box)).collect();
         agent.entries.replace(entries);
         agent
     }
@@ -143,7 +143,7 @@
     /// A box has changed: this agent learns of it late; the service of all, for all proxies at once.
     pub(crate) fn news(self: Rc<Self>, at_box: usize) {
         let more = if self.queue.is_some() { 0.0 } else { self.rng.borrow_mut().f64() };
-        let late = self.shared.board.script.fleet.news_s * (1.0 + more);
+        let late = self.shared.board.script.fleet.notification_delay_s * (1.0 + more);
         tokio::task::spawn_local(async move {
             sleep(Duration::from_micros(micros(late))).await;
             while self.shared.board.discovery_is_down() {
@@ -164,7 +164,7 @@
     async fn connection(self: Rc<Self>, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         while let Ok(Some(request)) = http1::read(&mut stream, &mut buffer, false).await {
-            self.shared.saw(Seen::Called { proxy: self.proxy });
+            self.shared.saw(Observation::DiscoveryCalled { proxy: self.proxy });
             let after = number(&request, "after");
             let wait = Duration::from_millis(number(&request, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS));
             if !(self.is_taken(after).await && self.has_waited(after, wait).await) {
@@ -188,9 +188,9 @@
             return !self.shared.board.discovery_is_down();
         }
         let fate = queue.borrow_mut().come(self.shared.board.now());
-        let (Fate::Done(at) | Fate::Failed(at)) = fate;
+        let (CallOutcome::Done(at) | CallOutcome::Failed(at)) = fate;
         self.shared.board.sleep_until(at).await;
-        matches!(fate, Fate::Done(_)) && !self.shared.board.discovery_is_down()
+        matches!(fate, CallOutcome::Done(_)) && !self.shared.board.discovery_is_down()
     }
 
     /// Waits for something newer. Whether the watch ended well: while discovery is down an agent is silent and the
@@ -224,7 +224,7 @@
         let list = json!({"revision": revision, "complete": after.is_none(), "members": members});
         http1::answer(stream, "200 OK", "", list.to_string().as_bytes()).await?;
         for (at_box, ready) in told {
-            self.shared.saw(Seen::Told { proxy: self.proxy, at_box, ready });
+            self.shared.saw(Observation::BackendNotified { proxy: self.proxy, backend: at_box, ready });
         }
         Ok(())
     }
--- a/crates/testbed/src/sockets/shard.rs
+++ b/crates/testbed/src/sockets/shard.rs
@@ -1,12 +1,12 @@
 //! The stand-ins of one thread: some of the boxes, some of the clients, and on one thread discovery.
 
 use super::Live;
-use super::board::Board;
-use super::boxes::StandIn;
+use super::backends::StandIn;
 use super::clients::Clients;
 use super::discovery::{self, Agent};
-use crate::judge::{Record, Seen};
-use crate::script::{What, micros};
+use super::shared_state::Board;
+use crate::invariant_checker::{Observation, ObservationLog};
+use crate::script::{BackendFaultKind, micros};
 use balancer::api::Micros;
 use std::cell::{Cell, Ref, RefCell};
 use std::io;
@@ -18,7 +18,7 @@
 /// What the stand-ins of a thread share.
 pub(crate) struct Shared {
     pub(crate) board: Arc<Board>,
-    record: RefCell<Record>,
+    record: RefCell<ObservationLog>,
     pub(crate) live: Cell<Live>,
     /// How often a trouble of answers or connections hit.
     pub(crate) hits: Cell<u64>,
@@ -27,11 +27,11 @@
 }
 
 impl Shared {
-    pub(crate) fn saw(&self, seen: Seen) {
+    pub(crate) fn saw(&self, seen: Observation) {
         self.saw_at(self.board.now(), seen);
     }
 
-    pub(crate) fn saw_at(&self, at: Micros, seen: Seen) {
+    pub(crate) fn saw_at(&self, at: Micros, seen: Observation) {
         self.record.borrow_mut().add(at, seen);
     }
 
@@ -60,7 +60,7 @@
             hits: Cell::new(0),
             late: RefCell::default(),
         });
-        let mine = (0..board.script.fleet.boxes).filter(|b| b % of == number);
+        let mine = (0..board.script.fleet.backends).filter(|b| b % of == number);
         let boxes = mine.map(|index| StandIn::start(&shared, index)).collect::<io::Result<Vec<_>>>()?;
         let clients = Clients::new(&shared, number as u64);
         Ok(Self { shared, number, of, boxes: boxes.into(), agents: Vec::new(), clients })
@@ -86,7 +86,7 @@
 
     /// Begins to ask, and to do what the script says. What it gives ends when the last request was asked.
     pub(crate) fn begin(&self, began: Micros) -> JoinHandle<()> {
-        for index in 0..self.shared.board.script.trouble.len() {
+        for index in 0..self.shared.board.script.backend_faults.len() {
             let (shared, boxes, agents) =
                 (Rc::clone(&self.shared), Rc::clone(&self.boxes), self.agents.clone());
             tokio::task::spawn_local(trouble(shared, boxes, agents, began, index));
@@ -107,12 +107,12 @@
         self.shared.hits.get()
     }
 
-    pub(crate) fn record(&self) -> Ref<'_, Record> {
+    pub(crate) fn record(&self) -> Ref<'_, ObservationLog> {
         self.shared.record.borrow()
     }
 
     /// What was seen here, and how late requests were asked.
-    pub(crate) fn take(&self) -> (Record, Vec<u32>) {
+    pub(crate) fn take(&self) -> (ObservationLog, Vec<u32>) {
         (self.shared.record.take(), self.shared.late.take())
     }
 }
@@ -125,11 +125,11 @@
     index: usize,
 ) {
     let script = &shared.board.script;
-    let trouble = &script.trouble[index];
-    let struck = script.struck(index);
+    let trouble = &script.backend_faults[index];
+    let struck = script.faulty_backends(index);
     for (at_s, begins) in [(trouble.at_s, true), (trouble.at_s + trouble.for_s, false)] {
         shared.board.sleep_until(began + micros(at_s)).await;
-        if trouble.what == What::DiscoveryDown {
+        if trouble.what == BackendFaultKind::DiscoveryDown {
             if !agents.is_empty() {
                 shared.board.set_discovery_down(begins);
             }
@@ -140,7 +140,7 @@
         }
         for stand_in in boxes.iter().filter(|b| struck.contains(&b.index())) {
             stand_in.strike(trouble, begins);
-            if matches!(trouble.what, What::Crash | What::Drain) {
+            if matches!(trouble.what, BackendFaultKind::Crash | BackendFaultKind::Drain) {
                 shared.board.changed(stand_in.index());
             }
         }
--- a/crates/testbed/src/sockets/board.rs
+++ b/crates/testbed/src/sockets/shared_state.rs
@@ -123,7 +123,7 @@
     /// A board, and the boxes that change, for discovery.
     pub(crate) fn new(script: Script, plan: Plan) -> (Arc<Self>, UnboundedReceiver<usize>) {
         let (news, changes) = unbounded_channel();
-        let faces = (0..script.fleet.boxes).map(|_| Face::default()).collect();
+        let faces = (0..script.fleet.backends).map(|_| Face::default()).collect();
         let entrances = (0..script.fleet.proxies).map(|_| Entrance::default()).collect();
         let (relays, client_relay) = (OnceLock::new(), OnceLock::new());
         let (origin, discovery_down) = (Instant::now(), AtomicU32::new(0));
--- a/crates/testbed/src/spread.rs
+++ b/crates/testbed/src/spread.rs
@@ -1,9 +1,9 @@
 //! How evenly boxes were loaded, and how soon service came back after each fault, from what the stand-ins saw. Pure.
 //! Chance alone spreads requests unevenly too: its deviation at so many requests stands beside each figure.
 
-use crate::judge::{Got, Seen};
+use crate::invariant_checker::{Observation, ResponseKind};
 use crate::plan::Plan;
-use crate::script::{Script, What, micros};
+use crate::script::{BackendFaultKind, Script, micros};
 use balancer::api::Micros;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -54,22 +54,22 @@
 
 /// Measures it. `began` is when the day began on the record's clock.
 #[must_use]
-pub fn measure(script: &Script, plan: &Plan, seen: &[(Micros, Seen)], began: Micros) -> Spread {
+pub fn measure(script: &Script, plan: &Plan, seen: &[(Micros, Observation)], began: Micros) -> Spread {
     let mut loads = Loads::new(script, began);
     let mut in_time = InTime::default();
     let mut starts: Vec<(usize, Micros, Option<f64>)> = Vec::new();
-    let mut out = vec![false; script.fleet.boxes];
+    let mut out = vec![false; script.fleet.backends];
     let (mut asked, mut connections, mut attempts, mut turned_away, mut calls) =
         (0_u64, 0_u64, 0_u64, 0_u64, 0_u64);
     for &(at, what) in seen {
         match what {
-            Seen::Asked { id, class, .. } => {
+            Observation::RequestSent { id, class, .. } => {
                 asked += 1;
-                in_time.asked(at, began, id, script.class[class].aim_ms * 1_000);
+                in_time.asked(at, began, id, script.classes[class].latency_objective_ms * 1_000);
             }
-            Seen::Missed { .. } => in_time.missed(at, began),
-            Seen::Answered { id, got } => in_time.answered(at, id, got),
-            Seen::Began { at_box, .. } => {
+            Observation::RequestUndelivered { .. } => in_time.missed(at, began),
+            Observation::ResponseReceived { id, kind: got } => in_time.answered(at, id, got),
+            Observation::AttemptStarted { backend: at_box, .. } => {
                 attempts += 1;
                 loads.add(at, at_box);
                 let first = starts.iter_mut().rev().find(|(b, ..)| *b == at_box);
@@ -77,18 +77,20 @@
                     used.get_or_insert((at - *since) as f64 / 1e6);
                 }
             }
-            Seen::TurnedAway { .. } => (attempts, turned_away) = (attempts + 1, turned_away + 1),
+            Observation::AttemptRejected { .. } => (attempts, turned_away) = (attempts + 1, turned_away + 1),
             // Proxies hear late of a box that has started: its start counts, not the word of it.
-            Seen::Started { at_box } => {
+            Observation::BackendStarted { backend: at_box } => {
                 out[at_box] = false;
                 starts.push((at_box, at, None));
             }
-            Seen::Told { at_box, ready: false, .. } => out[at_box] = true,
-            Seen::Told { at_box, ready: true, .. } if std::mem::take(&mut out[at_box]) => {
+            Observation::BackendNotified { backend: at_box, ready: false, .. } => out[at_box] = true,
+            Observation::BackendNotified { backend: at_box, ready: true, .. }
+                if std::mem::take(&mut out[at_box]) =>
+            {
                 starts.push((at_box, at, None));
             }
-            Seen::Connected { .. } => connections += 1,
-            Seen::Called { .. } => calls += 1,
+            Observation::BackendConnected { .. } => connections += 1,
+            Observation::DiscoveryCalled { .. } => calls += 1,
             _ => {}
         }
     }
@@ -105,9 +107,9 @@
 /// Each fault's beginning and end, by their ends; those that a day ends in are none.
 fn ends_of_faults(script: &Script, plan: &Plan) -> Vec<(Micros, Micros)> {
     let span = |at_s: f64, for_s: f64| (micros(at_s), micros(at_s + for_s));
-    let boxes = script.trouble.iter().map(|t| span(t.at_s, t.for_s));
-    let links = script.link.iter().map(|l| span(l.at_s, l.for_s));
-    let processes = script.process.iter().map(|p| match p.every_s {
+    let boxes = script.backend_faults.iter().map(|t| span(t.at_s, t.for_s));
+    let links = script.link_faults.iter().map(|l| span(l.at_s, l.for_s));
+    let processes = script.process_faults.iter().map(|p| match p.every_s {
         0.0 => span(p.at_s, p.for_s + p.wave_s * f64::from(p.waves - 1)),
         _ => span(p.at_s, script.seconds),
     });
@@ -127,7 +129,7 @@
 impl Loads {
     fn new(script: &Script, began: Micros) -> Self {
         let windows = (script.seconds.floor() as usize).max(1);
-        let boxes = script.fleet.boxes;
+        let boxes = script.fleet.backends;
         Self { began, counts: vec![0; boxes], windows: vec![vec![0; boxes]; windows] }
     }
 
@@ -141,7 +143,7 @@
 
     fn finish(self, script: &Script) -> Spread {
         let mut out = Spread::default();
-        let all: Vec<usize> = (0..script.fleet.boxes).collect();
+        let all: Vec<usize> = (0..script.fleet.backends).collect();
         let day = relative(script, &all, |b| self.counts[b] as f64);
         (out.busiest, out.least) = (day.max, day.min);
         (out.deviation, out.chance) = (day.deviation, day.chance);
@@ -200,11 +202,20 @@
 /// it, nor the time in which news of that are late.
 fn is_in_service(script: &Script, at_box: usize, window: usize) -> bool {
     let (from, to) = (window as f64, window as f64 + 1.0);
-    let out = |what| matches!(what, What::Crash | What::Drain | What::Hang | What::Pause | What::Spoil);
-    script.trouble.iter().enumerate().all(|(i, trouble)| {
-        let late = 2.0 * script.fleet.news_s + script.fleet.cold_s;
+    let out = |what| {
+        matches!(
+            what,
+            BackendFaultKind::Crash
+                | BackendFaultKind::Drain
+                | BackendFaultKind::Hang
+                | BackendFaultKind::Pause
+                | BackendFaultKind::Spoil
+        )
+    };
+    script.backend_faults.iter().enumerate().all(|(i, trouble)| {
+        let late = 2.0 * script.fleet.notification_delay_s + script.fleet.warm_up_s;
         let touches = out(trouble.what) && trouble.at_s < to && from < trouble.at_s + trouble.for_s + late;
-        !touches || !script.struck(i).contains(&at_box)
+        !touches || !script.faulty_backends(i).contains(&at_box)
     })
 }
 
@@ -234,9 +245,9 @@
         self.window(at, began);
     }
 
-    fn answered(&mut self, at: Micros, id: u64, got: Got) {
+    fn answered(&mut self, at: Micros, id: u64, got: ResponseKind) {
         if let Some(&(asked, aim, window)) = self.asked.get(&id)
-            && got == Got::Served
+            && got == ResponseKind::Served
             && at <= asked + aim
         {
             self.windows[window].1 += 1;
@@ -280,10 +291,10 @@
         plan.processes.clear();
         for id in 0..800 {
             let at = id * 25_000;
-            seen.push((at, Seen::Asked { id, class: 0, end: at + 1_500_000, proxy: 0 }));
-            seen.push((at + 10, Seen::Began { id, at_box: to(id), work: 1_000 }));
-            let got = if served(at / 1_000_000) { Got::Served } else { Got::Refused };
-            seen.push((at + 20, Seen::Answered { id, got }));
+            seen.push((at, Observation::RequestSent { id, class: 0, end: at + 1_500_000, proxy: 0 }));
+            seen.push((at + 10, Observation::AttemptStarted { id, backend: to(id), work: 1_000 }));
+            let got = if served(at / 1_000_000) { ResponseKind::Served } else { ResponseKind::Rejected };
+            seen.push((at + 20, Observation::ResponseReceived { id, kind: got }));
         }
         measure(script, &plan, &seen, 0)
     }
@@ -302,8 +313,8 @@
     #[test]
     fn first_use_counts_from_the_latest_start() {
         let script = script("}");
-        let began = |id| Seen::Began { id, at_box: 1, work: 10 };
-        let started = Seen::Started { at_box: 1 };
+        let began = |id| Observation::AttemptStarted { id, backend: 1, work: 10 };
+        let started = Observation::BackendStarted { backend: 1 };
         let seen = [(0, started), (1_500_000, began(1)), (1_600_000, began(2)), (2_000_000, started)];
         let measured = measure(&script, &Plan::default(), &seen, 0);
         assert_eq!(measured.first_use_s, [Some(1.5), None]);
@@ -312,8 +323,8 @@
     #[test]
     fn first_use_counts_from_the_first_word_of_a_return() {
         let script = script("}");
-        let told = |proxy, ready| Seen::Told { proxy, at_box: 2, ready };
-        let began = Seen::Began { id: 9, at_box: 2, work: 10 };
+        let told = |proxy, ready| Observation::BackendNotified { proxy, backend: 2, ready };
+        let began = Observation::AttemptStarted { id: 9, backend: 2, work: 10 };
         let seen = [(0, told(0, true)), (10, told(0, false)), (20, told(1, false)), (30, began)];
         assert_eq!(measure(&script, &Plan::default(), &seen, 0).first_use_s, []);
         let back = [(1_000_000, told(1, true)), (1_100_000, told(0, true)), (3_000_000, began)];
@@ -332,7 +343,7 @@
     fn boxes_out_of_service_are_not_idle_and_recovery_counts_from_the_end() {
         let trouble = "}\ntrouble = [{ what = \"crash\", at_s = 4.0, for_s = 3.0, part = 0.25 }]";
         let script = script(trouble);
-        let down = script.struck(0)[0];
+        let down = script.faulty_backends(0)[0];
         let others: Vec<usize> = (0..4).filter(|&b| b != down).collect();
         let to = |id: u64| match id / 40 {
             4..=6 => others[(id % 3) as usize],
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -1,14 +1,14 @@
 //! A day in virtual time, in process: the engine as it is, many instances of it, boxes as models, callers that hold
 //! leases. The same script and seed give the same day to the last event.
 
-mod boxes;
+mod backends;
 mod processes;
 
-use crate::cold_sums::{self, ColdUse};
-use crate::judge::{Got, Judgement, Record, Seen, judge_in_order};
-use crate::model::BoxModel;
+use crate::backend_model::BackendModel;
+use crate::invariant_checker::{CheckReport, Observation, ObservationLog, ResponseKind, check_ordered};
 use crate::plan::Plan;
 use crate::script::{Script, micros};
+use crate::slow_start_load::{self, SlowStartLoad};
 use crate::spread::{self, Spread};
 use balancer::api::{Backend, BackendId, MembershipUpdate, Micros, Outcome, RequestId, SettingsError};
 use processes::Process;
@@ -45,11 +45,11 @@
 #[derive(Debug, PartialEq)]
 pub struct Report {
     /// The rules and the goodput.
-    pub judgement: Judgement,
+    pub judgement: CheckReport,
     /// How evenly the boxes were loaded.
     pub spread: Spread,
     /// What cold boxes got of what they bear, where any started.
-    pub cold: Option<ColdUse>,
+    pub cold: Option<SlowStartLoad>,
     /// What all engines counted.
     pub counts: Counts,
     /// What became of all leases.
@@ -117,7 +117,7 @@
 }
 
 struct Wire {
-    model: Option<BoxModel>,
+    model: Option<BackendModel>,
     /// When it is next looked at.
     due: Micros,
     drains: bool,
@@ -145,7 +145,7 @@
     by_lease: FxHashMap<LeaseId, usize>,
     /// The list of the day's beginning.
     first_list: Vec<Backend>,
-    record: Record,
+    record: ObservationLog,
     discovery_down: u32,
     unsaid: Vec<Event>,
 }
@@ -170,9 +170,9 @@
     let (counts, leases) = std::mem::take(&mut world.past);
     let seen = world.record.in_order();
     let mut report = Report {
-        judgement: judge_in_order(script, &seen, 0),
+        judgement: check_ordered(script, &seen, 0),
         spread: spread::measure(script, &plan, &seen, START),
-        cold: cold_sums::measure(script, &plan, &seen),
+        cold: slow_start_load::measure(script, &plan, &seen),
         counts,
         leases,
         left_open: 0,
@@ -216,8 +216,8 @@
 impl<'a> World<'a> {
     fn new(script: &'a Script, plan: &'a Plan) -> Result<Self, SettingsError> {
         let rng = fastrand::Rng::with_seed(script.seed);
-        let boxes = (0..script.fleet.boxes).map(|at_box| Wire {
-            model: Some(BoxModel::new(script.box_spec(at_box), START, None)),
+        let boxes = (0..script.fleet.backends).map(|at_box| Wire {
+            model: Some(BackendModel::new(script.box_spec(at_box), START, None)),
             due: Micros::MAX,
             drains: false,
             started: None,
@@ -241,11 +241,11 @@
             tries: Vec::new(),
             by_lease: FxHashMap::default(),
             first_list: Vec::new(),
-            record: Record::default(),
+            record: ObservationLog::default(),
             discovery_down: 0,
             unsaid: Vec::new(),
         };
-        world.first_list = (0..script.fleet.boxes).map(|b| world.entry(b)).collect();
+        world.first_list = (0..script.fleet.backends).map(|b| world.entry(b)).collect();
         for proxy in 0..world.proxies.len() {
             world.proxies[proxy].update_membership(START, MembershipUpdate::Snapshot(&world.first_list));
             world.obey(proxy);
@@ -253,7 +253,7 @@
         for (i, event) in plan.processes.iter().enumerate() {
             world.at(START + event.at, Event::Process(i));
         }
-        for (i, trouble) in script.trouble.iter().enumerate() {
+        for (i, trouble) in script.backend_faults.iter().enumerate() {
             world.at(START + micros(trouble.at_s), Event::Begin(i));
             world.at(START + micros(trouble.at_s + trouble.for_s), Event::End(i));
         }
@@ -335,10 +335,11 @@
         let arrival = self.plan.arrivals[which];
         let (class, client) = (usize::from(arrival.class), which as u64);
         let Some(proxy) = self.front(usize::from(arrival.proxy)) else {
-            return self.record.add(self.now, Seen::Missed { class });
+            return self.record.add(self.now, Observation::RequestUndelivered { class });
         };
-        let patience = self.script.class[class].deadline_ms * 1_000;
-        self.record.add(self.now, Seen::Asked { id: client, class, end: self.now + patience, proxy });
+        let patience = self.script.classes[class].deadline_ms * 1_000;
+        self.record
+            .add(self.now, Observation::RequestSent { id: client, class, end: self.now + patience, proxy });
         self.reach_proxy(proxy, which);
     }
 
@@ -355,7 +356,7 @@
             tenant: arrival.tenant,
             key: None,
             arrived_at: self.now,
-            timeout: self.script.class[usize::from(arrival.class)].deadline_ms * 1_000,
+            timeout: self.script.classes[usize::from(arrival.class)].deadline_ms * 1_000,
             expected_work: None,
             is_retry: false,
             dispatch: if leased { Dispatch::Leased } else { Dispatch::Proxied(client) },
@@ -363,7 +364,8 @@
         if let Err(Overload::Requests(client) | Overload::Leases(client)) =
             self.proxies[proxy].admit(self.now, arrival, client)
         {
-            self.record.add(self.now, Seen::Answered { id: client, got: Got::Refused });
+            self.record
+                .add(self.now, Observation::ResponseReceived { id: client, kind: ResponseKind::Rejected });
         }
         self.obey(proxy);
     }
@@ -398,11 +400,11 @@
                 }
                 Command::Respond { responder: reply, outcome: verdict, .. } => {
                     let got = match verdict {
-                        FinalOutcome::Served(_) => Got::Served,
-                        FinalOutcome::Rejected { .. } => Got::Refused,
-                        FinalOutcome::Failed => Got::Failed,
+                        FinalOutcome::Served(_) => ResponseKind::Served,
+                        FinalOutcome::Rejected { .. } => ResponseKind::Rejected,
+                        FinalOutcome::Failed => ResponseKind::Failed,
                     };
-                    self.record.add(self.now, Seen::Answered { id: reply, got });
+                    self.record.add(self.now, Observation::ResponseReceived { id: reply, kind: got });
                 }
                 Command::CancelAttempt { .. }
                 | Command::CancelUnsentAttempt { .. }
--- a/crates/testbed/src/virtual_time/boxes.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -1,9 +1,9 @@
 //! Boxes, discovery and troubles of a day in virtual time.
 
 use super::{Event, Sent, World};
-use crate::judge::Seen;
-use crate::model::{Arrived, BoxModel};
-use crate::script::{What, micros};
+use crate::backend_model::{Admission, BackendModel};
+use crate::invariant_checker::Observation;
+use crate::script::{BackendFaultKind, micros};
 use balancer::api::{Backend, MembershipUpdate, Micros, Readiness};
 
 /// How long after it came a request's connection breaks.
@@ -22,13 +22,13 @@
         };
         let work = self.plan.arrivals[client as usize].work;
         let arrived = model.arrive(self.now, which as u64, work);
-        if arrived == Arrived::Full {
-            self.record.add(self.now, Seen::TurnedAway { id: client, at_box });
+        if arrived == Admission::Rejected {
+            self.record.add(self.now, Observation::AttemptRejected { id: client, backend: at_box });
             return self.after(way, Event::ToProxy { which, outcome: Sent::Full });
         }
         at.holds.push(which);
         let (resets, spoils) = (at.resets, at.spoils);
-        self.record.add(self.now, Seen::Began { id: client, at_box, work });
+        self.record.add(self.now, Observation::AttemptStarted { id: client, backend: at_box, work });
         if self.rng.f64() < resets {
             self.after(RESET_AFTER, Event::ToProxy { which, outcome: Sent::Reset });
         }
@@ -38,7 +38,7 @@
 
     pub(super) fn box_due(&mut self, at_box: usize) {
         let at = &mut self.boxes[at_box];
-        let next = at.model.as_ref().and_then(BoxModel::next).unwrap_or(Micros::MAX);
+        let next = at.model.as_ref().and_then(BackendModel::next).unwrap_or(Micros::MAX);
         // An earlier event that is set but no longer wanted passes unheard.
         if std::mem::replace(&mut at.due, next) != next && next < Micros::MAX {
             self.at(next, Event::BoxDue(at_box));
@@ -78,7 +78,7 @@
 
     pub(super) fn tell_all(&mut self, at_box: usize) {
         for proxy in 0..self.proxies.len() {
-            let late = self.script.fleet.news_s * (1.0 + self.rng.f64());
+            let late = self.script.fleet.notification_delay_s * (1.0 + self.rng.f64());
             self.after(micros(late), Event::News { proxy, at_box });
         }
     }
@@ -89,7 +89,7 @@
         }
         let entry = self.entry(at_box);
         let ready = entry.readiness == Readiness::Ready;
-        self.record.add(self.now, Seen::Told { proxy, at_box, ready });
+        self.record.add(self.now, Observation::BackendNotified { proxy, backend: at_box, ready });
         self.proxies[proxy].update_membership(self.now, MembershipUpdate::Delta(&[entry]));
         self.obey(proxy);
     }
@@ -97,8 +97,8 @@
     // ---- Troubles ----
 
     pub(super) fn trouble(&mut self, index: usize, begins: bool) {
-        let trouble = &self.script.trouble[index];
-        if trouble.what == What::DiscoveryDown {
+        let trouble = &self.script.backend_faults[index];
+        if trouble.what == BackendFaultKind::DiscoveryDown {
             self.discovery_down = self.discovery_down.saturating_add_signed(if begins { 1 } else { -1 });
             if self.discovery_down == 0 {
                 for event in std::mem::take(&mut self.unsaid) {
@@ -107,7 +107,7 @@
             }
             return;
         }
-        for at_box in self.script.struck(index) {
+        for at_box in self.script.faulty_backends(index) {
             self.box_advances(at_box);
             self.strike(at_box, index, begins);
             self.box_due(at_box);
@@ -115,37 +115,37 @@
     }
 
     pub(super) fn strike(&mut self, at_box: usize, index: usize, begins: bool) {
-        let trouble = &self.script.trouble[index];
+        let trouble = &self.script.backend_faults[index];
         let (what, degree) = (trouble.what, if begins { trouble.degree } else { 0.0 });
         let at = &mut self.boxes[at_box];
         match what {
-            What::Reset => at.resets = degree,
-            What::Spoil => at.spoils = degree,
-            What::Crash if begins => self.crash(at_box),
-            What::Crash => self.start(at_box),
-            What::Drain => {
+            BackendFaultKind::Reset => at.resets = degree,
+            BackendFaultKind::Spoil => at.spoils = degree,
+            BackendFaultKind::Crash if begins => self.crash(at_box),
+            BackendFaultKind::Crash => self.start(at_box),
+            BackendFaultKind::Drain => {
                 at.drains = begins;
                 if let Some(model) = &mut at.model {
                     model.set_drains(begins);
                 }
                 self.tell_all(at_box);
             }
-            What::Hang | What::Pause | What::Slow => {
+            BackendFaultKind::Hang | BackendFaultKind::Pause | BackendFaultKind::Slow => {
                 let Some(model) = &mut at.model else { return };
                 match what {
-                    What::Hang => model.set_hangs(begins),
-                    What::Pause => model.set_stands(begins),
+                    BackendFaultKind::Hang => model.set_hangs(begins),
+                    BackendFaultKind::Pause => model.set_stands(begins),
                     _ => model.set_slow(degree),
                 }
             }
             // Of what goes wrong with connections this mode knows only those that break under a request.
-            What::ResetRequest
-            | What::BreakAnswer
-            | What::CloseAfter
-            | What::Silence
-            | What::ResetNew
-            | What::AcceptLate
-            | What::DiscoveryDown => {}
+            BackendFaultKind::ResetRequest
+            | BackendFaultKind::BreakAnswer
+            | BackendFaultKind::CloseAfter
+            | BackendFaultKind::Silence
+            | BackendFaultKind::ResetNew
+            | BackendFaultKind::AcceptLate
+            | BackendFaultKind::DiscoveryDown => {}
         }
     }
 
@@ -168,9 +168,9 @@
         if at.model.is_some() {
             return;
         }
-        at.model = Some(BoxModel::new(spec, now, Some(now)));
+        at.model = Some(BackendModel::new(spec, now, Some(now)));
         at.started = Some(now);
-        self.record.add(now, Seen::Started { at_box });
+        self.record.add(now, Observation::BackendStarted { backend: at_box });
         self.tell_all(at_box);
     }
 }
--- a/crates/testbed/src/virtual_time/processes.rs
+++ b/crates/testbed/src/virtual_time/processes.rs
@@ -2,9 +2,9 @@
 //! among them.
 
 use super::{Event, World, add, engine};
-use crate::judge::Seen;
-use crate::plan::Act;
-use crate::script::{Known, micros};
+use crate::invariant_checker::Observation;
+use crate::plan::ProcessAction;
+use crate::script::{InitialList, micros};
 use balancer::api::{MembershipUpdate, Micros};
 
 /// How long after its start a process has discovery's list.
@@ -53,7 +53,7 @@
         let process = &self.processes[meant];
         match process.gone {
             None if !process.ending => return Some(meant),
-            Some(since) if self.now < since + micros(self.script.fleet.front_notice_s) => return None,
+            Some(since) if self.now < since + micros(self.script.fleet.front_end_detection_s) => return None,
             _ => {}
         }
         let serves = |proxy: usize| self.processes[proxy].runs() && !self.processes[proxy].ending;
@@ -63,21 +63,21 @@
     pub(super) fn process(&mut self, which: usize) {
         let event = self.plan.processes[which];
         let proxy = event.proxy;
-        match event.act {
-            Act::Kill => {
-                self.record.add(self.now, Seen::Killed { proxy });
+        match event.action {
+            ProcessAction::Kill => {
+                self.record.add(self.now, Observation::ProxyKilled { proxy });
                 self.gone(proxy);
             }
-            Act::Term => self.processes[proxy].ending = true,
+            ProcessAction::Term => self.processes[proxy].ending = true,
             // By now it has ended by itself, unless it owes answers, which is then a broken rule.
-            Act::Reap => self.gone(proxy),
-            Act::Start(list) => self.start_again(proxy, list),
-            Act::Stop(until) if self.processes[proxy].runs() => {
-                self.record.add(self.now, Seen::Stalled { proxy, until: super::START + until });
+            ProcessAction::Reap => self.gone(proxy),
+            ProcessAction::Start(list) => self.start_again(proxy, list),
+            ProcessAction::Stop(until) if self.processes[proxy].runs() => {
+                self.record.add(self.now, Observation::ProxyStalled { proxy, until: super::START + until });
                 self.processes[proxy].stopped = true;
             }
-            Act::Continue => self.go_on(proxy),
-            Act::Stop(_) | Act::Replace => {}
+            ProcessAction::Continue => self.go_on(proxy),
+            ProcessAction::Stop(_) | ProcessAction::Replace => {}
         }
     }
 
@@ -90,7 +90,7 @@
         self.proxy_due[proxy] = Micros::MAX;
     }
 
-    fn start_again(&mut self, proxy: usize, list: Known) {
+    fn start_again(&mut self, proxy: usize, list: InitialList) {
         let life = self.processes[proxy].life + 1;
         // The settings were good when the day began.
         let Ok(new) = engine(self.script, proxy, life, self.now) else { return };
@@ -98,8 +98,8 @@
         add(&mut self.past.0, &mut self.past.1, old.counts(), old.lease_counts());
         self.processes[proxy] = Process { life, ..Process::default() };
         self.proxy_due[proxy] = Micros::MAX;
-        self.record.add(self.now, Seen::Restarted { proxy });
-        if list == Known::Old {
+        self.record.add(self.now, Observation::ProxyRestarted { proxy });
+        if list == InitialList::Old {
             self.proxies[proxy]
                 .update_membership(self.now, MembershipUpdate::CachedSnapshot(&self.first_list));
             self.obey(proxy);
@@ -115,7 +115,7 @@
         let list: Vec<_> = (0..self.boxes.len()).map(|at_box| self.entry(at_box)).collect();
         for (at_box, entry) in list.iter().enumerate() {
             let ready = entry.readiness == balancer::api::Readiness::Ready;
-            self.record.add(self.now, Seen::Told { proxy, at_box, ready });
+            self.record.add(self.now, Observation::BackendNotified { proxy, backend: at_box, ready });
         }
         self.proxies[proxy].update_membership(self.now, MembershipUpdate::Snapshot(&list));
         self.obey(proxy);
--- a/crates/testbed/tests/connection_faults.rs
+++ b/crates/testbed/tests/connection_faults.rs
@@ -3,11 +3,11 @@
 //! the steady cases ejected healthy boxes 8 to 17 times.
 
 use balancer::api::Outcome;
-use testbed::matrix::{Case, Pattern, Row};
-use testbed::script::What;
+use testbed::connection_fault_matrix::{Case, Pattern, Row};
+use testbed::script::BackendFaultKind;
 
 /// Six boxes, some 360 requests.
-fn play(what: What, pattern: Pattern) -> Row {
+fn play(what: BackendFaultKind, pattern: Pattern) -> Row {
     let case = Case { what, pattern, boxes: 6, seconds: 4.0, seed: 20_261_201 };
     let row = case.play().expect("it plays");
     println!("{row}");
@@ -23,35 +23,35 @@
 fn is_borne(row: &Row) {
     assert!(row.day.hits >= 20, "{row}");
     assert!(row.day.ejections <= 4, "{row}");
-    let all = &row.day.judgement.all;
-    assert!(all.refused * 50 <= all.asked, "boxes with room were passed over: {row}");
-    assert!((all.in_time + all.late) * 20 >= all.asked * 19, "{row}");
+    let all = &row.day.judgement.total;
+    assert!(all.rejected * 50 <= all.requests, "boxes with room were passed over: {row}");
+    assert!((all.in_time + all.late) * 20 >= all.requests * 19, "{row}");
 }
 
 #[test]
 fn resets_under_requests_are_no_sick_boxes() {
-    let row = play(What::Reset, Pattern::Steady(0.1));
+    let row = play(BackendFaultKind::Reset, Pattern::Steady(0.1));
     is_borne(&row);
     assert!(told(&row, Outcome::Reset) >= 20, "they may have run: {row}");
 }
 
 #[test]
 fn resets_while_requests_come_are_no_sick_boxes() {
-    let row = play(What::ResetRequest, Pattern::Steady(0.1));
+    let row = play(BackendFaultKind::ResetRequest, Pattern::Steady(0.1));
     is_borne(&row);
     assert!(told(&row, Outcome::Reset) + told(&row, Outcome::ConnectFailed) >= 20, "{row}");
 }
 
 #[test]
 fn answers_that_break_off_are_no_sick_boxes() {
-    let row = play(What::BreakAnswer, Pattern::Steady(0.1));
+    let row = play(BackendFaultKind::BreakAnswer, Pattern::Steady(0.1));
     is_borne(&row);
     assert!(told(&row, Outcome::Reset) >= 20, "{row}");
 }
 
 #[test]
 fn closes_behind_answers_cost_next_to_nothing() {
-    let row = play(What::CloseAfter, Pattern::Steady(0.2));
+    let row = play(BackendFaultKind::CloseAfter, Pattern::Steady(0.2));
     is_borne(&row);
     let lost = told(&row, Outcome::Reset) + told(&row, Outcome::ConnectFailed);
     assert!(lost * 10 <= row.day.hits, "few requests were written to a connection that was closing: {row}");
@@ -59,7 +59,7 @@
 
 #[test]
 fn new_connections_that_are_reset_are_no_sick_boxes() {
-    let row = play(What::ResetNew, Pattern::Steady(0.1));
+    let row = play(BackendFaultKind::ResetNew, Pattern::Steady(0.1));
     // A request that was written before the reset was seen may have run.
     let lost = told(&row, Outcome::Reset) + told(&row, Outcome::ConnectFailed);
     assert!(row.day.hits >= 1 && lost >= 1, "{row}");
@@ -68,15 +68,15 @@
 
 #[test]
 fn kept_connections_that_fall_silent_are_no_sick_boxes() {
-    let row = play(What::Silence, Pattern::Steady(0.1));
+    let row = play(BackendFaultKind::Silence, Pattern::Steady(0.1));
     is_borne(&row);
     assert!(told(&row, Outcome::Timeout) >= 20, "each is given up in time for another attempt: {row}");
 }
 
 #[test]
 fn new_connections_that_are_read_late_cost_time_and_nothing_else() {
-    let row = play(What::AcceptLate, Pattern::Steady(0.5));
-    let all = &row.day.judgement.all;
+    let row = play(BackendFaultKind::AcceptLate, Pattern::Steady(0.5));
+    let all = &row.day.judgement.total;
     assert!(row.day.hits >= 1, "{row}");
-    assert_eq!((row.day.ejections, all.refused, all.failed), (0, 0, 0), "{row}");
+    assert_eq!((row.day.ejections, all.rejected, all.failed), (0, 0, 0), "{row}");
 }
--- a/crates/testbed/tests/laboratory.rs
+++ b/crates/testbed/tests/laboratory.rs
@@ -16,7 +16,8 @@
 use testbed::fleet::report::Row;
 use testbed::fleet::{FleetError, Machine, play};
 use testbed::script::{
-    Between, Known, LinkFault, ProcessFault, ProcessWhat, Script, ScriptError, Trouble, Way, What,
+    BackendFault, BackendFaultKind, Direction, InitialList, LinkEndpoints, LinkFault, ProcessFault,
+    ProcessFaultKind, Script, ScriptError,
 };
 
 fn script_path() -> PathBuf {
@@ -27,18 +28,18 @@
     Script::read(&script_path()).expect("a good script")
 }
 
-fn process(what: ProcessWhat, part: f64, for_s: f64) -> ProcessFault {
-    ProcessFault { what, at_s: 1.0, for_s, part, waves: 1, wave_s: 0.0, every_s: 0.0, list: Known::Old }
+fn process(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
+    ProcessFault { what, at_s: 1.0, for_s, part, waves: 1, wave_s: 0.0, every_s: 0.0, list: InitialList::Old }
 }
 
-fn link(between: Between) -> LinkFault {
+fn link(between: LinkEndpoints) -> LinkFault {
     LinkFault {
         between,
         at_s: 1.0,
         for_s: 1.0,
         part: 1.0,
         zone: None,
-        way: Way::Both,
+        way: Direction::Both,
         cut: false,
         delay_ms: 0.0,
         spread_ms: 0.0,
@@ -70,9 +71,16 @@
 #[test]
 fn seven_in_ten_killed_at_once_come_back_with_an_old_list_while_a_box_drains() {
     let mut script = script();
-    script.process = vec![process(ProcessWhat::Kill, 0.7, 0.5)];
-    let drain = Trouble { what: What::Drain, at_s: 0.7, for_s: 3.0, part: 0.1, zone: None, degree: 0.0 };
-    script.trouble = vec![drain];
+    script.process_faults = vec![process(ProcessFaultKind::Kill, 0.7, 0.5)];
+    let drain = BackendFault {
+        what: BackendFaultKind::Drain,
+        at_s: 0.7,
+        for_s: 3.0,
+        part: 0.1,
+        zone: None,
+        degree: 0.0,
+    };
+    script.backend_faults = vec![drain];
     let row = played(&script);
     assert!(row.missed > 0, "the front went on sending for a while: {row:?}");
     assert!(row.missed + row.excused < row.asked / 4, "{row:?}");
@@ -82,7 +90,7 @@
 #[test]
 fn a_third_that_stands_still_for_two_seconds_answers_when_it_goes_on() {
     let mut script = script();
-    script.process = vec![process(ProcessWhat::Stall, 0.33, 2.0)];
+    script.process_faults = vec![process(ProcessFaultKind::Stall, 0.33, 2.0)];
     let row = played(&script);
     assert!(row.p99_ms > 600.0 || row.excused + row.refused + row.failed > 0, "the stall shows: {row:?}");
     assert_eq!(row.missed, 0, "a process that stands is not gone: {row:?}");
@@ -91,9 +99,9 @@
 #[test]
 fn processes_told_to_end_and_processes_replaced_lose_nothing() {
     let mut script = script();
-    let ended = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessWhat::End, 0.25, 0.5) };
-    let replaced = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessWhat::Replace, 0.25, 0.0) };
-    script.process = vec![ended, replaced];
+    let ended = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::End, 0.25, 0.5) };
+    let replaced = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::Replace, 0.25, 0.0) };
+    script.process_faults = vec![ended, replaced];
     let row = played(&script);
     assert_eq!((row.excused, row.failed), (0, 0), "{row:?}");
     assert!(row.missed * 20 <= row.asked, "{row:?}");
@@ -102,12 +110,12 @@
 #[test]
 fn links_that_are_slow_lossy_or_cut_break_no_rule() {
     let mut script = script();
-    let slow = LinkFault { part: 0.3, delay_ms: 200.0, spread_ms: 50.0, ..link(Between::Boxes) };
-    let lossy = LinkFault { at_s: 2.0, part: 0.3, drop: 0.2, ..link(Between::Boxes) };
-    let cut = LinkFault { part: 0.5, cut: true, ..link(Between::Discovery) };
-    let clients = LinkFault { part: 0.2, at_s: 2.0, for_s: 0.5, cut: true, ..link(Between::Clients) };
-    script.link = vec![slow, lossy, cut, clients];
-    let calm = play(&Script { link: Vec::new(), ..script.clone() }, &machine()).expect("it plays");
+    let slow = LinkFault { part: 0.3, delay_ms: 200.0, spread_ms: 50.0, ..link(LinkEndpoints::Boxes) };
+    let lossy = LinkFault { at_s: 2.0, part: 0.3, drop: 0.2, ..link(LinkEndpoints::Boxes) };
+    let cut = LinkFault { part: 0.5, cut: true, ..link(LinkEndpoints::Discovery) };
+    let clients = LinkFault { part: 0.2, at_s: 2.0, for_s: 0.5, cut: true, ..link(LinkEndpoints::Clients) };
+    script.link_faults = vec![slow, lossy, cut, clients];
+    let calm = play(&Script { link_faults: Vec::new(), ..script.clone() }, &machine()).expect("it plays");
     let row = played(&script);
     assert!(row.p50_ms > calm.p50_ms || row.p99_ms > calm.p99_ms, "{row:?}\n{calm:?}");
 }
--- a/crates/testbed/tests/relays.rs
+++ b/crates/testbed/tests/relays.rs
@@ -10,7 +10,7 @@
 use testbed::address;
 use testbed::fleet::relay::{Carried, Clock, datagrams, streams};
 use testbed::links::Links;
-use testbed::script::{Between, Script};
+use testbed::script::{LinkEndpoints, Script};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::task::LocalSet;
@@ -77,8 +77,8 @@
             { between = \"boxes\", at_s = 0.0, for_s = 0.5, cut = true, zone = 0 }";
         let (links, clock, server) = (links(delay), begun(), echo().await);
         let began = Instant::now();
-        let port =
-            streams(&links, &clock, Between::Boxes, 2, Rc::new(move |_| Some(server))).expect("a relay");
+        let port = streams(&links, &clock, LinkEndpoints::Boxes, 2, Rc::new(move |_| Some(server)))
+            .expect("a relay");
         // Proxy 1 lies in zone 1: 60 ms each way.
         let mut slow = TcpStream::connect(caller(1, port)).await.expect("it comes up");
         assert!(round(&mut slow).await.expect("carried") >= Duration::from_millis(120));
@@ -94,14 +94,15 @@
     run(async {
         let (links, clock) = (links(""), begun());
         let gone = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("its address");
-        let port = streams(&links, &clock, Between::Boxes, 0, Rc::new(move |_| Some(gone))).expect("a relay");
+        let port =
+            streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(gone))).expect("a relay");
         let mut stream = TcpStream::connect(caller(0, port)).await.expect("the relay listens");
         assert!(round(&mut stream).await.is_err(), "nobody is there");
 
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let server = listener.local_addr().expect("its address");
-        let port =
-            streams(&links, &clock, Between::Boxes, 0, Rc::new(move |_| Some(server))).expect("a relay");
+        let port = streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(server)))
+            .expect("a relay");
         let caller = TcpStream::connect(caller(0, port)).await.expect("the relay listens");
         let (mut accepted, _) = listener.accept().await.expect("carried");
         drop(caller);
@@ -113,8 +114,8 @@
 fn a_relay_is_reached_over_loopback_alone() {
     run(async {
         let (links, clock, server) = (links(""), begun(), echo().await);
-        let port =
-            streams(&links, &clock, Between::Boxes, 0, Rc::new(move |_| Some(server))).expect("a relay");
+        let port = streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(server)))
+            .expect("a relay");
         // Whoever calls under no proxy's address is let go without a byte.
         let mut stranger = TcpStream::connect(("127.0.0.1", port)).await.expect("loopback");
         assert!(round(&mut stranger).await.is_err());
--- a/crates/testbed/tests/restarts.rs
+++ b/crates/testbed/tests/restarts.rs
@@ -8,13 +8,13 @@
 
 use machine::machine;
 use std::path::Path;
-use testbed::call_queue::{CallQueue, Fate};
+use testbed::call_queue::{CallOutcome, CallQueue};
 use testbed::fleet::play;
 use testbed::fleet::report::line;
-use testbed::judge::Seen;
-use testbed::plan::{Act, Plan};
+use testbed::invariant_checker::Observation;
+use testbed::plan::{Plan, ProcessAction};
 use testbed::restarts::{READY_TIMEOUT, Restarts, measure};
-use testbed::script::{Known, Script, ScriptError};
+use testbed::script::{InitialList, Script, ScriptError};
 
 fn script() -> Script {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts/restarts-30.toml");
@@ -22,9 +22,9 @@
 }
 
 /// The same with another list at the restart, which is the script's second fault of processes.
-fn starting_with(list: Known) -> Script {
+fn starting_with(list: InitialList) -> Script {
     let mut script = script();
-    script.process[1].list = list;
+    script.process_faults[1].list = list;
     script
 }
 
@@ -41,7 +41,7 @@
 #[test]
 fn nine_in_ten_are_ready_with_an_old_list_and_with_none_at_all() {
     let played = |list| move || (list, played(&starting_with(list)));
-    let days = [Known::Old, Known::Nothing].map(|list| std::thread::spawn(played(list)));
+    let days = [InitialList::Old, InitialList::Nothing].map(|list| std::thread::spawn(played(list)));
     for day in days {
         let (list, restarts) = day.join().expect("the day is played");
         assert!(restarts.restarted == 21 && restarts.is_soon(), "{list:?}: {restarts:?}");
@@ -51,7 +51,7 @@
 /// A service that takes two seconds a call gives six of seven no list in time: that is seen.
 #[test]
 fn a_service_that_answers_too_few_is_seen() {
-    let mut script = starting_with(Known::Nothing);
+    let mut script = starting_with(InitialList::Nothing);
     (script.fleet.proxies, script.seconds) = (10, 3.0);
     script.discovery.call_ms = [2_000.0, 2_000.0];
     let restarts = played(&script);
@@ -60,8 +60,8 @@
 
 #[test]
 fn those_that_never_say_so_are_not_ready() {
-    let restarted = |at, proxy| (at, Seen::Restarted { proxy });
-    let up = |at, proxy| (at, Seen::Up { proxy });
+    let restarted = |at, proxy| (at, Observation::ProxyRestarted { proxy });
+    let up = |at, proxy| (at, Observation::ProxyReady { proxy });
     let mut seen: Vec<_> = (0..10).map(|proxy| restarted(5, proxy)).collect();
     assert_eq!(measure(&[]), None);
     assert!(measure(&seen).is_some_and(|r| (r.restarted, r.in_time) == (10, 0) && !r.is_soon()));
@@ -74,10 +74,10 @@
     seen.push(up(READY_TIMEOUT + 6, 8));
     assert!(measure(&seen).is_some_and(|r| r.in_time == 8 && !r.is_soon()));
     // One that was killed again before its time was over counts no more; one that had its time does.
-    seen.push((READY_TIMEOUT + 4, Seen::Killed { proxy: 9 }));
+    seen.push((READY_TIMEOUT + 4, Observation::ProxyKilled { proxy: 9 }));
     assert_eq!(measure(&seen).map(|r| r.restarted), Some(9));
     seen.pop();
-    seen.push((READY_TIMEOUT + 5, Seen::Killed { proxy: 9 }));
+    seen.push((READY_TIMEOUT + 5, Observation::ProxyKilled { proxy: 9 }));
     assert_eq!(measure(&seen).map(|r| r.restarted), Some(10));
 }
 
@@ -86,8 +86,8 @@
     let mut calls = CallQueue::new((60_000, 160_000), 2_000_000, 1);
     let fates: Vec<_> = (0..60).map(|_| calls.come(1_000_000)).collect();
     let done = fates.iter().filter_map(|fate| match fate {
-        Fate::Done(at) => Some(*at),
-        Fate::Failed(at) => {
+        CallOutcome::Done(at) => Some(*at),
+        CallOutcome::Failed(at) => {
             assert_eq!(*at, 3_000_000, "2 s after it came");
             None
         }
@@ -97,7 +97,7 @@
     assert!(gaps.clone().all(|gap| (60_000..=160_000).contains(&gap)), "{fates:?}");
     assert!(done.len() < 60 && done.last().is_some_and(|&last| (3_000_000..=3_160_000).contains(&last)));
     // What failed cost the service nothing: a call after that is worked through at once.
-    assert!(matches!(calls.come(4_000_000), Fate::Done(at) if at <= 4_160_000));
+    assert!(matches!(calls.come(4_000_000), CallOutcome::Done(at) if at <= 4_160_000));
 }
 
 #[test]
@@ -106,10 +106,10 @@
     let plan = Plan::draw(&script);
     let of = |proxy: usize| plan.processes.iter().filter(move |event| event.proxy == proxy);
     for proxy in 0..30 {
-        let stops: Vec<_> = of(proxy).filter(|e| matches!(e.act, Act::Stop(_))).collect();
+        let stops: Vec<_> = of(proxy).filter(|e| matches!(e.action, ProcessAction::Stop(_))).collect();
         assert!(stops.len() >= 112, "{} stalls in 11.3 s", stops.len());
         assert!(stops.windows(2).all(|pair| pair[1].at - pair[0].at == 100_000));
-        let runs = of(proxy).filter(|e| e.act == Act::Continue).zip(&stops);
+        let runs = of(proxy).filter(|e| e.action == ProcessAction::Continue).zip(&stops);
         assert!(runs.clone().all(|(goes_on, stop)| goes_on.at - stop.at == 90_000));
     }
     let first: std::collections::HashSet<_> =
@@ -127,9 +127,9 @@
             other => panic!("{other:?}"),
         }
     };
-    assert_eq!(refused(|s| s.process[0].every_s = 0.09), "process[0].every_s");
-    assert_eq!(refused(|s| s.process[1].every_s = 1.0), "process[1].every_s");
+    assert_eq!(refused(|s| s.process_faults[0].every_s = 0.09), "process[0].every_s");
+    assert_eq!(refused(|s| s.process_faults[1].every_s = 1.0), "process[1].every_s");
     assert_eq!(refused(|s| s.discovery.call_ms = [60.0, 10.0]), "discovery.call_ms[0]");
     assert_eq!(refused(|s| s.discovery.fails_after_ms = -1.0), "discovery.fails_after_ms");
-    assert_eq!(refused(|s| s.fleet.told_cold_s = Some(-1.0)), "fleet.told_cold_s");
+    assert_eq!(refused(|s| s.fleet.configured_warm_up_s = Some(-1.0)), "fleet.told_cold_s");
 }
--- a/crates/testbed/tests/cold_sums.rs
+++ b/crates/testbed/tests/slow_start_load.rs
@@ -10,12 +10,12 @@
 use machine::machine;
 use proptest::prelude::*;
 use std::path::Path;
-use testbed::cold_sums::{ColdUse, allowed, bound, measure};
 use testbed::fleet::play;
 use testbed::fleet::report::{Row, in_virtual_time, line};
-use testbed::judge::{Got, Seen};
+use testbed::invariant_checker::{Observation, ResponseKind};
 use testbed::plan::Plan;
-use testbed::script::{Known, ProcessFault, ProcessWhat, Script, Trouble, What};
+use testbed::script::{BackendFault, BackendFaultKind, InitialList, ProcessFault, ProcessFaultKind, Script};
+use testbed::slow_start_load::{SlowStartLoad, allowed, bound, measure};
 
 /// Thirty processes before ten backends, three of which come back cold at once.
 fn script() -> Script {
@@ -26,15 +26,16 @@
 /// The same with thirty backends, a third of them cold, and work of so many milliseconds.
 fn ten_of_thirty(work_ms: f64) -> Script {
     let mut script = script();
-    (script.fleet.boxes, script.trouble[0].part) = (30, 1.0 / 3.0);
+    (script.fleet.backends, script.backend_faults[0].part) = (30, 1.0 / 3.0);
     with_work(script, work_ms)
 }
 
 /// The load stays; who asks for more work waits for longer.
 fn with_work(mut script: Script, work_ms: f64) -> Script {
-    for class in &mut script.class {
+    for class in &mut script.classes {
         class.work_ms = [work_ms / 2.0, work_ms * 1.5];
-        (class.aim_ms, class.deadline_ms) = ((work_ms * 10.0) as u64 + 140, (work_ms * 20.0) as u64 + 700);
+        (class.latency_objective_ms, class.deadline_ms) =
+            ((work_ms * 10.0) as u64 + 140, (work_ms * 20.0) as u64 + 700);
     }
     script.traffic.per_s = 0.8 * script.capacity_per_s();
     script.check().expect("it can be played");
@@ -43,21 +44,29 @@
 
 /// Four backends, each dead for half a second, one after another.
 fn one_by_one(mut script: Script) -> Script {
-    let crash = |at_s| Trouble { what: What::Crash, at_s, for_s: 0.4, part: 0.1, zone: None, degree: 0.0 };
-    script.trouble = [0.2, 0.7, 1.2, 1.7].map(crash).to_vec();
+    let crash = |at_s| BackendFault {
+        what: BackendFaultKind::Crash,
+        at_s,
+        for_s: 0.4,
+        part: 0.1,
+        zone: None,
+        degree: 0.0,
+    };
+    script.backend_faults = [0.2, 0.7, 1.2, 1.7].map(crash).to_vec();
     script
 }
 
 /// Backends that hold two requests and turn the rest away, which counts as work that reached them. They begin at the least
 /// part that sites have: where it is 0.05 budgets are used up to the bound, and chance leads beyond it in 4 of 1,000 days.
 fn turned_away(mut script: Script) -> Script {
-    (script.fleet.holds, script.fleet.cold_from) = (2.0, script.fleet.cold_from.max(0.15));
+    (script.fleet.queue_per_core, script.fleet.initial_capacity) =
+        (2.0, script.fleet.initial_capacity.max(0.15));
     script
 }
 
 /// No process's settings let it take a cold backend for one.
 fn with_wrong_budgets(mut script: Script) -> Script {
-    script.fleet.told_cold_s = Some(0.0);
+    script.fleet.configured_warm_up_s = Some(0.0);
     script
 }
 
@@ -65,7 +74,7 @@
 /// rule 4 is older and narrower where N is small (N and two requests): it is left to the days of the other tests. So is
 /// rule 1 over processes, which is a matter of time: where two cores have other work beside two of these days, answers
 /// came more than its second of slack late. Virtual time judges it to the microsecond.
-fn holds(row: &Row, starts: u64) -> ColdUse {
+fn holds(row: &Row, starts: u64) -> SlowStartLoad {
     println!("{}", line(row));
     let first = usize::from(row.way == "processes");
     assert!(row.broken[first..3].iter().all(|&broken| broken == 0), "{row:?}");
@@ -87,7 +96,7 @@
 #[test]
 fn ten_of_thirty_at_once() {
     let mut script = ten_of_thirty(100.0);
-    script.fleet.cold_from = 0.15;
+    script.fleet.initial_capacity = 0.15;
     holds(&played(&script), 10);
 }
 
@@ -102,16 +111,16 @@
 #[test]
 fn over_a_replacement_of_all_processes_that_hand_on_what_they_learnt() {
     let mut script = script();
-    (script.trouble[0].at_s, script.trouble[0].for_s, script.seconds) = (1.5, 0.4, 5.5);
-    script.process = vec![ProcessFault {
-        what: ProcessWhat::Replace,
+    (script.backend_faults[0].at_s, script.backend_faults[0].for_s, script.seconds) = (1.5, 0.4, 5.5);
+    script.process_faults = vec![ProcessFault {
+        what: ProcessFaultKind::Replace,
         at_s: 2.0,
         for_s: 0.0,
         part: 1.0,
         waves: 3,
         wave_s: 0.6,
         every_s: 0.0,
-        list: Known::Old,
+        list: InitialList::Old,
     }];
     let row = played(&script);
     assert!(row.handed_on >= 10, "{} of 30 went on from what was learnt", row.handed_on);
@@ -122,7 +131,7 @@
 #[test]
 fn processes_with_wrong_budgets_push_a_backend_over() {
     let mut script = with_wrong_budgets(script());
-    script.fleet.cold_from = 0.01;
+    script.fleet.initial_capacity = 0.01;
     let row = played(&script);
     println!("{}", line(&row));
     assert!(row.cold.is_some_and(|cold| cold.most > 1.0), "{row:?}");
@@ -134,7 +143,7 @@
 fn backends_are_cold_by_whatever_wall_clock_their_starts_are_told() {
     for behind_s in [3_600.0, -3_600.0, 30.0] {
         let mut script = script();
-        (script.fleet.cold_from, script.fleet.clock_behind_s) = (0.01, behind_s);
+        (script.fleet.initial_capacity, script.fleet.clock_behind_s) = (0.01, behind_s);
         println!("{behind_s} s behind");
         holds(&played(&script), 3);
     }
@@ -145,9 +154,9 @@
 fn a_light_first_class_makes_no_budget_larger() {
     for seed in 1..=4 {
         let mut script = Script { seed, ..script() };
-        (script.class[0].share, script.class[1].share) = (0.05, 0.95);
-        script.class[0].work_ms = [1.0, 3.0];
-        (script.class[0].aim_ms, script.class[0].deadline_ms) = (10, 100);
+        (script.classes[0].share, script.classes[1].share) = (0.05, 0.95);
+        script.classes[0].work_ms = [1.0, 3.0];
+        (script.classes[0].latency_objective_ms, script.classes[0].deadline_ms) = (10, 100);
         script.traffic.per_s = 0.8 * script.capacity_per_s();
         script.seconds = 8.0;
         script.check().expect("it can be played");
@@ -161,7 +170,7 @@
         for work_ms in [40.0, 100.0, 400.0] {
             for cold_from in [0.05, 0.15, 0.33] {
                 let with = |mut script: Script| {
-                    (script.seed, script.fleet.cold_from) = (seed, cold_from);
+                    (script.seed, script.fleet.initial_capacity) = (seed, cold_from);
                     // So long that a cold backend gets something also where work is heavy.
                     script.seconds = script.seconds.max(work_ms / 40.0);
                     in_virtual_time(&script).expect("it plays")
@@ -204,15 +213,15 @@
     assert!((bound(9.0) - 17.0).abs() < 1e-9);
 }
 
-fn began(at: u64, id: u64, work: u64) -> (u64, Seen) {
-    (at, Seen::Began { id, at_box: 1, work })
+fn began(at: u64, id: u64, work: u64) -> (u64, Observation) {
+    (at, Observation::AttemptStarted { id, backend: 1, work })
 }
 
-fn use_of(seen: &[(u64, Seen)]) -> Option<ColdUse> {
+fn use_of(seen: &[(u64, Observation)]) -> Option<SlowStartLoad> {
     measure(&script(), &Plan::default(), seen)
 }
 
-const STARTED: (u64, Seen) = (1_000_000, Seen::Started { at_box: 1 });
+const STARTED: (u64, Observation) = (1_000_000, Observation::BackendStarted { backend: 1 });
 
 #[test]
 fn one_request_more_than_the_bound_is_seen() {
@@ -226,13 +235,15 @@
     assert!(use_of(&at_once(most + 1)).expect("one started").most > 1.0);
     // As many turned away are work that reached it, too.
     let mut turned: Vec<_> = at_once(most);
-    turned.push((1_100_000, Seen::TurnedAway { id: 99, at_box: 1 }));
+    turned.push((1_100_000, Observation::AttemptRejected { id: 99, backend: 1 }));
     assert!(use_of(&turned).expect("one started").most > 1.0);
     // Of half the mean's work there may be twice as many.
     let light: Vec<_> = at_once(most * 2)
         .into_iter()
         .map(|(at, seen)| match seen {
-            Seen::Began { id, at_box, .. } => (at, Seen::Began { id, at_box, work: MEAN / 2 }),
+            Observation::AttemptStarted { id, backend: at_box, .. } => {
+                (at, Observation::AttemptStarted { id, backend: at_box, work: MEAN / 2 })
+            }
             other => (at, other),
         })
         .collect();
@@ -248,7 +259,8 @@
     assert!(use_of(&spread).expect("one started").most <= 1.0);
     // The same after it started anew is nothing that the first life had.
     assert_eq!(use_of(&twice.collect::<Vec<_>>()), None, "nobody started");
-    let others: Vec<_> = (0..99).map(|id| (1_000_000, Seen::Began { id, at_box: 2, work: MEAN })).collect();
+    let others: Vec<_> =
+        (0..99).map(|id| (1_000_000, Observation::AttemptStarted { id, backend: 2, work: MEAN })).collect();
     let others: Vec<_> = [STARTED].into_iter().chain(others).collect();
     assert!(use_of(&others).expect("one started").most.abs() < f64::EPSILON);
     // Warm since a window: any number.
@@ -259,8 +271,8 @@
 
 #[test]
 fn the_used_part_and_what_was_refused_meanwhile() {
-    let asked = |at, id| (at, Seen::Asked { id, class: 0, end: at + 1_500_000, proxy: 0 });
-    let refused = |at, id| (at, Seen::Answered { id, got: Got::Refused });
+    let asked = |at, id| (at, Observation::RequestSent { id, class: 0, end: at + 1_500_000, proxy: 0 });
+    let refused = |at, id| (at, Observation::ResponseReceived { id, kind: ResponseKind::Rejected });
     let first = bound(allowed(&script(), 1, 0));
     let second = bound(allowed(&script(), 1, WINDOW));
     let seen = [
