--- a/crates/testbed/tests/spread.rs
+++ b/crates/testbed/tests/spread.rs
@@ -4,7 +4,7 @@
 
 use std::path::Path;
 use testbed::fleet::report::{Row, in_virtual_time, references};
-use testbed::script::{Known, ProcessFault, ProcessWhat, Script, Trouble, What};
+use testbed::script::{BackendFault, BackendFaultKind, InitialList, ProcessFault, ProcessFaultKind, Script};
 
 fn script(load: f64) -> Script {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts/spread-200.toml");
@@ -50,19 +50,19 @@
     }
 }
 
-fn process(what: ProcessWhat, part: f64, for_s: f64) -> ProcessFault {
-    ProcessFault { what, at_s: 1.0, for_s, part, waves: 1, wave_s: 0.0, every_s: 0.0, list: Known::Old }
+fn process(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
+    ProcessFault { what, at_s: 1.0, for_s, part, waves: 1, wave_s: 0.0, every_s: 0.0, list: InitialList::Old }
 }
 
-fn trouble(what: What, at_s: f64, for_s: f64, part: f64) -> Trouble {
-    Trouble { what, at_s, for_s, part, zone: None, degree: 0.0 }
+fn trouble(what: BackendFaultKind, at_s: f64, for_s: f64, part: f64) -> BackendFault {
+    BackendFault { what, at_s, for_s, part, zone: None, degree: 0.0 }
 }
 
 #[test]
 fn seven_in_ten_killed_at_once_are_no_reason_to_refuse() {
     let mut script = script(0.6);
-    let kill = process(ProcessWhat::Kill, 0.7, 1.0);
-    script.process = vec![kill];
+    let kill = process(ProcessFaultKind::Kill, 0.7, 1.0);
+    script.process_faults = vec![kill];
     let (row, _) = both(&script);
     assert!(row.missed + row.excused > 0, "the kill shows");
     assert!(row.refused * 100 <= row.asked, "{} of {} refused", row.refused, row.asked);
@@ -83,7 +83,7 @@
 #[test]
 fn a_thousand_proxies_before_three_hundred_boxes() {
     let mut script = script(0.6);
-    (script.fleet.proxies, script.fleet.boxes, script.seconds) = (1_000, 300, 3.0);
+    (script.fleet.proxies, script.fleet.backends, script.seconds) = (1_000, 300, 3.0);
     let (row, chance) = both(&at_load(script, 0.6));
     assert!(row.asked > 10_000 && row.worth >= chance.worth - 0.02, "{} beside {}", row.worth, chance.worth);
 }
@@ -95,8 +95,8 @@
     for (proxies, boxes, per_s) in [(200, 60, 200.0), (1, 10, 10.0)] {
         for seed in 1..=5 {
             let mut script = Script { seed, seconds: 10.0, ..script(0.13) };
-            (script.fleet.proxies, script.fleet.boxes, script.traffic.per_s) = (proxies, boxes, per_s);
-            script.trouble = vec![trouble(What::Drain, 2.0, 2.0, 0.2)];
+            (script.fleet.proxies, script.fleet.backends, script.traffic.per_s) = (proxies, boxes, per_s);
+            script.backend_faults = vec![trouble(BackendFaultKind::Drain, 2.0, 2.0, 0.2)];
             let row = in_virtual_time(&script).expect("it plays");
             assert_eq!(row.broken, [0; 4], "{row:?}");
             let first = &row.spread.first_use_s;
@@ -112,7 +112,7 @@
 #[test]
 fn a_third_that_stood_still_costs_little_more_than_what_came_to_it() {
     let mut script = script(0.6);
-    script.process = vec![process(ProcessWhat::Stall, 0.33, 2.0)];
+    script.process_faults = vec![process(ProcessFaultKind::Stall, 0.33, 2.0)];
     let (row, _) = both(&script);
     assert!(row.p99_ms > 1_500.0, "the stall shows: {row:?}");
     assert!(row.refused * 100 <= row.asked * 8, "{} of {} refused", row.refused, row.asked);
@@ -123,9 +123,10 @@
 #[test]
 fn most_boxes_replaced_while_all_proxies_restart() {
     let mut script = Script { seconds: 12.0, ..script(0.5) };
-    let crashes = [2.0, 4.0, 6.0, 8.0].map(|at_s| trouble(What::Crash, at_s, 1.0, 0.15));
-    script.trouble = crashes.to_vec();
-    script.process = vec![ProcessFault { waves: 10, wave_s: 0.7, ..process(ProcessWhat::End, 1.0, 0.5) }];
+    let crashes = [2.0, 4.0, 6.0, 8.0].map(|at_s| trouble(BackendFaultKind::Crash, at_s, 1.0, 0.15));
+    script.backend_faults = crashes.to_vec();
+    script.process_faults =
+        vec![ProcessFault { waves: 10, wave_s: 0.7, ..process(ProcessFaultKind::End, 1.0, 0.5) }];
     let (row, _) = both(&script);
     // 0.87 and 0.19 where a cold box's budget was given to proxies with a slot there alone.
     assert!(row.worth > 0.9 && row.spread.least > 0.35, "{row:?}");
