--- a/crates/control-plane/src/failover.rs
+++ b/crates/control-plane/src/failover.rs
@@ -1,177 +1,181 @@
-//! Which relay to call, and when: in an order of one's own (rendezvous hashing of names), with backoff and jitter, so that
-//! the subscribers of a relay that is gone spread over all others and don't come at one moment.
+//! Relay selection: each subscriber has its own order of relays (rendezvous hashing of names) and reconnects with backoff
+//! and jitter, so that the subscribers of a failed relay spread over all others and over time.
 
 use crate::Millis;
 use std::ops::RangeInclusive;
 use twox_hash::XxHash3_64;
 
-/// What a party without a connection does.
+/// The next action of a node without a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// Call this relay (its place in the list that was given) now.
-    Call(usize),
-    /// Wait until then and ask again.
-    Wait(Millis),
+pub enum Action {
+    /// Connect now to this relay (an index into the given list).
+    Connect(usize),
+    /// Wait until this time, then request the next action.
+    WaitUntil(Millis),
 }
 
-/// How long upstream may say nothing before it is taken to be gone, milliseconds. It says something each second.
-pub const MAX_SILENCE: Millis = 2_500;
-/// The first call comes within this time, so that parties which start together don't call together.
-const FIRST: RangeInclusive<Millis> = 0..=300;
-/// After a loss the next relay is called within this time: a relay's subscribers are some hundreds.
-const AFTER_LOSS: RangeInclusive<Millis> = 0..=500;
-/// After all failed in a row the wait begins here and doubles, half of it jitter.
-const BACKOFF: Millis = 250;
-/// It grows no further than this.
+/// How long upstream may send nothing before its connection counts as lost, milliseconds; it sends at least each second.
+pub const SILENCE_TIMEOUT: Millis = 2_500;
+/// Delay of the first connection, milliseconds: nodes that start together don't connect together.
+const FIRST_CONNECT_DELAY: RangeInclusive<Millis> = 0..=300;
+/// Delay of the connection to the next relay after a loss, milliseconds: a relay may have hundreds of subscribers.
+const RECONNECT_DELAY: RangeInclusive<Millis> = 0..=500;
+/// Backoff after all relays have failed in a row, milliseconds; it doubles each time, and half of it is jitter.
+const MIN_BACKOFF: Millis = 250;
+/// The longest backoff, milliseconds.
 const MAX_BACKOFF: Millis = 2_000;
-/// A connection that lasted this long was a good one: the order starts again at its top.
-const GOOD: Millis = 10_000;
-/// How long one stays elsewhere before it tries the first relay of its order: so long that a relay which came back isn't
-/// overrun, so short that load is even again after some minutes.
-const ELSEWHERE: RangeInclusive<Millis> = 30_000..=90_000;
-/// While the first relay stays away it is tried less and less often, down to once in 16 times as long.
-const MAX_DOUBLINGS: u32 = 4;
+/// Doublings of the backoff that are computed; more would exceed [`MAX_BACKOFF`] in any case.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// After a connection of at least this duration the order starts again with the preferred relay, milliseconds.
+const STABLE_CONNECTION: Millis = 10_000;
+/// Delay until a subscriber of another relay probes the preferred one, milliseconds: long enough not to overrun a relay
+/// that has come back, short enough to balance load again within minutes.
+const PROBE_DELAY: RangeInclusive<Millis> = 30_000..=90_000;
+/// The probe delay doubles with each failed probe, this many times at the most.
+const MAX_PROBE_DOUBLINGS: u32 = 4;
 
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// Not asked yet.
-    Begin,
-    Waiting(Millis),
-    Calling,
+    /// No action was requested yet.
+    Initial,
+    WaitingUntil(Millis),
+    Connecting,
     Connected {
         since: Millis,
-        /// When the first relay of the order is tried beside this one.
-        probe: Millis,
+        /// When the preferred relay is probed beside this one.
+        probe_at: Millis,
     },
 }
 
-/// Where one subscriber turns to.
+/// The relay selection of one subscriber.
 #[derive(Debug)]
 pub struct Failover {
-    /// Places in the list, the preferred one first.
+    /// Indexes into the list of relays, the preferred one first.
     order: Vec<usize>,
-    /// Which of them is called next, or is connected.
-    place: usize,
+    /// The position in `order` that is connected, or is connected to next.
+    position: usize,
     phase: Phase,
-    /// Failed calls in a row.
+    /// Failed connections in a row.
     failures: usize,
-    /// Probes of the first relay in a row that failed.
-    probes: u32,
-    random: u64,
+    /// Failed probes of the preferred relay in a row.
+    failed_probes: u32,
+    random_state: u64,
 }
 
 impl Failover {
-    /// For a subscriber of this name and relays of these names.
+    /// The selection of a subscriber of this name among relays of these names; `seed` varies the jitter.
     #[must_use]
     pub fn new(name: &str, relays: &[String], seed: u64) -> Self {
-        let weight = |place: &usize| {
-            let relay = &relays[*place];
+        let rank = |index: &usize| {
+            let relay = &relays[*index];
             let text = [name.as_bytes(), &[0], relay.as_bytes()].concat();
             (std::cmp::Reverse(XxHash3_64::oneshot(&text)), relay)
         };
         let mut order: Vec<usize> = (0..relays.len()).collect();
-        order.sort_by(|one, other| weight(one).cmp(&weight(other)));
-        let random = seed ^ XxHash3_64::oneshot(name.as_bytes());
-        Self { order, place: 0, phase: Phase::Begin, failures: 0, probes: 0, random }
+        order.sort_by(|left, right| rank(left).cmp(&rank(right)));
+        let random_state = seed ^ XxHash3_64::oneshot(name.as_bytes());
+        Self { order, position: 0, phase: Phase::Initial, failures: 0, failed_probes: 0, random_state }
     }
 
-    /// The relays in its order, the preferred one first, as places in the list that was given.
+    /// The relays in order of preference, as indexes into the given list.
     #[must_use]
     pub fn order(&self) -> &[usize] {
         &self.order
     }
 
-    /// What to do, while there is no connection.
-    pub fn act(&mut self, now: Millis) -> Act {
+    /// The next action without a connection.
+    pub fn next_action(&mut self, now: Millis) -> Action {
         if self.order.is_empty() {
-            return Act::Wait(now + MAX_BACKOFF);
+            return Action::WaitUntil(now + MAX_BACKOFF);
         }
-        if matches!(self.phase, Phase::Begin) {
-            self.phase = Phase::Waiting(now + self.within(FIRST));
+        if matches!(self.phase, Phase::Initial) {
+            self.phase = Phase::WaitingUntil(now + self.random_in(FIRST_CONNECT_DELAY));
         }
         match self.phase {
-            Phase::Waiting(until) if now < until => Act::Wait(until),
+            Phase::WaitingUntil(until) if now < until => Action::WaitUntil(until),
             _ => {
-                self.phase = Phase::Calling;
-                Act::Call(self.order[self.place])
+                self.phase = Phase::Connecting;
+                Action::Connect(self.order[self.position])
             }
         }
     }
 
-    /// The relay called welcomed it.
-    pub fn connected(&mut self, now: Millis) {
-        let wait = self.within(ELSEWHERE) << self.probes;
-        self.phase = Phase::Connected { since: now, probe: now + wait };
+    /// The relay has sent its welcome.
+    pub fn on_connected(&mut self, now: Millis) {
+        let delay = self.random_in(PROBE_DELAY) << self.failed_probes;
+        self.phase = Phase::Connected { since: now, probe_at: now + delay };
     }
 
-    /// The connection ended, never came up, or fell silent.
-    pub fn lost(&mut self, now: Millis) {
+    /// The connection ended, was not established, or timed out.
+    pub fn on_lost(&mut self, now: Millis) {
         let count = self.order.len().max(1);
         if let Phase::Connected { since, .. } = self.phase
-            && now.saturating_sub(since) >= GOOD
+            && now.saturating_sub(since) >= STABLE_CONNECTION
         {
-            // The top of the order, unless that is what was lost.
-            self.place = usize::from(self.place == 0) % count;
+            // The preferred relay is next, unless that is the one that was lost.
+            self.position = usize::from(self.position == 0) % count;
             self.failures = usize::from(count == 1);
         } else {
-            self.place = (self.place + 1) % count;
+            self.position = (self.position + 1) % count;
             self.failures += 1;
         }
-        let wait = if self.failures > 0 && self.failures.is_multiple_of(count) {
+        let delay = if self.failures > 0 && self.failures.is_multiple_of(count) {
             let doublings = u32::try_from(self.failures / count - 1).unwrap_or(u32::MAX);
-            let wait = BACKOFF.checked_shl(doublings.min(16)).unwrap_or(MAX_BACKOFF).min(MAX_BACKOFF);
-            wait / 2 + self.within(0..=wait / 2)
+            let backoff = MIN_BACKOFF.checked_shl(doublings.min(MAX_BACKOFF_DOUBLINGS));
+            let backoff = backoff.unwrap_or(MAX_BACKOFF).min(MAX_BACKOFF);
+            backoff / 2 + self.random_in(0..=backoff / 2)
         } else {
-            self.within(AFTER_LOSS)
+            self.random_in(RECONNECT_DELAY)
         };
-        self.phase = Phase::Waiting(now + wait);
+        self.phase = Phase::WaitingUntil(now + delay);
     }
 
-    /// While connected elsewhere: when the first relay of the order is to be tried. `None`: it is connected to that one, or
-    /// has no connection.
+    /// When to probe the preferred relay; `None` while connected to that one or not connected.
     #[must_use]
     pub fn probe_at(&self) -> Option<Millis> {
         match self.phase {
-            Phase::Connected { probe, .. } if self.place != 0 => Some(probe),
+            Phase::Connected { probe_at, .. } if self.position != 0 => Some(probe_at),
             _ => None,
         }
     }
 
-    /// While connected elsewhere: the first relay of the order, where it is time to try it. The connection that works is
-    /// kept until the other one is welcome, and [`Failover::moved`] is said then; else [`Failover::probe_failed`] is.
-    pub fn probe(&mut self, now: Millis) -> Option<usize> {
+    /// The preferred relay, if it is due to be probed. The working connection stays until the probe has been welcomed, which
+    /// is reported with [`Failover::on_moved`]; a failure is reported with [`Failover::on_probe_failed`].
+    pub fn next_probe(&mut self, now: Millis) -> Option<usize> {
         let at = self.probe_at()?;
         if now < at {
             return None;
         }
-        // Should neither answer be given, it is tried again some time.
-        self.put_off(now);
+        // Without a report of the result the probe is repeated later.
+        self.schedule_probe(now);
         Some(self.order[0])
     }
 
-    /// The relay that was tried beside the connection welcomed it, and the former connection was ended.
-    pub fn moved(&mut self, now: Millis) {
-        (self.place, self.failures, self.probes) = (0, 0, 0);
-        self.connected(now);
+    /// The probed relay has sent its welcome, and the former connection was closed.
+    pub fn on_moved(&mut self, now: Millis) {
+        self.position = 0;
+        self.failures = 0;
+        self.failed_probes = 0;
+        self.on_connected(now);
     }
 
-    /// The relay that was tried beside the connection did not welcome it.
-    pub fn probe_failed(&mut self, now: Millis) {
-        self.probes = (self.probes + 1).min(MAX_DOUBLINGS);
-        self.put_off(now);
+    /// The probed relay has sent no welcome.
+    pub fn on_probe_failed(&mut self, now: Millis) {
+        self.failed_probes = (self.failed_probes + 1).min(MAX_PROBE_DOUBLINGS);
+        self.schedule_probe(now);
     }
 
-    fn put_off(&mut self, now: Millis) {
-        let wait = self.within(ELSEWHERE) << self.probes;
-        if let Phase::Connected { probe, .. } = &mut self.phase {
-            *probe = now + wait;
+    fn schedule_probe(&mut self, now: Millis) {
+        let delay = self.random_in(PROBE_DELAY) << self.failed_probes;
+        if let Phase::Connected { probe_at, .. } = &mut self.phase {
+            *probe_at = now + delay;
         }
     }
 
-    /// A time in a range, from the seed (splitmix64).
-    fn within(&mut self, range: RangeInclusive<Millis>) -> Millis {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random;
+    /// A random time in a range (splitmix64).
+    fn random_in(&mut self, range: RangeInclusive<Millis>) -> Millis {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^= mixed >> 31;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,25 +1,27 @@
-//! Distribution of control state by scope and by change: what a source of truth says reaches whoever has it in scope, and
-//! nobody else.
+//! Distribution of control state by scope and by change: each change at a source reaches the subscribers that have its
+//! service in scope, and no others.
 //!
-//! [`record`] and [`message`] are the words. [`ledger`], [`feed`], [`replica`], [`source`], [`relay`], [`subscriber`] and
-//! [`failover`] decide, and have neither I/O nor clocks: whoever calls them says what time it is. [`shell`] holds the
-//! sockets and files.
+//! [`record`] and [`message`] define the data model and the protocol. [`store`], [`publisher`], [`replica`], [`source`],
+//! [`relay`], [`subscriber`] and [`failover`] are state machines without I/O or clocks: each call passes the current time.
+//! [`runtime`] connects them to sockets and files.
 #![forbid(unsafe_code)]
 
 pub mod codec;
 pub mod config;
 pub mod failover;
-pub mod feed;
-pub mod ledger;
-mod line;
 pub mod message;
-mod pace;
+pub mod publisher;
+pub mod rate_limit;
 pub mod record;
 pub mod relay;
 pub mod replica;
-pub mod shell;
+pub mod runtime;
+pub mod session;
 pub mod source;
+pub mod store;
 pub mod subscriber;
+mod subscription_cursor;
+pub mod upstream;
 
-/// Milliseconds on any steady clock; the same one at every call of one state machine.
+/// Milliseconds on a monotonic clock; one state machine is always given times of the same clock.
 pub type Millis = u64;
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,10 +1,12 @@
-//! Source, relay and agent: arguments, signals, exit code.
+//! The control plane's program: arguments, signals and exit code of source, relay, agent and the operators' commands.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use control_plane::config::Config;
-use control_plane::shell::{agent, relay, source, writer};
-use std::error::Error;
+use control_plane::config::{Config, ConfigError};
+use control_plane::runtime::change_file::{ChangeFileError, parse_changes};
+use control_plane::runtime::writer::{Writer, WriterError};
+use control_plane::runtime::{RuntimeError, agent, relay, source};
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -19,7 +21,7 @@
 #[derive(Parser)]
 #[command(name = "control-plane", version)]
 struct Arguments {
-    /// What the log says, on standard error: `warn`, `info`, `debug`, or by module as in `info,control_plane::shell=debug`.
+    /// What the log says, on standard error: `warn`, `info`, `debug`, or by module as in `info,control_plane::runtime=debug`.
     #[arg(
         long,
         global = true,
@@ -35,11 +37,11 @@
 #[derive(Subcommand)]
 enum Command {
     /// Run a source of truth.
-    Source(File),
+    Source(ConfigFile),
     /// Run a relay.
-    Relay(File),
+    Relay(ConfigFile),
     /// Run the agent of a proxy.
-    Agent(File),
+    Agent(ConfigFile),
     /// Read a configuration, say what it comes to or what is wrong with it, and end.
     Check {
         /// The configuration, TOML.
@@ -59,66 +61,99 @@
 }
 
 #[derive(clap::Args)]
-struct File {
+struct ConfigFile {
     /// The configuration, TOML.
     #[arg(long, value_name = "FILE", env = "HAVENTRACK_CONTROL_CONFIG")]
     config: PathBuf,
 }
 
-/// A process that serves: one thread, until SIGTERM or SIGINT.
-fn serve(command: &Command) -> Result<(), Box<dyn Error>> {
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    /// The configuration can't be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// A process could not start or continue.
+    #[error(transparent)]
+    Runtime(#[from] RuntimeError),
+    /// The async runtime or a signal handler could not be created.
+    #[error(transparent)]
+    System(#[from] io::Error),
+    /// The file of changes can't be read.
+    #[error("cannot read {path}: {error}", path = path.display())]
+    UnreadableChanges { path: PathBuf, error: io::Error },
+    /// The file of changes can't be used.
+    #[error("{path}: {error}", path = path.display())]
+    InvalidChanges { path: PathBuf, error: ChangeFileError },
+    /// The changes were not applied, or may not have been.
+    #[error(transparent)]
+    Writer(#[from] WriterError),
+}
+
+/// Runs a command on one thread; a process that serves ends with SIGTERM or SIGINT.
+fn run(command: &Command) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        // Until they are taken over signals end the process at once, so this comes first.
-        let (mut terminate, mut interrupt) =
-            (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-        let stop = async move {
-            tokio::select! {
-                _ = terminate.recv() => {}
-                _ = interrupt.recv() => {}
-            }
-        };
+        // Until the handlers are installed a signal ends the process at once, so this comes first.
+        let shutdown = shutdown_signal()?;
         match command {
-            Command::Source(File { config: path }) => {
+            Command::Source(ConfigFile { config: path }) => {
                 let config = Config::from_file(path)?;
-                source::run(config.source(path)?, &config.pace, stop).await?;
+                source::run(config.source(path)?, &config.rate_limit, shutdown).await?;
             }
-            Command::Relay(File { config: path }) => {
+            Command::Relay(ConfigFile { config: path }) => {
                 let config = Config::from_file(path)?;
-                relay::run(config.relay(path)?, &config.pace, stop).await?;
+                relay::run(config.relay(path)?, &config.rate_limit, shutdown).await?;
             }
-            Command::Agent(File { config: path }) => {
+            Command::Agent(ConfigFile { config: path }) => {
                 let config = Config::from_file(path)?;
-                agent::run(config.agent(path)?, stop).await?;
-            }
-            Command::Write { source, parts, changes: path } => {
-                let text = std::fs::read(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-                let changes = writer::changes(&text).map_err(|e| format!("{}: {e}", path.display()))?;
-                let count = changes.len();
-                let mut writer = writer::Writer::connect(*source).await?;
-                let last = match parts {
-                    true => writer.write_parts(changes).await?,
-                    false => Some(writer.write(changes).await?),
-                };
-                if let Some(last) = last {
-                    println!(
-                        "{count} changes made, the last is change {} of epoch {}",
-                        last.revision, last.epoch
-                    );
-                }
+                agent::run(config.agent(path)?, shutdown).await?;
             }
+            Command::Write { source, parts, changes } => write(*source, *parts, changes).await?,
             Command::Check { config } => check(config)?,
         }
         Ok(())
     })
 }
 
-fn check(path: &Path) -> Result<(), Box<dyn Error>> {
+/// Installs handlers of SIGTERM and SIGINT. Returns a future that completes with the first of them.
+fn shutdown_signal() -> io::Result<impl Future<Output = ()>> {
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    Ok(async move {
+        tokio::select! {
+            _ = terminate.recv() => {}
+            _ = interrupt.recv() => {}
+        }
+    })
+}
+
+/// Writes the changes in a file to a source; `in_parts`: in parts that fit into one message each.
+async fn write(source: SocketAddr, in_parts: bool, path: &Path) -> Result<(), CommandError> {
+    let text = std::fs::read(path)
+        .map_err(|error| CommandError::UnreadableChanges { path: path.to_owned(), error })?;
+    let changes = parse_changes(&text)
+        .map_err(|error| CommandError::InvalidChanges { path: path.to_owned(), error })?;
+    let count = changes.len();
+    let mut writer = Writer::connect(source).await?;
+    let last = if in_parts { writer.write_parts(changes).await? } else { Some(writer.write(changes).await?) };
+    if let Some(last) = last {
+        println!("{count} changes made, the last is change {} of epoch {}", last.revision, last.epoch);
+    }
+    Ok(())
+}
+
+/// Validates a configuration and prints a summary of it.
+fn check(path: &Path) -> Result<(), CommandError> {
     let config = Config::from_file(path)?;
     println!("{}: good", path.display());
     if let Some(source) = &config.source {
         println!("  source `{}` (number {}) listens on {}", source.name, source.id, source.listen);
-        println!("  keeps its records in {} each {} ms", source.snapshot.display(), source.snapshot_every_ms);
+        println!(
+            "  keeps its records in {} each {} ms",
+            source.snapshot.display(),
+            source.snapshot_interval_ms
+        );
     }
     if let Some(relay) = &config.relay {
         println!("  relay `{}` listens on {}, {} sources", relay.name, relay.listen, relay.sources.len());
@@ -132,10 +167,10 @@
             agent.relays.len()
         );
     }
-    let pace = &config.pace;
+    let limits = &config.rate_limit;
     println!(
         "  to an agent {} bytes a second and {} at once, to a relay {} and {}",
-        pace.agent_bytes_per_s, pace.agent_burst, pace.relay_bytes_per_s, pace.relay_burst
+        limits.agent_bytes_per_s, limits.agent_burst, limits.relay_bytes_per_s, limits.relay_burst
     );
     Ok(())
 }
@@ -150,7 +185,7 @@
         }
     };
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false).init();
-    match serve(&command) {
+    match run(&command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("control-plane: {error}");
--- a/crates/control-plane/src/record.rs
+++ b/crates/control-plane/src/record.rs
@@ -1,4 +1,4 @@
-//! Records: what is known of one thing, by whom it was said and when.
+//! Records: the latest known state of one object, with the version at which its source wrote it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -7,23 +7,23 @@
 
 /// A source of truth, one for each region. A service belongs to one source.
 pub type SourceId = u16;
-/// Which life of a source: greater at each of its starts.
+/// The incarnation of a source: greater at each of its starts, at least 1.
 pub type Epoch = u64;
-/// Counts the changes that a source has made, from 1; goes on over its starts from what it still had.
+/// Number of a change at its source, from 1; it continues across restarts from the last persisted change.
 pub type Revision = u64;
 /// A service.
 pub type ServiceId = u32;
 
-/// When a record was said: by which life of its source, as which of its changes. Compared in this order.
+/// When a record was written, ordered by epoch, then by revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The life of the source.
+    /// The incarnation of the source.
     pub epoch: Epoch,
     /// The change.
     pub revision: Revision,
 }
 
-/// What a record is about. Records of all kinds are carried alike.
+/// What a record describes. Records of all kinds are distributed alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// A backend of the service: the body is a [`Backend`].
@@ -36,115 +36,120 @@
     Tenant,
 }
 
-/// What a record is of: unlike at every record of one source.
+/// The identity of a record, unique within one source.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The service.
     pub service: ServiceId,
     /// The kind.
     pub kind: Kind,
-    /// The name within service and kind.
+    /// The name, unique within service and kind.
     pub name: Arc<str>,
 }
 
-/// What holds for it.
+/// The state of the object that a record describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// In force.
+    /// In service.
     Active,
-    /// Finishes what it has, wants nothing new.
+    /// Finishes its open work and accepts nothing new.
     Draining,
-    /// Gone: kept as a tombstone for a while, with an empty body.
+    /// Removed: the record is a tombstone with an empty body, retained for a bounded time.
     Gone,
 }
 
-/// How urgent it is to tell of a record.
+/// Send priority of a record, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
-    /// Something drains or is gone.
+    /// An object drains or was removed.
     Drain,
-    /// A backend came or changed.
+    /// A backend was added or changed.
     Addition,
-    /// Anything else.
-    Rest,
+    /// Any other change.
+    Other,
 }
 
 impl Urgency {
-    /// All of them, the most urgent first. A [`Cursor`] holds a version for each, in this order.
-    pub const ALL: [Self; 3] = [Self::Drain, Self::Addition, Self::Rest];
+    /// All urgencies, the most urgent first. A [`Cursor`] has one version for each, in this order.
+    pub const ALL: [Self; 3] = [Self::Drain, Self::Addition, Self::Other];
 }
 
-/// What is known of one thing.
+/// The state of one object at one version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// What it is of.
+    /// Identity.
     pub key: Key,
-    /// When it was said.
+    /// The version that wrote it.
     pub version: Version,
-    /// What holds for it.
+    /// State of the object.
     pub state: State,
-    /// What is said, in the form of its kind.
+    /// Content, in the encoding of its kind.
     pub body: Arc<[u8]>,
 }
 
 impl Record {
-    /// How urgent it is to tell of it.
+    /// The urgency with which it is sent.
     #[must_use]
     pub fn urgency(&self) -> Urgency {
         match (self.state, self.key.kind) {
             (State::Draining | State::Gone, _) => Urgency::Drain,
             (State::Active, Kind::Backend) => Urgency::Addition,
-            (State::Active, _) => Urgency::Rest,
+            (State::Active, _) => Urgency::Other,
         }
     }
 
-    /// About how many bytes it takes in a message, never fewer.
+    /// An upper bound of its size within a message, in bytes.
     #[must_use]
-    pub fn weight(&self) -> usize {
+    pub fn encoded_size_bound(&self) -> usize {
         /// Kind and state.
-        const FIXED: usize = 1 + 1;
+        const FIXED_BYTES: usize = 1 + 1;
         let numbers = [self.key.service.into(), self.version.epoch, self.version.revision];
         let lengths = [self.key.name.len() as u64, self.body.len() as u64];
-        FIXED
-            + numbers.into_iter().chain(lengths).map(varint).sum::<usize>()
+        FIXED_BYTES
+            + numbers.into_iter().chain(lengths).map(varint_size).sum::<usize>()
             + self.key.name.len()
             + self.body.len()
     }
 }
 
-/// How many bytes a number takes in a message: seven bits in each.
-pub(crate) fn varint(number: u64) -> usize {
+/// The size of an integer in a message, in bytes: a varint holds seven bits per byte.
+pub(crate) fn varint_size(number: u64) -> usize {
     (64 - (number | 1).leading_zeros() as usize).div_ceil(7)
 }
 
-/// A change that a source is asked to make: a record without a version.
+/// A requested change: a record to which the source has not assigned a version yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Of what.
+    /// The record to change.
     pub key: Key,
-    /// What holds for it from now on.
+    /// Its new state.
     pub state: State,
-    /// What is said; empty where it is gone.
+    /// Its new content; empty where the state is [`State::Gone`].
     pub body: Arc<[u8]>,
 }
 
-/// How far along a source's log somebody is, for each urgency in the order of [`Urgency::ALL`]: all records of that
-/// urgency up to this version, as far as they still stand, are known.
+/// A position in a source's change log, for each urgency in the order of [`Urgency::ALL`]: the effect of all changes of
+/// that urgency up to and including the version is known.
 pub type Cursor = [Version; 3];
 
-/// Which services somebody wants to hear of.
+/// The greater version of each urgency.
+pub(crate) fn merge_cursors(left: Cursor, right: Cursor) -> Cursor {
+    std::array::from_fn(|urgency| left[urgency].max(right[urgency]))
+}
+
+/// The services that a subscriber follows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// All of them.
+    /// All services.
     All,
-    /// These.
+    /// These services.
     Services(BTreeSet<ServiceId>),
 }
 
 impl Scope {
-    /// Whether the service is in it.
+    /// Whether the service is in scope.
     #[must_use]
-    pub fn holds(&self, service: ServiceId) -> bool {
+    pub fn contains(&self, service: ServiceId) -> bool {
         match self {
             Self::All => true,
             Self::Services(services) => services.contains(&service),
@@ -152,19 +157,19 @@
     }
 }
 
-/// The body of a backend's record, in the words of discovery.
+/// The body of a record of [`Kind::Backend`]; the fields correspond to those of the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
     /// Where it listens.
     pub address: SocketAddrV4,
-    /// Its zone, by name.
+    /// Zone name.
     pub locality: String,
-    /// Its kind of machine, by name.
+    /// Machine type.
     pub flavor: String,
-    /// Its cell.
+    /// Cell number.
     pub cell: u16,
-    /// Its size beside others.
+    /// Capacity relative to other backends; finite and above 0.
     pub size: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// When it last started, Unix time in milliseconds; 0: long ago.
     pub up_since_ms: u64,
 }
--- a/crates/control-plane/src/relay.rs
+++ b/crates/control-plane/src/relay.rs
@@ -1,132 +1,119 @@
-//! A relay: holds what all sources said, and tells each subscriber its part.
+//! A relay: replicates the records of all sources, and publishes to each subscriber those in its scope.
 
 use crate::Millis;
-use crate::feed::{Feed, Next, Pace, SubscriberId, View};
-use crate::ledger::Ledger;
-use crate::message::{Message, PROTOCOL};
+use crate::message::{Message, PROTOCOL_VERSION};
+use crate::publisher::{Publisher, PublisherAction, SubscriberId};
+use crate::rate_limit::RateLimit;
 use crate::record::{Scope, SourceId};
 use crate::replica::Replica;
-use crate::source::{Refusal, Upstream, serve, spoken};
+use crate::session::{SessionError, check_protocol_version};
+use crate::store::VersionedStore;
+use crate::subscription_cursor::StoreView;
+use crate::upstream::Upstream;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// A relay.
 #[derive(Debug)]
 pub struct Relay {
-    name: String,
     replicas: BTreeMap<SourceId, Replica>,
-    feed: Feed,
+    publisher: Publisher,
 }
 
 impl Relay {
-    /// A relay of these sources that knows nothing yet.
+    /// An empty relay of these sources; `rate_limit` applies to each subscriber.
     #[must_use]
-    pub fn new(name: &str, sources: &[SourceId], pace: Pace) -> Self {
-        let all = Arc::new(Scope::All);
-        let replicas =
-            sources.iter().map(|source| (*source, Replica::new(*source, Arc::clone(&all), true))).collect();
-        Self { name: name.to_owned(), replicas, feed: Feed::new(pace) }
+    pub fn new(name: &str, sources: &[SourceId], rate_limit: RateLimit) -> Self {
+        let scope = Arc::new(Scope::All);
+        let replica = |source: &SourceId| (*source, Replica::new(*source, Arc::clone(&scope), true));
+        let replicas = sources.iter().map(replica).collect();
+        Self { replicas, publisher: Publisher::new(name, rate_limit) }
     }
 
-    /// The same with another bound for subscribers.
+    /// The same relay with another bound for the tombstones of each source.
     #[must_use]
-    pub fn with_most_subscribers(mut self, most: usize) -> Self {
-        self.feed.set_most(most);
+    pub fn with_max_tombstones(mut self, max: usize) -> Self {
+        self.replicas.values_mut().for_each(|replica| replica.set_max_tombstones(max));
         self
     }
 
-    /// The same with another bound for the tombstones of each source.
-    #[must_use]
-    pub fn with_most_tombstones(mut self, most: usize) -> Self {
-        self.replicas.values_mut().for_each(|replica| replica.set_most_tombstones(most));
-        self
-    }
-
-    /// The words with which a connection to a source begins.
+    /// The first message on a connection to a source.
     #[must_use]
     pub fn hello(&self, source: SourceId) -> Message {
-        let have = self.replicas.get(&source).and_then(Replica::have).into_iter().collect();
-        Message::Hello { protocol: PROTOCOL, name: self.name.clone(), scope: Scope::All, have }
+        let positions = self.replicas.get(&source).and_then(Replica::position).into_iter().collect();
+        let name = self.publisher.name().to_owned();
+        Message::Hello { protocol: PROTOCOL_VERSION, name, scope: Scope::All, positions }
     }
 
-    /// A source said something. Gives the answers to it.
+    /// Handles a message from a source. Returns the responses.
     ///
     /// # Errors
-    /// Where the connection to the source has to end.
-    pub fn from_source(
+    /// The connection to the source has to end.
+    pub fn on_source_message(
         &mut self,
         source: SourceId,
         message: Message,
         now: Millis,
-    ) -> Result<Vec<Message>, Refusal> {
-        let what = message.name();
+    ) -> Result<Vec<Message>, SessionError> {
+        let name = message.name();
+        let unexpected = |expected| Err(SessionError::UnexpectedMessage { message: name, expected });
         let Some(replica) = self.replicas.get_mut(&source) else {
-            return Err(Refusal::OutOfTurn {
-                what,
-                why: "this source is none of the relay's; put it into its settings",
-            });
+            return unexpected("this source is none of the relay's; put it into its settings");
         };
         match message {
             Message::Welcome { protocol, .. } => {
-                spoken(protocol)?;
-                Ok(replica.connected(now).into_iter().collect())
+                check_protocol_version(protocol)?;
+                Ok(replica.on_connected(now).into_iter().collect())
             }
-            Message::Alive | Message::Goodbye { .. } => Ok(Vec::new()),
-            Message::Batch { source: of, .. }
-            | Message::Summary { source: of, .. }
-            | Message::Whole { source: of, .. } => {
-                if of != source {
-                    return Err(Refusal::OutOfTurn { what, why: "a source speaks of its own records alone" });
+            Message::Heartbeat | Message::Close { .. } => Ok(Vec::new()),
+            Message::Batch { source: origin, .. }
+            | Message::DigestSummary { source: origin, .. }
+            | Message::ServiceSnapshot { source: origin, .. } => {
+                if origin != source {
+                    return unexpected("a source speaks of its own records alone");
                 }
-                Ok(replica.take(message, now, &mut Vec::new()).into_iter().collect())
+                Ok(replica.on_message(message, now, &mut Vec::new()).into_iter().collect())
             }
-            _ => Err(Refusal::OutOfTurn { what, why: "a source says Batch, Summary, Whole and Alive" }),
+            _ => unexpected("a source says Batch, Summary, Whole and Alive"),
         }
     }
 
-    /// Time went by: what to say to sources, where an answer to a question did not come.
+    /// Returns the requests to send again, because no response arrived in time, with the source of each.
     pub fn tick(&mut self, now: Millis) -> Vec<(SourceId, Message)> {
-        let questions = self.replicas.iter_mut().map(|(source, replica)| (*source, replica.tick(now)));
-        questions.filter_map(|(source, question)| Some((source, question?))).collect()
+        let requests = self.replicas.iter_mut().map(|(source, replica)| (*source, replica.tick(now)));
+        requests.filter_map(|(source, request)| Some((source, request?))).collect()
     }
 
-    /// What it holds of a source.
+    /// The records of a source.
     #[must_use]
-    pub fn ledger(&self, source: SourceId) -> Option<&Ledger> {
-        self.replicas.get(&source).map(Replica::ledger)
+    pub fn store(&self, source: SourceId) -> Option<&VersionedStore> {
+        self.replicas.get(&source).map(Replica::store)
     }
+}
 
-    /// How many subscribers are connected.
-    #[must_use]
-    pub fn subscribers(&self) -> usize {
-        self.feed.len()
+impl Upstream for Relay {
+    fn publisher(&self) -> &Publisher {
+        &self.publisher
     }
 
-    /// How many things of one subscriber are held: services in its scope, sources, services that it wants whole.
-    #[must_use]
-    pub fn held(&self, who: SubscriberId) -> usize {
-        self.feed.held(who)
+    fn publisher_mut(&mut self) -> &mut Publisher {
+        &mut self.publisher
     }
-}
 
-impl Upstream for Relay {
     fn on_message(
         &mut self,
         from: SubscriberId,
         message: Message,
         now: Millis,
-    ) -> Result<Vec<Message>, Refusal> {
-        serve(&mut self.feed, &self.name, from, message, now)
-    }
-
-    fn next(&mut self, to: SubscriberId, now: Millis) -> Next {
-        let told = self.replicas.values().filter(|replica| replica.is_whole());
-        let views: Vec<View<'_>> =
-            told.map(|replica| View { ledger: replica.ledger(), sound: replica.is_sound() }).collect();
-        self.feed.next(to, &views, now)
+    ) -> Result<Vec<Message>, SessionError> {
+        self.publisher.on_message(from, message, now)
     }
 
-    fn leave(&mut self, who: SubscriberId) {
-        self.feed.leave(who);
+    fn next_action(&mut self, subscriber: SubscriberId, now: Millis) -> PublisherAction {
+        let publishable = self.replicas.values().filter(|replica| replica.is_publishable());
+        let views: Vec<StoreView<'_>> = publishable
+            .map(|replica| StoreView { store: replica.store(), is_consistent: replica.is_consistent() })
+            .collect();
+        self.publisher.next_action(subscriber, &views, now)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/runtime/change_file.rs
@@ -0,0 +1,126 @@
+//! Changes in a JSON file, as operators write them (docs/operators/control.md).
+
+use crate::codec::encode_backend_body;
+use crate::record::{Backend, Change, Key, Kind, ServiceId, State};
+use serde::Deserialize;
+use std::sync::Arc;
+
+/// Why a file of changes can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ChangeFileError {
+    /// The text is not JSON, or a key is missing, unknown, or of another type.
+    #[error("`{key}`: {error}")]
+    Malformed {
+        /// The path of the key.
+        key: String,
+        /// The cause.
+        error: serde_json::Error,
+    },
+    /// Text after the list.
+    #[error(transparent)]
+    TrailingText(serde_json::Error),
+    /// An entry contradicts itself.
+    #[error("`[{index}]`: {error}")]
+    InvalidEntry {
+        /// Its index in the list.
+        index: usize,
+        /// The cause.
+        error: EntryError,
+    },
+}
+
+/// Why an entry of a file of changes can't be used.
+#[derive(Debug, thiserror::Error, PartialEq)]
+pub enum EntryError {
+    /// A tombstone with content.
+    #[error("`{0}` is gone; leave out `backend` and `body`")]
+    TombstoneWithContent(String),
+    /// A size that is not finite and above 0.
+    #[error("`backend.size` of `{name}` is {size}, must be above 0")]
+    InvalidSize {
+        /// The name of the entry.
+        name: String,
+        /// The size.
+        size: f64,
+    },
+    /// A backend without `backend`, or with `body`.
+    #[error("`{0}` is a backend; give `backend` and no `body`")]
+    BackendExpected(String),
+    /// Another kind without `body`, or with `backend`.
+    #[error("`{0}` is no backend; give `body` and no `backend`")]
+    BodyExpected(String),
+}
+
+/// An entry of the file.
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct Entry {
+    service: ServiceId,
+    #[serde(with = "KindName")]
+    kind: Kind,
+    name: String,
+    #[serde(with = "StateName")]
+    state: State,
+    backend: Option<Backend>,
+    body: Option<String>,
+}
+
+/// The names of [`Kind`] in the file.
+#[derive(Deserialize)]
+#[serde(remote = "Kind", rename_all = "lowercase")]
+enum KindName {
+    Backend,
+    Configuration,
+    Route,
+    Tenant,
+}
+
+/// The names of [`State`] in the file.
+#[derive(Deserialize)]
+#[serde(remote = "State", rename_all = "lowercase")]
+enum StateName {
+    Active,
+    Draining,
+    Gone,
+}
+
+/// Parses a JSON list of changes.
+///
+/// # Errors
+/// The first entry or key that is wrong.
+pub fn parse_changes(text: &[u8]) -> Result<Vec<Change>, ChangeFileError> {
+    let mut deserializer = serde_json::Deserializer::from_slice(text);
+    let entries: Vec<Entry> = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+        let key = error.path().to_string();
+        ChangeFileError::Malformed { key, error: error.into_inner() }
+    })?;
+    deserializer.end().map_err(ChangeFileError::TrailingText)?;
+    let entries = entries.into_iter().enumerate();
+    entries
+        .map(|(index, entry)| {
+            Change::try_from(entry).map_err(|error| ChangeFileError::InvalidEntry { index, error })
+        })
+        .collect()
+}
+
+impl TryFrom<Entry> for Change {
+    type Error = EntryError;
+
+    fn try_from(entry: Entry) -> Result<Self, EntryError> {
+        let Entry { service, kind, name, state, backend, body } = entry;
+        let body = match (state, kind, backend, body) {
+            (State::Gone, _, None, None) => Arc::from([]),
+            (State::Gone, ..) => return Err(EntryError::TombstoneWithContent(name)),
+            (_, Kind::Backend, Some(backend), None) => {
+                if !(backend.size.is_finite() && backend.size > 0.0) {
+                    return Err(EntryError::InvalidSize { name, size: backend.size });
+                }
+                encode_backend_body(&backend)
+            }
+            (_, Kind::Backend, ..) => return Err(EntryError::BackendExpected(name)),
+            (_, _, None, Some(body)) => body.into_bytes().into(),
+            _ => return Err(EntryError::BodyExpected(name)),
+        };
+        Ok(Self { key: Key { service, kind, name: name.into() }, state, body })
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/runtime/server.rs
@@ -0,0 +1,291 @@
+//! The upstream end of connections: accepts them, handles their messages, and sends each subscriber its next message. One
+//! message at a time is in flight on a connection; the next one is determined when that one has been written.
+
+use super::{Clock, accept, loggable};
+use crate::codec::{CodecError, FrameReader, FrameWriter};
+use crate::message::Message;
+use crate::publisher::{PublisherAction, SubscriberId};
+use crate::session::SessionError;
+use crate::upstream::Upstream;
+use socket2::SockRef;
+use std::cell::{Cell, RefCell};
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{Notify, watch};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, sleep_until, timeout};
+use tracing::{debug, info, warn};
+
+/// Time for the first message of a connection.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for the connection to accept a message; a subscriber that stalls longer has to reconnect and resume.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for writing a close notice.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for the other side to read a close notice and close, before unread input may reset the connection.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay between a change and the notification of all connections: a burst of writes wakes each connection once, and a
+/// change has four seconds to reach all agents.
+const COALESCE_DELAY: Duration = Duration::from_millis(10);
+/// The socket's send buffer, bytes: its content is stale to a slow subscriber, and it takes kernel memory.
+const SEND_BUFFER_BYTES: usize = 128 << 10;
+/// Rejected connections that are sent a close notice at a time; others are just closed.
+const MAX_CLOSE_NOTICES: usize = 16;
+/// File descriptors that are not connections from downstream: files, links to sources, the async runtime.
+const RESERVED_DESCRIPTORS: usize = 64;
+
+/// Notifies all connections of changes, once for all changes within [`COALESCE_DELAY`].
+#[derive(Clone, Debug)]
+pub struct ChangeNotifier {
+    pending: Rc<Notify>,
+    changed: watch::Sender<()>,
+}
+
+impl Default for ChangeNotifier {
+    fn default() -> Self {
+        Self { pending: Rc::default(), changed: watch::Sender::new(()) }
+    }
+}
+
+impl ChangeNotifier {
+    /// Reports a change.
+    pub fn notify(&self) {
+        self.pending.notify_one();
+    }
+
+    async fn run(self) {
+        loop {
+            self.pending.notified().await;
+            sleep(COALESCE_DELAY).await;
+            self.changed.send_replace(());
+        }
+    }
+}
+
+/// Why a connection ended; the texts are sent in close notices.
+#[derive(Debug, thiserror::Error)]
+enum DisconnectReason {
+    #[error("closed by the other side")]
+    Closed,
+    #[error("ended by the other side: {0}")]
+    CloseNotice(String),
+    #[error("no first message within {} ms; begin with `Hello` or `Write`", FIRST_MESSAGE_TIMEOUT.as_millis())]
+    FirstMessageTimeout,
+    #[error("a message was not taken within {} ms", WRITE_TIMEOUT.as_millis())]
+    WriteTimeout,
+    #[error(transparent)]
+    Codec(#[from] CodecError),
+    #[error(transparent)]
+    Session(#[from] SessionError),
+}
+
+impl DisconnectReason {
+    /// Whether the other side is sent a close notice.
+    fn needs_close_notice(&self) -> bool {
+        match self {
+            Self::Closed | Self::CloseNotice(_) | Self::WriteTimeout | Self::Codec(CodecError::Io(_)) => {
+                false
+            }
+            Self::FirstMessageTimeout | Self::Codec(_) | Self::Session(_) => true,
+        }
+    }
+}
+
+/// A server for subscribers and writers.
+pub struct Server<U> {
+    upstream: Rc<RefCell<U>>,
+    notifier: ChangeNotifier,
+    clock: Clock,
+    open_connections: Rc<Cell<usize>>,
+    /// Rejected connections that are being sent a close notice.
+    close_notices: Rc<Cell<usize>>,
+    max_connections: usize,
+}
+
+impl<U> Clone for Server<U> {
+    fn clone(&self) -> Self {
+        Self {
+            upstream: Rc::clone(&self.upstream),
+            notifier: self.notifier.clone(),
+            clock: self.clock,
+            open_connections: Rc::clone(&self.open_connections),
+            close_notices: Rc::clone(&self.close_notices),
+            max_connections: self.max_connections,
+        }
+    }
+}
+
+/// The number of connections for which the process has file descriptors, `configured` at the most.
+fn limit_by_descriptors(configured: usize) -> usize {
+    let limit = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
+    let limit = limit.map_or(usize::MAX, |(soft, _)| usize::try_from(soft).unwrap_or(usize::MAX));
+    let available = limit.saturating_sub(RESERVED_DESCRIPTORS).max(1);
+    if available < configured {
+        warn!(
+            "accepting {available} connections instead of `connections` = {configured}: the limit of file descriptors \
+             is {limit}"
+        );
+    }
+    configured.min(available)
+}
+
+impl<U: Upstream + 'static> Server<U> {
+    /// A server that accepts `max_connections` at a time.
+    #[must_use]
+    pub fn new(
+        upstream: Rc<RefCell<U>>,
+        notifier: ChangeNotifier,
+        clock: Clock,
+        max_connections: usize,
+    ) -> Self {
+        Self {
+            upstream,
+            notifier,
+            clock,
+            open_connections: Rc::default(),
+            close_notices: Rc::default(),
+            max_connections: limit_by_descriptors(max_connections),
+        }
+    }
+
+    /// The number of open connections.
+    #[must_use]
+    pub fn open_connections(&self) -> Rc<Cell<usize>> {
+        Rc::clone(&self.open_connections)
+    }
+
+    /// Accepts connections for as long as the process runs.
+    pub async fn run(self, listener: TcpListener) {
+        spawn_local(self.notifier.clone().run());
+        let mut next_id: SubscriberId = 1;
+        loop {
+            let (stream, address) = accept(&listener).await;
+            let id = next_id;
+            next_id += 1;
+            if self.open_connections.get() >= self.max_connections {
+                self.reject(stream, address);
+                continue;
+            }
+            self.open_connections.set(self.open_connections.get() + 1);
+            let server = self.clone();
+            spawn_local(async move {
+                server.serve(id, stream, address).await;
+                server.open_connections.set(server.open_connections.get() - 1);
+            });
+        }
+    }
+
+    /// Closes a connection beyond the bound.
+    fn reject(&self, stream: TcpStream, address: SocketAddr) {
+        let reason = SessionError::TooManySubscribers(self.max_connections);
+        warn!(%address, "connection rejected: {reason}");
+        if self.close_notices.get() >= MAX_CLOSE_NOTICES {
+            return;
+        }
+        self.close_notices.set(self.close_notices.get() + 1);
+        let close_notices = Rc::clone(&self.close_notices);
+        spawn_local(async move {
+            let (reader, writer) = stream.into_split();
+            close(FrameReader::new(reader), FrameWriter::new(writer), reason.to_string()).await;
+            close_notices.set(close_notices.get() - 1);
+        });
+    }
+
+    async fn serve(&self, id: SubscriberId, stream: TcpStream, address: SocketAddr) {
+        // These options improve latency and memory use, but are not required.
+        let _ = stream.set_nodelay(true);
+        let socket = SockRef::from(&stream);
+        let _ = socket.set_send_buffer_size(SEND_BUFFER_BYTES);
+        let _ = socket.set_tcp_user_timeout(Some(WRITE_TIMEOUT));
+        let (reader, writer) = stream.into_split();
+        let (reader, writer) = (FrameReader::new(reader), FrameWriter::new(writer));
+        let mut connection = Connection { server: self, id, reader, writer, has_subscribed: false };
+        debug!(%address, id, "connected");
+        let Err(reason) = connection.run().await;
+        self.upstream.borrow_mut().disconnect(id);
+        if !reason.needs_close_notice() {
+            debug!(%address, id, "disconnected: {reason}");
+            return;
+        }
+        warn!(%address, id, "disconnected: {reason}");
+        close(connection.reader, connection.writer, reason.to_string()).await;
+    }
+}
+
+/// One accepted connection.
+struct Connection<'a, U> {
+    server: &'a Server<U>,
+    id: SubscriberId,
+    reader: FrameReader<OwnedReadHalf>,
+    writer: FrameWriter<OwnedWriteHalf>,
+    has_subscribed: bool,
+}
+
+impl<U: Upstream + 'static> Connection<'_, U> {
+    async fn run(&mut self) -> Result<Infallible, DisconnectReason> {
+        let mut changed = self.server.notifier.changed.subscribe();
+        let first = timeout(FIRST_MESSAGE_TIMEOUT, self.reader.read()).await;
+        self.on_message(first.map_err(|_| DisconnectReason::FirstMessageTimeout)??).await?;
+        loop {
+            // Only changes after this point wake the connection.
+            changed.mark_unchanged();
+            let action = self.server.upstream.borrow_mut().next_action(self.id, self.server.clock.now());
+            let wake_at = match action {
+                PublisherAction::Send(message) => {
+                    self.send(&message).await?;
+                    None
+                }
+                PublisherAction::WaitUntil(until) => Some(self.server.clock.instant(until)),
+            };
+            tokio::select! {
+                biased;
+                message = self.reader.read() => self.on_message(message?).await?,
+                () = async { if let Some(wake_at) = wake_at { sleep_until(wake_at).await } } => {}
+                _ = changed.changed() => {}
+            }
+        }
+    }
+
+    /// Handles a message and sends the responses before the next one is read, so that a peer that does not read its
+    /// responses can't add further requests.
+    async fn on_message(&mut self, message: Option<Message>) -> Result<(), DisconnectReason> {
+        let message = match message.ok_or(DisconnectReason::Closed)? {
+            Message::Close { reason } => return Err(DisconnectReason::CloseNotice(loggable(&reason))),
+            message => message,
+        };
+        if let Message::Hello { name, .. } = &message
+            && !std::mem::replace(&mut self.has_subscribed, true)
+        {
+            info!(id = self.id, "subscribed: {}", loggable(name));
+        }
+        let is_write = matches!(message, Message::Write { .. });
+        let now = self.server.clock.now();
+        let replies = self.server.upstream.borrow_mut().on_message(self.id, message, now)?;
+        if is_write {
+            self.server.notifier.notify();
+        }
+        for reply in &replies {
+            self.send(reply).await?;
+        }
+        Ok(())
+    }
+
+    async fn send(&mut self, message: &Message) -> Result<(), DisconnectReason> {
+        let written = timeout(WRITE_TIMEOUT, self.writer.write(message)).await;
+        Ok(written.map_err(|_| DisconnectReason::WriteTimeout)??)
+    }
+}
+
+/// Sends a close notice, shuts down the sending side and discards input: closing with unread input would reset the
+/// connection, and the notice would be lost.
+async fn close(reader: FrameReader<OwnedReadHalf>, mut writer: FrameWriter<OwnedWriteHalf>, reason: String) {
+    let written = timeout(CLOSE_TIMEOUT, writer.write(&Message::Close { reason })).await;
+    if matches!(written, Ok(Ok(()))) {
+        writer.shutdown().await;
+        let _ = timeout(LINGER_TIMEOUT, reader.drain()).await;
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/runtime/writer.rs
@@ -0,0 +1,115 @@
+//! A client that writes changes to a source: used by the operators' tool, or by a system that detects backends.
+
+use crate::codec::{CodecError, FrameReader, FrameWriter};
+use crate::message::{MAX_MESSAGE_BYTES, Message};
+use crate::record::{Change, Version};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::time::timeout;
+
+/// Time for a source to accept a connection, and to respond to a write.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The longest part of many changes, bytes of names and bodies: it fits into a message with room to spare.
+const MAX_PART_BYTES: usize = MAX_MESSAGE_BYTES / 4;
+/// Size of a change beside its name and body, bytes at the most.
+const MAX_CHANGE_OVERHEAD_BYTES: usize = 32;
+
+/// Why changes were not applied, or may not have been.
+#[derive(Debug, thiserror::Error)]
+pub enum WriterError {
+    /// The source can't be reached.
+    #[error("no connection to the source at {0}: {1}")]
+    NotConnected(SocketAddr, std::io::Error),
+    /// The source did not respond in time; the changes may have been applied.
+    #[error(
+        "the source at {0} did not answer within {ms} ms; the changes may have been made, write them again",
+        ms = RESPONSE_TIMEOUT.as_millis()
+    )]
+    ResponseTimeout(SocketAddr),
+    /// The connection ended without a response; the changes may have been applied.
+    #[error("the source at {0} closed the connection; the changes may have been made, write them again")]
+    Closed(SocketAddr),
+    /// The source applied none of the changes.
+    #[error("the source refused: {0}")]
+    Rejected(String),
+    /// The message could not be written or read.
+    #[error(transparent)]
+    Codec(#[from] CodecError),
+}
+
+/// A connection to a source for writing, with one request in flight at a time.
+#[derive(Debug)]
+pub struct Writer {
+    address: SocketAddr,
+    responses: FrameReader<OwnedReadHalf>,
+    requests: FrameWriter<OwnedWriteHalf>,
+    last_id: u64,
+}
+
+impl Writer {
+    /// Connects to a source.
+    ///
+    /// # Errors
+    /// There is no connection in time.
+    pub async fn connect(address: SocketAddr) -> Result<Self, WriterError> {
+        let stream = timeout(RESPONSE_TIMEOUT, TcpStream::connect(address)).await;
+        let stream = stream.map_err(|_| WriterError::ResponseTimeout(address))?;
+        let stream = stream.map_err(|e| WriterError::NotConnected(address, e))?;
+        stream.set_nodelay(true).map_err(|e| WriterError::NotConnected(address, e))?;
+        let (reader, writer) = stream.into_split();
+        Ok(Self {
+            address,
+            responses: FrameReader::new(reader),
+            requests: FrameWriter::new(writer),
+            last_id: 0,
+        })
+    }
+
+    /// Applies these changes, all or none. Returns the version of the last one. Writes are idempotent.
+    ///
+    /// # Errors
+    /// The changes were not applied, or the result is unknown; the connection can be used further only after
+    /// [`WriterError::Rejected`].
+    pub async fn write(&mut self, changes: Vec<Change>) -> Result<Version, WriterError> {
+        self.last_id += 1;
+        let request = Message::Write { id: self.last_id, changes };
+        let response = timeout(RESPONSE_TIMEOUT, async {
+            self.requests.write(&request).await?;
+            loop {
+                match self.responses.read().await? {
+                    Some(Message::Written { id, result }) if id == self.last_id => {
+                        return result.map_err(WriterError::Rejected);
+                    }
+                    Some(Message::Close { reason }) => return Err(WriterError::Rejected(reason)),
+                    Some(_) => {}
+                    None => return Err(WriterError::Closed(self.address)),
+                }
+            }
+        });
+        response.await.map_err(|_| WriterError::ResponseTimeout(self.address))?
+    }
+
+    /// Applies any number of changes in parts; each part is applied completely or not at all. Returns the version of the
+    /// last change; `None` without changes.
+    ///
+    /// # Errors
+    /// As [`Writer::write`], for the first part that was not applied; those before it were.
+    pub async fn write_parts(&mut self, changes: Vec<Change>) -> Result<Option<Version>, WriterError> {
+        let (mut part, mut part_bytes, mut last) = (Vec::new(), 0, None);
+        for change in changes {
+            let change_bytes = MAX_CHANGE_OVERHEAD_BYTES + change.key.name.len() + change.body.len();
+            if part_bytes + change_bytes > MAX_PART_BYTES && !part.is_empty() {
+                last = Some(self.write(std::mem::take(&mut part)).await?);
+                part_bytes = 0;
+            }
+            part.push(change);
+            part_bytes += change_bytes;
+        }
+        if !part.is_empty() {
+            last = Some(self.write(part).await?);
+        }
+        Ok(last)
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/store/mod.rs
@@ -0,0 +1,383 @@
+//! The records of one source as far as one node has them: records by key, a change log by urgency, digests by service.
+
+mod service_records;
+mod validation;
+
+pub use validation::{MAX_BODY_BYTES, MAX_NAME_BYTES, WriteError, validate_change};
+
+use crate::message::{KeyBound, ServiceDigest};
+use crate::record::{
+    Change, Cursor, Epoch, Key, Kind, Record, Scope, ServiceId, SourceId, State, Urgency, Version,
+};
+use service_records::ServiceRecords;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use twox_hash::XxHash3_64;
+
+/// Tombstones retained at the most, the oldest are dropped first: about 8 MB, 15 minutes at 70 removals per second.
+pub const MAX_TOMBSTONES: usize = 65_536;
+
+/// An entry of a change log: a record's version, and its key.
+type LogEntry = (Version, Key);
+
+/// The records of one source.
+#[derive(Debug)]
+pub struct VersionedStore {
+    source: SourceId,
+    epoch: Epoch,
+    head: Version,
+    /// The position up to which this store is complete, by urgency: the head at the source itself, the received position
+    /// downstream.
+    cursor: Cursor,
+    /// Tombstones up to this version may be missing: a subscriber before it can't be served from the log.
+    tombstone_floor: Version,
+    /// Counts changes that the log doesn't show: a new incarnation of the source, or a repair that changed records.
+    generation: u64,
+    services: BTreeMap<ServiceId, ServiceRecords>,
+    /// By urgency: each stored record under its version, so a log never has more than the newest change of each key.
+    /// Empty in a store without logs.
+    logs: [BTreeSet<LogEntry>; 3],
+    has_logs: bool,
+    tombstones: BTreeSet<LogEntry>,
+    max_tombstones: usize,
+    /// The wrapping sum of the digests of all services.
+    total_digest: u64,
+    live_count: usize,
+    /// Input of the hash; reused to spare an allocation for each record.
+    hash_buffer: Vec<u8>,
+    /// The first key in the order of keys, to begin a range over versions with.
+    first_key: Key,
+    /// The body of lookup probes, shared to spare an allocation for each.
+    empty_body: Arc<[u8]>,
+}
+
+impl VersionedStore {
+    /// An empty store of this incarnation of the source. Epochs are counted from 1.
+    #[must_use]
+    pub fn new(source: SourceId, epoch: Epoch) -> Self {
+        let mut store = Self::unknown(source);
+        store.start_at(Version { epoch: epoch.max(1), revision: 0 });
+        store
+    }
+
+    /// The store of a source after a restart: the persisted `records`, and `head`, the last persisted change. Records keep
+    /// their versions; new changes get the new epoch. The head becomes a version of the new epoch with the old revision, so
+    /// that all changes of former incarnations are older, including those that were not persisted.
+    #[must_use]
+    pub fn restore(source: SourceId, epoch: Epoch, head: Version, records: Vec<Record>) -> Self {
+        let mut store = Self::unknown(source);
+        let revision = records.iter().map(|record| record.version.revision).fold(head.revision, u64::max);
+        for record in records {
+            store.insert(record);
+        }
+        store.start_at(Version { epoch: epoch.max(1), revision });
+        store.prune_tombstones();
+        store
+    }
+
+    /// Makes the store complete up to `head`.
+    fn start_at(&mut self, head: Version) {
+        self.epoch = head.epoch;
+        self.head = head;
+        self.cursor = [head; 3];
+        self.tombstone_floor = head;
+    }
+
+    /// A store that has received nothing: epoch 0, at the zero cursor.
+    pub(crate) fn unknown(source: SourceId) -> Self {
+        Self {
+            source,
+            epoch: 0,
+            head: Version::default(),
+            cursor: Cursor::default(),
+            tombstone_floor: Version::default(),
+            generation: 0,
+            services: BTreeMap::new(),
+            logs: Default::default(),
+            has_logs: true,
+            tombstones: BTreeSet::new(),
+            max_tombstones: MAX_TOMBSTONES,
+            total_digest: 0,
+            live_count: 0,
+            hash_buffer: Vec::new(),
+            first_key: Key { service: 0, kind: Kind::Backend, name: Arc::from("") },
+            empty_body: Arc::from([]),
+        }
+    }
+
+    /// The same store without logs, for a node that serves no subscribers.
+    pub(crate) fn without_logs(mut self) -> Self {
+        self.has_logs = false;
+        self
+    }
+
+    /// The same store with another bound for tombstones.
+    #[must_use]
+    pub fn with_max_tombstones(mut self, max: usize) -> Self {
+        self.set_max_tombstones(max);
+        self
+    }
+
+    pub(crate) fn set_max_tombstones(&mut self, max: usize) {
+        self.max_tombstones = max;
+        self.prune_tombstones();
+    }
+
+    /// Applies a change at the source itself and assigns the next version to it.
+    ///
+    /// # Errors
+    /// The change exceeds a bound; the store is unchanged then.
+    pub fn write(&mut self, change: Change) -> Result<Record, WriteError> {
+        validate_change(&change)?;
+        let version = Version { epoch: self.epoch, revision: self.head.revision + 1 };
+        let record = Record { key: change.key, version, state: change.state, body: change.body };
+        self.insert(record.clone());
+        self.cursor = [version; 3];
+        self.prune_tombstones();
+        Ok(record)
+    }
+
+    /// The source.
+    #[must_use]
+    pub fn source(&self) -> SourceId {
+        self.source
+    }
+
+    /// The incarnation of the source; 0: unknown.
+    #[must_use]
+    pub fn epoch(&self) -> Epoch {
+        self.epoch
+    }
+
+    /// The newest known version, in scope or not.
+    #[must_use]
+    pub fn head(&self) -> Version {
+        self.head
+    }
+
+    /// The position up to which the store is complete, by urgency.
+    #[must_use]
+    pub fn cursor(&self) -> Cursor {
+        self.cursor
+    }
+
+    /// The version up to which the store is complete in every urgency.
+    #[must_use]
+    pub fn complete_through(&self) -> Version {
+        self.cursor.into_iter().min().unwrap_or_default()
+    }
+
+    /// Tombstones up to this version may be missing.
+    #[must_use]
+    pub fn tombstone_floor(&self) -> Version {
+        self.tombstone_floor
+    }
+
+    /// Counts changes that the log doesn't show.
+    #[must_use]
+    pub fn generation(&self) -> u64 {
+        self.generation
+    }
+
+    /// The number of live records.
+    #[must_use]
+    pub fn live_count(&self) -> usize {
+        self.live_count
+    }
+
+    /// The number of retained tombstones.
+    #[must_use]
+    pub fn tombstone_count(&self) -> usize {
+        self.tombstones.len()
+    }
+
+    /// The record of a key, which may be a tombstone.
+    #[must_use]
+    pub fn get(&self, key: &Key) -> Option<&Record> {
+        self.services.get(&key.service)?.get(key, &self.empty_body)
+    }
+
+    /// The live records of a service, ordered by key.
+    pub fn service(&self, service: ServiceId) -> impl Iterator<Item = &Record> {
+        self.range(service, None, None).filter(|record| record.state != State::Gone)
+    }
+
+    /// All live records, ordered by key.
+    pub fn live_records(&self) -> impl Iterator<Item = &Record> {
+        let records = self.services.values().flat_map(ServiceRecords::iter);
+        records.filter(|record| record.state != State::Gone)
+    }
+
+    /// The digest of a service: the wrapping sum of the hashes of its live records, independent of their order; 0 without
+    /// records.
+    #[must_use]
+    pub fn digest(&self, service: ServiceId) -> u64 {
+        self.services.get(&service).map_or(0, |service| service.digest)
+    }
+
+    /// The wrapping sum of the digests of all services in scope.
+    #[must_use]
+    pub fn scope_digest(&self, scope: &Scope) -> u64 {
+        match scope {
+            Scope::All => self.total_digest,
+            Scope::Services(services) => {
+                services.iter().fold(0, |sum, service| sum.wrapping_add(self.digest(*service)))
+            }
+        }
+    }
+
+    /// The wrapping sum of the digests of all services.
+    pub(crate) fn total_digest(&self) -> u64 {
+        self.total_digest
+    }
+
+    /// The records of a service after one key (excluded) up to another (included), tombstones as well.
+    pub(crate) fn range<'a>(
+        &'a self,
+        service: ServiceId,
+        after: Option<&KeyBound>,
+        through: Option<&KeyBound>,
+    ) -> impl Iterator<Item = &'a Record> + use<'a> {
+        let records = self.services.get(&service);
+        records.map(|records| records.range(after, through, &self.empty_body)).into_iter().flatten()
+    }
+
+    /// The digests that are not 0, from this service on.
+    pub(crate) fn digests(&self, first: ServiceId) -> impl Iterator<Item = ServiceDigest> {
+        self.services
+            .range(first..)
+            .map(|(service, records)| ServiceDigest { service: *service, digest: records.digest })
+            .filter(|one| one.digest != 0)
+    }
+
+    /// The digests of services in scope that are not 0, from `first` on, `max` at the most.
+    pub(crate) fn digests_in_scope(&self, scope: &Scope, first: ServiceId, max: usize) -> Vec<ServiceDigest> {
+        match scope {
+            Scope::All => self.digests(first).take(max).collect(),
+            Scope::Services(services) => services
+                .range(first..)
+                .map(|service| ServiceDigest { service: *service, digest: self.digest(*service) })
+                .filter(|one| one.digest != 0)
+                .take(max)
+                .collect(),
+        }
+    }
+
+    /// The log's entries after one version up to and including another, the oldest first.
+    pub(crate) fn log(
+        &self,
+        urgency: Urgency,
+        after: Version,
+        through: Version,
+    ) -> impl Iterator<Item = (Version, &Key)> {
+        let first = Version { revision: after.revision.saturating_add(1), ..after };
+        let log = &self.logs[urgency as usize];
+        // A range whose end lies before its beginning would panic, so the end is checked entry by entry.
+        let entries =
+            log.range((first, self.first_key.clone())..).take_while(move |(version, _)| *version <= through);
+        entries.map(|(version, key)| (*version, key))
+    }
+
+    /// Replaces the record of a key, whatever its version. Returns the former record.
+    pub(crate) fn insert(&mut self, record: Record) -> Option<Record> {
+        let previous = self.remove(&record.key);
+        self.head = self.head.max(record.version);
+        let entry = (record.version, record.key.clone());
+        if self.has_logs {
+            self.logs[record.urgency() as usize].insert(entry.clone());
+        }
+        let hash = self.hash(&record);
+        let service = self.services.entry(record.key.service).or_default();
+        if record.state == State::Gone {
+            self.tombstones.insert(entry);
+        } else {
+            self.live_count += 1;
+            service.digest = service.digest.wrapping_add(hash);
+            self.total_digest = self.total_digest.wrapping_add(hash);
+        }
+        service.insert(record);
+        previous
+    }
+
+    /// Removes the record of a key without a tombstone.
+    fn remove(&mut self, key: &Key) -> Option<Record> {
+        let record = self.services.get_mut(&key.service)?.remove(key, &self.empty_body)?;
+        let entry = (record.version, record.key.clone());
+        self.logs[record.urgency() as usize].remove(&entry);
+        if record.state == State::Gone {
+            self.tombstones.remove(&entry);
+        } else {
+            self.live_count -= 1;
+        }
+        let hash = self.hash(&record);
+        let service = self.services.get_mut(&key.service)?;
+        if record.state != State::Gone {
+            service.digest = service.digest.wrapping_sub(hash);
+            self.total_digest = self.total_digest.wrapping_sub(hash);
+        }
+        if service.is_empty() {
+            self.services.remove(&key.service);
+        }
+        Some(record)
+    }
+
+    /// Drops the oldest tombstones beyond the bound. Tombstones beyond the complete position are retained: until then an
+    /// older change of the same key could still arrive.
+    pub(crate) fn prune_tombstones(&mut self) {
+        let complete = self.complete_through();
+        while self.tombstones.len() > self.max_tombstones {
+            let Some((version, key)) = self.tombstones.first().cloned() else { break };
+            if version > complete {
+                break;
+            }
+            self.remove(&key);
+            self.tombstone_floor = self.tombstone_floor.max(version);
+        }
+    }
+
+    /// Drops all tombstones up to a version; subscribers before it have to be repaired by digests.
+    pub(crate) fn drop_tombstones(&mut self, through: Version) {
+        while let Some((version, key)) =
+            self.tombstones.first().cloned().filter(|(version, _)| *version <= through)
+        {
+            self.remove(&key);
+            self.tombstone_floor = self.tombstone_floor.max(version);
+        }
+    }
+
+    /// Sets the position up to which the store is complete.
+    pub(crate) fn advance_to(&mut self, cursor: Cursor) {
+        self.cursor = cursor;
+        self.head = cursor.into_iter().fold(self.head, Version::max);
+    }
+
+    /// Ends a repair: the store belongs to this incarnation of the source, and has no tombstones up to `through`.
+    pub(crate) fn finish_repair(&mut self, epoch: Epoch, through: Version, changed: bool) {
+        self.generation += u64::from(changed || epoch != self.epoch);
+        self.epoch = epoch;
+        self.tombstone_floor = self.tombstone_floor.max(through);
+        self.drop_tombstones(through);
+    }
+
+    /// Records a change that the log doesn't show.
+    pub(crate) fn advance_generation(&mut self) {
+        self.generation += 1;
+    }
+
+    /// The hash of a record; 0 of a tombstone.
+    fn hash(&mut self, record: &Record) -> u64 {
+        if record.state == State::Gone {
+            return 0;
+        }
+        let input = &mut self.hash_buffer;
+        input.clear();
+        input.extend_from_slice(&record.key.service.to_le_bytes());
+        input.extend_from_slice(&record.version.epoch.to_le_bytes());
+        input.extend_from_slice(&record.version.revision.to_le_bytes());
+        input.extend_from_slice(&[record.key.kind as u8, record.state as u8]);
+        input.extend_from_slice(&(record.key.name.len() as u64).to_le_bytes());
+        input.extend_from_slice(record.key.name.as_bytes());
+        input.extend_from_slice(&record.body);
+        XxHash3_64::oneshot(input)
+    }
+}
--- a/crates/control-plane/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -1,25 +1,24 @@
-//! The last in line: holds the records of its scope from all sources, whichever relay they come over.
+//! A subscriber: replicates the records of its scope from all sources, over any relay.
 
 use crate::Millis;
-use crate::feed::MAX_SOURCES;
-use crate::ledger::Ledger;
-use crate::message::{Message, PROTOCOL};
+use crate::message::{Message, PROTOCOL_VERSION};
 use crate::record::{Scope, SourceId};
-use crate::replica::{Applied, Replica};
-use crate::source::{Refusal, spoken};
+use crate::replica::{AppliedRecord, Replica};
+use crate::session::{MAX_SOURCES, SessionError, check_limit, check_protocol_version};
+use crate::store::VersionedStore;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a message came to.
+/// The result of handling a message.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Heard {
-    /// To be said to the relay.
+pub struct MessageOutcome {
+    /// Messages to send to the relay.
     pub replies: Vec<Message>,
-    /// What came into force, in this order.
-    pub applied: Vec<Applied>,
+    /// Records that took effect, in this order.
+    pub applied: Vec<AppliedRecord>,
 }
 
-/// A subscriber. It keeps what it has while it hears nothing.
+/// A subscriber. It retains its records while it is disconnected.
 #[derive(Debug)]
 pub struct Subscriber {
     name: String,
@@ -28,57 +27,63 @@
 }
 
 impl Subscriber {
-    /// One that knows nothing yet.
+    /// A subscriber without records.
     #[must_use]
     pub fn new(name: &str, scope: Scope) -> Self {
         Self { name: name.to_owned(), scope: Arc::new(scope), replicas: BTreeMap::new() }
     }
 
-    /// The words with which a connection to any relay begins.
+    /// The first message on a connection to any relay.
     #[must_use]
     pub fn hello(&self) -> Message {
-        let have = self.replicas.values().filter_map(Replica::have).collect();
+        let positions = self.replicas.values().filter_map(Replica::position).collect();
         let (name, scope) = (self.name.clone(), Scope::clone(&self.scope));
-        Message::Hello { protocol: PROTOCOL, name, scope, have }
+        Message::Hello { protocol: PROTOCOL_VERSION, name, scope, positions }
     }
 
-    /// The relay said something.
+    /// Handles a message from the relay.
     ///
     /// # Errors
-    /// Where the connection has to end.
-    pub fn on_message(&mut self, message: Message, now: Millis) -> Result<Heard, Refusal> {
-        let mut heard = Heard::default();
+    /// The connection has to end.
+    pub fn on_message(&mut self, message: Message, now: Millis) -> Result<MessageOutcome, SessionError> {
+        let mut outcome = MessageOutcome::default();
         match message {
             Message::Welcome { protocol, .. } => {
-                spoken(protocol)?;
-                heard.replies.extend(self.replicas.values_mut().filter_map(|replica| replica.connected(now)));
+                check_protocol_version(protocol)?;
+                let requests = self.replicas.values_mut().filter_map(|replica| replica.on_connected(now));
+                outcome.replies.extend(requests);
             }
-            Message::Alive | Message::Goodbye { .. } => {}
+            Message::Heartbeat | Message::Close { .. } => {}
             Message::Batch { source, .. }
-            | Message::Summary { source, .. }
-            | Message::Whole { source, .. } => {
-                if !self.replicas.contains_key(&source) && self.replicas.len() >= MAX_SOURCES {
-                    return Err(Refusal::TooMany { what: "sources", is: MAX_SOURCES + 1, most: MAX_SOURCES });
-                }
-                let fresh = || Replica::new(source, Arc::clone(&self.scope), false);
-                let replica = self.replicas.entry(source).or_insert_with(fresh);
-                heard.replies.extend(replica.take(message, now, &mut heard.applied));
+            | Message::DigestSummary { source, .. }
+            | Message::ServiceSnapshot { source, .. } => {
+                let replica = self.replica(source)?;
+                outcome.replies.extend(replica.on_message(message, now, &mut outcome.applied));
             }
             other => {
-                let why = "upstream says Batch, Summary, Whole and Alive";
-                return Err(Refusal::OutOfTurn { what: other.name(), why });
+                let expected = "upstream says Batch, Summary, Whole and Alive";
+                return Err(SessionError::UnexpectedMessage { message: other.name(), expected });
             }
         }
-        Ok(heard)
+        Ok(outcome)
     }
 
-    /// Time went by: what to say to the relay, where an answer to a question did not come.
+    /// The replica of a source, created if it is new.
+    fn replica(&mut self, source: SourceId) -> Result<&mut Replica, SessionError> {
+        if !self.replicas.contains_key(&source) {
+            check_limit("sources", self.replicas.len() + 1, MAX_SOURCES)?;
+        }
+        let create = || Replica::new(source, Arc::clone(&self.scope), false);
+        Ok(self.replicas.entry(source).or_insert_with(create))
+    }
+
+    /// Returns the requests to send again, because no response arrived in time.
     pub fn tick(&mut self, now: Millis) -> Vec<Message> {
         self.replicas.values_mut().filter_map(|replica| replica.tick(now)).collect()
     }
 
-    /// What it holds, by source.
-    pub fn ledgers(&self) -> impl Iterator<Item = (SourceId, &Ledger)> {
-        self.replicas.iter().map(|(source, replica)| (*source, replica.ledger()))
+    /// The records, by source.
+    pub fn stores(&self) -> impl Iterator<Item = (SourceId, &VersionedStore)> {
+        self.replicas.iter().map(|(source, replica)| (*source, replica.store()))
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/subscription_cursor/mod.rs
@@ -0,0 +1,387 @@
+//! Send state of one subscriber and one source: the position already sent, and the next message due.
+
+mod next_message;
+
+pub(crate) use next_message::{NextMessage, SendPriority, StoreView};
+
+use crate::Millis;
+use crate::message::{
+    KeyBound, MAX_MESSAGE_BYTES, MESSAGE_OVERHEAD_BYTES, Message, ReplicaPosition, ServiceRange,
+};
+use crate::rate_limit::TokenBucket;
+use crate::record::{Cursor, Epoch, Record, Scope, ServiceId, State, Urgency, Version, merge_cursors};
+use crate::store::VersionedStore;
+
+/// Interval between digests of the scope to a subscriber that has everything, milliseconds.
+pub const DIGEST_INTERVAL: Millis = 10_000;
+/// Least interval between messages that only advance the position past changes out of scope, milliseconds.
+const PROGRESS_INTERVAL: Millis = 1_000;
+/// Size at which a batch, a summary or a part of a snapshot is cut, bytes; a single record may be longer.
+const MAX_PART_BYTES: usize = MAX_MESSAGE_BYTES / 4;
+/// Least size to cut to when tokens are short, bytes; with less, message headers would take most of the rate.
+const MIN_PART_BYTES: usize = 1 << 10;
+/// Records of one version (those that a repair removed) are sent in one batch up to this size, bytes.
+const MAX_SAME_VERSION_BYTES: usize = MAX_MESSAGE_BYTES / 4 * 3;
+/// Size of a digest in a summary at the most, bytes.
+const MAX_DIGEST_BYTES: usize = 5 + 10;
+
+/// A summary of which parts are still to be sent.
+#[derive(Debug)]
+struct SummaryInProgress {
+    next_service: ServiceId,
+    to: Cursor,
+    epoch: Epoch,
+    generation: u64,
+}
+
+/// Records for a batch.
+struct ChangeSet {
+    records: Vec<Record>,
+    /// The version up to which the records are complete.
+    through: Version,
+}
+
+/// The send state of one subscriber and one source.
+#[derive(Debug)]
+pub(crate) struct SubscriptionCursor {
+    /// The incarnation of the source that the subscriber follows; 0: none.
+    epoch: Epoch,
+    /// The last store generation that the subscriber has; `None`: all up to the first observation.
+    generation: Option<u64>,
+    /// The position that was sent to the subscriber.
+    sent_cursor: Cursor,
+    /// The position up to which the logs have nothing in scope; never before `sent_cursor`.
+    scanned_cursor: Cursor,
+    summary: Option<SummaryInProgress>,
+    /// Services of which a snapshot was requested, the last one first.
+    requested_snapshots: Vec<ServiceId>,
+    /// The key up to which the first of them was sent.
+    snapshot_position: Option<KeyBound>,
+    digest_due_at: Millis,
+    progress_due_at: Millis,
+    /// Digests were requested, or a summary is due for another reason.
+    digests_requested: bool,
+}
+
+/// The size to which a message may be cut now, beside its overhead, bytes.
+fn part_size(bucket: &TokenBucket) -> usize {
+    MAX_PART_BYTES.min(bucket.available_bytes().max(MIN_PART_BYTES)).saturating_sub(MESSAGE_OVERHEAD_BYTES)
+}
+
+impl SubscriptionCursor {
+    /// A subscriber without records of the source.
+    pub(crate) fn new(now: Millis) -> Self {
+        Self {
+            epoch: 0,
+            generation: None,
+            sent_cursor: Cursor::default(),
+            scanned_cursor: Cursor::default(),
+            summary: None,
+            requested_snapshots: Vec::new(),
+            snapshot_position: None,
+            digest_due_at: now,
+            progress_due_at: now,
+            digests_requested: false,
+        }
+    }
+
+    /// A subscriber at a position.
+    pub(crate) fn at(position: &ReplicaPosition, now: Millis) -> Self {
+        let cursor = position.cursor;
+        Self { epoch: position.epoch, sent_cursor: cursor, scanned_cursor: cursor, ..Self::new(now) }
+    }
+
+    /// Continues from a position after a loss.
+    pub(crate) fn resume(&mut self, position: &ReplicaPosition, now: Millis) {
+        self.epoch = position.epoch;
+        self.sent_cursor = position.cursor;
+        self.scanned_cursor = position.cursor;
+        self.digest_due_at = now;
+        self.summary = None;
+    }
+
+    /// Makes a new summary due.
+    pub(crate) fn request_digests(&mut self) {
+        self.digests_requested = true;
+        self.summary = None;
+    }
+
+    /// Requests snapshots of these services in place of those requested before.
+    pub(crate) fn request_snapshots(&mut self, mut services: Vec<ServiceId>) {
+        services.sort_unstable_by(|left, right| right.cmp(left));
+        services.dedup();
+        services.shrink_to_fit();
+        self.requested_snapshots = services;
+        self.snapshot_position = None;
+    }
+
+    /// The number of services of which a snapshot is requested.
+    pub(crate) fn requested_snapshots(&self) -> usize {
+        self.requested_snapshots.len()
+    }
+
+    /// Decides whether the store's log suffices for this subscriber; else a summary becomes due.
+    pub(crate) fn observe(&mut self, view: StoreView<'_>) {
+        let (epoch, generation) = (view.store.epoch(), view.store.generation());
+        // A subscriber that follows a later incarnation waits until this store has caught up.
+        if epoch < self.epoch {
+            self.summary = None;
+            return;
+        }
+        if self.epoch == epoch && self.generation.is_none() {
+            self.generation = Some(generation);
+        }
+        let floor = view.store.tombstone_floor().min(view.store.complete_through());
+        let is_behind = self.sent_cursor[Urgency::Drain as usize] < floor;
+        let is_due =
+            self.digests_requested || is_behind || self.epoch != epoch || self.generation != Some(generation);
+        let is_current = self
+            .summary
+            .as_ref()
+            .is_some_and(|summary| (summary.epoch, summary.generation) == (epoch, generation));
+        if is_due && !is_current {
+            let to = [view.store.complete_through(); 3];
+            self.summary = Some(SummaryInProgress { next_service: 0, to, epoch, generation });
+            self.request_snapshots(Vec::new());
+        }
+    }
+
+    /// The next message of a class.
+    pub(crate) fn next_message(
+        &mut self,
+        priority: SendPriority,
+        view: StoreView<'_>,
+        scope: &Scope,
+        bucket: &TokenBucket,
+        now: Millis,
+    ) -> NextMessage {
+        if view.store.epoch() < self.epoch {
+            return NextMessage::Idle;
+        }
+        match priority {
+            SendPriority::DigestSummary if view.is_consistent => {
+                self.next_digest_summary(view, scope, bucket, now)
+            }
+            SendPriority::ServiceSnapshot if view.is_consistent && self.summary.is_none() => {
+                self.next_service_snapshot(view, bucket)
+            }
+            SendPriority::Changes(urgency) if self.summary.is_none() => {
+                self.next_changes(urgency, view, scope, bucket, now)
+            }
+            SendPriority::Progress if self.summary.is_none() => self.next_progress(view, scope, bucket, now),
+            _ => NextMessage::Idle,
+        }
+    }
+
+    /// Advances `scanned_cursor` past what is not in scope. Returns whether something in scope is left.
+    fn has_changes_in_scope(&mut self, urgency: Urgency, view: StoreView<'_>, scope: &Scope) -> bool {
+        let index = urgency as usize;
+        let end = view.store.cursor()[index];
+        if self.scanned_cursor[index] >= end {
+            return false;
+        }
+        // Records of one version belong together, so the scan stops before the version of the one in scope.
+        let mut last = self.scanned_cursor[index];
+        let mut before_last = last;
+        for (version, key) in view.store.log(urgency, last, end) {
+            if version != last {
+                (before_last, last) = (last, version);
+            }
+            if scope.contains(key.service) {
+                self.scanned_cursor[index] = before_last;
+                return true;
+            }
+        }
+        self.scanned_cursor[index] = end;
+        false
+    }
+
+    fn next_changes(
+        &mut self,
+        urgency: Urgency,
+        view: StoreView<'_>,
+        scope: &Scope,
+        bucket: &TokenBucket,
+        now: Millis,
+    ) -> NextMessage {
+        if !self.has_changes_in_scope(urgency, view, scope) {
+            return NextMessage::Idle;
+        }
+        let Some(ChangeSet { records, through }) =
+            self.collect_changes(urgency, view.store, scope, part_size(bucket))
+        else {
+            // More records of one version than fit into a message are repaired by digests.
+            self.digests_requested = true;
+            self.observe(view);
+            return NextMessage::NotBefore(now + 1);
+        };
+        let size = records.iter().map(Record::encoded_size_bound).sum::<usize>();
+        if let Err(at) = bucket.check_available(size + MESSAGE_OVERHEAD_BYTES) {
+            return NextMessage::RateLimited(at);
+        }
+        let index = urgency as usize;
+        let mut to = self.sent_cursor;
+        to[index] = through;
+        self.scanned_cursor[index] = self.scanned_cursor[index].max(through);
+        let is_complete = through == view.store.cursor()[index];
+        for other in Urgency::ALL {
+            if is_complete && other != urgency && !self.has_changes_in_scope(other, view, scope) {
+                to[other as usize] = self.scanned_cursor[other as usize];
+            }
+        }
+        NextMessage::Send(self.batch(view, to, records, None, now))
+    }
+
+    /// The oldest unsent records of an urgency, about `part_size` bytes; records of one version are never split. `None`:
+    /// the records of one version exceed [`MAX_SAME_VERSION_BYTES`].
+    fn collect_changes(
+        &self,
+        urgency: Urgency,
+        store: &VersionedStore,
+        scope: &Scope,
+        part_size: usize,
+    ) -> Option<ChangeSet> {
+        let index = urgency as usize;
+        let end = store.cursor()[index];
+        let mut records: Vec<Record> = Vec::new();
+        let mut size = 0;
+        // The last position where a cut does not split records of one version: the number of records, and their version.
+        let mut last_cut: Option<(usize, Version)> = None;
+        let mut last_version = None;
+        let in_scope = store
+            .log(urgency, self.scanned_cursor[index], end)
+            .filter(|(_, key)| scope.contains(key.service));
+        for (version, key) in in_scope {
+            let Some(record) = store.get(key) else { continue };
+            if last_version.is_some_and(|last| last != version) {
+                last_cut = last_version.map(|last| (records.len(), last));
+            }
+            let limit =
+                if last_cut.is_none() && last_version.is_some() { MAX_SAME_VERSION_BYTES } else { part_size };
+            let is_full = size + record.encoded_size_bound() > limit;
+            if is_full && let Some((count, through)) = last_cut {
+                records.truncate(count);
+                return Some(ChangeSet { records, through });
+            }
+            if is_full && last_version.is_some() {
+                return None;
+            }
+            size += record.encoded_size_bound();
+            last_version = Some(version);
+            records.push(record.clone());
+        }
+        Some(ChangeSet { records, through: end })
+    }
+
+    /// A batch, after which the subscriber is at `to`.
+    fn batch(
+        &mut self,
+        view: StoreView<'_>,
+        to: Cursor,
+        records: Vec<Record>,
+        scope_digest: Option<u64>,
+        now: Millis,
+    ) -> Message {
+        let from = self.sent_cursor;
+        let to = merge_cursors(from, to);
+        self.sent_cursor = to;
+        self.scanned_cursor = merge_cursors(self.scanned_cursor, to);
+        self.progress_due_at = now + PROGRESS_INTERVAL;
+        if scope_digest.is_some() {
+            self.digest_due_at = now + DIGEST_INTERVAL;
+        }
+        let (source, epoch) = (view.store.source(), view.store.epoch());
+        Message::Batch { source, epoch, from, to, records, scope_digest }
+    }
+
+    fn next_progress(
+        &mut self,
+        view: StoreView<'_>,
+        scope: &Scope,
+        bucket: &TokenBucket,
+        now: Millis,
+    ) -> NextMessage {
+        let store_cursor = view.store.cursor();
+        // A subscriber that received more from another relay can't be compared, and needs no position.
+        let is_ahead = self.sent_cursor.iter().zip(store_cursor).any(|(sent, stored)| *sent > stored);
+        let sends_digest = view.is_consistent && !is_ahead;
+        let has_progress = merge_cursors(self.sent_cursor, store_cursor) != self.sent_cursor;
+        let digest_due_at = sends_digest.then_some(self.digest_due_at);
+        let progress_due_at = has_progress.then_some(self.progress_due_at);
+        let Some(due_at) = [digest_due_at, progress_due_at].into_iter().flatten().min() else {
+            return NextMessage::Idle;
+        };
+        if now < due_at {
+            return NextMessage::NotBefore(due_at);
+        }
+        if let Err(at) = bucket.check_available(MESSAGE_OVERHEAD_BYTES) {
+            return NextMessage::RateLimited(at);
+        }
+        let scope_digest =
+            (sends_digest && now >= self.digest_due_at).then(|| view.store.scope_digest(scope));
+        NextMessage::Send(self.batch(view, store_cursor, Vec::new(), scope_digest, now))
+    }
+
+    fn next_digest_summary(
+        &mut self,
+        view: StoreView<'_>,
+        scope: &Scope,
+        bucket: &TokenBucket,
+        now: Millis,
+    ) -> NextMessage {
+        let Some(summary) = &mut self.summary else { return NextMessage::Idle };
+        let max_digests = (part_size(bucket) / MAX_DIGEST_BYTES).max(1);
+        let mut digests = view.store.digests_in_scope(scope, summary.next_service, max_digests + 1);
+        let has_more = digests.len() > max_digests;
+        digests.truncate(max_digests);
+        if let Err(at) = bucket.check_available(MESSAGE_OVERHEAD_BYTES + digests.len() * MAX_DIGEST_BYTES) {
+            return NextMessage::RateLimited(at);
+        }
+        let last = digests.last().filter(|_| has_more).map_or(ServiceId::MAX, |one| one.service);
+        let (first, to) = (summary.next_service, summary.to);
+        match last.checked_add(1) {
+            Some(next) if has_more => summary.next_service = next,
+            _ => {
+                (self.epoch, self.generation) = (summary.epoch, Some(summary.generation));
+                (self.sent_cursor, self.scanned_cursor) = (to, to);
+                (self.summary, self.digests_requested) = (None, false);
+                self.digest_due_at = now + DIGEST_INTERVAL;
+            }
+        }
+        let (source, epoch) = (view.store.source(), view.store.epoch());
+        let range = ServiceRange { first, last };
+        NextMessage::Send(Message::DigestSummary { source, epoch, range, to, digests })
+    }
+
+    fn next_service_snapshot(&mut self, view: StoreView<'_>, bucket: &TokenBucket) -> NextMessage {
+        let Some(service) = self.requested_snapshots.last().copied() else { return NextMessage::Idle };
+        let store = view.store;
+        let as_of = store.complete_through();
+        let part_size = part_size(bucket);
+        let mut records: Vec<Record> = Vec::new();
+        let (mut size, mut through) = (0, None);
+        // Tombstones newer than `as_of` are included: without one, a removed record would be kept downstream.
+        let stored = store.range(service, self.snapshot_position.as_ref(), None);
+        for record in stored.filter(|record| record.state != State::Gone || record.version > as_of) {
+            if size + record.encoded_size_bound() > part_size
+                && let Some(last) = records.last()
+            {
+                through = Some(KeyBound { kind: last.key.kind, name: last.key.name.clone() });
+                break;
+            }
+            size += record.encoded_size_bound();
+            records.push(record.clone());
+        }
+        let bounds = [&self.snapshot_position, &through].into_iter().flatten();
+        let bounds_size = bounds.map(|bound| bound.name.len()).sum::<usize>();
+        if let Err(at) = bucket.check_available(size + bounds_size + MESSAGE_OVERHEAD_BYTES) {
+            return NextMessage::RateLimited(at);
+        }
+        let after = std::mem::replace(&mut self.snapshot_position, through.clone());
+        if through.is_none() {
+            self.requested_snapshots.pop();
+        }
+        let (source, epoch) = (store.source(), store.epoch());
+        NextMessage::Send(Message::ServiceSnapshot { source, epoch, as_of, service, after, through, records })
+    }
+}
--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -3,9 +3,9 @@
 mod strategies;
 
 use control_plane::codec::{
-    BodyError, CodecError, FrameReader, FrameWriter, backend_body, decode, encode, read_backend,
+    BodyError, CodecError, FrameReader, FrameWriter, decode, decode_backend_body, encode, encode_backend_body,
 };
-use control_plane::message::{MAX_BYTES, Message, PROTOCOL};
+use control_plane::message::{MAX_MESSAGE_BYTES, Message, PROTOCOL_VERSION};
 use control_plane::record::{Backend, Scope};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
 /// Gives bytes in pieces of these sizes, then ends.
 struct Pieces {
     bytes: Vec<u8>,
-    given: usize,
+    position: usize,
     sizes: Vec<usize>,
     turn: usize,
 }
@@ -30,16 +30,16 @@
         into: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let size = self.sizes[self.turn % self.sizes.len()];
-        let size = size.min(into.remaining()).min(self.bytes.len() - self.given);
-        into.put_slice(&self.bytes[self.given..self.given + size]);
-        self.given += size;
+        let size = size.min(into.remaining()).min(self.bytes.len() - self.position);
+        into.put_slice(&self.bytes[self.position..self.position + size]);
+        self.position += size;
         self.turn += 1;
         Poll::Ready(Ok(()))
     }
 }
 
 fn reader(bytes: Vec<u8>, sizes: Vec<usize>) -> FrameReader<Pieces> {
-    FrameReader::new(Pieces { bytes, given: 0, sizes, turn: 0 })
+    FrameReader::new(Pieces { bytes, position: 0, sizes, turn: 0 })
 }
 
 /// All messages, then how it ended.
@@ -78,12 +78,12 @@
         let frames: Vec<Vec<u8>> = messages.iter().map(|m| encode(m).expect("short enough")).collect();
         let (last, before) = frames.split_last().expect("one at the least");
         // Between its first byte and the last but one.
-        let had = 1 + cut.index(last.len() - 1);
+        let received = 1 + cut.index(last.len() - 1);
         let mut bytes = before.concat();
-        bytes.extend_from_slice(&last[..had]);
+        bytes.extend_from_slice(&last[..received]);
         let (came, end) = read_all(bytes, sizes);
         prop_assert_eq!(came.as_slice(), &messages[..before.len()]);
-        let cut_off = matches!(end, Err(CodecError::CutOff { had: h }) if h == had);
+        let cut_off = matches!(end, Err(CodecError::Truncated { received: r }) if r == received);
         prop_assert!(cut_off, "{:?}", end);
     }
 
@@ -119,13 +119,13 @@
         garbage in vec(any::<u8>(), 0..60),
     ) {
         let backend = Backend { address, locality, flavor, cell, size, up_since_ms };
-        let body = backend_body(&backend);
-        prop_assert_eq!(read_backend(&body), Ok(backend));
+        let body = encode_backend_body(&backend);
+        prop_assert_eq!(decode_backend_body(&body), Ok(backend));
         let mut longer = body.to_vec();
         longer.push(0);
-        let left_over = matches!(read_backend(&longer), Err(BodyError::Malformed { .. }));
+        let left_over = matches!(decode_backend_body(&longer), Err(BodyError::Malformed { .. }));
         prop_assert!(left_over);
-        let _ = read_backend(&garbage);
+        let _ = decode_backend_body(&garbage);
     }
 }
 
@@ -135,25 +135,30 @@
 
 #[test]
 fn a_message_beyond_the_bound_is_refused_by_its_length_alone_on_either_side() {
-    let why = |bytes| Message::Goodbye { why: "x".repeat(bytes) };
+    let why = |bytes| Message::Close { reason: "x".repeat(bytes) };
     // One byte for the place of the message, three for the length of the text.
-    let longest = MAX_BYTES - 4;
-    assert_eq!(body_of(&why(longest)).len(), MAX_BYTES);
+    let longest = MAX_MESSAGE_BYTES - 4;
+    assert_eq!(body_of(&why(longest)).len(), MAX_MESSAGE_BYTES);
     let (came, end) = read_all(encode(&why(longest)).expect("just fits"), vec![100_000]);
     assert_eq!((came, end.is_ok()), (vec![why(longest)], true));
     let error = encode(&why(longest + 1)).expect_err("too long");
-    assert!(matches!(error, CodecError::TooLong { bytes, most: MAX_BYTES } if bytes == MAX_BYTES + 1));
+    assert!(
+        matches!(error, CodecError::TooLong { bytes, max: MAX_MESSAGE_BYTES } if bytes == MAX_MESSAGE_BYTES + 1)
+    );
 
-    for bytes in [MAX_BYTES + 1, u32::MAX as usize] {
+    for bytes in [MAX_MESSAGE_BYTES + 1, u32::MAX as usize] {
         let prefix = u32::try_from(bytes).expect("fits").to_be_bytes();
         let (came, end) = read_all(prefix.to_vec(), vec![1]);
         let error = end.expect_err("too long");
         assert!(came.is_empty());
-        assert!(matches!(error, CodecError::TooLong { bytes: b, most: MAX_BYTES } if b == bytes), "{error}");
+        assert!(
+            matches!(error, CodecError::TooLong { bytes: b, max: MAX_MESSAGE_BYTES } if b == bytes),
+            "{error}"
+        );
         assert_eq!(
             error.to_string(),
             format!(
-                "a message of {bytes} bytes is too long, {MAX_BYTES} bytes at most are taken; send it in parts"
+                "a message of {bytes} bytes is too long, {MAX_MESSAGE_BYTES} bytes at most are taken; send it in parts"
             )
         );
     }
@@ -163,28 +168,37 @@
 /// two versions could only say that they don't understand one another.
 #[test]
 fn a_greeting_of_another_version_is_told_by_its_version_whatever_follows() {
-    let hello = Message::Hello { protocol: PROTOCOL, name: "n".into(), scope: Scope::All, have: Vec::new() };
-    let welcome = Message::Welcome { protocol: PROTOCOL, name: "n".into() };
+    let hello = Message::Hello {
+        protocol: PROTOCOL_VERSION,
+        name: "n".into(),
+        scope: Scope::All,
+        positions: Vec::new(),
+    };
+    let welcome = Message::Welcome { protocol: PROTOCOL_VERSION, name: "n".into() };
     for message in [hello, welcome] {
         let bytes = body_of(&message);
         assert_eq!(decode(&bytes).expect("our words"), message);
-        let theirs = PROTOCOL + 1;
+        let theirs = PROTOCOL_VERSION + 1;
         let mut other = vec![bytes[0]];
         other.push(u8::try_from(theirs).expect("one byte"));
         other.extend_from_slice(b"\xff\xfe whatever they say in that version");
         let error = decode(&other).expect_err("other words");
-        assert!(matches!(error, CodecError::OtherVersion { theirs: t } if t == theirs), "{error}");
-        assert!(error.to_string().contains(&format!("protocol {theirs} is not spoken here, {PROTOCOL} is")));
+        assert!(matches!(error, CodecError::ProtocolMismatch { theirs: t } if t == theirs), "{error}");
+        assert!(
+            error
+                .to_string()
+                .contains(&format!("protocol {theirs} is not spoken here, {PROTOCOL_VERSION} is"))
+        );
     }
 }
 
 #[test]
 fn bytes_left_over_are_no_message() {
-    let mut bytes = body_of(&Message::Alive);
+    let mut bytes = body_of(&Message::Heartbeat);
     bytes.extend_from_slice(b"ab");
     let error = decode(&bytes).expect_err("too much");
     assert!(
-        matches!(&error, CodecError::NotUnderstood { bytes: 3, problem } if problem == "2 bytes are left over"),
+        matches!(&error, CodecError::Malformed { bytes: 3, problem } if problem == "2 bytes are left over"),
         "{error}"
     );
 }
@@ -192,11 +206,11 @@
 /// A length says little: a list that claims to be long is not believed before its entries are there.
 #[test]
 fn a_list_that_claims_to_be_long_is_cut_off_not_made_room_for() {
-    let mut bytes = body_of(&Message::Want { source: 1, services: Vec::new() });
+    let mut bytes = body_of(&Message::SnapshotRequest { source: 1, services: Vec::new() });
     assert_eq!(bytes.pop(), Some(0), "the length of the list is last");
     // u64::MAX as a varint.
     bytes.extend_from_slice(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
-    assert!(matches!(decode(&bytes), Err(CodecError::NotUnderstood { .. })));
+    assert!(matches!(decode(&bytes), Err(CodecError::Malformed { .. })));
 }
 
 #[test]
@@ -210,7 +224,10 @@
             size,
             up_since_ms: 0,
         };
-        assert!(matches!(read_backend(&backend_body(&backend)), Err(BodyError::Size(_))), "{size}");
+        assert!(
+            matches!(decode_backend_body(&encode_backend_body(&backend)), Err(BodyError::Size(_))),
+            "{size}"
+        );
     }
 }
 
@@ -218,13 +235,13 @@
 async fn what_went_and_came_is_counted() {
     let (ours, theirs) = tokio::io::duplex(1 << 20);
     let (mut writer, mut reader) = (FrameWriter::new(ours), FrameReader::new(theirs));
-    let message = Message::Goodbye { why: "counted".into() };
+    let message = Message::Close { reason: "counted".into() };
     for _ in 0..3 {
         writer.write(&message).await.expect("written");
         assert_eq!(reader.read().await.expect("read"), Some(message.clone()));
     }
     let bytes = 3 * encode(&message).expect("short enough").len() as u64;
-    assert_eq!((writer.given(), reader.taken()), (bytes, bytes));
-    writer.end().await;
+    assert_eq!((writer.bytes_written(), reader.bytes_read()), (bytes, bytes));
+    writer.shutdown().await;
     assert_eq!(reader.read().await.expect("ended"), None);
 }
--- a/crates/control-plane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -1,6 +1,6 @@
 //! What is wrong with settings is said by key.
 
-use control_plane::config::{Config, PaceConfig};
+use control_plane::config::{Config, RateLimitConfig};
 use std::path::Path;
 
 const SOURCE: &str = "[source]\nid = 1\nname = \"s\"\nlisten = \"127.0.0.1:0\"\nsnapshot = \"s.snapshot\"\n";
@@ -16,14 +16,14 @@
 fn the_file_that_is_deployed_is_good_and_holds_the_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/control.toml");
     let config = Config::from_file(&path).expect("good");
-    assert_eq!(config.pace, PaceConfig::default());
+    assert_eq!(config.rate_limit, RateLimitConfig::default());
     let least = parse(&format!("{SOURCE}{RELAY}{AGENT}")).expect("good");
     let (deployed, least) =
         ((config.source, config.relay, config.agent), (least.source, least.relay, least.agent));
     let (source, relay, agent) =
         (deployed.0.expect("one"), deployed.1.expect("one"), deployed.2.expect("one"));
     let (s, r, a) = (least.0.expect("one"), least.1.expect("one"), least.2.expect("one"));
-    assert_eq!((source.snapshot_every_ms, source.connections), (s.snapshot_every_ms, s.connections));
+    assert_eq!((source.snapshot_interval_ms, source.connections), (s.snapshot_interval_ms, s.connections));
     assert_eq!((relay.connections, agent.connections), (r.connections, a.connections));
 }
 
--- a/crates/control-plane/tests/list.rs
+++ b/crates/control-plane/tests/discovery_list.rs
@@ -1,9 +1,9 @@
 //! The list that an agent serves: versions, changes since one, and a bounded log.
 
-use control_plane::codec::backend_body;
+use control_plane::codec::encode_backend_body;
 use control_plane::record::{Backend, Key, Kind, Record, State, Version};
-use control_plane::replica::Applied;
-use control_plane::shell::list::{List, MAX_LEFT, Phase};
+use control_plane::replica::AppliedRecord;
+use control_plane::runtime::discovery_list::{DiscoveryList, MAX_REMOVED_ENTRIES, Phase};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -22,27 +22,27 @@
     }
 }
 
-fn applied(service: u32, name: &str, state: State, body: Arc<[u8]>) -> Applied {
+fn applied(service: u32, name: &str, state: State, body: Arc<[u8]>) -> AppliedRecord {
     let key = Key { service, kind: Kind::Backend, name: name.into() };
     let version = Version { epoch: 1, revision: 1 };
-    Applied { record: Record { key, version, state, body }, before: None }
+    AppliedRecord { record: Record { key, version, state, body }, previous: None }
 }
 
-fn at(name: &str, state: State, port: u16) -> Applied {
-    let body = if state == State::Gone { Arc::from([]) } else { backend_body(&backend(port)) };
+fn at(name: &str, state: State, port: u16) -> AppliedRecord {
+    let body = if state == State::Gone { Arc::from([]) } else { encode_backend_body(&backend(port)) };
     applied(1, name, state, body)
 }
 
-fn ids(list: &List, after: u64) -> (bool, Vec<(String, Phase)>) {
-    let answer = list.after(after);
+fn ids(list: &DiscoveryList, after: u64) -> (bool, Vec<(String, Phase)>) {
+    let answer = list.changes_after(after);
     (answer.complete, answer.members.iter().map(|m| (m.id.clone(), m.phase)).collect())
 }
 
 #[test]
 fn an_entry_is_written_in_the_words_of_the_protocol() {
-    let mut list = List::new(true, START);
+    let mut list = DiscoveryList::new(true, START);
     assert_eq!(list.apply(&at("s-1", State::Draining, 3000)), Ok(true));
-    let json = serde_json::to_value(list.whole()).expect("json");
+    let json = serde_json::to_value(list.snapshot()).expect("json");
     let expected = serde_json::json!({
         "revision": START + 1,
         "complete": true,
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_version_of_another_life_is_answered_with_the_whole_list() {
-    let mut list = List::new(true, START);
+    let mut list = DiscoveryList::new(true, START);
     for name in ["a", "b"] {
         list.apply(&at(name, State::Active, 1)).expect("a backend");
     }
@@ -71,9 +71,9 @@
 
 #[test]
 fn what_left_is_named_among_changes_only_and_in_the_end_forgotten() {
-    let mut list = List::new(true, START);
+    let mut list = DiscoveryList::new(true, START);
     list.apply(&at("stays", State::Active, 1)).expect("a backend");
-    for turn in 0..MAX_LEFT + 10 {
+    for turn in 0..MAX_REMOVED_ENTRIES + 10 {
         let name = format!("s-{turn}");
         list.apply(&at(&name, State::Active, 1)).expect("a backend");
         list.apply(&at(&name, State::Gone, 1)).expect("a tombstone");
@@ -89,7 +89,7 @@
 
 #[test]
 fn what_says_nothing_new_is_no_change() {
-    let mut list = List::new(true, START);
+    let mut list = DiscoveryList::new(true, START);
     assert_eq!(list.apply(&at("a", State::Active, 1)), Ok(true));
     assert_eq!(list.apply(&at("a", State::Active, 1)), Ok(false));
     assert_eq!(list.apply(&at("never", State::Gone, 1)), Ok(false));
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_body_that_is_no_backend_leaves_what_stood_and_still_drains_it() {
-    let mut list = List::new(true, START);
+    let mut list = DiscoveryList::new(true, START);
     list.apply(&at("a", State::Active, 7)).expect("a backend");
     let bad = |state| applied(1, "a", state, Arc::from(&b"\xff"[..]));
     assert!(list.apply(&bad(State::Active)).is_err());
@@ -109,18 +109,18 @@
     assert!(list.apply(&bad(State::Draining)).is_err());
     assert_eq!(ids(&list, START + 1), (false, vec![("a".to_owned(), Phase::Leaving)]));
     assert!(list.apply(&applied(1, "b", State::Active, Arc::from(&b"\xff"[..]))).is_err());
-    assert_eq!(list.whole().members.len(), 1);
+    assert_eq!(list.snapshot().members.len(), 1);
 }
 
 #[test]
 fn names_of_several_services_are_told_apart() {
-    let mut list = List::new(false, START);
+    let mut list = DiscoveryList::new(false, START);
     for service in [1, 2] {
-        list.apply(&applied(service, "a", State::Active, backend_body(&backend(service as u16))))
+        list.apply(&applied(service, "a", State::Active, encode_backend_body(&backend(service as u16))))
             .expect("one");
     }
-    let whole = list.whole();
-    let ids: Vec<_> = whole.members.iter().map(|m| (m.id.as_str(), m.host_port.as_str())).collect();
+    let whole = list.snapshot();
+    let ids: Vec<_> = whole.members.iter().map(|m| (m.id.as_str(), m.address.as_str())).collect();
     assert_eq!(ids, [("1/a", "127.0.0.1:1"), ("2/a", "127.0.0.1:2")]);
 }
 
@@ -130,10 +130,10 @@
     fn changes_since_any_version_lead_to_the_whole_list(
         steps in vec((0_u8..6, 0_u8..3, 1_u16..4, any::<bool>()), 0..80),
     ) {
-        let mut list = List::new(true, START);
+        let mut list = DiscoveryList::new(true, START);
         let (mut held, mut after) = (BTreeMap::new(), 0);
-        let mut watch = |list: &List| {
-            let answer = list.after(after);
+        let mut watch = |list: &DiscoveryList| {
+            let answer = list.changes_after(after);
             if answer.complete {
                 held.clear();
             }
@@ -144,7 +144,7 @@
                 };
             }
             after = answer.revision;
-            let whole = list.whole().members.into_iter().map(|m| (m.id.clone(), m.clone()));
+            let whole = list.snapshot().members.into_iter().map(|m| (m.id.clone(), m.clone()));
             (held.clone(), whole.collect::<BTreeMap<_, _>>())
         };
         for (name, state, port, asks) in steps {
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -1,7 +1,7 @@
-//! Whom a party calls, and when.
+//! Whom a failover calls, and when.
 
 use control_plane::Millis;
-use control_plane::failover::{Act, Failover};
+use control_plane::failover::{Action, Failover};
 use proptest::prelude::*;
 
 fn names(what: &str, count: usize) -> Vec<String> {
@@ -9,22 +9,22 @@
 }
 
 /// Calls until a relay that is up answers. Gives which, when, and how many calls it took.
-fn connect(party: &mut Failover, up: impl Fn(usize) -> bool, mut now: Millis) -> (usize, Millis, usize) {
+fn connect(failover: &mut Failover, up: impl Fn(usize) -> bool, mut now: Millis) -> (usize, Millis, usize) {
     for calls in 1.. {
         let relay = loop {
-            match party.act(now) {
-                Act::Call(relay) => break relay,
-                Act::Wait(until) => {
+            match failover.next_action(now) {
+                Action::Connect(relay) => break relay,
+                Action::WaitUntil(until) => {
                     assert!(until > now, "a wait that is over would be asked for ever");
                     now = until;
                 }
             }
         };
         if up(relay) {
-            party.connected(now);
+            failover.on_connected(now);
             return (relay, now, calls);
         }
-        party.lost(now);
+        failover.on_lost(now);
     }
     unreachable!()
 }
@@ -34,24 +34,24 @@
 fn the_subscribers_of_a_lost_relay_spread() {
     let relays = names("relay", 20);
     let agents = names("agent", 5_200);
-    let mut parties: Vec<Failover> =
+    let mut selections: Vec<Failover> =
         agents.iter().zip(0..).map(|(name, seed)| Failover::new(name, &relays, seed)).collect();
     let mut load = vec![0_usize; 20];
-    let mut where_ = Vec::new();
-    for party in &mut parties {
-        let (relay, at, calls) = connect(party, |_| true, 0);
+    let mut current = Vec::new();
+    for failover in &mut selections {
+        let (relay, at, calls) = connect(failover, |_| true, 0);
         assert!(at <= 300 && calls == 1);
         load[relay] += 1;
-        where_.push(relay);
+        current.push(relay);
     }
     // 260 on average; five standard deviations of a random choice (16) on either side.
     assert!(load.iter().all(|load| (180..=340).contains(load)), "{load:?}");
     let lost = 7;
     let before = load.clone();
     let mut times = Vec::new();
-    for (party, relay) in parties.iter_mut().zip(&where_).filter(|(_, relay)| **relay == lost) {
-        party.lost(60_000);
-        let (next, at, calls) = connect(party, |relay| relay != lost, 60_000);
+    for (failover, relay) in selections.iter_mut().zip(&current).filter(|(_, relay)| **relay == lost) {
+        failover.on_lost(60_000);
+        let (next, at, calls) = connect(failover, |relay| relay != lost, 60_000);
         assert!(next != *relay && calls <= 2);
         load[next] += 1;
         times.push(at - 60_000);
@@ -74,30 +74,30 @@
     let agents = names("agent", 2_000);
     let mut back = Vec::new();
     for (name, seed) in agents.iter().zip(0..) {
-        let mut party = Failover::new(name, &relays, seed);
-        let preferred = party.order()[0];
-        let (relay, now, _) = connect(&mut party, |relay| relay != 0, 0);
+        let mut failover = Failover::new(name, &relays, seed);
+        let preferred = failover.order()[0];
+        let (relay, now, _) = connect(&mut failover, |relay| relay != 0, 0);
         if preferred != 0 {
             assert_eq!(relay, preferred);
-            assert_eq!(party.probe_at(), None, "it is where it wants to be");
+            assert_eq!(failover.probe_at(), None, "it is where it wants to be");
             continue;
         }
         // The first try comes too early: it stays where it is.
-        let first = party.probe_at().expect("it is elsewhere");
+        let first = failover.probe_at().expect("it is elsewhere");
         assert!((now + 30_000..=now + 90_000).contains(&first));
-        assert_eq!(party.probe(first - 1), None);
-        assert_eq!(party.probe(first), Some(0));
-        party.probe_failed(first);
-        let second = party.probe_at().expect("it is still elsewhere");
+        assert_eq!(failover.next_probe(first - 1), None);
+        assert_eq!(failover.next_probe(first), Some(0));
+        failover.on_probe_failed(first);
+        let second = failover.probe_at().expect("it is still elsewhere");
         assert!(second >= first + 60_000, "while it stays away it is tried less often");
-        assert_eq!(party.probe(second), Some(0));
-        party.moved(second);
-        assert_eq!(party.probe_at(), None);
+        assert_eq!(failover.next_probe(second), Some(0));
+        failover.on_moved(second);
+        assert_eq!(failover.probe_at(), None);
         back.push(first);
     }
     assert!(back.len() > 150, "{} of 2,000 prefer one of ten", back.len());
-    let (least, most) = (back.iter().min().expect("some"), back.iter().max().expect("some"));
-    assert!(most - least > 50_000, "they come back within {} ms", most - least);
+    let (min, max) = (back.iter().min().expect("some"), back.iter().max().expect("some"));
+    assert!(max - min > 50_000, "they come back within {} ms", max - min);
 }
 
 proptest! {
@@ -107,61 +107,61 @@
     #[test]
     fn nothing_is_called_hot(count in 1..8_usize, seed in any::<u64>()) {
         let relays = names("relay", count);
-        let mut party = Failover::new("agent", &relays, seed);
+        let mut failover = Failover::new("agent", &relays, seed);
         let (mut now, mut calls) = (0, vec![0_u32; count]);
         while now < 120_000 {
-            match party.act(now) {
-                Act::Wait(until) => {
+            match failover.next_action(now) {
+                Action::WaitUntil(until) => {
                     prop_assert!(until > now && until <= now + 2_000);
                     now = until;
                 }
-                Act::Call(relay) => {
+                Action::Connect(relay) => {
                     calls[relay] += 1;
-                    party.lost(now);
-                    prop_assert!(matches!(party.act(now), Act::Wait(_)) || count > 1);
+                    failover.on_lost(now);
+                    prop_assert!(matches!(failover.next_action(now), Action::WaitUntil(_)) || count > 1);
                 }
             }
         }
-        let (least, most) = (calls.iter().min().expect("some"), calls.iter().max().expect("some"));
-        prop_assert!(*most <= least + 1, "{:?}", calls);
+        let (min, max) = (calls.iter().min().expect("some"), calls.iter().max().expect("some"));
+        prop_assert!(*max <= min + 1, "{:?}", calls);
         // A round takes a second and half a second for each relay at the least on average; far less would be hot.
         prop_assert!(calls.iter().sum::<u32>() <= 120 * 4 + 20, "{:?}", calls);
         // All are tried again within some seconds: the longest wait and half a second for each relay.
-        prop_assert!(u64::from(*least) >= 120_000 / (2_000 + 500 * count as u64) - 1, "{:?}", calls);
+        prop_assert!(u64::from(*min) >= 120_000 / (2_000 + 500 * count as u64) - 1, "{:?}", calls);
     }
 
     /// After a good connection the order begins at its top; after a short one it goes on.
     #[test]
     fn the_order_is_kept(seed in any::<u64>()) {
         let relays = names("relay", 5);
-        let mut party = Failover::new("agent", &relays, seed);
-        let order = party.order().to_vec();
+        let mut failover = Failover::new("agent", &relays, seed);
+        let order = failover.order().to_vec();
         let mut sorted = order.clone();
         sorted.sort_unstable();
         prop_assert_eq!(sorted, (0..5).collect::<Vec<_>>());
-        let (first, now, _) = connect(&mut party, |_| true, 0);
+        let (first, now, _) = connect(&mut failover, |_| true, 0);
         prop_assert_eq!(first, order[0]);
-        party.lost(now + 10);
-        let (second, now, _) = connect(&mut party, |_| true, now + 10);
+        failover.on_lost(now + 10);
+        let (second, now, _) = connect(&mut failover, |_| true, now + 10);
         prop_assert_eq!(second, order[1]);
-        party.lost(now + 9_000);
-        let (third, now, _) = connect(&mut party, |_| true, now + 9_000);
+        failover.on_lost(now + 9_000);
+        let (third, now, _) = connect(&mut failover, |_| true, now + 9_000);
         prop_assert_eq!(third, order[2]);
-        party.lost(now + 20_000);
-        let (fourth, now, _) = connect(&mut party, |_| true, now + 20_000);
+        failover.on_lost(now + 20_000);
+        let (fourth, now, _) = connect(&mut failover, |_| true, now + 20_000);
         prop_assert_eq!(fourth, order[0], "after a good one: the top");
-        party.lost(now + 20_000);
-        let (fifth, _, _) = connect(&mut party, |_| true, now + 20_000);
+        failover.on_lost(now + 20_000);
+        let (fifth, _, _) = connect(&mut failover, |_| true, now + 20_000);
         prop_assert_eq!(fifth, order[1], "not the one that was just lost");
     }
 }
 
 #[test]
 fn without_relays_it_waits() {
-    let mut party = Failover::new("agent", &[], 1);
-    assert!(matches!(party.act(5), Act::Wait(until) if until > 5));
-    party.lost(5);
-    assert!(matches!(party.act(6), Act::Wait(until) if until > 6));
+    let mut failover = Failover::new("agent", &[], 1);
+    assert!(matches!(failover.next_action(5), Action::WaitUntil(until) if until > 5));
+    failover.on_lost(5);
+    assert!(matches!(failover.next_action(6), Action::WaitUntil(until) if until > 6));
 }
 
 /// The same name and relays give the same order, wherever and whenever.
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -1,10 +1,12 @@
 //! Golden files of the control plane: one frame of each message, the snapshot file, and the keys of the configuration.
 
-use control_plane::codec::{backend_body, decode, encode};
+use control_plane::codec::{decode, encode, encode_backend_body};
 use control_plane::config::Config;
-use control_plane::message::{Have, Message, PROTOCOL};
+use control_plane::message::{
+    KeyBound, Message, PROTOCOL_VERSION, ReplicaPosition, ServiceDigest, ServiceRange,
+};
 use control_plane::record::{Backend, Change, Cursor, Key, Kind, Record, Scope, State, Version};
-use control_plane::shell::snapshot::{Snapshot, lock, read};
+use control_plane::runtime::snapshot::{Snapshot, lock, read};
 use golden_files::{GoldenFiles, hex};
 use std::collections::BTreeSet;
 use std::fs;
@@ -49,15 +51,15 @@
         body: body.into(),
     };
     vec![
-        record(Kind::Backend, "s-5be2a07c", 41, State::Active, &backend_body(&backend())),
+        record(Kind::Backend, "s-5be2a07c", 41, State::Active, &encode_backend_body(&backend())),
         record(Kind::Configuration, "timeouts", 42, State::Active, b"{\"a\":1}"),
         record(Kind::Route, "/checkout", 300, State::Draining, b"r"),
         record(Kind::Tenant, "acme", 70_000, State::Gone, b""),
     ]
 }
 
-fn positions() -> Vec<Have> {
-    vec![Have { source: 513, epoch: 1_796_148_000_000, cursor: cursor(9) }]
+fn positions() -> Vec<ReplicaPosition> {
+    vec![ReplicaPosition { source: 513, epoch: 1_796_148_000_000, cursor: cursor(9) }]
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
@@ -67,14 +69,24 @@
     vec![
         (
             "hello, scope by services",
-            Message::Hello { protocol: PROTOCOL, name: "proxy-1".into(), scope: services, have: positions() },
+            Message::Hello {
+                protocol: PROTOCOL_VERSION,
+                name: "proxy-1".into(),
+                scope: services,
+                positions: positions(),
+            },
         ),
         (
             "hello, everything in scope",
-            Message::Hello { protocol: PROTOCOL, name: "relay-1".into(), scope: Scope::All, have: vec![] },
+            Message::Hello {
+                protocol: PROTOCOL_VERSION,
+                name: "relay-1".into(),
+                scope: Scope::All,
+                positions: vec![],
+            },
         ),
-        ("welcome", Message::Welcome { protocol: PROTOCOL, name: "region-1".into() }),
-        ("alive", Message::Alive),
+        ("welcome", Message::Welcome { protocol: PROTOCOL_VERSION, name: "region-1".into() }),
+        ("alive", Message::Heartbeat),
         (
             "batch",
             Message::Batch {
@@ -83,38 +95,41 @@
                 from: cursor(1),
                 to: cursor(70_000),
                 records: records(),
-                check: Some(0x0123_4567_89ab_cdef),
+                scope_digest: Some(0x0123_4567_89ab_cdef),
             },
         ),
         (
             "summary",
-            Message::Summary {
+            Message::DigestSummary {
                 source,
                 epoch,
-                covers: (0, u32::MAX),
+                range: ServiceRange { first: 0, last: u32::MAX },
                 to: cursor(5),
-                digests: vec![(1, 2), (7_399, u64::MAX)],
+                digests: vec![
+                    ServiceDigest { service: 1, digest: 2 },
+                    ServiceDigest { service: 7_399, digest: u64::MAX },
+                ],
             },
         ),
         (
             "service snapshot",
-            Message::Whole {
+            Message::ServiceSnapshot {
                 source,
                 epoch,
                 as_of: version(300),
                 service: 7_399,
-                after: Some((Kind::Backend, "s-1".into())),
-                upto: None,
+                after: Some(KeyBound { kind: Kind::Backend, name: "s-1".into() }),
+                through: None,
                 records: records(),
             },
         ),
-        ("resume", Message::Resume { have: positions() }),
-        ("digest request", Message::Compare { source }),
-        ("snapshot request", Message::Want { source, services: vec![1, 7_399] }),
+        ("resume", Message::Resume { positions: positions() }),
+        ("digest request", Message::DigestRequest { source }),
+        ("snapshot request", Message::SnapshotRequest { source, services: vec![1, 7_399] }),
         ("write", Message::Write { id: 99, changes: vec![change] }),
         ("written", Message::Written { id: 99, result: Ok(version(301)) }),
         ("written, rejected", Message::Written { id: 100, result: Err("no".into()) }),
-        ("goodbye", Message::Goodbye { why: "over".into() }),
+        ("goodbye", Message::Close { reason: "over".into() }),
     ]
 }
 
--- a/crates/control-plane/tests/processes/faults.rs
+++ b/crates/control-plane/tests/processes/faults.rs
@@ -119,7 +119,7 @@
     let mut first = Proxy::new(discovery);
     first.until_exactly("what was there", &[("a-1", "active"), ("a-2", "leaving")]);
     for relay in &_relays {
-        relay.says("follows source");
+        relay.says("connected to source");
     }
     source.signal("STOP");
     for relay in &_relays {
--- a/crates/control-plane/tests/processes/hostile.rs
+++ b/crates/control-plane/tests/processes/hostile.rs
@@ -2,20 +2,20 @@
 
 use super::rig::*;
 use control_plane::codec::encode;
-use control_plane::message::{MAX_BYTES, Message, PROTOCOL};
+use control_plane::message::{MAX_MESSAGE_BYTES, Message, PROTOCOL_VERSION};
 use control_plane::record::Scope;
 use control_plane::record::State::{Active, Draining};
 use std::io::{Read, Write};
 use std::sync::mpsc::channel;
 
 fn hello(protocol: u16) -> Message {
-    Message::Hello { protocol, name: "raw".into(), scope: Scope::All, have: Vec::new() }
+    Message::Hello { protocol, name: "raw".into(), scope: Scope::All, positions: Vec::new() }
 }
 
 /// What a connection is told last.
 fn reason(raw: &mut Raw) -> String {
     match raw.hear_all().pop() {
-        Some(Message::Goodbye { why }) => why,
+        Some(Message::Close { reason }) => reason,
         other => panic!("no reason, but {other:?}"),
     }
 }
@@ -30,12 +30,12 @@
     let (agent, discovery) = region.start_agent("a", &[1]);
     let mut proxy = Proxy::new(discovery);
     proxy.until_exactly("what was there", &[("a-1", "active")]);
-    relay.says("follows source");
+    relay.says("connected to source");
 
-    let good = encode(&hello(PROTOCOL)).expect("short");
-    let other = encode(&hello(PROTOCOL + 1)).expect("short");
-    let too_long = u32::try_from(MAX_BYTES + 1).expect("fits").to_be_bytes();
-    let out_of_turn = encode(&Message::Alive).expect("short");
+    let good = encode(&hello(PROTOCOL_VERSION)).expect("short");
+    let other = encode(&hello(PROTOCOL_VERSION + 1)).expect("short");
+    let too_long = u32::try_from(MAX_MESSAGE_BYTES + 1).expect("fits").to_be_bytes();
+    let out_of_turn = encode(&Message::Heartbeat).expect("short");
     let unknown = [0, 0, 0, 2, 250, 1];
     let cases: [(&str, Vec<u8>, String); 6] = [
         (
@@ -50,16 +50,16 @@
             "too long",
             too_long.to_vec(),
             format!(
-                "a message of {} bytes is too long, {MAX_BYTES} bytes at most are taken; send it in parts",
-                MAX_BYTES + 1
+                "a message of {} bytes is too long, {MAX_MESSAGE_BYTES} bytes at most are taken; send it in parts",
+                MAX_MESSAGE_BYTES + 1
             ),
         ),
         (
             "another version",
             other,
             format!(
-                "protocol {} is not spoken here, {PROTOCOL} is; bring both parties to one version",
-                PROTOCOL + 1
+                "protocol {} is not spoken here, {PROTOCOL_VERSION} is; bring both parties to one version",
+                PROTOCOL_VERSION + 1
             ),
         ),
         ("no message", unknown.to_vec(), "a message of 2 bytes is not understood (".into()),
@@ -105,8 +105,10 @@
     let _source = region.start_source();
     let _relay = region.start_relay(0);
     Operator::new(region.source).set(1, &[("a-1", Active)]);
-    let welcome = encode(&Message::Welcome { protocol: PROTOCOL + 1, name: "new".into() }).expect("short");
-    let welcomed = encode(&Message::Welcome { protocol: PROTOCOL, name: "mad".into() }).expect("short");
+    let welcome =
+        encode(&Message::Welcome { protocol: PROTOCOL_VERSION + 1, name: "new".into() }).expect("short");
+    let welcomed =
+        encode(&Message::Welcome { protocol: PROTOCOL_VERSION, name: "mad".into() }).expect("short");
     let mad = [welcomed, vec![0, 0, 0, 1, 250]].concat();
     let mut strangers = Vec::new();
     for (name, words) in [("other-version", welcome), ("mad", mad)] {
@@ -165,7 +167,7 @@
     let relay = region.relays[0].1;
     let join = || {
         let mut raw = Raw::new(relay);
-        raw.say(&hello(PROTOCOL));
+        raw.say(&hello(PROTOCOL_VERSION));
         let first = raw.hear();
         (raw, first)
     };
@@ -175,7 +177,7 @@
     }
     let (_, third) = join();
     let full = "2 subscribers are connected, no more are taken; try another relay";
-    assert_eq!(third, Some(Message::Goodbye { why: full.into() }));
+    assert_eq!(third, Some(Message::Close { reason: full.into() }));
     drop(first);
     wait_for("room", || matches!(join().1, Some(Message::Welcome { .. })).then_some(()));
 }
@@ -187,7 +189,7 @@
     let source = region.start_source();
     let mut raw = Raw::new(region.source);
     let name = format!("x\nWARN forged {}", "y".repeat(100_000));
-    raw.say(&Message::Hello { protocol: PROTOCOL, name, scope: Scope::All, have: Vec::new() });
+    raw.say(&Message::Hello { protocol: PROTOCOL_VERSION, name, scope: Scope::All, positions: Vec::new() });
     assert!(matches!(raw.hear(), Some(Message::Welcome { .. })));
     let line = source.says("subscribed: x");
     assert!(line.contains("x\\nWARN forged yyy") && line.len() < 1_000, "{line}");
--- a/crates/control-plane/tests/processes/main.rs
+++ b/crates/control-plane/tests/processes/main.rs
@@ -40,7 +40,7 @@
     let (agent, discovery) = region.start_agent("a", &[1]);
     assert_eq!(ask(discovery, "/discovery/hosts").0, 503);
     let relay = region.start_relay(0);
-    agent.says("follows relay");
+    agent.says("connected to relay");
     // The relay knows no more than the agent.
     assert_eq!(ask(discovery, "/discovery/hosts").0, 503);
     let source = region.start_source();
--- a/crates/control-plane/tests/processes/rig.rs
+++ b/crates/control-plane/tests/processes/rig.rs
@@ -1,10 +1,10 @@
 //! Sources, relays and agents as processes, a stand-in for the proxy that watches an agent, and an operator who writes.
 //! Each process has an address of its own, so that it has it again after a restart, and ends with its test.
 
-use control_plane::codec::{FrameReader, FrameWriter, backend_body};
+use control_plane::codec::{FrameReader, FrameWriter, encode_backend_body};
 use control_plane::message::Message;
 use control_plane::record::{Backend, Change, Key, Kind, State, Version};
-use control_plane::shell::writer::{Writer, WriterError};
+use control_plane::runtime::writer::{Writer, WriterError};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -233,7 +233,7 @@
 
     /// The relay that an agent follows, by its place, said behind so many lines; and how many lines there are then.
     pub fn followed(&self, agent: &Process, lines: usize) -> (usize, usize) {
-        let (line, lines) = agent.says_after(lines, "follows relay");
+        let (line, lines) = agent.says_after(lines, "connected to relay");
         let place = self.relays.iter().position(|(name, _)| line.contains(&format!("`{name}`")));
         (place.expect("a relay of the list"), lines)
     }
@@ -327,7 +327,7 @@
         size: 1.0,
         up_since_ms: 0,
     };
-    let body = if state == State::Gone { Arc::from([]) } else { backend_body(&backend) };
+    let body = if state == State::Gone { Arc::from([]) } else { encode_backend_body(&backend) };
     Change { key: Key { service, kind: Kind::Backend, name: name.into() }, state, body }
 }
 
--- a/crates/control-plane/tests/processes/slow.rs
+++ b/crates/control-plane/tests/processes/slow.rs
@@ -18,10 +18,10 @@
 fn subscribers_that_do_not_read_hold_up_nobody_and_get_the_newest_later() {
     let mut region = Region::new("slow", 1);
     let much = 1_000_000_000;
-    let pace = format!(
+    let rate_limit = format!(
         "agent_bytes_per_s = {much}\nagent_burst = {much}\nrelay_bytes_per_s = {much}\nrelay_burst = {much}"
     );
-    region.keys.insert("pace", pace);
+    region.keys.insert("pace", rate_limit);
     let _source = region.start_source();
     let relay = region.start_relay(0);
     let mut operator = Operator::new(region.source);
@@ -53,16 +53,16 @@
     // Now it reads: the newest of each, and not all that was ever said.
     let (mut records, mut bytes) = (0, 0);
     let newest = |subscriber: &Subscriber| {
-        let of = subscriber.ledgers().find(|(source, _)| *source == 1);
-        let found = of.map(|(_, ledger)| {
-            let all = ledger.service(1).filter(|r| r.body.len() == BYTES);
+        let of = subscriber.stores().find(|(source, _)| *source == 1);
+        let found = of.map(|(_, store)| {
+            let all = store.service(1).filter(|r| r.body.len() == BYTES);
             all.filter(|record| record.body[0] == ROUNDS).count()
         });
         found == Some(NAMES)
     };
     while !newest(&subscriber) {
         let message = raw.hear().expect("the connection stands");
-        if let Message::Batch { records: of, .. } | Message::Whole { records: of, .. } = &message {
+        if let Message::Batch { records: of, .. } | Message::ServiceSnapshot { records: of, .. } = &message {
             records += of.len();
             bytes += of.iter().map(|record| record.body.len()).sum::<usize>();
         }
--- a/crates/control-plane/tests/processes/tools.rs
+++ b/crates/control-plane/tests/processes/tools.rs
@@ -2,7 +2,7 @@
 
 use super::rig::*;
 use control_plane::record::State::Active;
-use control_plane::shell::snapshot::read;
+use control_plane::runtime::snapshot::read;
 use std::fs;
 use std::path::Path;
 
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/publisher.rs
@@ -1,17 +1,23 @@
 //! What upstream says to whom, in which order and at which pace.
 
 use control_plane::Millis;
-use control_plane::feed::{MAX_SCOPE, Next, Pace};
-use control_plane::ledger::{Ledger, MAX_BODY, MAX_NAME, WriteError};
-use control_plane::message::{Have, MAX_BYTES, Message, PROTOCOL};
+use control_plane::message::{
+    KeyBound, MAX_MESSAGE_BYTES, Message, PROTOCOL_VERSION, ReplicaPosition, ServiceDigest, ServiceRange,
+};
+use control_plane::publisher::PublisherAction;
+use control_plane::rate_limit::RateLimit;
 use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
 use control_plane::relay::Relay;
-use control_plane::source::{Refusal, Source, Upstream};
+use control_plane::session::MAX_SCOPE;
+use control_plane::session::SessionError;
+use control_plane::source::Source;
+use control_plane::store::{MAX_BODY_BYTES, MAX_NAME_BYTES, VersionedStore, WriteError, validate_change};
 use control_plane::subscriber::Subscriber;
+use control_plane::upstream::Upstream;
 use proptest::prelude::*;
 use std::sync::Arc;
 
-const FAST: Pace = Pace { bytes_per_s: 100_000_000, burst: 100_000_000 };
+const FAST: RateLimit = RateLimit { bytes_per_s: 100_000_000, burst: 100_000_000 };
 /// The subscriber's connection.
 const LINE: u64 = 1;
 
@@ -33,8 +39,8 @@
     write(source, change(service, Kind::Backend, name, state, 60))
 }
 
-fn source(pace: Pace) -> Source {
-    Source::new("source", Ledger::new(0, 1), pace)
+fn source(rate_limit: RateLimit) -> Source {
+    Source::new("source", VersionedStore::new(0, 1), rate_limit)
 }
 
 fn services(services: impl IntoIterator<Item = ServiceId>) -> Scope {
@@ -44,7 +50,7 @@
 /// All that is said at one moment, answers taken back until nobody has anything to say.
 fn converse(source: &mut Source, subscriber: &mut Subscriber, now: Millis) -> Vec<Message> {
     let mut said = Vec::new();
-    while let Next::Send(message) = source.next(LINE, now) {
+    while let PublisherAction::Send(message) = source.next_action(LINE, now) {
         said.push(message.clone());
         for reply in subscriber.on_message(message, now).expect("it is taken").replies {
             assert_eq!(source.on_message(LINE, reply, now), Ok(Vec::new()));
@@ -55,16 +61,16 @@
 
 /// Connects and says all that is there.
 fn connect(source: &mut Source, subscriber: &mut Subscriber, now: Millis) -> Vec<Message> {
-    source.leave(LINE);
+    source.disconnect(LINE);
     let welcome = source.on_message(LINE, subscriber.hello(), now).expect("hello is taken");
-    assert!(matches!(welcome[..], [Message::Welcome { protocol: PROTOCOL, .. }]));
+    assert!(matches!(welcome[..], [Message::Welcome { protocol: PROTOCOL_VERSION, .. }]));
     converse(source, subscriber, now)
 }
 
 fn agree(source: &Source, subscriber: &Subscriber, scope: &Scope) {
     let truth: Vec<&Record> =
-        source.ledger().live().filter(|record| scope.holds(record.key.service)).collect();
-    let held: Vec<&Record> = subscriber.ledgers().flat_map(|(_, ledger)| ledger.live()).collect();
+        source.store().live_records().filter(|record| scope.contains(record.key.service)).collect();
+    let held: Vec<&Record> = subscriber.stores().flat_map(|(_, store)| store.live_records()).collect();
     assert_eq!(truth, held);
 }
 
@@ -78,7 +84,7 @@
 
 fn wholes(said: &[Message]) -> Vec<ServiceId> {
     let wholes = said.iter().filter_map(|message| match message {
-        Message::Whole { service, .. } => Some(*service),
+        Message::ServiceSnapshot { service, .. } => Some(*service),
         _ => None,
     });
     wholes.collect()
@@ -89,37 +95,38 @@
     let scope = services(0..8);
     let (mut source, mut subscriber) = (source(FAST), Subscriber::new("agent", scope.clone()));
     connect(&mut source, &mut subscriber, 0);
-    let before = source.held(LINE);
+    let before = source.retained_items(LINE);
     for round in 0..2_000 {
         for name in ["a", "b"] {
             let state = if round % 2 == 0 { State::Draining } else { State::Active };
             backend(&mut source, round % 8, name, state);
         }
-        assert_eq!(source.held(LINE), before, "the feed's state grew");
+        assert_eq!(source.retained_items(LINE), before, "the feed's state grew");
     }
     let said = converse(&mut source, &mut subscriber, 500);
     let told = records(&said);
     assert_eq!(told.len(), 16, "each of 16 records once");
-    assert!(told.iter().all(|record| source.ledger().get(&record.key) == Some(record)));
+    assert!(told.iter().all(|record| source.store().get(&record.key) == Some(record)));
     agree(&source, &subscriber, &scope);
 }
 
 #[test]
 fn drains_go_before_additions_before_the_rest_over_all_sources() {
-    let mut sources: Vec<Source> = (0..3).map(|id| Source::new("source", Ledger::new(id, 1), FAST)).collect();
+    let mut sources: Vec<Source> =
+        (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), FAST)).collect();
     let mut relay = Relay::new("relay", &[0, 1, 2], FAST);
     let scope = services(0..3);
     let mut subscriber = Subscriber::new("agent", scope);
     let mut feed = |sources: &mut [Source], relay: &mut Relay, now: Millis| {
         for (id, source) in sources.iter_mut().enumerate() {
-            while let Next::Send(message) = source.next(5, now) {
-                for answer in relay.from_source(id as u16, message, now).expect("it is taken") {
+            while let PublisherAction::Send(message) = source.next_action(5, now) {
+                for answer in relay.on_source_message(id as u16, message, now).expect("it is taken") {
                     source.on_message(5, answer, now).expect("it may be said");
                 }
             }
         }
         let mut said = Vec::new();
-        while let Next::Send(message) = relay.next(LINE, now) {
+        while let PublisherAction::Send(message) = relay.next_action(LINE, now) {
             said.push(message.clone());
             for reply in subscriber.on_message(message, now).expect("it is taken").replies {
                 relay.on_message(LINE, reply, now).expect("it may be said");
@@ -159,7 +166,7 @@
         burst in 2_000..50_000_u32,
         steps in prop::collection::vec((0..2_000_u64, 0..30_usize, 0..600_usize), 1..60),
     ) {
-        let mut source = source(Pace { bytes_per_s: rate, burst });
+        let mut source = source(RateLimit { bytes_per_s: rate, burst });
         let mut subscriber = Subscriber::new("agent", services(0..10));
         let welcome = source.on_message(LINE, subscriber.hello(), 0).expect("hello is taken");
         let bytes = |message: &Message| 4 + postcard::to_stdvec(message).expect("it is encoded").len();
@@ -172,7 +179,7 @@
                 write(&mut source, change(place as u32 % 12, Kind::Backend, &format!("b{}", count % 50), State::Active, size));
                 count += 1;
             }
-            while let Next::Send(message) = source.next(LINE, now) {
+            while let PublisherAction::Send(message) = source.next_action(LINE, now) {
                 sent += bytes(&message);
                 for reply in subscriber.on_message(message, now).expect("it is taken").replies {
                     source.on_message(LINE, reply, now).expect("it may be said");
@@ -180,7 +187,7 @@
                 let most = f64::from(burst) + f64::from(rate) * now as f64 / 1_000.0;
                 prop_assert!(sent as f64 <= most, "{sent} bytes after {now} ms, {most} at the most");
             }
-            if let Next::Wait(until) = source.next(LINE, now) {
+            if let PublisherAction::WaitUntil(until) = source.next_action(LINE, now) {
                 prop_assert!(until > now, "a wait that is over would be asked for ever");
             }
         }
@@ -193,32 +200,33 @@
         size in 0..70_000_usize,
         (epoch, revision) in any::<(u64, u64)>(),
         service in any::<u32>(),
-        check in any::<Option<u64>>(),
+        scope_digest in any::<Option<u64>>(),
         count in 0..300_usize,
     ) {
         let version = Version { epoch, revision };
         let key = Key { service, kind: Kind::Tenant, name: name.as_str().into() };
         let record = Record { key, version, state: State::Draining, body: vec![1; size].into() };
         let records = vec![record; count.min(3)];
-        let bound = Some((Kind::Route, Arc::from(name.as_str())));
+        let bound = Some(KeyBound { kind: Kind::Route, name: name.as_str().into() });
         let messages = [
-            Message::Alive,
-            Message::Welcome { protocol: PROTOCOL, name: name.clone() },
+            Message::Heartbeat,
+            Message::Welcome { protocol: PROTOCOL_VERSION, name: name.clone() },
             Message::Batch {
-                source: 999, epoch, from: [version; 3], to: [version; 3], records: records.clone(), check,
+                source: 999, epoch, from: [version; 3], to: [version; 3], records: records.clone(), scope_digest,
             },
-            Message::Summary {
-                source: 9, epoch, covers: (3, service), to: [version; 3], digests: vec![(service, revision); count],
+            Message::DigestSummary {
+                source: 9, epoch, range: ServiceRange { first: 3, last: service }, to: [version; 3],
+                digests: vec![ServiceDigest { service, digest: revision }; count],
             },
-            Message::Whole {
-                source: 9, epoch, as_of: version, service, after: bound.clone(), upto: bound, records,
+            Message::ServiceSnapshot {
+                source: 9, epoch, as_of: version, service, after: bound.clone(), through: bound, records,
             },
-            Message::Goodbye { why: name },
+            Message::Close { reason: name },
         ];
         for message in messages {
             let bytes = 4 + postcard::to_stdvec(&message).expect("it is encoded").len();
-            prop_assert!(message.weight() >= bytes, "{} weighs {}, is {bytes}", message.name(), message.weight());
-            prop_assert!(message.weight() <= bytes + 20, "{} weighs {}, is {bytes}", message.name(), message.weight());
+            prop_assert!(message.encoded_size_bound() >= bytes, "{} weighs {}, is {bytes}", message.name(), message.encoded_size_bound());
+            prop_assert!(message.encoded_size_bound() <= bytes + 20, "{} weighs {}, is {bytes}", message.name(), message.encoded_size_bound());
         }
     }
 }
@@ -226,12 +234,15 @@
 #[test]
 fn no_message_is_too_large() {
     let scope = services([1, 2]);
-    let mut source = source(Pace::default());
+    let mut source = source(RateLimit::default());
     let mut subscriber = Subscriber::new("agent", scope.clone());
     for name in 0..3_000 {
         backend(&mut source, 1, &format!("backend-{name:05}"), State::Active);
     }
-    write(&mut source, change(2, Kind::Configuration, &"c".repeat(MAX_NAME), State::Active, MAX_BODY));
+    write(
+        &mut source,
+        change(2, Kind::Configuration, &"c".repeat(MAX_NAME_BYTES), State::Active, MAX_BODY_BYTES),
+    );
     let mut said = connect(&mut source, &mut subscriber, 0);
     // The largest record is more than all tokens at once: it goes once there won't be more.
     let mut now = 0;
@@ -244,7 +255,7 @@
     assert!(parts > 3, "a large service comes in parts, not {parts}");
     for message in &said {
         let bytes = postcard::to_stdvec(message).expect("it is encoded").len();
-        assert!(bytes <= MAX_BYTES, "{} of {bytes} bytes", message.name());
+        assert!(bytes <= MAX_MESSAGE_BYTES, "{} of {bytes} bytes", message.name());
     }
 }
 
@@ -252,29 +263,34 @@
 fn a_write_beyond_a_bound_is_refused_whole() {
     let mut source = source(FAST);
     let cases = [
-        change(1, Kind::Backend, &"n".repeat(MAX_NAME + 1), State::Active, 1),
-        change(1, Kind::Backend, "b", State::Active, MAX_BODY + 1),
+        change(1, Kind::Backend, &"n".repeat(MAX_NAME_BYTES + 1), State::Active, 1),
+        change(1, Kind::Backend, "b", State::Active, MAX_BODY_BYTES + 1),
         Change { body: Arc::from([1]), ..change(1, Kind::Backend, "b", State::Gone, 0) },
     ];
     for bad in cases {
-        let why = Ledger::examine(&bad).expect_err("it is beyond a bound").to_string();
+        let reason = validate_change(&bad).expect_err("it is beyond a bound").to_string();
         let changes = vec![change(1, Kind::Backend, "good", State::Active, 1), bad];
         let answers = source.on_message(9, Message::Write { id: 4, changes }, 0);
-        assert_eq!(answers, Ok(vec![Message::Written { id: 4, result: Err(why) }]));
-        assert_eq!(source.ledger().live().count(), 0, "all or none");
-        assert_eq!(source.ledger().head().revision, 0);
+        assert_eq!(answers, Ok(vec![Message::Written { id: 4, result: Err(reason) }]));
+        assert_eq!(source.store().live_records().count(), 0, "all or none");
+        assert_eq!(source.store().head().revision, 0);
     }
-    let long = change(1, Kind::Backend, "b", State::Active, MAX_BODY + 1);
-    let error =
-        WriteError::TooLong { what: "the body", name: "b".into(), bytes: MAX_BODY + 1, most: MAX_BODY };
-    assert_eq!(Ledger::examine(&long), Err(error));
+    let long = change(1, Kind::Backend, "b", State::Active, MAX_BODY_BYTES + 1);
+    let error = WriteError::TooLong {
+        field: "the body",
+        name: "b".into(),
+        bytes: MAX_BODY_BYTES + 1,
+        max: MAX_BODY_BYTES,
+    };
+    assert_eq!(validate_change(&long), Err(error));
 }
 
 /// Where there are more changes of the same urgency than the pace allows, the sources take turns.
 #[test]
 fn no_source_starves_another() {
-    let mut sources: Vec<Source> = (0..3).map(|id| Source::new("source", Ledger::new(id, 1), FAST)).collect();
-    let mut relay = Relay::new("relay", &[0, 1, 2], Pace { bytes_per_s: 2_000, burst: 2_000 });
+    let mut sources: Vec<Source> =
+        (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), FAST)).collect();
+    let mut relay = Relay::new("relay", &[0, 1, 2], RateLimit { bytes_per_s: 2_000, burst: 2_000 });
     let mut subscriber = Subscriber::new("agent", services(0..3));
     for (id, source) in sources.iter_mut().enumerate() {
         source.on_message(5, relay.hello(id as u16), 0).expect("hello is taken");
@@ -289,13 +305,13 @@
                     backend(source, id as u32, &format!("b{}", (now + place) % 997), State::Active);
                 });
             }
-            while let Next::Send(message) = source.next(5, now) {
-                for answer in relay.from_source(id as u16, message, now).expect("it is taken") {
+            while let PublisherAction::Send(message) = source.next_action(5, now) {
+                for answer in relay.on_source_message(id as u16, message, now).expect("it is taken") {
                     source.on_message(5, answer, now).expect("it may be said");
                 }
             }
         }
-        while let Next::Send(message) = relay.next(LINE, now) {
+        while let PublisherAction::Send(message) = relay.next_action(LINE, now) {
             if let Message::Batch { source, records, .. } = &message {
                 told[usize::from(*source)] += records.len();
             }
@@ -320,14 +336,14 @@
     let (mut now, mut parts, mut asked) = (0, 0, 0);
     while now < 10_000 {
         let mut replies = subscriber.tick(now);
-        while let Next::Send(message) = source.next(LINE, now) {
-            parts += usize::from(matches!(message, Message::Summary { .. }));
-            if matches!(message, Message::Summary { .. }) && parts == 2 {
+        while let PublisherAction::Send(message) = source.next_action(LINE, now) {
+            parts += usize::from(matches!(message, Message::DigestSummary { .. }));
+            if matches!(message, Message::DigestSummary { .. }) && parts == 2 {
                 continue;
             }
             replies.extend(subscriber.on_message(message, now).expect("it is taken").replies);
             for reply in replies.drain(..) {
-                asked += usize::from(matches!(reply, Message::Want { .. }));
+                asked += usize::from(matches!(reply, Message::SnapshotRequest { .. }));
                 assert_eq!(source.on_message(LINE, reply, now), Ok(vec![]));
             }
         }
@@ -341,8 +357,8 @@
 #[test]
 fn one_behind_the_tombstones_is_repaired_with_what_differs_alone() {
     let scope = services(0..50);
-    let ledger = Ledger::new(0, 1).with_most_tombstones(10);
-    let mut source = Source::new("source", ledger, FAST);
+    let store = VersionedStore::new(0, 1).with_max_tombstones(10);
+    let mut source = Source::new("source", store, FAST);
     let mut subscriber = Subscriber::new("agent", scope.clone());
     for service in 0..50 {
         for name in 0..20 {
@@ -352,25 +368,28 @@
     connect(&mut source, &mut subscriber, 0);
     agree(&source, &subscriber, &scope);
     // It is away; in three services more is gone than tombstones are kept, one out of scope changes as well.
-    source.leave(LINE);
+    source.disconnect(LINE);
     for service in [3, 17, 41] {
         (0..6).for_each(|name| {
             backend(&mut source, service, &format!("b{name}"), State::Gone);
         });
     }
     backend(&mut source, 70, "b", State::Active);
-    assert_eq!(source.ledger().tombstone_count(), 10);
+    assert_eq!(source.store().tombstone_count(), 10);
     let said = connect(&mut source, &mut subscriber, 1_000);
-    assert_eq!(said.iter().filter(|message| matches!(message, Message::Summary { .. })).count(), 1);
+    assert_eq!(said.iter().filter(|message| matches!(message, Message::DigestSummary { .. })).count(), 1);
     assert_eq!(wholes(&said), [3, 17, 41], "these differ and no others");
     agree(&source, &subscriber, &scope);
     // As long as the tombstones reach, the log is enough.
-    source.leave(LINE);
+    source.disconnect(LINE);
     (0..10).for_each(|name| {
         backend(&mut source, 5, &format!("b{name}"), State::Gone);
     });
     let said = connect(&mut source, &mut subscriber, 2_000);
-    assert!(said.iter().all(|message| matches!(message, Message::Batch { .. } | Message::Alive)), "{said:?}");
+    assert!(
+        said.iter().all(|message| matches!(message, Message::Batch { .. } | Message::Heartbeat)),
+        "{said:?}"
+    );
     assert_eq!(records(&said).len(), 10);
     agree(&source, &subscriber, &scope);
 }
@@ -385,8 +404,9 @@
         backend(&mut source, service, "b", State::Active);
     }
     connect(&mut source, &mut subscriber, 0);
-    let records = source.ledger().live().cloned().collect();
-    let mut source = Source::new("source", Ledger::restore(0, 2, source.ledger().head(), records), FAST);
+    let records = source.store().live_records().cloned().collect();
+    let mut source =
+        Source::new("source", VersionedStore::restore(0, 2, source.store().head(), records), FAST);
     let said = connect(&mut source, &mut subscriber, 1_000);
     assert!(wholes(&said).is_empty());
     let version = backend(&mut source, 3, "b", State::Draining);
@@ -404,13 +424,13 @@
     let (mut words, mut checks) = (0, 0);
     let mut now = 0;
     while now <= 60_000 {
-        match source.next(LINE, now) {
-            Next::Send(message) => {
+        match source.next_action(LINE, now) {
+            PublisherAction::Send(message) => {
                 words += 1;
-                checks += usize::from(matches!(message, Message::Batch { check: Some(_), .. }));
+                checks += usize::from(matches!(message, Message::Batch { scope_digest: Some(_), .. }));
                 assert_eq!(subscriber.on_message(message, now).expect("it is taken").replies, []);
             }
-            Next::Wait(until) => {
+            PublisherAction::WaitUntil(until) => {
                 assert!(until > now && until <= now + 1_000);
                 now = until;
             }
@@ -434,45 +454,63 @@
     }
     assert!(records(&said).is_empty());
     assert!(said.len() <= 6, "{} messages in 5 s", said.len());
-    let Message::Hello { have, .. } = subscriber.hello() else { panic!("hello is Hello") };
-    assert!(have[0].cursor[0].revision > 4_000);
+    let Message::Hello { positions, .. } = subscriber.hello() else { panic!("hello is Hello") };
+    assert!(positions[0].cursor[0].revision > 4_000);
 }
 
 #[test]
 fn what_must_not_be_said_ends_the_connection() {
     let mut source = source(FAST);
     let hello = Subscriber::new("agent", services([1])).hello();
-    let out_of_turn =
-        |result: Result<Vec<Message>, Refusal>| matches!(result, Err(Refusal::OutOfTurn { .. }));
-    assert!(out_of_turn(source.on_message(LINE, Message::Compare { source: 0 }, 0)), "before hello");
-    assert!(matches!(source.next(LINE, 0), Next::Wait(_)), "before hello there is nothing");
+    let out_of_turn = |result: Result<Vec<Message>, SessionError>| {
+        matches!(result, Err(SessionError::UnexpectedMessage { .. }))
+    };
+    assert!(out_of_turn(source.on_message(LINE, Message::DigestRequest { source: 0 }, 0)), "before hello");
+    assert!(
+        matches!(source.next_action(LINE, 0), PublisherAction::WaitUntil(_)),
+        "before hello there is nothing"
+    );
     source.on_message(LINE, hello.clone(), 0).expect("hello is taken");
     assert!(out_of_turn(source.on_message(LINE, hello.clone(), 0)), "hello twice");
-    assert!(out_of_turn(source.on_message(LINE, Message::Alive, 0)), "what upstream says");
-    let other = Message::Hello { protocol: PROTOCOL + 1, name: "x".into(), scope: Scope::All, have: vec![] };
+    assert!(out_of_turn(source.on_message(LINE, Message::Heartbeat, 0)), "what upstream says");
+    let other = Message::Hello {
+        protocol: PROTOCOL_VERSION + 1,
+        name: "x".into(),
+        scope: Scope::All,
+        positions: vec![],
+    };
     assert_eq!(
         source.on_message(2, other, 0),
-        Err(Refusal::Protocol { theirs: PROTOCOL + 1, ours: PROTOCOL })
+        Err(SessionError::ProtocolMismatch { theirs: PROTOCOL_VERSION + 1, ours: PROTOCOL_VERSION })
     );
     let wide = Subscriber::new("agent", services(0..=MAX_SCOPE as u32)).hello();
-    assert!(matches!(source.on_message(2, wide, 0), Err(Refusal::TooMany { .. })));
-    let have = (0..300).map(|source| Have { source, epoch: 1, cursor: Default::default() }).collect();
-    let many = Message::Hello { protocol: PROTOCOL, name: "x".into(), scope: Scope::All, have };
-    assert!(matches!(source.on_message(2, many, 0), Err(Refusal::TooMany { .. })));
+    assert!(matches!(source.on_message(2, wide, 0), Err(SessionError::LimitExceeded { .. })));
+    let positions =
+        (0..300).map(|source| ReplicaPosition { source, epoch: 1, cursor: Default::default() }).collect();
+    let many = Message::Hello { protocol: PROTOCOL_VERSION, name: "x".into(), scope: Scope::All, positions };
+    assert!(matches!(source.on_message(2, many, 0), Err(SessionError::LimitExceeded { .. })));
     let services = (0..5_000).collect();
-    let want = Message::Want { source: 0, services };
-    assert!(matches!(source.on_message(LINE, want, 0), Err(Refusal::TooMany { .. })));
-    let mut source = source.with_most_subscribers(1);
-    assert_eq!(source.on_message(2, hello.clone(), 0), Err(Refusal::Full(1)));
-    source.leave(LINE);
+    let want = Message::SnapshotRequest { source: 0, services };
+    assert!(matches!(source.on_message(LINE, want, 0), Err(SessionError::LimitExceeded { .. })));
+    let mut source = source.with_max_subscribers(1);
+    assert_eq!(source.on_message(2, hello.clone(), 0), Err(SessionError::TooManySubscribers(1)));
+    source.disconnect(LINE);
     assert!(source.on_message(2, hello, 0).is_ok(), "there is room again");
     let mut relay = Relay::new("relay", &[0], FAST);
-    assert!(out_of_turn(relay.from_source(1, Message::Alive, 0)), "a source that is none of its own");
-    let foreign =
-        Message::Summary { source: 3, epoch: 1, covers: (0, 9), to: Default::default(), digests: vec![] };
-    assert!(out_of_turn(relay.from_source(0, foreign, 0)), "a source that speaks of another's records");
+    assert!(
+        out_of_turn(relay.on_source_message(1, Message::Heartbeat, 0)),
+        "a source that is none of its own"
+    );
+    let foreign = Message::DigestSummary {
+        source: 3,
+        epoch: 1,
+        range: ServiceRange { first: 0, last: 9 },
+        to: Default::default(),
+        digests: vec![],
+    };
+    assert!(out_of_turn(relay.on_source_message(0, foreign, 0)), "a source that speaks of another's records");
     let mut subscriber = Subscriber::new("agent", Scope::All);
-    assert!(subscriber.on_message(Message::Compare { source: 0 }, 0).is_err());
+    assert!(subscriber.on_message(Message::DigestRequest { source: 0 }, 0).is_err());
 }
 
 /// Requests that come over and over replace one another.
@@ -480,21 +518,23 @@
 fn repeated_requests_hold_no_memory() {
     let scope = services(0..20);
     let (mut source, mut subscriber) =
-        (source(Pace { bytes_per_s: 100, burst: 2_000 }), Subscriber::new("agent", scope));
+        (source(RateLimit { bytes_per_s: 100, burst: 2_000 }), Subscriber::new("agent", scope));
     for service in 0..20 {
         backend(&mut source, service, "b", State::Active);
     }
     connect(&mut source, &mut subscriber, 0);
     for round in 0..1_000 {
         let services = (0..4_000).map(|service| service * 7 % 100).collect();
-        source.on_message(LINE, Message::Want { source: 0, services }, round).expect("it may be said");
-        source.on_message(LINE, Message::Compare { source: 0 }, round).expect("it may be said");
-        assert!(source.held(LINE) <= 20 + 1 + 20);
+        source
+            .on_message(LINE, Message::SnapshotRequest { source: 0, services }, round)
+            .expect("it may be said");
+        source.on_message(LINE, Message::DigestRequest { source: 0 }, round).expect("it may be said");
+        assert!(source.retained_items(LINE) <= 20 + 1 + 20);
     }
     // And they are paced as all else is.
     let mut sent = 0;
-    while let Next::Send(message) = source.next(LINE, 1_000) {
-        sent += message.weight();
+    while let PublisherAction::Send(message) = source.next_action(LINE, 1_000) {
+        sent += message.encoded_size_bound();
     }
     assert!(sent <= 2_100, "{sent} bytes");
 }
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -1,15 +1,25 @@
 //! What downstream does with single messages, in orders that are rare: each by hand.
 
 use control_plane::Millis;
-use control_plane::feed::{Next, Pace};
-use control_plane::ledger::Ledger;
-use control_plane::message::{Have, Message, PROTOCOL};
+use control_plane::message::{
+    KeyBound, Message, PROTOCOL_VERSION, ReplicaPosition, ServiceDigest, ServiceRange,
+};
+use control_plane::publisher::PublisherAction;
+use control_plane::rate_limit::RateLimit;
 use control_plane::record::{Cursor, Epoch, Key, Kind, Record, Scope, ServiceId, State, Urgency, Version};
 use control_plane::relay::Relay;
-use control_plane::source::Upstream;
-use control_plane::subscriber::{Heard, Subscriber};
+use control_plane::store::VersionedStore;
+use control_plane::subscriber::{MessageOutcome, Subscriber};
+use control_plane::upstream::Upstream;
 
 const LINE: u64 = 1;
+const ALL_SERVICES: ServiceRange = ServiceRange { first: 0, last: ServiceId::MAX };
+
+/// The digests of services 0 to 8 that have records.
+fn digests(store: &VersionedStore) -> Vec<ServiceDigest> {
+    let digests = (0..9).map(|service| ServiceDigest { service, digest: store.digest(service) });
+    digests.filter(|one| one.digest != 0).collect()
+}
 
 fn at(epoch: Epoch, revision: u64) -> Version {
     Version { epoch, revision }
@@ -27,33 +37,40 @@
 }
 
 fn batch(from: [u64; 3], to: [u64; 3], records: Vec<Record>) -> Message {
-    Message::Batch { source: 0, epoch: 1, from: cursor(from), to: cursor(to), records, check: None }
+    Message::Batch { source: 0, epoch: 1, from: cursor(from), to: cursor(to), records, scope_digest: None }
 }
 
 fn whole(as_of: u64, service: ServiceId, records: Vec<Record>) -> Message {
-    Message::Whole { source: 0, epoch: 1, as_of: at(1, as_of), service, after: None, upto: None, records }
+    Message::ServiceSnapshot {
+        source: 0,
+        epoch: 1,
+        as_of: at(1, as_of),
+        service,
+        after: None,
+        through: None,
+        records,
+    }
 }
 
 /// A summary of life 1 up to a change; the digests are those of these records.
 fn summary(to: u64, records: &[Record]) -> Message {
-    let ledger = Ledger::restore(0, 1, at(1, to), records.to_vec());
-    let digests =
-        (0..9).map(|service| (service, ledger.digest(service))).filter(|(_, digest)| *digest != 0).collect();
-    Message::Summary { source: 0, epoch: 1, covers: (0, ServiceId::MAX), to: cursor([to; 3]), digests }
+    let store = VersionedStore::restore(0, 1, at(1, to), records.to_vec());
+    let digests = digests(&store);
+    Message::DigestSummary { source: 0, epoch: 1, range: ALL_SERVICES, to: cursor([to; 3]), digests }
 }
 
-fn hear(subscriber: &mut Subscriber, message: Message) -> Heard {
+fn hear(subscriber: &mut Subscriber, message: Message) -> MessageOutcome {
     subscriber.on_message(message, 0).expect("it is taken")
 }
 
 /// How far it says that it is.
-fn claims(subscriber: &Subscriber) -> Option<Have> {
-    let Message::Hello { have, .. } = subscriber.hello() else { panic!("hello is Hello") };
-    have.into_iter().next()
+fn claims(subscriber: &Subscriber) -> Option<ReplicaPosition> {
+    let Message::Hello { positions, .. } = subscriber.hello() else { panic!("hello is Hello") };
+    positions.into_iter().next()
 }
 
 fn held(subscriber: &Subscriber) -> Vec<Record> {
-    subscriber.ledgers().flat_map(|(_, ledger)| ledger.live().cloned()).collect()
+    subscriber.stores().flat_map(|(_, store)| store.live_records().cloned()).collect()
 }
 
 /// A subscriber of all that holds these records and is at this change.
@@ -67,7 +84,7 @@
             hear(&mut subscriber, whole(to, service, of));
         }
     }
-    assert_eq!(claims(&subscriber), Some(Have { source: 0, epoch: 1, cursor: cursor([to; 3]) }));
+    assert_eq!(claims(&subscriber), Some(ReplicaPosition { source: 0, epoch: 1, cursor: cursor([to; 3]) }));
     assert_eq!(held(&subscriber), records);
     subscriber
 }
@@ -78,11 +95,11 @@
     let new = record(1, "b", 7, State::Active);
     let mut subscriber = Subscriber::new("agent", Scope::All);
     let heard = hear(&mut subscriber, summary(7, &[old.clone(), new.clone()]));
-    assert_eq!(heard.replies, [Message::Want { source: 0, services: vec![1] }]);
+    assert_eq!(heard.replies, [Message::SnapshotRequest { source: 0, services: vec![1] }]);
     hear(&mut subscriber, whole(5, 1, vec![old.clone()]));
     assert_eq!(claims(&subscriber), None, "it was said before `b` came");
     hear(&mut subscriber, whole(7, 1, vec![old.clone(), new.clone()]));
-    assert_eq!(claims(&subscriber).map(|have| have.cursor), Some(cursor([7; 3])));
+    assert_eq!(claims(&subscriber).map(|positions| positions.cursor), Some(cursor([7; 3])));
     assert_eq!(held(&subscriber), [old, new]);
 }
 
@@ -99,7 +116,7 @@
         hear(&mut subscriber, summary(7, std::slice::from_ref(&kept)));
         assert_eq!(hear(&mut subscriber, late).applied, []);
         hear(&mut subscriber, whole(7, 2, vec![kept.clone()]));
-        assert_eq!(claims(&subscriber).map(|have| have.cursor), Some(cursor([7; 3])));
+        assert_eq!(claims(&subscriber).map(|positions| positions.cursor), Some(cursor([7; 3])));
         assert_eq!(held(&subscriber), std::slice::from_ref(&kept));
     }
 }
@@ -111,7 +128,7 @@
     hear(&mut subscriber, batch([5; 3], [10; 3], vec![record(1, "a", 9, State::Gone)]));
     assert_eq!(held(&subscriber), []);
     // Its tombstone is forgotten by now: all cursors are beyond it.
-    assert!(subscriber.ledgers().all(|(_, ledger)| ledger.get(&old.key).is_none()));
+    assert!(subscriber.stores().all(|(_, store)| store.get(&old.key).is_none()));
     assert_eq!(hear(&mut subscriber, whole(5, 1, vec![old.clone()])).applied, []);
     assert_eq!(hear(&mut subscriber, batch([0; 3], [5; 3], vec![old])).applied, []);
     assert_eq!(held(&subscriber), []);
@@ -131,14 +148,14 @@
     let mut subscriber = there(5, &[]);
     // A drain that overtook what came before it.
     let heard = hear(&mut subscriber, batch([8, 5, 5], [9, 5, 5], vec![record(1, "a", 9, State::Gone)]));
-    let have = vec![Have { source: 0, epoch: 1, cursor: cursor([5; 3]) }];
-    assert_eq!(heard.replies, [Message::Resume { have }], "something is missing before it");
+    let positions = vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }];
+    assert_eq!(heard.replies, [Message::Resume { positions }], "something is missing before it");
     hear(&mut subscriber, batch([5; 3], [5, 6, 5], vec![record(2, "b", 6, State::Active)]));
     let heard = hear(&mut subscriber, batch([5, 6, 5], [5, 7, 5], vec![record(1, "a", 7, State::Active)]));
     assert_eq!(heard.applied, [], "it is gone since");
     hear(&mut subscriber, batch([5, 7, 5], [9; 3], vec![record(1, "a", 9, State::Gone)]));
     assert_eq!(held(&subscriber), [record(2, "b", 6, State::Active)]);
-    assert_eq!(claims(&subscriber).map(|have| have.cursor), Some(cursor([9; 3])));
+    assert_eq!(claims(&subscriber).map(|positions| positions.cursor), Some(cursor([9; 3])));
 }
 
 #[test]
@@ -149,26 +166,28 @@
     hear(&mut subscriber, batch([7; 3], [9; 3], vec![record(2, "b", 8, State::Active)]));
     hear(&mut subscriber, batch([12; 3], [13; 3], vec![record(2, "c", 13, State::Active)]));
     assert_eq!(
-        claims(&subscriber).map(|have| have.cursor),
+        claims(&subscriber).map(|positions| positions.cursor),
         Some(cursor([5; 3])),
         "not before the repair is over"
     );
     hear(&mut subscriber, whole(7, 1, now.to_vec()));
-    assert_eq!(claims(&subscriber).map(|have| have.cursor), Some(cursor([9; 3])));
+    assert_eq!(claims(&subscriber).map(|positions| positions.cursor), Some(cursor([9; 3])));
 }
 
 #[test]
 fn a_service_in_parts_is_whole_with_all_of_them() {
     let records: Vec<Record> = ["a", "b", "c"].map(|name| record(1, name, 3, State::Active)).to_vec();
-    let bound = |place: usize| Some((Kind::Backend, records[place].key.name.clone()));
-    let part = |after: Option<usize>, upto: Option<usize>, some: std::ops::Range<usize>| Message::Whole {
-        source: 0,
-        epoch: 1,
-        as_of: at(1, 7),
-        service: 1,
-        after: after.and_then(bound),
-        upto: upto.and_then(bound),
-        records: records[some].to_vec(),
+    let bound = |place: usize| Some(KeyBound { kind: Kind::Backend, name: records[place].key.name.clone() });
+    let part = |after: Option<usize>, through: Option<usize>, some: std::ops::Range<usize>| {
+        Message::ServiceSnapshot {
+            source: 0,
+            epoch: 1,
+            as_of: at(1, 7),
+            service: 1,
+            after: after.and_then(bound),
+            through: through.and_then(bound),
+            records: records[some].to_vec(),
+        }
     };
     let stale = record(1, "bb", 2, State::Active);
     let mut subscriber = there(5, std::slice::from_ref(&stale));
@@ -176,11 +195,11 @@
     hear(&mut subscriber, part(None, Some(0), 0..1));
     // The second part is lost.
     hear(&mut subscriber, part(Some(1), None, 2..3));
-    assert_eq!(claims(&subscriber).map(|have| have.cursor), Some(cursor([5; 3])));
+    assert_eq!(claims(&subscriber).map(|positions| positions.cursor), Some(cursor([5; 3])));
     assert_eq!(held(&subscriber).len(), 2, "what is between parts that came is not judged, but `bb` is");
     hear(&mut subscriber, part(Some(0), Some(1), 1..2));
     hear(&mut subscriber, part(Some(1), None, 2..3));
-    assert_eq!(claims(&subscriber).map(|have| have.cursor), Some(cursor([7; 3])));
+    assert_eq!(claims(&subscriber).map(|positions| positions.cursor), Some(cursor([7; 3])));
     assert_eq!(held(&subscriber), records);
 }
 
@@ -191,29 +210,38 @@
     let drained = record(2, "c", 8, State::Draining);
     let mut subscriber = there(9, &[kept.clone(), lost, drained]);
     let active = record(2, "c", 4, State::Active);
-    let truth = Ledger::restore(0, 2, at(1, 5), vec![kept.clone(), active.clone()]);
+    let truth = VersionedStore::restore(0, 2, at(1, 5), vec![kept.clone(), active.clone()]);
     let heard = hear(
         &mut subscriber,
-        Message::Summary {
+        Message::DigestSummary {
             source: 0,
             epoch: 2,
-            covers: (0, ServiceId::MAX),
+            range: ALL_SERVICES,
             to: [truth.head(); 3],
-            digests: (0..9)
-                .map(|service| (service, truth.digest(service)))
-                .filter(|(_, digest)| *digest != 0)
-                .collect(),
+            digests: digests(&truth),
         },
     );
-    assert_eq!(heard.replies, [Message::Want { source: 0, services: vec![1, 2] }]);
+    assert_eq!(heard.replies, [Message::SnapshotRequest { source: 0, services: vec![1, 2] }]);
     for (service, record) in [(1, &kept), (2, &active)] {
-        assert_eq!(claims(&subscriber).map(|have| have.epoch), Some(1), "not before all is repaired");
+        assert_eq!(
+            claims(&subscriber).map(|positions| positions.epoch),
+            Some(1),
+            "not before all is repaired"
+        );
         let (as_of, records) = (truth.head(), vec![record.clone()]);
-        let whole = Message::Whole { source: 0, epoch: 2, as_of, service, after: None, upto: None, records };
+        let whole = Message::ServiceSnapshot {
+            source: 0,
+            epoch: 2,
+            as_of,
+            service,
+            after: None,
+            through: None,
+            records,
+        };
         hear(&mut subscriber, whole);
     }
     assert_eq!(held(&subscriber), [kept, active]);
-    assert_eq!(claims(&subscriber), Some(Have { source: 0, epoch: 2, cursor: [truth.head(); 3] }));
+    assert_eq!(claims(&subscriber), Some(ReplicaPosition { source: 0, epoch: 2, cursor: [truth.head(); 3] }));
 }
 
 #[test]
@@ -231,26 +259,27 @@
     assert_eq!(subscriber.tick(900_000), [], "it is answered");
     // On a new connection what is open is asked at once.
     hear(&mut subscriber, summary(9, &[record(1, "a", 3, State::Active)]));
-    let heard = hear(&mut subscriber, Message::Welcome { protocol: PROTOCOL, name: "relay".into() });
-    assert_eq!(heard.replies, [Message::Want { source: 0, services: vec![1] }]);
+    let heard = hear(&mut subscriber, Message::Welcome { protocol: PROTOCOL_VERSION, name: "relay".into() });
+    assert_eq!(heard.replies, [Message::SnapshotRequest { source: 0, services: vec![1] }]);
 }
 
 /// A relay at this change with these records, and a subscriber connected that was told all.
 fn relay_at(to: u64, records: &[Record]) -> Relay {
-    let mut relay = Relay::new("relay", &[0], Pace::unbounded());
-    relay.from_source(0, summary(to, records), 0).expect("it is taken");
+    let mut relay = Relay::new("relay", &[0], RateLimit::unbounded());
+    relay.on_source_message(0, summary(to, records), 0).expect("it is taken");
     for service in 0..9 {
         let of: Vec<Record> =
             records.iter().filter(|record| record.key.service == service).cloned().collect();
         if !of.is_empty() {
-            relay.from_source(0, whole(to, service, of), 0).expect("it is taken");
+            relay.on_source_message(0, whole(to, service, of), 0).expect("it is taken");
         }
     }
     relay
 }
 
-fn join(relay: &mut Relay, have: Vec<Have>) {
-    let hello = Message::Hello { protocol: PROTOCOL, name: "agent".into(), scope: Scope::All, have };
+fn join(relay: &mut Relay, positions: Vec<ReplicaPosition>) {
+    let hello =
+        Message::Hello { protocol: PROTOCOL_VERSION, name: "agent".into(), scope: Scope::All, positions };
     relay.on_message(LINE, hello, 0).expect("hello is taken");
 }
 
@@ -260,15 +289,15 @@
 
 /// All that is said at one moment.
 fn said(relay: &mut Relay) -> Vec<Message> {
-    std::iter::from_fn(|| match relay.next(LINE, 0) {
-        Next::Send(message) => Some(message),
-        Next::Wait(_) => None,
+    std::iter::from_fn(|| match relay.next_action(LINE, 0) {
+        PublisherAction::Send(message) => Some(message),
+        PublisherAction::WaitUntil(_) => None,
     })
     .collect()
 }
 
 fn is_summary(message: &Message) -> bool {
-    matches!(message, Message::Summary { .. })
+    matches!(message, Message::DigestSummary { .. })
 }
 
 /// A relay may know of drains before it knows of additions. What it then says of a service speaks for the part that it has
@@ -277,10 +306,10 @@
 fn a_relay_amid_a_batch_says_which_are_gone() {
     let (old, gone) = (record(1, "a", 3, State::Active), record(1, "a", 9, State::Gone));
     let mut relay = relay_at(5, std::slice::from_ref(&old));
-    relay.from_source(0, batch([5; 3], [9, 5, 5], vec![gone.clone()]), 0).expect("it is taken");
+    relay.on_source_message(0, batch([5; 3], [9, 5, 5], vec![gone.clone()]), 0).expect("it is taken");
     join(&mut relay, vec![]);
     assert!(said(&mut relay).iter().any(is_summary));
-    say(&mut relay, Message::Want { source: 0, services: vec![1] });
+    say(&mut relay, Message::SnapshotRequest { source: 0, services: vec![1] });
     let told = said(&mut relay);
     let expected = whole(5, 1, vec![gone]);
     assert_eq!(told, std::slice::from_ref(&expected));
@@ -294,58 +323,59 @@
     let old = record(1, "a", 3, State::Active);
     let mut relay = relay_at(5, std::slice::from_ref(&old));
     relay
-        .from_source(0, batch([5; 3], [8; 3], vec![record(1, "c", 7, State::Active)]), 0)
+        .on_source_message(0, batch([5; 3], [8; 3], vec![record(1, "c", 7, State::Active)]), 0)
         .expect("it is taken");
     // It was not told of `c` yet.
-    join(&mut relay, vec![Have { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
-    let truth = Ledger::restore(0, 2, at(1, 4), vec![record(2, "b", 4, State::Active)]);
-    let digests = vec![(2, truth.digest(2))];
-    let (to, covers) = ([truth.head(); 3], (0, ServiceId::MAX));
-    let part = Message::Summary { source: 0, epoch: 2, covers, to, digests };
-    let answers = relay.from_source(0, part, 0).expect("it is taken");
-    assert_eq!(answers, [Message::Want { source: 0, services: vec![1, 2] }]);
+    join(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
+    let truth = VersionedStore::restore(0, 2, at(1, 4), vec![record(2, "b", 4, State::Active)]);
+    let digests = digests(&truth);
+    let (to, range) = ([truth.head(); 3], ALL_SERVICES);
+    let part = Message::DigestSummary { source: 0, epoch: 2, range, to, digests };
+    let answers = relay.on_source_message(0, part, 0).expect("it is taken");
+    assert_eq!(answers, [Message::SnapshotRequest { source: 0, services: vec![1, 2] }]);
     assert_eq!(said(&mut relay), [], "`c` may be of a lost past");
-    let service = |service: ServiceId| Message::Whole {
+    let service = |service: ServiceId| Message::ServiceSnapshot {
         source: 0,
         epoch: 2,
         as_of: truth.head(),
         service,
         after: None,
-        upto: None,
+        through: None,
         records: truth.service(service).cloned().collect(),
     };
-    relay.from_source(0, service(1), 0).expect("it is taken");
+    relay.on_source_message(0, service(1), 0).expect("it is taken");
     assert_eq!(said(&mut relay), [], "half of a repair is nobody's truth");
-    relay.from_source(0, service(2), 0).expect("it is taken");
-    assert!(matches!(said(&mut relay)[..], [Message::Summary { epoch: 2, .. }]));
+    relay.on_source_message(0, service(2), 0).expect("it is taken");
+    assert!(matches!(said(&mut relay)[..], [Message::DigestSummary { epoch: 2, .. }]));
 }
 
 #[test]
 fn a_relay_in_doubt_says_changes_and_no_digests() {
     let records = [record(1, "a", 3, State::Active), record(2, "b", 4, State::Active)];
     let mut relay = relay_at(5, &records);
-    join(&mut relay, vec![Have { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
+    join(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
     said(&mut relay);
     // The source's digests are others: it asks for service 2.
     let mended = record(2, "b", 5, State::Active);
-    let answers =
-        relay.from_source(0, summary(5, &[records[0].clone(), mended.clone()]), 0).expect("it is taken");
-    assert_eq!(answers, [Message::Want { source: 0, services: vec![2] }]);
+    let answers = relay
+        .on_source_message(0, summary(5, &[records[0].clone(), mended.clone()]), 0)
+        .expect("it is taken");
+    assert_eq!(answers, [Message::SnapshotRequest { source: 0, services: vec![2] }]);
     // What changes meanwhile is told at once.
     let drained = record(1, "a", 6, State::Draining);
-    relay.from_source(0, batch([5; 3], [6; 3], vec![drained.clone()]), 0).expect("it is taken");
+    relay.on_source_message(0, batch([5; 3], [6; 3], vec![drained.clone()]), 0).expect("it is taken");
     let told = said(&mut relay);
-    let check = told.iter().any(|message| matches!(message, Message::Batch { check: Some(_), .. }));
+    let check = told.iter().any(|message| matches!(message, Message::Batch { scope_digest: Some(_), .. }));
     assert!(
         matches!(&told[..], [Message::Batch { records, .. }] if *records == [drained]) && !check,
         "{told:?}"
     );
-    say(&mut relay, Message::Compare { source: 0 });
+    say(&mut relay, Message::DigestRequest { source: 0 });
     assert_eq!(said(&mut relay), []);
-    let before = relay.ledger(0).map(Ledger::generation);
-    relay.from_source(0, whole(5, 2, vec![mended]), 0).expect("it is taken");
-    assert!(relay.ledger(0).map(Ledger::generation) > before);
-    assert!(matches!(&said(&mut relay)[..], [Message::Summary { digests, .. }] if digests.len() == 2));
+    let before = relay.store(0).map(VersionedStore::generation);
+    relay.on_source_message(0, whole(5, 2, vec![mended]), 0).expect("it is taken");
+    assert!(relay.store(0).map(VersionedStore::generation) > before);
+    assert!(matches!(&said(&mut relay)[..], [Message::DigestSummary { digests, .. }] if digests.len() == 2));
 }
 
 /// Found by the random worlds: amid a repair there is a newer life of the source, and its summary is lost. What it says is not
@@ -354,18 +384,25 @@
 fn a_newer_life_goes_before_a_repair() {
     let mut subscriber = there(5, &[]);
     let heard = hear(&mut subscriber, summary(7, &[record(1, "a", 6, State::Active)]));
-    assert_eq!(heard.replies, [Message::Want { source: 0, services: vec![1] }]);
+    assert_eq!(heard.replies, [Message::SnapshotRequest { source: 0, services: vec![1] }]);
     let newer = Message::Batch {
         source: 0,
         epoch: 2,
         from: [at(2, 7); 3],
         to: [at(2, 8); 3],
         records: vec![record(2, "b", 4, State::Active)],
-        check: None,
+        scope_digest: None,
     };
     let heard = hear(&mut subscriber, newer);
-    assert_eq!(heard, Heard { replies: vec![Message::Compare { source: 0 }], applied: vec![] });
-    assert_eq!(subscriber.tick(2_000), [Message::Compare { source: 0 }], "again, as it wasn't answered");
+    assert_eq!(
+        heard,
+        MessageOutcome { replies: vec![Message::DigestRequest { source: 0 }], applied: vec![] }
+    );
+    assert_eq!(
+        subscriber.tick(2_000),
+        [Message::DigestRequest { source: 0 }],
+        "again, as it wasn't answered"
+    );
 }
 
 /// Found by the random worlds (seed 35): a relay heard in a repair that something is gone, as of a later change, and then of
@@ -374,10 +411,10 @@
 fn a_relay_tells_what_is_gone_at_its_place_in_the_log() {
     let old = record(1, "a", 1, State::Active);
     let mut relay = relay_at(1, std::slice::from_ref(&old));
-    relay.from_source(0, whole(4, 1, vec![]), 0).expect("it is taken");
+    relay.on_source_message(0, whole(4, 1, vec![]), 0).expect("it is taken");
     let gone = record(1, "a", 2, State::Gone);
-    relay.from_source(0, batch([1; 3], [3, 1, 3], vec![gone.clone()]), 0).expect("it is taken");
-    join(&mut relay, vec![Have { source: 0, epoch: 1, cursor: cursor([1; 3]) }]);
+    relay.on_source_message(0, batch([1; 3], [3, 1, 3], vec![gone.clone()]), 0).expect("it is taken");
+    join(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([1; 3]) }]);
     let told = said(&mut relay);
     assert!(matches!(&told[..], [Message::Batch { records, .. }, ..] if *records == [gone]), "{told:?}");
 }
@@ -386,39 +423,39 @@
 #[test]
 fn a_repair_at_a_relay_reaches_its_subscribers() {
     let mut relay = relay_at(5, &[record(1, "a", 3, State::Active)]);
-    join(&mut relay, vec![Have { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
+    join(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
     said(&mut relay);
     let mended = record(2, "b", 4, State::Active);
     relay
-        .from_source(0, summary(5, &[record(1, "a", 3, State::Active), mended.clone()]), 0)
+        .on_source_message(0, summary(5, &[record(1, "a", 3, State::Active), mended.clone()]), 0)
         .expect("it is taken");
-    relay.from_source(0, whole(5, 2, vec![mended.clone()]), 0).expect("it is taken");
-    assert!(matches!(said(&mut relay)[..], [Message::Summary { .. }]));
+    relay.on_source_message(0, whole(5, 2, vec![mended.clone()]), 0).expect("it is taken");
+    assert!(matches!(said(&mut relay)[..], [Message::DigestSummary { .. }]));
     // The same where nobody asked for the service.
     let other = record(3, "c", 4, State::Active);
-    relay.from_source(0, whole(5, 3, vec![other]), 0).expect("it is taken");
-    assert!(matches!(said(&mut relay)[..], [Message::Summary { .. }]));
+    relay.on_source_message(0, whole(5, 3, vec![other]), 0).expect("it is taken");
+    assert!(matches!(said(&mut relay)[..], [Message::DigestSummary { .. }]));
     // And one that comes with a cursor from before the repair may have missed tombstones that the relay never heard.
-    relay.leave(LINE);
-    join(&mut relay, vec![Have { source: 0, epoch: 1, cursor: cursor([4; 3]) }]);
-    assert!(matches!(said(&mut relay)[..], [Message::Summary { .. }]));
+    relay.disconnect(LINE);
+    join(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([4; 3]) }]);
+    assert!(matches!(said(&mut relay)[..], [Message::DigestSummary { .. }]));
 }
 
 /// A relay that is behind a subscriber says nothing until it is there: neither of an older life nor of older changes.
 #[test]
 fn one_that_is_ahead_of_its_relay_waits() {
     let mut relay = relay_at(5, &[record(1, "a", 3, State::Active)]);
-    join(&mut relay, vec![Have { source: 0, epoch: 1, cursor: cursor([9; 3]) }]);
+    join(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([9; 3]) }]);
     assert_eq!(said(&mut relay), []);
     relay
-        .from_source(0, batch([5; 3], [10; 3], vec![record(1, "b", 10, State::Draining)]), 0)
+        .on_source_message(0, batch([5; 3], [10; 3], vec![record(1, "b", 10, State::Draining)]), 0)
         .expect("it is taken");
     let told = said(&mut relay);
     assert!(
         matches!(&told[..], [Message::Batch { records, .. }, ..] if records.len() == 1 && records[0].urgency() == Urgency::Drain)
     );
-    relay.leave(LINE);
-    join(&mut relay, vec![Have { source: 0, epoch: 2, cursor: [at(2, 9); 3] }]);
+    relay.disconnect(LINE);
+    join(&mut relay, vec![ReplicaPosition { source: 0, epoch: 2, cursor: [at(2, 9); 3] }]);
     assert_eq!(said(&mut relay), []);
 }
 
@@ -435,13 +472,13 @@
         let to = count as u64;
         let mut sorted = records.clone();
         sorted.sort_by(|one, other| one.key.cmp(&other.key));
-        let pace = Pace { bytes_per_s: 1_000_000, burst: 1_000_000 };
-        let mut relay = Relay::new("relay", &[0], pace);
+        let rate_limit = RateLimit { bytes_per_s: 1_000_000, burst: 1_000_000 };
+        let mut relay = Relay::new("relay", &[0], rate_limit);
         let load = |relay: &mut Relay, to: u64, records: &[Record]| {
-            relay.from_source(0, summary(to, records), 0).expect("it is taken");
+            relay.on_source_message(0, summary(to, records), 0).expect("it is taken");
             for service in [1, 2] {
                 let of = records.iter().filter(|record| record.key.service == service).cloned().collect();
-                relay.from_source(0, whole(to, service, of), 0).expect("it is taken");
+                relay.on_source_message(0, whole(to, service, of), 0).expect("it is taken");
             }
         };
         load(&mut relay, to, &sorted);
@@ -451,7 +488,7 @@
             let mut names = Vec::new();
             for _ in 0..300 {
                 now += 100;
-                while let Next::Send(message) = relay.next(LINE, now) {
+                while let PublisherAction::Send(message) = relay.next_action(LINE, now) {
                     names.push(message.name());
                     for reply in subscriber.on_message(message, now).expect("it is taken").replies {
                         relay.on_message(LINE, reply, now).expect("it may be said");
@@ -465,17 +502,19 @@
         assert_eq!(held(&subscriber).len(), count / 2);
         // All is gone at the source; the relay hears of it in a repair as of ten changes later, while its own cursors are
         // at the summary's. The subscriber goes away before and comes back with the repaired relay's cursor.
-        relay.leave(LINE);
-        relay.from_source(0, summary(to + 1, &[]), 0).expect("it is taken");
+        relay.disconnect(LINE);
+        relay.on_source_message(0, summary(to + 1, &[]), 0).expect("it is taken");
         for service in [1, 2] {
-            relay.from_source(0, whole(to + 10, service, vec![]), 0).expect("it is taken");
+            relay.on_source_message(0, whole(to + 10, service, vec![]), 0).expect("it is taken");
         }
-        let Message::Hello { protocol, name, scope, mut have } = subscriber.hello() else {
+        let Message::Hello { protocol, name, scope, mut positions } = subscriber.hello() else {
             panic!("hello is Hello")
         };
-        have[0].cursor = cursor([to + 1; 3]);
-        relay.on_message(LINE, Message::Hello { protocol, name, scope, have }, 0).expect("hello is taken");
-        relay.from_source(0, batch([to + 1; 3], [to + 11; 3], vec![]), 0).expect("it is taken");
+        positions[0].cursor = cursor([to + 1; 3]);
+        relay
+            .on_message(LINE, Message::Hello { protocol, name, scope, positions }, 0)
+            .expect("hello is taken");
+        relay.on_source_message(0, batch([to + 1; 3], [to + 11; 3], vec![]), 0).expect("it is taken");
         // As if it were there itself.
         let ahead = Message::Batch {
             source: 0,
@@ -483,7 +522,7 @@
             from: cursor([to; 3]),
             to: cursor([to + 1; 3]),
             records: vec![],
-            check: None,
+            scope_digest: None,
         };
         subscriber.on_message(ahead, 0).expect("it is taken");
         let names = talk(&mut relay, &mut subscriber);
--- a/crates/control-plane/tests/snapshot.rs
+++ b/crates/control-plane/tests/snapshot.rs
@@ -1,7 +1,7 @@
 //! A source's file: whole or not at all, nothing guessed over, nothing overwritten that was not understood.
 
 use control_plane::record::{Key, Kind, Record, State, Version};
-use control_plane::shell::snapshot::{Keeper, Snapshot, SnapshotError, lock, read};
+use control_plane::runtime::snapshot::{Snapshot, SnapshotError, SnapshotWriter, lock, read};
 use std::fs;
 use std::path::PathBuf;
 
@@ -79,7 +79,7 @@
 fn one_process_holds_the_file() {
     let folder = Folder::new("lock");
     let held = lock(&folder.file()).expect("free");
-    assert!(matches!(lock(&folder.file()), Err(SnapshotError::Held(_))));
+    assert!(matches!(lock(&folder.file()), Err(SnapshotError::Locked(_))));
     drop(held);
     lock(&folder.file()).expect("free again");
 }
@@ -87,10 +87,10 @@
 #[tokio::test]
 async fn the_thread_writes_and_says_where_it_could_not() {
     let folder = Folder::new("thread");
-    let keeper = Keeper::start(folder.file()).expect("a thread");
-    keeper.keep(snapshot(4)).await.expect("written");
+    let writer = SnapshotWriter::start(folder.file()).expect("a thread");
+    writer.write(snapshot(4)).await.expect("written");
     assert_eq!(read(&folder.file(), 3).expect("good"), Some(snapshot(4)));
-    let nowhere = Keeper::start(folder.0.join("none/source.snapshot")).expect("a thread");
-    let error = nowhere.keep(snapshot(4)).await.expect_err("no folder").to_string();
+    let nowhere = SnapshotWriter::start(folder.0.join("none/source.snapshot")).expect("a thread");
+    let error = nowhere.write(snapshot(4)).await.expect_err("no folder").to_string();
     assert!(error.contains("none/source.snapshot.new"), "{error}");
 }
