--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/store.rs
@@ -1,7 +1,7 @@
 //! What a ledger keeps and counts.
 
-use control_plane::ledger::Ledger;
 use control_plane::record::{Change, Key, Kind, Record, Scope, State, Version};
+use control_plane::store::VersionedStore;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -22,12 +22,12 @@
     /// A ledger holds the last word of each key, and its digests depend on nothing but the records.
     #[test]
     fn the_last_word_of_each_key_stands(changes in changes(), most in 0..20_usize) {
-        let mut ledger = Ledger::new(4, 3).with_most_tombstones(most);
+        let mut store = VersionedStore::new(4, 3).with_max_tombstones(most);
         let mut last: BTreeMap<Key, Record> = BTreeMap::new();
         // Tombstones, the oldest first: beyond the bound these are dropped.
         let mut tombstones: Vec<Key> = Vec::new();
         for (place, change) in changes.iter().enumerate() {
-            let record = ledger.write(change.clone()).expect("it is within bounds");
+            let record = store.write(change.clone()).expect("it is within bounds");
             prop_assert_eq!(record.version, Version { epoch: 3, revision: place as u64 + 1 });
             tombstones.retain(|key| *key != change.key);
             if record.state == State::Gone {
@@ -37,37 +37,37 @@
             last.insert(change.key.clone(), record);
         }
         let live: Vec<Record> = last.values().filter(|record| record.state != State::Gone).cloned().collect();
-        prop_assert_eq!(ledger.live().cloned().collect::<Vec<_>>(), live.clone());
-        prop_assert_eq!(ledger.live_count(), live.len());
-        prop_assert_eq!(ledger.tombstone_count(), tombstones.len());
+        prop_assert_eq!(store.live_records().cloned().collect::<Vec<_>>(), live.clone());
+        prop_assert_eq!(store.live_count(), live.len());
+        prop_assert_eq!(store.tombstone_count(), tombstones.len());
         for (key, record) in last.iter().filter(|(_, record)| record.state == State::Gone) {
             let kept = tombstones.contains(key);
-            prop_assert_eq!(ledger.get(key), kept.then_some(record));
-            prop_assert!(kept || ledger.floor() >= record.version);
+            prop_assert_eq!(store.get(key), kept.then_some(record));
+            prop_assert!(kept || store.tombstone_floor() >= record.version);
         }
         for service in 0..6 {
             let of = live.iter().filter(|record| record.key.service == service).cloned().collect::<Vec<_>>();
-            prop_assert_eq!(ledger.service(service).cloned().collect::<Vec<_>>(), of.clone());
-            prop_assert_eq!(ledger.digest(service) == 0, of.is_empty());
+            prop_assert_eq!(store.service(service).cloned().collect::<Vec<_>>(), of.clone());
+            prop_assert_eq!(store.digest(service) == 0, of.is_empty());
         }
         // In another order, from a file: the same digests.
         let backwards = live.iter().rev().cloned().collect();
-        let restored = Ledger::restore(4, 9, ledger.head(), backwards);
-        prop_assert_eq!(restored.check(&Scope::All), ledger.check(&Scope::All));
+        let restored = VersionedStore::restore(4, 9, store.head(), backwards);
+        prop_assert_eq!(restored.scope_digest(&Scope::All), store.scope_digest(&Scope::All));
         for service in 0..6 {
-            prop_assert_eq!(restored.digest(service), ledger.digest(service));
+            prop_assert_eq!(restored.digest(service), store.digest(service));
         }
-        prop_assert!(restored.head() > ledger.head() && restored.head().revision == ledger.head().revision);
+        prop_assert!(restored.head() > store.head() && restored.head().revision == store.head().revision);
     }
 
     /// Any single difference shows in the digest.
     #[test]
     fn a_digest_tells_any_difference(changes in changes(), which in any::<prop::sample::Index>(), what in 0..4_u8) {
-        let mut ledger = Ledger::new(0, 1);
+        let mut store = VersionedStore::new(0, 1);
         for change in changes {
-            ledger.write(change).expect("it is within bounds");
+            store.write(change).expect("it is within bounds");
         }
-        let mut records: Vec<Record> = ledger.live().cloned().collect();
+        let mut records: Vec<Record> = store.live_records().cloned().collect();
         prop_assume!(!records.is_empty());
         let place = which.index(records.len());
         let service = records[place].key.service;
@@ -80,9 +80,9 @@
                 records.remove(place);
             }
         }
-        let other = Ledger::restore(0, 1, ledger.head(), records);
-        prop_assert_ne!(other.digest(service), ledger.digest(service));
-        prop_assert_ne!(other.check(&Scope::All), ledger.check(&Scope::All));
+        let other = VersionedStore::restore(0, 1, store.head(), records);
+        prop_assert_ne!(other.digest(service), store.digest(service));
+        prop_assert_ne!(other.scope_digest(&Scope::All), store.scope_digest(&Scope::All));
     }
 }
 
@@ -90,11 +90,11 @@
 fn the_log_goes_on_after_a_restart() {
     let key = Key { service: 1, kind: Kind::Backend, name: "b".into() };
     let change = Change { key: key.clone(), state: State::Active, body: [1].into() };
-    let mut ledger = Ledger::new(0, 1);
-    let first = ledger.write(change.clone()).expect("it is within bounds");
-    let mut ledger = Ledger::restore(0, 2, ledger.head(), vec![first.clone()]);
-    assert_eq!(ledger.get(&key), Some(&first), "a record keeps its version");
-    let second = ledger.write(change).expect("it is within bounds");
+    let mut store = VersionedStore::new(0, 1);
+    let first = store.write(change.clone()).expect("it is within bounds");
+    let mut store = VersionedStore::restore(0, 2, store.head(), vec![first.clone()]);
+    assert_eq!(store.get(&key), Some(&first), "a record keeps its version");
+    let second = store.write(change).expect("it is within bounds");
     assert_eq!(second.version, Version { epoch: 2, revision: 2 });
-    assert_eq!(ledger.head(), second.version);
+    assert_eq!(store.head(), second.version);
 }
--- a/crates/control-plane/tests/strategies/mod.rs
+++ b/crates/control-plane/tests/strategies/mod.rs
@@ -1,6 +1,8 @@
 //! Any message, for tests of what travels.
 
-use control_plane::message::{Have, Message, PROTOCOL};
+use control_plane::message::{
+    KeyBound, Message, PROTOCOL_VERSION, ReplicaPosition, ServiceDigest, ServiceRange,
+};
 use control_plane::record::{Change, Key, Kind, Record, Scope, State, Version};
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
@@ -13,6 +15,14 @@
     [version(), version(), version()]
 }
 
+fn service_range() -> impl Strategy<Value = ServiceRange> {
+    any::<(u32, u32)>().prop_map(|(first, last)| ServiceRange { first, last })
+}
+
+fn service_digest() -> impl Strategy<Value = ServiceDigest> {
+    any::<(u32, u64)>().prop_map(|(service, digest)| ServiceDigest { service, digest })
+}
+
 fn kind() -> impl Strategy<Value = Kind> {
     prop_oneof![Just(Kind::Backend), Just(Kind::Configuration), Just(Kind::Route), Just(Kind::Tenant)]
 }
@@ -36,55 +46,66 @@
     vec(record, 0..8)
 }
 
-fn have() -> impl Strategy<Value = Vec<Have>> {
-    let have = (any::<u16>(), any::<u64>(), cursor());
-    vec(have.prop_map(|(source, epoch, cursor)| Have { source, epoch, cursor }), 0..4)
+fn positions() -> impl Strategy<Value = Vec<ReplicaPosition>> {
+    let positions = (any::<u16>(), any::<u64>(), cursor());
+    vec(positions.prop_map(|(source, epoch, cursor)| ReplicaPosition { source, epoch, cursor }), 0..4)
 }
 
 pub fn message() -> impl Strategy<Value = Message> {
     let scope = prop_oneof![Just(Scope::All), btree_set(any::<u32>(), 0..20).prop_map(Scope::Services),];
-    let bound = || proptest::option::of((kind(), ".{0,20}").prop_map(|(kind, name)| (kind, name.into())));
+    let bound = || {
+        proptest::option::of(
+            (kind(), ".{0,20}").prop_map(|(kind, name)| KeyBound { kind, name: name.into() }),
+        )
+    };
     let change = (key(), state(), vec(any::<u8>(), 0..40));
     let change = change.prop_map(|(key, state, body)| Change { key, state, body: body.into() });
     prop_oneof![
-        (".{0,20}", scope, have()).prop_map(|(name, scope, have)| Message::Hello {
-            protocol: PROTOCOL,
+        (".{0,20}", scope, positions()).prop_map(|(name, scope, positions)| Message::Hello {
+            protocol: PROTOCOL_VERSION,
             name,
             scope,
-            have
+            positions
         }),
-        ".{0,20}".prop_map(|name| Message::Welcome { protocol: PROTOCOL, name }),
-        Just(Message::Alive),
+        ".{0,20}".prop_map(|name| Message::Welcome { protocol: PROTOCOL_VERSION, name }),
+        Just(Message::Heartbeat),
         (any::<u16>(), any::<u64>(), cursor(), cursor(), records(), any::<Option<u64>>()).prop_map(
-            |(source, epoch, from, to, records, check)| Message::Batch {
+            |(source, epoch, from, to, records, scope_digest)| Message::Batch {
                 source,
                 epoch,
                 from,
                 to,
                 records,
-                check
+                scope_digest
             }
         ),
-        (any::<u16>(), any::<u64>(), any::<(u32, u32)>(), cursor(), any::<Vec<(u32, u64)>>()).prop_map(
-            |(source, epoch, covers, to, digests)| Message::Summary { source, epoch, covers, to, digests }
+        (any::<u16>(), any::<u64>(), service_range(), cursor(), vec(service_digest(), 0..100)).prop_map(
+            |(source, epoch, range, to, digests)| Message::DigestSummary {
+                source,
+                epoch,
+                range,
+                to,
+                digests
+            }
         ),
         (any::<u16>(), any::<u64>(), version(), any::<u32>(), bound(), bound(), records()).prop_map(
-            |(source, epoch, as_of, service, after, upto, records)| Message::Whole {
+            |(source, epoch, as_of, service, after, through, records)| Message::ServiceSnapshot {
                 source,
                 epoch,
                 as_of,
                 service,
                 after,
-                upto,
+                through,
                 records
             }
         ),
-        have().prop_map(|have| Message::Resume { have }),
-        any::<u16>().prop_map(|source| Message::Compare { source }),
-        (any::<u16>(), any::<Vec<u32>>()).prop_map(|(source, services)| Message::Want { source, services }),
+        positions().prop_map(|positions| Message::Resume { positions }),
+        any::<u16>().prop_map(|source| Message::DigestRequest { source }),
+        (any::<u16>(), any::<Vec<u32>>())
+            .prop_map(|(source, services)| Message::SnapshotRequest { source, services }),
         (any::<u64>(), vec(change, 0..8)).prop_map(|(id, changes)| Message::Write { id, changes }),
         (any::<u64>(), version(), proptest::option::of(".{0,20}"))
             .prop_map(|(id, version, why)| { Message::Written { id, result: why.map_or(Ok(version), Err) } }),
-        ".{0,40}".prop_map(|why| Message::Goodbye { why }),
+        ".{0,40}".prop_map(|reason| Message::Close { reason }),
     ]
 }
--- a/crates/control-plane/tests/link.rs
+++ b/crates/control-plane/tests/upstream_link.rs
@@ -2,15 +2,15 @@
 
 use control_plane::Millis;
 use control_plane::codec::{FrameReader, FrameWriter};
-use control_plane::config::{PaceConfig, RelayConfig, SourceAddress, SourceConfig};
+use control_plane::config::{RateLimitConfig, RelayConfig, SourceAddress, SourceConfig};
 use control_plane::failover::Failover;
 use control_plane::message::Message;
 use control_plane::record::{Change, Key, Kind, Scope, State};
-use control_plane::shell::Clock;
-use control_plane::shell::link::{LinkError, Party, follow};
-use control_plane::shell::writer::Writer;
-use control_plane::shell::{relay, source};
-use control_plane::source::Refusal;
+use control_plane::runtime::Clock;
+use control_plane::runtime::upstream_link::{DownstreamNode, LinkError, UpstreamAddress, follow};
+use control_plane::runtime::writer::Writer;
+use control_plane::runtime::{relay, source};
+use control_plane::session::SessionError;
 use control_plane::subscriber::Subscriber;
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -44,10 +44,10 @@
     }
 }
 
-fn start_relay(config: RelayConfig, pace: PaceConfig) -> Running {
+fn start_relay(config: RelayConfig, rate_limit: RateLimitConfig) -> Running {
     // A set of its own, so that connections end with it.
     Running(spawn_local(async move {
-        LocalSet::new().run_until(relay::run(&config, &pace, pending())).await.expect("it runs");
+        LocalSet::new().run_until(relay::run(&config, &rate_limit, pending())).await.expect("it runs");
     }))
 }
 
@@ -74,12 +74,12 @@
         name: "s".into(),
         listen,
         snapshot: folder.0.join("source.snapshot"),
-        snapshot_every_ms: 3_600_000,
+        snapshot_interval_ms: 3_600_000,
         connections: 8,
     };
     Running(spawn_local(async move {
-        let pace = PaceConfig::default();
-        LocalSet::new().run_until(source::run(&config, &pace, pending())).await.expect("it runs");
+        let rate_limit = RateLimitConfig::default();
+        LocalSet::new().run_until(source::run(&config, &rate_limit, pending())).await.expect("it runs");
     }))
 }
 
@@ -95,11 +95,11 @@
     came: u64,
 }
 
-impl Party for Counted {
+impl DownstreamNode for Counted {
     fn hello(&mut self) -> Message {
         self.subscriber.hello()
     }
-    fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, Refusal> {
+    fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError> {
         self.greeted.1 += usize::from(matches!(message, Message::Welcome { .. }));
         let heard = self.subscriber.on_message(message, now)?;
         self.applied += heard.applied.len();
@@ -108,17 +108,17 @@
     fn tick(&mut self, now: Millis) -> Vec<Message> {
         self.subscriber.tick(now)
     }
-    fn connected(&mut self, upstream: &str) {
+    fn on_connected(&mut self, upstream: &str) {
         self.greeted.0 += 1;
         if self.on.replace(upstream.to_owned()).is_some() {
             self.moves += 1;
         }
     }
-    fn lost(&mut self, _: &str, _: &LinkError) {
+    fn on_lost(&mut self, _: &str, _: &LinkError) {
         self.on = None;
         self.losses += 1;
     }
-    fn transferred(&mut self, came: u64, _: u64) {
+    fn on_transferred(&mut self, came: u64, _: u64) {
         self.came += came;
     }
 }
@@ -162,20 +162,21 @@
 async fn spread() {
     let (folder, at) = (Folder::new("spread"), address());
     let _source = start_source(&folder, at);
-    let relays: Vec<(String, SocketAddr)> = (0..3).map(|n| (format!("relay-{n}"), address())).collect();
+    let relays: Vec<UpstreamAddress> =
+        (0..3).map(|n| UpstreamAddress { name: format!("relay-{n}"), address: address() }).collect();
     let relay = |place: usize| {
         start_relay(
             RelayConfig {
-                name: relays[place].0.clone(),
-                listen: relays[place].1,
+                name: relays[place].name.clone(),
+                listen: relays[place].address,
                 sources: vec![SourceAddress { id: 1, address: at }],
                 connections: FOLLOWERS,
             },
-            PaceConfig::default(),
+            RateLimitConfig::default(),
         )
     };
     let mut running: Vec<_> = (0..3).map(|place| Some(relay(place))).collect();
-    let names: Vec<String> = relays.iter().map(|(name, _)| name.clone()).collect();
+    let names: Vec<String> = relays.iter().map(|relay| relay.name.clone()).collect();
     let clock = Clock::start();
     let parties: Vec<_> = (0..FOLLOWERS)
         .map(|n| {
@@ -217,7 +218,7 @@
     // Somebody is there again who says nothing: they try it beside the connection that works, and stay.
     let losses = || parties.iter().map(|p| p.borrow().losses).sum::<usize>();
     let before = losses();
-    let mute = mute(relays[0].1).await;
+    let mute = mute(relays[0].address).await;
     wait_for("calls, again after no answer came", || mute.1.get() > of_first).await;
     sleep(Duration::from_secs(10)).await;
     assert!(elsewhere());
@@ -250,8 +251,9 @@
     let _source = start_source(&folder, at);
     let sources = vec![SourceAddress { id: 1, address: at }];
     let config = RelayConfig { name: "r".into(), listen: relay, sources, connections: 4 };
-    let pace = PaceConfig { agent_bytes_per_s: 1 << 29, agent_burst: 1 << 29, ..PaceConfig::default() };
-    let _relay = start_relay(config, pace);
+    let rate_limit =
+        RateLimitConfig { agent_bytes_per_s: 1 << 29, agent_burst: 1 << 29, ..RateLimitConfig::default() };
+    let _relay = start_relay(config, rate_limit);
     let mut writer = loop {
         match Writer::connect(at).await {
             Ok(writer) => break writer,
@@ -266,7 +268,7 @@
     let mut subscriber = Subscriber::new("stands", Scope::All);
     let mut ends = 0;
     let held =
-        |subscriber: &Subscriber| subscriber.ledgers().map(|(_, ledger)| ledger.live_count()).sum::<usize>();
+        |subscriber: &Subscriber| subscriber.stores().map(|(_, store)| store.live_count()).sum::<usize>();
     let end = Instant::now() + PATIENCE;
     while held(&subscriber) < RECORDS {
         assert!(Instant::now() < end, "{} of {RECORDS} after {ends} ends", held(&subscriber));
@@ -283,7 +285,7 @@
         let mut stood = ends > 0;
         while let Ok(Some(message)) = timeout(PATIENCE, reader.read()).await.expect("a word each second") {
             // In parts of a whole service, or in batches where the relay heard of it before the records were written.
-            let some = matches!(&message, Message::Whole { records, .. } | Message::Batch { records, .. } if !records.is_empty());
+            let some = matches!(&message, Message::ServiceSnapshot { records, .. } | Message::Batch { records, .. } if !records.is_empty());
             for reply in subscriber.on_message(message, 0).expect("sense").replies {
                 writer.write(&reply).await.expect("said");
             }
--- a/crates/control-plane/tests/world/convergence.rs
+++ b/crates/control-plane/tests/world/convergence.rs
@@ -2,7 +2,7 @@
 
 use crate::link::Noise;
 use crate::parties::{Op, Setting, World};
-use control_plane::feed::Pace;
+use control_plane::rate_limit::RateLimit;
 use control_plane::record::{Kind, Scope, State};
 use proptest::prelude::*;
 
@@ -42,9 +42,10 @@
 }
 
 fn settings() -> impl Strategy<Value = Setting> {
-    let pace = prop_oneof![Just(Pace::default()), Just(Pace { bytes_per_s: 1_500, burst: 3_000 })];
+    let rate_limit =
+        prop_oneof![Just(RateLimit::default()), Just(RateLimit { bytes_per_s: 1_500, burst: 3_000 })];
     let tombstones = prop_oneof![Just(65_536), 0..6_usize];
-    (pace, tombstones).prop_map(|(pace, tombstones)| Setting { pace, tombstones })
+    (rate_limit, tombstones).prop_map(|(rate_limit, tombstones)| Setting { rate_limit, tombstones })
 }
 
 proptest! {
--- a/crates/control-plane/tests/world/faults.rs
+++ b/crates/control-plane/tests/world/faults.rs
@@ -3,14 +3,14 @@
 use crate::link::Noise;
 use crate::parties::{Setting, World, services};
 use crate::watcher::epoch;
-use control_plane::feed::Pace;
-use control_plane::ledger::MAX_TOMBSTONES;
 use control_plane::message::Message;
+use control_plane::rate_limit::RateLimit;
 use control_plane::record::{Kind, Scope, State};
+use control_plane::store::MAX_TOMBSTONES;
 use std::sync::Arc;
 
 const SETTING: Setting =
-    Setting { pace: Pace { bytes_per_s: 12_000, burst: 120_000 }, tombstones: MAX_TOMBSTONES };
+    Setting { rate_limit: RateLimit { bytes_per_s: 12_000, burst: 120_000 }, tombstones: MAX_TOMBSTONES };
 /// Ticks in which any single fault is mended: a check (10 s), its questions and answers, asked twice.
 const MENDED: usize = 300;
 
@@ -27,8 +27,8 @@
 }
 
 fn without_checks(message: &mut Message) {
-    if let Message::Batch { check, .. } = message {
-        *check = None;
+    if let Message::Batch { scope_digest, .. } = message {
+        *scope_digest = None;
     }
 }
 
@@ -114,11 +114,11 @@
                         from.iter_mut().chain(to).for_each(|version| version.epoch = 1);
                         records.iter_mut().for_each(|record| record.version.epoch = 1);
                     }
-                    Message::Summary { epoch, to, .. } => {
+                    Message::DigestSummary { epoch, to, .. } => {
                         *epoch = 1;
                         to.iter_mut().for_each(|version| version.epoch = 1);
                     }
-                    Message::Whole { epoch, as_of, records, .. } => {
+                    Message::ServiceSnapshot { epoch, as_of, records, .. } => {
                         (*epoch, as_of.epoch) = (1, 1);
                         records.iter_mut().for_each(|record| record.version.epoch = 1);
                     }
@@ -146,8 +146,8 @@
     }));
     world.write(2, Kind::Backend, "d", State::Active, 50);
     world.run(MENDED);
-    world.ask_relay(0, Message::Compare { source: 0 });
-    world.ask_relay(0, Message::Want { source: 0, services: vec![0, 1, 2] });
+    world.ask_relay(0, Message::DigestRequest { source: 0 });
+    world.ask_relay(0, Message::SnapshotRequest { source: 0, services: vec![0, 1, 2] });
     world.run(MENDED);
     world.restart_source(0, 1);
     world.run(MENDED);
@@ -197,7 +197,7 @@
     world.tamper = Some(Box::new(|message| {
         without_checks(message);
         // As if upstream knew more than it does, and took back what it said.
-        if let Message::Whole { as_of, records, .. } = message {
+        if let Message::ServiceSnapshot { as_of, records, .. } = message {
             as_of.revision += 100;
             records.iter_mut().for_each(|record| record.version.revision -= 1);
         }
@@ -205,7 +205,7 @@
     }));
     world.write(1, Kind::Backend, "a", State::Draining, 50);
     world.run(20);
-    world.ask_relay(0, Message::Want { source: 0, services: vec![1] });
+    world.ask_relay(0, Message::SnapshotRequest { source: 0, services: vec![1] });
     world.run(20);
     assert!(world.wrongs().iter().any(|wrong| wrong.contains("came over")), "{:?}", world.differences());
 }
--- a/crates/control-plane/tests/world/parties.rs
+++ b/crates/control-plane/tests/world/parties.rs
@@ -3,15 +3,17 @@
 use crate::link::{Link, Noise, Random};
 use crate::watcher::{self, Watcher};
 use control_plane::Millis;
-use control_plane::feed::{Next, Pace};
-use control_plane::ledger::Ledger;
 use control_plane::message::Message;
+use control_plane::publisher::PublisherAction;
+use control_plane::rate_limit::RateLimit;
 use control_plane::record::{
     Change, Cursor, Epoch, Key, Kind, Record, Scope, ServiceId, SourceId, State, Version,
 };
 use control_plane::relay::Relay;
-use control_plane::source::{Source, Upstream};
+use control_plane::source::Source;
+use control_plane::store::VersionedStore;
 use control_plane::subscriber::Subscriber;
+use control_plane::upstream::Upstream;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -97,22 +99,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
     /// From a relay to a subscriber.
-    pub pace: Pace,
+    pub rate_limit: RateLimit,
     /// Tombstones that a source or relay keeps.
     pub tombstones: usize,
 }
 
 impl Setting {
-    fn source(&self, ledger: Ledger) -> Source {
+    fn source(&self, store: VersionedStore) -> Source {
         /// From a source to a relay: enough for all changes of a test.
-        const FAST: Pace = Pace { bytes_per_s: 1_000_000, burst: 1_000_000 };
-        let name = format!("source-{}", ledger.source());
-        Source::new(&name, ledger.with_most_tombstones(self.tombstones), FAST)
+        const FAST: RateLimit = RateLimit { bytes_per_s: 1_000_000, burst: 1_000_000 };
+        let name = format!("source-{}", store.source());
+        Source::new(&name, store.with_max_tombstones(self.tombstones), FAST)
     }
 
     fn relay(&self, place: usize, sources: usize) -> Relay {
         let names: Vec<SourceId> = (0..sources as SourceId).collect();
-        Relay::new(&format!("relay-{place}"), &names, self.pace).with_most_tombstones(self.tombstones)
+        Relay::new(&format!("relay-{place}"), &names, self.rate_limit).with_max_tombstones(self.tombstones)
     }
 }
 
@@ -125,7 +127,7 @@
 impl World {
     pub fn new(sources: usize, relays: usize, scopes: &[Scope], setting: Setting, seed: u64) -> Self {
         let site = |id: usize| {
-            let source = setting.source(Ledger::new(id as SourceId, 1));
+            let source = setting.source(VersionedStore::new(id as SourceId, 1));
             SourceSite { source, history: vec![(Version { epoch: 1, revision: 0 }, BTreeMap::new())] }
         };
         let relay = |place: usize| RelaySite {
@@ -214,7 +216,7 @@
         let site = &mut self.relays[relay];
         for (source, uplink) in site.uplinks.iter_mut().enumerate() {
             if let Some(link) = uplink.take() {
-                self.sources[source].source.leave(link.id);
+                self.sources[source].source.disconnect(link.id);
             }
         }
         site.relay = self.setting.relay(relay, self.sources.len());
@@ -227,9 +229,9 @@
         site.history.truncate(kept);
         let (head, said) = site.history.last().cloned().expect("at least the beginning");
         let records = said.into_values().filter(|record| record.state != State::Gone).collect();
-        let epoch = site.source.ledger().epoch() + 1;
-        let ledger = Ledger::restore(source as SourceId, epoch, head, records);
-        site.source = self.setting.source(ledger);
+        let epoch = site.source.store().epoch() + 1;
+        let store = VersionedStore::restore(source as SourceId, epoch, head, records);
+        site.source = self.setting.source(store);
         for relay in &mut self.relays {
             relay.uplinks[source] = None;
         }
@@ -239,7 +241,7 @@
     fn hang_up(&mut self, who: usize) {
         let site = &mut self.subscribers[who];
         if let Some(link) = site.uplink.take() {
-            self.relays[site.relay].relay.leave(link.id);
+            self.relays[site.relay].relay.disconnect(link.id);
         }
     }
 
@@ -269,7 +271,7 @@
             let cut = site.cut_until[source] > now;
             let upstream = &mut self.sources[source].source;
             if uplink.as_ref().is_some_and(|link| now - link.heard_at > SILENCE) {
-                upstream.leave(uplink.take().map_or(0, |link| link.id));
+                upstream.disconnect(uplink.take().map_or(0, |link| link.id));
             }
             if uplink.is_none() && !cut {
                 let mut link = Link::new(self.next_link, now);
@@ -291,12 +293,12 @@
                 assert!(answers.is_empty());
             }
             for _ in 0..MAX_A_TICK {
-                let Next::Send(message) = upstream.next(link.id, now) else { break };
+                let PublisherAction::Send(message) = upstream.next_action(link.id, now) else { break };
                 link.down.push(message, now, cut, &self.noise, &mut self.random);
             }
             for message in link.down.take(now) {
                 link.heard_at = now;
-                let answers = site.relay.from_source(source as SourceId, message, now);
+                let answers = site.relay.on_source_message(source as SourceId, message, now);
                 for answer in answers.expect("a relay takes what sources say") {
                     link.up.push(answer, now, cut, &self.noise, &mut self.random);
                 }
@@ -336,7 +338,9 @@
                 assert!(answers.is_empty());
             }
             for _ in 0..MAX_A_TICK {
-                let Next::Send(mut message) = upstream.relay.next(link.id, now) else { break };
+                let PublisherAction::Send(mut message) = upstream.relay.next_action(link.id, now) else {
+                    break;
+                };
                 if self.tamper.as_mut().is_none_or(|tamper| tamper(&mut message)) {
                     *self.said.entry(message.name()).or_default() += 1;
                     link.down.push(message, now, cut, &self.noise, &mut self.random);
@@ -348,7 +352,10 @@
             };
             // The scope, and of each source: a line and no more services than there are in scope.
             let most = scope + self.sources.len() * (1 + scope.max(64));
-            assert!(upstream.relay.held(link.id) <= most, "a subscriber's feed state is beyond its bound");
+            assert!(
+                upstream.relay.retained_items(link.id) <= most,
+                "a subscriber's feed state is beyond its bound"
+            );
         }
         for message in link.down.take(now) {
             link.heard_at = now;
@@ -389,20 +396,20 @@
         let mut differences = Vec::new();
         for (place, site) in self.relays.iter().enumerate() {
             for (source, home) in self.sources.iter().enumerate() {
-                let held = site.relay.ledger(source as SourceId).map(live).unwrap_or_default();
+                let held = site.relay.store(source as SourceId).map(live).unwrap_or_default();
                 compare(
                     &format!("relay {place}, source {source}"),
-                    &live(home.source.ledger()),
+                    &live(home.source.store()),
                     &held,
                     &mut differences,
                 );
             }
         }
         for (who, site) in self.subscribers.iter().enumerate() {
-            let in_scope = |record: &&Record| site.scope.holds(record.key.service);
-            let sources = self.sources.iter().flat_map(|home| home.source.ledger().live());
+            let in_scope = |record: &&Record| site.scope.contains(record.key.service);
+            let sources = self.sources.iter().flat_map(|home| home.source.store().live_records());
             let truth = sources.filter(in_scope).map(|record| (record.key.clone(), record.clone())).collect();
-            let held = site.subscriber.ledgers().flat_map(|(_, ledger)| ledger.live());
+            let held = site.subscriber.stores().flat_map(|(_, store)| store.live_records());
             let held = held.map(|record| (record.key.clone(), record.clone())).collect();
             compare(&format!("subscriber {who}"), &truth, &held, &mut differences);
             compare(
@@ -421,16 +428,16 @@
         let mut wrongs = Vec::new();
         for (who, site) in self.subscribers.iter().enumerate() {
             wrongs.extend(site.watcher.wrongs().iter().map(|wrong| format!("subscriber {who}: {wrong}")));
-            for (source, ledger) in site.subscriber.ledgers() {
+            for (source, store) in site.subscriber.stores() {
                 let claim = claim(&site.subscriber.hello(), source);
-                self.examine(&format!("subscriber {who}"), ledger, claim, &site.scope, &mut wrongs);
+                self.examine(&format!("subscriber {who}"), store, claim, &site.scope, &mut wrongs);
             }
         }
         for (place, site) in self.relays.iter().enumerate() {
             for source in 0..self.sources.len() as SourceId {
                 let claim = claim(&site.relay.hello(source), source);
-                let Some(ledger) = site.relay.ledger(source) else { continue };
-                self.examine(&format!("relay {place}"), ledger, claim, &Scope::All, &mut wrongs);
+                let Some(store) = site.relay.store(source) else { continue };
+                self.examine(&format!("relay {place}"), store, claim, &Scope::All, &mut wrongs);
             }
         }
         wrongs
@@ -441,21 +448,21 @@
     fn examine(
         &self,
         who: &str,
-        ledger: &Ledger,
+        store: &VersionedStore,
         claim: Option<(Epoch, Cursor)>,
         scope: &Scope,
         wrongs: &mut Vec<String>,
     ) {
-        let home = &self.sources[usize::from(ledger.source())];
-        let Some((epoch, cursor)) = claim.filter(|(epoch, _)| *epoch == home.source.ledger().epoch()) else {
+        let home = &self.sources[usize::from(store.source())];
+        let Some((epoch, cursor)) = claim.filter(|(epoch, _)| *epoch == home.source.store().epoch()) else {
             return;
         };
         let said = home.history.last().into_iter().flat_map(|(_, said)| said.values());
-        for record in said.filter(|record| scope.holds(record.key.service)) {
+        for record in said.filter(|record| scope.contains(record.key.service)) {
             if record.version > cursor[record.urgency() as usize] {
                 continue;
             }
-            let held = ledger.get(&record.key).filter(|held| held.state != State::Gone);
+            let held = store.get(&record.key).filter(|held| held.state != State::Gone);
             if held != Some(record).filter(|record| record.state != State::Gone) {
                 let held = held.map(|held| (held.version, held.state));
                 let should = (record.version, record.state);
@@ -485,12 +492,15 @@
 
 /// How far somebody says that it is in a source.
 fn claim(hello: &Message, source: SourceId) -> Option<(Epoch, Cursor)> {
-    let Message::Hello { have, .. } = hello else { return None };
-    have.iter().find(|have| have.source == source).map(|have| (have.epoch, have.cursor))
+    let Message::Hello { positions, .. } = hello else { return None };
+    positions
+        .iter()
+        .find(|positions| positions.source == source)
+        .map(|positions| (positions.epoch, positions.cursor))
 }
 
-fn live(ledger: &Ledger) -> BTreeMap<Key, Record> {
-    ledger.live().map(|record| (record.key.clone(), record.clone())).collect()
+fn live(store: &VersionedStore) -> BTreeMap<Key, Record> {
+    store.live_records().map(|record| (record.key.clone(), record.clone())).collect()
 }
 
 fn compare(
--- a/crates/control-plane/tests/world/watcher.rs
+++ b/crates/control-plane/tests/world/watcher.rs
@@ -2,15 +2,15 @@
 
 use control_plane::message::Message;
 use control_plane::record::{Epoch, Key, Record, Scope, State, Version};
-use control_plane::replica::Applied;
+use control_plane::replica::AppliedRecord;
 use std::collections::BTreeMap;
 
 /// The life of the source that a message speaks of.
 pub fn epoch(message: &Message) -> Epoch {
     match message {
-        Message::Batch { epoch, .. } | Message::Summary { epoch, .. } | Message::Whole { epoch, .. } => {
-            *epoch
-        }
+        Message::Batch { epoch, .. }
+        | Message::DigestSummary { epoch, .. }
+        | Message::ServiceSnapshot { epoch, .. } => *epoch,
         _ => 0,
     }
 }
@@ -37,10 +37,10 @@
         &self.wrongs
     }
 
-    pub fn see(&mut self, epoch: Epoch, applied: Applied) {
-        let Applied { record, before } = applied;
+    pub fn see(&mut self, epoch: Epoch, applied: AppliedRecord) {
+        let AppliedRecord { record, previous } = applied;
         let key = record.key.clone();
-        if !self.scope.holds(key.service) {
+        if !self.scope.contains(key.service) {
             self.wrongs.push(format!("{key:?} is out of scope"));
         }
         if let Some((then, version)) = self.last.insert(key.clone(), (epoch, record.version)) {
@@ -62,8 +62,9 @@
         } else {
             self.standing.insert(key.clone(), record)
         };
-        if stood != before {
-            self.wrongs.push(format!("{key:?}: before is said to be {before:?}, was {stood:?}"));
+        if stood != previous {
+            self.wrongs
+                .push(format!("{key:?}: the previous record is reported as {previous:?}, was {stood:?}"));
         }
     }
 }
--- a/crates/testbed/src/scale/fleet/hollow.rs
+++ b/crates/testbed/src/scale/fleet/hollow.rs
@@ -7,9 +7,9 @@
 use control_plane::Millis;
 use control_plane::message::Message;
 use control_plane::record::{Scope, SourceId, Version};
-use control_plane::shell::Clock;
-use control_plane::shell::link::{Party, follow};
-use control_plane::source::Refusal;
+use control_plane::runtime::Clock;
+use control_plane::runtime::upstream_link::{DownstreamNode, UpstreamAddress, follow};
+use control_plane::session::SessionError;
 use control_plane::subscriber::Subscriber;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashSet};
@@ -90,25 +90,25 @@
     }
 
     fn heads(&self) -> BTreeMap<SourceId, Version> {
-        self.subscriber.ledgers().map(|(source, ledger)| (source, ledger.head())).collect()
+        self.subscriber.stores().map(|(source, store)| (source, store.head())).collect()
     }
 
     fn records(&self) -> Vec<Held> {
-        let all = self.subscriber.ledgers();
-        all.flat_map(|(source, ledger)| ledger.live().map(move |r| Held::of(source, r))).collect()
+        let all = self.subscriber.stores();
+        all.flat_map(|(source, store)| store.live_records().map(move |r| Held::of(source, r))).collect()
     }
 }
 
-impl Party for Life {
+impl DownstreamNode for Life {
     fn hello(&mut self) -> Message {
         self.shim.out(self.subscriber.hello())
     }
 
-    fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, Refusal> {
+    fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError> {
         self.watch.heard(&message);
         let Some(message) = self.shim.pass(message) else { return Ok(Vec::new()) };
         let source = match &message {
-            Message::Batch { source, .. } | Message::Whole { source, .. } => Some(*source),
+            Message::Batch { source, .. } | Message::ServiceSnapshot { source, .. } => Some(*source),
             _ => None,
         };
         let heard = self.subscriber.on_message(message, now)?;
@@ -132,11 +132,11 @@
         self.subscriber.tick(now)
     }
 
-    fn connected(&mut self, _upstream: &str) {
+    fn on_connected(&mut self, _upstream: &str) {
         self.welcomes += 1;
     }
 
-    fn transferred(&mut self, came: u64, _went: u64) {
+    fn on_transferred(&mut self, came: u64, _went: u64) {
         self.bytes.add(self.shared.clock.now() / 1_000, came);
     }
 }
@@ -158,7 +158,9 @@
         place.life = Rc::new(RefCell::new(Life::new(&place.spec, plant, expected, &self.shared)));
         let (party, spec, clock) = (Rc::clone(&place.life), place.spec.clone(), self.shared.clock);
         place.task = Some(tokio::task::spawn_local(async move {
-            follow(party, spec.relays, &spec.name, u64::from(number), clock).await;
+            let relays =
+                spec.relays.into_iter().map(|(name, address)| UpstreamAddress { name, address }).collect();
+            follow(party, relays, &spec.name, u64::from(number), clock).await;
         }));
     }
 
--- a/crates/testbed/src/scale/fleet/network.rs
+++ b/crates/testbed/src/scale/fleet/network.rs
@@ -8,9 +8,9 @@
 use super::script::ScaleScript;
 use super::words::{self, Held};
 use control_plane::codec::{CodecError, FrameReader, FrameWriter};
-use control_plane::message::{Message, PROTOCOL};
+use control_plane::message::{Message, PROTOCOL_VERSION};
 use control_plane::record::{Change, Record, Scope, ServiceId, SourceId, State, Version};
-use control_plane::shell::writer::Writer;
+use control_plane::runtime::writer::Writer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -239,26 +239,28 @@
     let (from, to) = TcpStream::connect(address).await?.into_split();
     let (mut from, mut to) = (FrameReader::new(from), FrameWriter::new(to));
     let (name, scope) = ("plain reader".into(), Scope::All);
-    to.write(&Message::Hello { protocol: PROTOCOL, name, scope, have: Vec::new() }).await.map_err(other)?;
+    to.write(&Message::Hello { protocol: PROTOCOL_VERSION, name, scope, positions: Vec::new() })
+        .await
+        .map_err(other)?;
     let (mut records, mut head) = (Vec::new(), None);
     let (mut missing, mut wanted) = (BTreeSet::new(), BTreeSet::new());
     loop {
         let message = from.read().await.map_err(other)?.ok_or(io::ErrorKind::UnexpectedEof)?;
         match message {
-            Message::Summary { covers, to, digests, .. } => {
-                missing.extend(digests.into_iter().map(|(service, _)| service));
-                head = (covers.1 == ServiceId::MAX).then_some(to[0]);
+            Message::DigestSummary { range, to, digests, .. } => {
+                missing.extend(digests.into_iter().map(|one| one.service));
+                head = (range.last == ServiceId::MAX).then_some(to[0]);
             }
-            Message::Whole { service, upto, records: some, .. } => {
+            Message::ServiceSnapshot { service, through, records: some, .. } => {
                 records.extend(some);
-                if upto.is_none() {
+                if through.is_none() {
                     wanted.remove(&service);
                 }
             }
             Message::Batch { records: some, .. } if !some.is_empty() => {
                 return Err(io::Error::other("it changed while it was read"));
             }
-            Message::Goodbye { why } => return Err(io::Error::other(why)),
+            Message::Close { reason } => return Err(io::Error::other(reason)),
             _ => {}
         }
         if let (Some(head), true) = (head, wanted.is_empty()) {
@@ -269,7 +271,7 @@
             wanted = missing.iter().copied().take(PART).collect();
             missing.retain(|service| !wanted.contains(service));
             let services = wanted.iter().copied().collect();
-            to.write(&Message::Want { source, services }).await.map_err(other)?;
+            to.write(&Message::SnapshotRequest { source, services }).await.map_err(other)?;
         }
     }
 }
--- a/crates/testbed/src/scale/fleet/plant.rs
+++ b/crates/testbed/src/scale/fleet/plant.rs
@@ -76,22 +76,22 @@
     fn old_life(&mut self, mut message: Message) -> Option<Message> {
         strip(&mut message);
         let (Message::Batch { source, epoch, .. }
-        | Message::Summary { source, epoch, .. }
-        | Message::Whole { source, epoch, .. }) = &mut message
+        | Message::DigestSummary { source, epoch, .. }
+        | Message::ServiceSnapshot { source, epoch, .. }) = &mut message
         else {
             return Some(message);
         };
         let first = *self.lives.entry(*source).or_insert(*epoch);
         let renewed = *epoch > first;
         *epoch = first;
-        let repairs = matches!(message, Message::Summary { .. } | Message::Whole { .. });
+        let repairs = matches!(message, Message::DigestSummary { .. } | Message::ServiceSnapshot { .. });
         (!renewed || !repairs).then_some(message)
     }
 }
 
 /// Takes the sum of digests out of a message.
 fn strip(message: &mut Message) {
-    if let Message::Batch { check, .. } = message {
-        *check = None;
+    if let Message::Batch { scope_digest, .. } = message {
+        *scope_digest = None;
     }
 }
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -12,7 +12,7 @@
 use super::strays::{DRAINED_TIMEOUT, strays};
 use super::watch::Watch;
 use super::words::{Held, Plant, Tally, key_hash};
-use control_plane::message::Message;
+use control_plane::message::{Message, ServiceRange};
 use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -429,7 +429,7 @@
 
 fn batch(epoch: u64, records: Vec<Record>) -> Message {
     let at = version(epoch, 9);
-    Message::Batch { source: 0, epoch, from: [at; 3], to: [at; 3], records, check: Some(77) }
+    Message::Batch { source: 0, epoch, from: [at; 3], to: [at; 3], records, scope_digest: Some(77) }
 }
 
 #[test]
@@ -464,7 +464,7 @@
     assert_eq!(none.pass(whole.clone()), Some(whole.clone()));
 
     let records = |message: Option<Message>| match message {
-        Some(Message::Batch { records, check: None, .. }) => records,
+        Some(Message::Batch { records, scope_digest: None, .. }) => records,
         other => panic!("{other:?}"),
     };
     let mut drop = Shim::new(Plant::Drop);
@@ -479,7 +479,7 @@
     assert_eq!((spoilt[0].version, &*spoilt[0].body, &spoilt[1]), (one().version, &b"`"[..], &two()));
 
     let services = |count| Scope::Services((0..count).collect());
-    let hello = |scope| Message::Hello { protocol: 1, name: "n".into(), scope, have: Vec::new() };
+    let hello = |scope| Message::Hello { protocol: 1, name: "n".into(), scope, positions: Vec::new() };
     assert_eq!(Shim::new(Plant::Scope).out(hello(services(4))), hello(services(3)));
     assert_eq!(Shim::new(Plant::Drop).out(hello(services(4))), hello(services(4)));
 
@@ -489,10 +489,10 @@
         Some(Message::Batch { epoch: 1, records, .. }) => assert_eq!(records, [one()]),
         other => panic!("{other:?}"),
     }
-    let summary = |epoch| Message::Summary {
+    let summary = |epoch| Message::DigestSummary {
         source: 0,
         epoch,
-        covers: (0, u32::MAX),
+        range: ServiceRange { first: 0, last: u32::MAX },
         to: [version(epoch, 9); 3],
         digests: Vec::new(),
     };
--- a/crates/testbed/src/scale/fleet/watch.rs
+++ b/crates/testbed/src/scale/fleet/watch.rs
@@ -24,8 +24,8 @@
     /// What the link brought, before the subscriber has it: tells which life of a source was heard of.
     pub fn heard(&mut self, message: &Message) {
         let (Message::Batch { source, epoch, .. }
-        | Message::Summary { source, epoch, .. }
-        | Message::Whole { source, epoch, .. }) = message
+        | Message::DigestSummary { source, epoch, .. }
+        | Message::ServiceSnapshot { source, epoch, .. }) = message
         else {
             return;
         };
