--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -20,7 +20,7 @@
     bytes: Vec<u8>,
     position: usize,
     sizes: Vec<usize>,
-    turn: usize,
+    reads: usize,
 }
 
 impl AsyncRead for Pieces {
@@ -29,17 +29,17 @@
         _: &mut Context<'_>,
         into: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let size = self.sizes[self.turn % self.sizes.len()];
+        let size = self.sizes[self.reads % self.sizes.len()];
         let size = size.min(into.remaining()).min(self.bytes.len() - self.position);
         into.put_slice(&self.bytes[self.position..self.position + size]);
         self.position += size;
-        self.turn += 1;
+        self.reads += 1;
         Poll::Ready(Ok(()))
     }
 }
 
 fn reader(bytes: Vec<u8>, sizes: Vec<usize>) -> FrameReader<Pieces> {
-    FrameReader::new(Pieces { bytes, position: 0, sizes, turn: 0 })
+    FrameReader::new(Pieces { bytes, position: 0, sizes, reads: 0 })
 }
 
 /// All messages, then how it ended.
@@ -59,18 +59,18 @@
 
 proptest! {
     #[test]
-    fn messages_come_back_as_they_went_however_they_are_cut(
+    fn reads_written_messages_for_any_split_of_the_stream(
         messages in vec(message(), 0..6),
         sizes in vec(1_usize..200, 1..5),
     ) {
         let bytes: Vec<u8> = messages.iter().flat_map(|m| encode(m).expect("short enough")).collect();
-        let (came, end) = read_all(bytes, sizes);
-        prop_assert_eq!(came, messages);
+        let (received_messages, end) = read_all(bytes, sizes);
+        prop_assert_eq!(received_messages, messages);
         prop_assert!(end.is_ok());
     }
 
     #[test]
-    fn a_message_cut_in_the_middle_is_none_and_those_before_it_are_whole(
+    fn reports_truncation_after_the_complete_messages(
         messages in vec(message(), 1..4),
         cut in any::<prop::sample::Index>(),
         sizes in vec(1_usize..200, 1..5),
@@ -81,35 +81,35 @@
         let received = 1 + cut.index(last.len() - 1);
         let mut bytes = before.concat();
         bytes.extend_from_slice(&last[..received]);
-        let (came, end) = read_all(bytes, sizes);
-        prop_assert_eq!(came.as_slice(), &messages[..before.len()]);
+        let (received_messages, end) = read_all(bytes, sizes);
+        prop_assert_eq!(received_messages.as_slice(), &messages[..before.len()]);
         let cut_off = matches!(end, Err(CodecError::Truncated { received: r }) if r == received);
         prop_assert!(cut_off, "{:?}", end);
     }
 
     #[test]
-    fn garbage_is_an_error_or_a_message_that_would_be_written_likewise(bytes in vec(any::<u8>(), 0..400)) {
+    fn decodes_arbitrary_bytes_to_an_error_or_an_encodable_message(bytes in vec(any::<u8>(), 0..400)) {
         // Whatever these bytes happen to mean can be written again; nothing panics.
         if let Ok(message) = decode(&bytes) {
-            let again = encode(&message).expect("short enough");
-            prop_assert_eq!(decode(&again[4..]).expect("what was written"), message);
+            let encoded = encode(&message).expect("short enough");
+            prop_assert_eq!(decode(&encoded[4..]).expect("what was written"), message);
         }
         let (_, _) = read_all(bytes, vec![7]);
     }
 
     #[test]
-    fn a_changed_byte_never_brings_a_panic(
+    fn does_not_panic_on_a_corrupted_byte(
         message in message(), at in any::<prop::sample::Index>(), byte in any::<u8>(),
     ) {
         let mut bytes = encode(&message).expect("short enough");
         let at = at.index(bytes.len());
         bytes[at] = byte;
-        let (came, end) = read_all(bytes, vec![64]);
-        prop_assert!(came.len() <= 1 || end.is_err(), "one message is never several whole ones");
+        let (received_messages, end) = read_all(bytes, vec![64]);
+        prop_assert!(received_messages.len() <= 1 || end.is_err(), "one message is never several whole ones");
     }
 
     #[test]
-    fn a_backend_comes_back_as_it_went_and_garbage_is_none(
+    fn round_trips_backend_bodies_and_rejects_trailing_bytes(
         address in any::<std::net::SocketAddrV4>(),
         locality in ".{0,12}",
         flavor in ".{0,12}",
@@ -134,13 +134,13 @@
 }
 
 #[test]
-fn a_message_beyond_the_bound_is_refused_by_its_length_alone_on_either_side() {
+fn rejects_messages_over_the_length_limit_when_writing_and_reading() {
     let why = |bytes| Message::Close { reason: "x".repeat(bytes) };
     // One byte for the place of the message, three for the length of the text.
     let longest = MAX_MESSAGE_BYTES - 4;
     assert_eq!(body_of(&why(longest)).len(), MAX_MESSAGE_BYTES);
-    let (came, end) = read_all(encode(&why(longest)).expect("just fits"), vec![100_000]);
-    assert_eq!((came, end.is_ok()), (vec![why(longest)], true));
+    let (received_messages, end) = read_all(encode(&why(longest)).expect("just fits"), vec![100_000]);
+    assert_eq!((received_messages, end.is_ok()), (vec![why(longest)], true));
     let error = encode(&why(longest + 1)).expect_err("too long");
     assert!(
         matches!(error, CodecError::TooLong { bytes, max: MAX_MESSAGE_BYTES } if bytes == MAX_MESSAGE_BYTES + 1)
@@ -148,9 +148,9 @@
 
     for bytes in [MAX_MESSAGE_BYTES + 1, u32::MAX as usize] {
         let prefix = u32::try_from(bytes).expect("fits").to_be_bytes();
-        let (came, end) = read_all(prefix.to_vec(), vec![1]);
+        let (received_messages, end) = read_all(prefix.to_vec(), vec![1]);
         let error = end.expect_err("too long");
-        assert!(came.is_empty());
+        assert!(received_messages.is_empty());
         assert!(
             matches!(error, CodecError::TooLong { bytes: b, max: MAX_MESSAGE_BYTES } if b == bytes),
             "{error}"
@@ -167,7 +167,7 @@
 /// Hello and Welcome keep their places and begin with their version, whatever else another version does: else parties of
 /// two versions could only say that they don't understand one another.
 #[test]
-fn a_greeting_of_another_version_is_told_by_its_version_whatever_follows() {
+fn reports_a_protocol_mismatch_regardless_of_the_remaining_bytes() {
     let hello = Message::Hello {
         protocol: PROTOCOL_VERSION,
         name: "n".into(),
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn bytes_left_over_are_no_message() {
+fn rejects_trailing_bytes() {
     let mut bytes = body_of(&Message::Heartbeat);
     bytes.extend_from_slice(b"ab");
     let error = decode(&bytes).expect_err("too much");
@@ -205,7 +205,7 @@
 
 /// A length says little: a list that claims to be long is not believed before its entries are there.
 #[test]
-fn a_list_that_claims_to_be_long_is_cut_off_not_made_room_for() {
+fn rejects_a_list_longer_than_its_bytes() {
     let mut bytes = body_of(&Message::SnapshotRequest { source: 1, services: Vec::new() });
     assert_eq!(bytes.pop(), Some(0), "the length of the list is last");
     // u64::MAX as a varint.
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn sizes_that_cannot_be_weighed_are_none() {
+fn rejects_backend_sizes_that_are_not_finite_and_positive() {
     for size in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let backend = Backend {
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -232,7 +232,7 @@
 }
 
 #[tokio::test]
-async fn what_went_and_came_is_counted() {
+async fn counts_bytes_read_and_written() {
     let (ours, theirs) = tokio::io::duplex(1 << 20);
     let (mut writer, mut reader) = (FrameWriter::new(ours), FrameReader::new(theirs));
     let message = Message::Close { reason: "counted".into() };
--- a/crates/control-plane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -13,36 +13,36 @@
 }
 
 #[test]
-fn the_file_that_is_deployed_is_good_and_holds_the_defaults() {
+fn deployed_configuration_is_valid_and_has_the_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/control.toml");
     let config = Config::from_file(&path).expect("good");
     assert_eq!(config.rate_limit, RateLimitConfig::default());
-    let least = parse(&format!("{SOURCE}{RELAY}{AGENT}")).expect("good");
-    let (deployed, least) =
-        ((config.source, config.relay, config.agent), (least.source, least.relay, least.agent));
+    let minimal = parse(&format!("{SOURCE}{RELAY}{AGENT}")).expect("good");
+    let (deployed, minimal) =
+        ((config.source, config.relay, config.agent), (minimal.source, minimal.relay, minimal.agent));
     let (source, relay, agent) =
         (deployed.0.expect("one"), deployed.1.expect("one"), deployed.2.expect("one"));
-    let (s, r, a) = (least.0.expect("one"), least.1.expect("one"), least.2.expect("one"));
+    let (s, r, a) = (minimal.0.expect("one"), minimal.1.expect("one"), minimal.2.expect("one"));
     assert_eq!((source.snapshot_interval_ms, source.connections), (s.snapshot_interval_ms, s.connections));
     assert_eq!((relay.connections, agent.connections), (r.connections, a.connections));
 }
 
 #[test]
-fn a_section_that_is_not_there_is_named() {
+fn reports_a_missing_section() {
     let path = Path::new("control.toml");
     let config = parse("").expect("nothing is wrong with it");
-    for (error, says) in [
+    for (error, expected) in [
         (config.source(path).map(|_| ()), "[source]"),
         (config.relay(path).map(|_| ()), "[relay]"),
         (config.agent(path).map(|_| ()), "[agent]"),
     ] {
         let error = error.expect_err("no section").to_string();
-        assert!(error.contains(says) && error.contains("control.toml"), "{error}");
+        assert!(error.contains(expected) && error.contains("control.toml"), "{error}");
     }
 }
 
 #[test]
-fn what_is_wrong_is_named_by_key() {
+fn reports_the_key_of_an_invalid_value() {
     let source = |from: &str, to: &str| SOURCE.replace(from, to);
     let relay = |from: &str, to: &str| RELAY.replace(from, to);
     let agent = |from: &str, to: &str| AGENT.replace(from, to);
@@ -81,14 +81,14 @@
         ("[pace]\nburst = 1".into(), "`pace.burst`: unknown field `burst`"),
         ("[pace]\nrelay_burst = \"much\"".into(), "`pace.relay_burst`: invalid type: string"),
     ];
-    for (text, says) in cases {
+    for (text, expected) in cases {
         let error = parse(&text).expect_err(&text);
-        assert!(error.contains(says) && error.starts_with("control.toml: "), "{text}: {error}");
+        assert!(error.contains(expected) && error.starts_with("control.toml: "), "{text}: {error}");
     }
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn reports_a_missing_file() {
     let error = Config::from_file(Path::new("/nowhere/control.toml")).expect_err("none").to_string();
     assert!(error.starts_with("cannot read /nowhere/control.toml: "), "{error}");
 }
--- a/crates/control-plane/tests/discovery_list.rs
+++ b/crates/control-plane/tests/discovery_list.rs
@@ -34,12 +34,12 @@
 }
 
 fn ids(list: &DiscoveryList, after: u64) -> (bool, Vec<(String, Phase)>) {
-    let answer = list.changes_after(after);
-    (answer.complete, answer.members.iter().map(|m| (m.id.clone(), m.phase)).collect())
+    let response = list.changes_after(after);
+    (response.complete, response.members.iter().map(|m| (m.id.clone(), m.phase)).collect())
 }
 
 #[test]
-fn an_entry_is_written_in_the_words_of_the_protocol() {
+fn serializes_an_entry_in_the_discovery_protocol() {
     let mut list = DiscoveryList::new(true, START);
     assert_eq!(list.apply(&at("s-1", State::Draining, 3000)), Ok(true));
     let json = serde_json::to_value(list.snapshot()).expect("json");
@@ -55,26 +55,26 @@
 }
 
 #[test]
-fn a_version_of_another_life_is_answered_with_the_whole_list() {
+fn sends_the_complete_list_for_an_unknown_revision() {
     let mut list = DiscoveryList::new(true, START);
     for name in ["a", "b"] {
         list.apply(&at(name, State::Active, 1)).expect("a backend");
     }
-    let whole = vec![("a".to_owned(), Phase::Active), ("b".to_owned(), Phase::Active)];
+    let complete_list = vec![("a".to_owned(), Phase::Active), ("b".to_owned(), Phase::Active)];
     for after in [0, 41, START - 1, START + 3, u64::MAX] {
-        assert_eq!(ids(&list, after), (true, whole.clone()), "after {after}");
+        assert_eq!(ids(&list, after), (true, complete_list.clone()), "after {after}");
     }
-    assert_eq!(ids(&list, START), (false, whole));
+    assert_eq!(ids(&list, START), (false, complete_list));
     assert_eq!(ids(&list, START + 1), (false, vec![("b".to_owned(), Phase::Active)]));
     assert_eq!(ids(&list, START + 2), (false, Vec::new()));
 }
 
 #[test]
-fn what_left_is_named_among_changes_only_and_in_the_end_forgotten() {
+fn lists_removed_entries_among_changes_only_and_drops_the_oldest() {
     let mut list = DiscoveryList::new(true, START);
     list.apply(&at("stays", State::Active, 1)).expect("a backend");
-    for turn in 0..MAX_REMOVED_ENTRIES + 10 {
-        let name = format!("s-{turn}");
+    for round in 0..MAX_REMOVED_ENTRIES + 10 {
+        let name = format!("s-{round}");
         list.apply(&at(&name, State::Active, 1)).expect("a backend");
         list.apply(&at(&name, State::Gone, 1)).expect("a tombstone");
     }
@@ -82,13 +82,13 @@
     assert_eq!(ids(&list, 0), (true, vec![stays.clone()]));
     // Ten that left were dropped: whoever may not have heard of one of them gets everything.
     assert_eq!(ids(&list, START + 1), (true, vec![stays]));
-    let last = list.revision();
-    let (complete, left) = ids(&list, last - 2 * 100);
+    let revision = list.revision();
+    let (complete, left) = ids(&list, revision - 2 * 100);
     assert!(!complete && left.len() == 100 && left.iter().all(|(_, phase)| *phase == Phase::Left));
 }
 
 #[test]
-fn what_says_nothing_new_is_no_change() {
+fn ignores_records_without_effect() {
     let mut list = DiscoveryList::new(true, START);
     assert_eq!(list.apply(&at("a", State::Active, 1)), Ok(true));
     assert_eq!(list.apply(&at("a", State::Active, 1)), Ok(false));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_body_that_is_no_backend_leaves_what_stood_and_still_drains_it() {
+fn keeps_and_drains_an_entry_whose_new_body_is_malformed() {
     let mut list = DiscoveryList::new(true, START);
     list.apply(&at("a", State::Active, 7)).expect("a backend");
     let bad = |state| applied(1, "a", state, Arc::from(&b"\xff"[..]));
@@ -113,49 +113,49 @@
 }
 
 #[test]
-fn names_of_several_services_are_told_apart() {
+fn ids_include_the_service_when_there_are_several() {
     let mut list = DiscoveryList::new(false, START);
     for service in [1, 2] {
         list.apply(&applied(service, "a", State::Active, encode_backend_body(&backend(service as u16))))
             .expect("one");
     }
-    let whole = list.snapshot();
-    let ids: Vec<_> = whole.members.iter().map(|m| (m.id.as_str(), m.address.as_str())).collect();
+    let complete_list = list.snapshot();
+    let ids: Vec<_> = complete_list.members.iter().map(|m| (m.id.as_str(), m.address.as_str())).collect();
     assert_eq!(ids, [("1/a", "127.0.0.1:1"), ("2/a", "127.0.0.1:2")]);
 }
 
 proptest! {
     /// A watcher that takes changes at whatever moments holds what the whole list says.
     #[test]
-    fn changes_since_any_version_lead_to_the_whole_list(
+    fn changes_after_any_revision_reproduce_the_complete_list(
         steps in vec((0_u8..6, 0_u8..3, 1_u16..4, any::<bool>()), 0..80),
     ) {
         let mut list = DiscoveryList::new(true, START);
-        let (mut held, mut after) = (BTreeMap::new(), 0);
+        let (mut known, mut after) = (BTreeMap::new(), 0);
         let mut watch = |list: &DiscoveryList| {
-            let answer = list.changes_after(after);
-            if answer.complete {
-                held.clear();
+            let response = list.changes_after(after);
+            if response.complete {
+                known.clear();
             }
-            for member in &answer.members {
+            for member in &response.members {
                 match member.phase {
-                    Phase::Left => held.remove(&member.id),
-                    _ => held.insert(member.id.clone(), (*member).clone()),
+                    Phase::Left => known.remove(&member.id),
+                    _ => known.insert(member.id.clone(), (*member).clone()),
                 };
             }
-            after = answer.revision;
-            let whole = list.snapshot().members.into_iter().map(|m| (m.id.clone(), m.clone()));
-            (held.clone(), whole.collect::<BTreeMap<_, _>>())
+            after = response.revision;
+            let complete_list = list.snapshot().members.into_iter().map(|m| (m.id.clone(), m.clone()));
+            (known.clone(), complete_list.collect::<BTreeMap<_, _>>())
         };
         for (name, state, port, asks) in steps {
             let state = [State::Active, State::Draining, State::Gone][usize::from(state)];
             list.apply(&at(&format!("s-{name}"), state, port)).expect("a backend");
             if asks {
-                let (held, whole) = watch(&list);
-                prop_assert_eq!(held, whole);
+                let (known, complete_list) = watch(&list);
+                prop_assert_eq!(known, complete_list);
             }
         }
-        let (held, whole) = watch(&list);
-        prop_assert_eq!(held, whole);
+        let (known, complete_list) = watch(&list);
+        prop_assert_eq!(known, complete_list);
     }
 }
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -4,13 +4,13 @@
 use control_plane::failover::{Action, Failover};
 use proptest::prelude::*;
 
-fn names(what: &str, count: usize) -> Vec<String> {
-    (0..count).map(|place| format!("{what}-{place}")).collect()
+fn names(prefix: &str, count: usize) -> Vec<String> {
+    (0..count).map(|index| format!("{prefix}-{index}")).collect()
 }
 
 /// Calls until a relay that is up answers. Gives which, when, and how many calls it took.
 fn connect(failover: &mut Failover, up: impl Fn(usize) -> bool, mut now: Millis) -> (usize, Millis, usize) {
-    for calls in 1.. {
+    for attempts in 1.. {
         let relay = loop {
             match failover.next_action(now) {
                 Action::Connect(relay) => break relay,
@@ -22,7 +22,7 @@
         };
         if up(relay) {
             failover.on_connected(now);
-            return (relay, now, calls);
+            return (relay, now, attempts);
         }
         failover.on_lost(now);
     }
@@ -31,7 +31,7 @@
 
 /// The subscribers of a relay that is gone spread over all others, and don't come at one moment.
 #[test]
-fn the_subscribers_of_a_lost_relay_spread() {
+fn subscribers_of_a_lost_relay_spread_over_the_others() {
     let relays = names("relay", 20);
     let agents = names("agent", 5_200);
     let mut selections: Vec<Failover> =
@@ -39,8 +39,8 @@
     let mut load = vec![0_usize; 20];
     let mut current = Vec::new();
     for failover in &mut selections {
-        let (relay, at, calls) = connect(failover, |_| true, 0);
-        assert!(at <= 300 && calls == 1);
+        let (relay, at, attempts) = connect(failover, |_| true, 0);
+        assert!(at <= 300 && attempts == 1);
         load[relay] += 1;
         current.push(relay);
     }
@@ -51,14 +51,14 @@
     let mut times = Vec::new();
     for (failover, relay) in selections.iter_mut().zip(&current).filter(|(_, relay)| **relay == lost) {
         failover.on_lost(60_000);
-        let (next, at, calls) = connect(failover, |relay| relay != lost, 60_000);
-        assert!(next != *relay && calls <= 2);
+        let (next, at, attempts) = connect(failover, |relay| relay != lost, 60_000);
+        assert!(next != *relay && attempts <= 2);
         load[next] += 1;
         times.push(at - 60_000);
     }
-    for (place, (load, before)) in load.iter().zip(&before).enumerate().filter(|(place, _)| *place != lost) {
+    for (index, (load, before)) in load.iter().zip(&before).enumerate().filter(|(index, _)| *index != lost) {
         let more = load - before;
-        assert!(more <= 35, "relay {place} got {more} of {before} at once, 14 on average");
+        assert!(more <= 35, "relay {index} got {more} of {before} at once, 14 on average");
     }
     // Half a second holds them all, and none of its tenths more than a fifth of them.
     assert!(times.iter().all(|time| *time <= 1_000));
@@ -69,10 +69,10 @@
 }
 
 #[test]
-fn a_returned_relay_gets_its_subscribers_back_over_a_minute() {
+fn subscribers_return_to_a_restored_relay_over_a_minute() {
     let relays = names("relay", 10);
     let agents = names("agent", 2_000);
-    let mut back = Vec::new();
+    let mut return_times = Vec::new();
     for (name, seed) in agents.iter().zip(0..) {
         let mut failover = Failover::new(name, &relays, seed);
         let preferred = failover.order()[0];
@@ -93,10 +93,10 @@
         assert_eq!(failover.next_probe(second), Some(0));
         failover.on_moved(second);
         assert_eq!(failover.probe_at(), None);
-        back.push(first);
+        return_times.push(first);
     }
-    assert!(back.len() > 150, "{} of 2,000 prefer one of ten", back.len());
-    let (min, max) = (back.iter().min().expect("some"), back.iter().max().expect("some"));
+    assert!(return_times.len() > 150, "{} of 2,000 prefer one of ten", return_times.len());
+    let (min, max) = (return_times.iter().min().expect("some"), return_times.iter().max().expect("some"));
     assert!(max - min > 50_000, "they come back within {} ms", max - min);
 }
 
@@ -105,10 +105,10 @@
 
     /// While nothing answers: all relays are called in turn, with waits that grow, and none is called hot.
     #[test]
-    fn nothing_is_called_hot(count in 1..8_usize, seed in any::<u64>()) {
+    fn backs_off_while_no_relay_responds(count in 1..8_usize, seed in any::<u64>()) {
         let relays = names("relay", count);
         let mut failover = Failover::new("agent", &relays, seed);
-        let (mut now, mut calls) = (0, vec![0_u32; count]);
+        let (mut now, mut attempts) = (0, vec![0_u32; count]);
         while now < 120_000 {
             match failover.next_action(now) {
                 Action::WaitUntil(until) => {
@@ -116,23 +116,23 @@
                     now = until;
                 }
                 Action::Connect(relay) => {
-                    calls[relay] += 1;
+                    attempts[relay] += 1;
                     failover.on_lost(now);
                     prop_assert!(matches!(failover.next_action(now), Action::WaitUntil(_)) || count > 1);
                 }
             }
         }
-        let (min, max) = (calls.iter().min().expect("some"), calls.iter().max().expect("some"));
-        prop_assert!(*max <= min + 1, "{:?}", calls);
+        let (min, max) = (attempts.iter().min().expect("some"), attempts.iter().max().expect("some"));
+        prop_assert!(*max <= min + 1, "{:?}", attempts);
         // A round takes a second and half a second for each relay at the least on average; far less would be hot.
-        prop_assert!(calls.iter().sum::<u32>() <= 120 * 4 + 20, "{:?}", calls);
+        prop_assert!(attempts.iter().sum::<u32>() <= 120 * 4 + 20, "{:?}", attempts);
         // All are tried again within some seconds: the longest wait and half a second for each relay.
-        prop_assert!(u64::from(*min) >= 120_000 / (2_000 + 500 * count as u64) - 1, "{:?}", calls);
+        prop_assert!(u64::from(*min) >= 120_000 / (2_000 + 500 * count as u64) - 1, "{:?}", attempts);
     }
 
     /// After a good connection the order begins at its top; after a short one it goes on.
     #[test]
-    fn the_order_is_kept(seed in any::<u64>()) {
+    fn continues_the_order_after_a_short_connection_and_restarts_it_after_a_stable_one(seed in any::<u64>()) {
         let relays = names("relay", 5);
         let mut failover = Failover::new("agent", &relays, seed);
         let order = failover.order().to_vec();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn without_relays_it_waits() {
+fn waits_without_relays() {
     let mut failover = Failover::new("agent", &[], 1);
     assert!(matches!(failover.next_action(5), Action::WaitUntil(until) if until > 5));
     failover.on_lost(5);
@@ -166,13 +166,13 @@
 
 /// The same name and relays give the same order, wherever and whenever.
 #[test]
-fn order_is_of_the_names_alone() {
+fn order_depends_on_names_only() {
     let relays = names("relay", 8);
     let one = Failover::new("agent", &relays, 1);
     assert_eq!(one.order(), Failover::new("agent", &relays, 2).order());
     // One more relay: the others keep their order among themselves.
     let more = names("relay", 9);
     let other = Failover::new("agent", &more, 1);
-    let kept: Vec<usize> = other.order().iter().copied().filter(|place| *place < 8).collect();
-    assert_eq!(kept, one.order());
+    let common: Vec<usize> = other.order().iter().copied().filter(|index| *index < 8).collect();
+    assert_eq!(common, one.order());
 }
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn frames_of_all_messages_keep_their_bytes() {
+fn encodes_all_messages_to_the_golden_frames() {
     let messages = messages();
     let frame = |message: &Message| encode(message).expect("short enough");
     let lines: Vec<String> =
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn the_snapshot_file_keeps_its_bytes_and_names() {
+fn writes_the_golden_snapshot_file() {
     let directory = Directory::new("snapshot");
     let path = directory.0.join("source-1.snapshot");
     let _locked = lock(&path).expect("nobody else holds it");
@@ -221,7 +221,7 @@
 
 /// Each section refuses a key that it does not know, and its error names all keys that it does.
 #[test]
-fn the_keys_of_the_configuration_keep_their_names() {
+fn accepts_the_golden_configuration_keys() {
     Config::parse(EVERY_KEY, Path::new("control.toml")).expect("good");
     let sections = ["[source]", "[relay]", "[[relay.sources]]", "[agent]", "[[agent.relays]]", "[pace]"];
     let mut lines: Vec<String> = Vec::new();
--- a/crates/control-plane/tests/message.rs
+++ b/crates/control-plane/tests/message.rs
@@ -11,7 +11,7 @@
 
     /// What is encoded is read again; a message that was cut anywhere is an error and never another message.
     #[test]
-    fn a_message_comes_whole_or_not_at_all(message in message()) {
+    fn decodes_encoded_messages_and_rejects_truncated_ones(message in message()) {
         let bytes = postcard::to_stdvec(&message).expect("it is encoded");
         prop_assert_eq!(postcard::from_bytes::<Message>(&bytes).expect("it is read"), message);
         for cut in 0..bytes.len() {
@@ -21,10 +21,10 @@
 
     /// Whatever comes in place of a message is a message or an error, and takes no memory that wasn't sent.
     #[test]
-    fn noise_is_read_without_harm(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decodes_arbitrary_bytes_within_their_size(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(message) = postcard::from_bytes::<Message>(&bytes) {
-            let again = postcard::to_stdvec(&message).expect("it is encoded");
-            prop_assert!(again.len() <= bytes.len(), "{:?}", message);
+            let encoded = postcard::to_stdvec(&message).expect("it is encoded");
+            prop_assert!(encoded.len() <= bytes.len(), "{:?}", message);
         }
     }
 }
--- a/crates/control-plane/tests/processes/main.rs
+++ b/crates/control-plane/tests/processes/main.rs
@@ -1,86 +1,87 @@
-//! Sources, relays and agents as processes over loopback: what a proxy's discovery holds, whatever happens to them.
+//! Sources, relays and agents as processes over loopback, observed through the discovery protocol.
 
+mod commands;
 mod faults;
-mod hostile;
-mod rig;
-mod slow;
-mod tools;
+mod malformed_input;
+mod stalled_subscribers;
+mod support;
 
 use control_plane::record::State::{Active, Draining, Gone};
-use rig::*;
+use support::*;
 
 #[test]
-fn changes_reach_the_proxies_in_whose_scope_they_are_and_no_others() {
+fn changes_reach_only_proxies_with_the_service_in_scope() {
     let region = Region::new("scope", 2);
     let _source = region.start_source();
     let _relays = [region.start_relay(0), region.start_relay(1)];
-    let mut operator = Operator::new(region.source);
-    operator.set(1, &[("a-1", Active), ("a-2", Active)]);
-    operator.set(2, &[("b-1", Active)]);
+    let mut writer = ChangeWriter::new(region.source);
+    writer.set(1, &[("a-1", Active), ("a-2", Active)]);
+    writer.set(2, &[("b-1", Active)]);
     let (_agent, discovery) = region.start_agent("one", &[1]);
     let (_both, both) = region.start_agent("both", &[1, 2]);
     let (mut one, mut both) = (Proxy::new(discovery), Proxy::new(both));
-    one.until_exactly("what was there", &[("a-1", "active"), ("a-2", "active")]);
-    both.until_exactly("all services", &[("1/a-1", "active"), ("1/a-2", "active"), ("2/b-1", "active")]);
+    one.wait_for_exactly("the initial records", &[("a-1", "active"), ("a-2", "active")]);
+    both.wait_for_exactly("all services", &[("1/a-1", "active"), ("1/a-2", "active"), ("2/b-1", "active")]);
 
-    operator.set(2, &[("b-1", Draining), ("b-2", Active)]);
-    operator.set(1, &[("a-1", Draining), ("a-3", Active), ("a-2", Gone)]);
-    one.until_exactly("the changes", &[("a-1", "leaving"), ("a-3", "active")]);
+    writer.set(2, &[("b-1", Draining), ("b-2", Active)]);
+    writer.set(1, &[("a-1", Draining), ("a-3", Active), ("a-2", Gone)]);
+    one.wait_for_exactly("the changes", &[("a-1", "leaving"), ("a-3", "active")]);
     let changed = [("1/a-1", "leaving"), ("1/a-3", "active"), ("2/b-1", "leaving"), ("2/b-2", "active")];
-    both.until_exactly("the changes of both", &changed);
-    assert!(one.told.iter().all(|(id, _)| id.starts_with("a-")), "{:?}", one.told);
-    // The changes came as changes.
-    assert_eq!((one.wholes, both.wholes), (1, 1));
-    assert!(one.told.contains(&("a-2".into(), "left".into())), "{:?}", one.told);
+    both.wait_for_exactly("the changes of both", &changed);
+    assert!(one.received.iter().all(|(id, _)| id.starts_with("a-")), "{:?}", one.received);
+    // They were received as changes, not as a new list.
+    assert_eq!((one.complete_lists, both.complete_lists), (1, 1));
+    assert!(one.received.contains(&("a-2".into(), "left".into())), "{:?}", one.received);
 }
 
 #[test]
-fn discovery_gives_no_list_before_all_of_it_was_heard_and_then_always_one() {
+fn discovery_serves_the_list_once_it_is_complete_and_keeps_serving_it() {
     let region = Region::new("ready", 1);
     let (agent, discovery) = region.start_agent("a", &[1]);
-    assert_eq!(ask(discovery, "/discovery/hosts").0, 503);
+    assert_eq!(request_discovery(discovery, "/discovery/hosts").0, 503);
     let relay = region.start_relay(0);
-    agent.says("connected to relay");
-    // The relay knows no more than the agent.
-    assert_eq!(ask(discovery, "/discovery/hosts").0, 503);
+    agent.wait_for_line("connected to relay");
+    // The relay has no records either.
+    assert_eq!(request_discovery(discovery, "/discovery/hosts").0, 503);
     let source = region.start_source();
     let mut proxy = Proxy::new(discovery);
-    proxy.until_exactly("an empty list, which is one", &[]);
-    Operator::new(region.source).set(1, &[("a-1", Active)]);
-    proxy.until_exactly("the first backend", &[("a-1", "active")]);
+    proxy.wait_for_exactly("an empty list", &[]);
+    ChangeWriter::new(region.source).set(1, &[("a-1", Active)]);
+    proxy.wait_for_exactly("the first backend", &[("a-1", "active")]);
 
-    // Cut off from all of them it goes on with what it has.
+    // Without any relay the agent keeps serving its list.
     source.kill();
     relay.kill();
-    agent.says("lost relay");
+    agent.wait_for_line("lost relay");
     for _ in 0..3 {
-        assert!(proxy.call());
+        assert!(proxy.poll());
     }
     let mut another = Proxy::new(discovery);
-    assert!(another.call());
-    assert_eq!(another.held, proxy.held);
-    assert_eq!(another.held.len(), 1);
+    assert!(another.poll());
+    assert_eq!(another.backends, proxy.backends);
+    assert_eq!(another.backends.len(), 1);
 }
 
 #[test]
-fn questions_that_make_no_sense_are_told_so_and_old_versions_get_the_whole_list() {
+fn rejects_invalid_queries_and_sends_the_complete_list_for_unknown_revisions() {
     let region = Region::new("questions", 1);
     let (_source, _relay) = (region.start_source(), region.start_relay(0));
-    Operator::new(region.source).set(1, &[("a-1", Active)]);
+    ChangeWriter::new(region.source).set(1, &[("a-1", Active)]);
     let (_agent, discovery) = region.start_agent("a", &[1]);
-    Proxy::new(discovery).until_exactly("the list", &[("a-1", "active")]);
-    for (target, status, says) in [
+    Proxy::new(discovery).wait_for_exactly("the list", &[("a-1", "active")]);
+    for (target, status, expected) in [
         ("/", 404, "only /discovery/hosts is here"),
         ("/discovery/hosts?after=x", 400, "`after=x`: must be a whole number"),
         ("/discovery/hosts?since=1", 400, "`since` is not known"),
     ] {
-        let (got, body) = ask(discovery, target);
+        let (actual, body) = request_discovery(discovery, target);
         let body = String::from_utf8(body).expect("text");
-        assert!(got == status && body.contains(says), "{target}: {got} {body}");
+        assert!(actual == status && body.contains(expected), "{target}: {actual} {body}");
     }
-    // A version of another life, and one that never was: answered at once, whole, however long the watch would wait.
+    // A revision of a former process, and an unknown one: the complete list is sent at once, regardless of `wait_ms`.
     for after in [41, u64::MAX] {
-        let (status, body) = ask(discovery, &format!("/discovery/hosts?after={after}&wait_ms=60000"));
+        let (status, body) =
+            request_discovery(discovery, &format!("/discovery/hosts?after={after}&wait_ms=60000"));
         let list: serde_json::Value = serde_json::from_slice(&body).expect("a list");
         assert_eq!((status, &list["complete"]), (200, &true.into()));
         assert_eq!(list["members"].as_array().map(Vec::len), Some(1));
@@ -88,18 +89,18 @@
 }
 
 #[test]
-fn an_agent_that_begins_anew_tells_the_whole_list_to_a_proxy_that_knows_its_former_versions() {
+fn restarted_agent_sends_the_complete_list_to_a_known_proxy() {
     let region = Region::new("anew", 1);
     let (_source, _relay) = (region.start_source(), region.start_relay(0));
-    let mut operator = Operator::new(region.source);
-    operator.set(1, &[("a-1", Active), ("a-2", Active)]);
+    let mut writer = ChangeWriter::new(region.source);
+    writer.set(1, &[("a-1", Active), ("a-2", Active)]);
     let (agent, discovery) = region.start_agent("a", &[1]);
     let mut proxy = Proxy::new(discovery);
-    proxy.until_exactly("the list", &[("a-1", "active"), ("a-2", "active")]);
+    proxy.wait_for_exactly("the list", &[("a-1", "active"), ("a-2", "active")]);
     agent.kill();
-    // As many entries as before: versions that were counted from nothing would be the same ones.
-    operator.set(1, &[("a-1", Gone), ("a-3", Active)]);
-    let _agent = Process::start("agent", &region.folder.file("a.toml"));
-    proxy.until_exactly("what it missed", &[("a-2", "active"), ("a-3", "active")]);
-    assert_eq!(proxy.wholes, 2);
+    // There are as many entries as before, so revisions counted from zero would be the same.
+    writer.set(1, &[("a-1", Gone), ("a-3", Active)]);
+    let _agent = Process::start("agent", &region.directory.file("a.toml"));
+    proxy.wait_for_exactly("the missed changes", &[("a-2", "active"), ("a-3", "active")]);
+    assert_eq!(proxy.complete_lists, 2);
 }
--- /dev/null
+++ b/crates/control-plane/tests/processes/support/change_writer.rs
@@ -0,0 +1,60 @@
+//! A client that writes changes to a source.
+
+use control_plane::codec::encode_backend_body;
+use control_plane::record::{Backend, Change, Key, Kind, State, Version};
+use control_plane::runtime::writer::{Writer, WriterError};
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::sync::Arc;
+
+/// A change of a backend.
+fn backend_change(service: u32, name: &str, state: State) -> Change {
+    let backend = Backend {
+        address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 3000),
+        locality: "a".into(),
+        flavor: "m".into(),
+        cell: 1,
+        size: 1.0,
+        up_since_ms: 0,
+    };
+    let body = if state == State::Gone { Arc::from([]) } else { encode_backend_body(&backend) };
+    Change { key: Key { service, kind: Kind::Backend, name: name.into() }, state, body }
+}
+
+/// A change of a configuration with a body of `bytes` times `fill`.
+pub fn configuration_change(service: u32, name: &str, bytes: usize, fill: u8) -> Change {
+    let key = Key { service, kind: Kind::Configuration, name: name.into() };
+    Change { key, state: State::Active, body: vec![fill; bytes].into() }
+}
+
+/// A blocking client that reconnects after errors.
+pub struct ChangeWriter {
+    runtime: tokio::runtime::Runtime,
+    source: SocketAddr,
+    writer: Option<Writer>,
+}
+
+impl ChangeWriter {
+    pub fn new(source: SocketAddr) -> Self {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        Self { runtime, source, writer: None }
+    }
+
+    pub fn write(&mut self, changes: Vec<Change>) -> Result<Option<Version>, WriterError> {
+        let Self { runtime, source, writer } = self;
+        runtime.block_on(async {
+            let mut connection = match writer.take() {
+                Some(writer) => writer,
+                None => Writer::connect(*source).await?,
+            };
+            let last = connection.write_parts(changes).await?;
+            *writer = Some(connection);
+            Ok(last)
+        })
+    }
+
+    /// Sets the states of backends of one service.
+    pub fn set(&mut self, service: u32, backends: &[(&str, State)]) -> Version {
+        let changes = backends.iter().map(|(name, state)| backend_change(service, name, *state)).collect();
+        self.write(changes).expect("written").expect("a version")
+    }
+}
--- a/crates/control-plane/tests/publisher.rs
+++ b/crates/control-plane/tests/publisher.rs
@@ -19,7 +19,7 @@
 
 const FAST: RateLimit = RateLimit { bytes_per_s: 100_000_000, burst: 100_000_000 };
 /// The subscriber's connection.
-const LINE: u64 = 1;
+const SUBSCRIBER: u64 = 1;
 
 fn change(service: ServiceId, kind: Kind, name: &str, state: State, size: usize) -> Change {
     let body = if state == State::Gone { Arc::from([]) } else { vec![7; size].into() };
@@ -27,11 +27,11 @@
 }
 
 fn write(source: &mut Source, change: Change) -> Version {
-    let answers =
-        source.on_message(9, Message::Write { id: 1, changes: vec![change] }, 0).expect("it may be said");
-    match answers[..] {
+    let responses =
+        source.on_message(9, Message::Write { id: 1, changes: vec![change] }, 0).expect("accepted");
+    match responses[..] {
         [Message::Written { id: 1, result: Ok(version) }] => version,
-        _ => panic!("{answers:?}"),
+        _ => panic!("{responses:?}"),
     }
 }
 
@@ -48,99 +48,99 @@
 }
 
 /// All that is said at one moment, answers taken back until nobody has anything to say.
-fn converse(source: &mut Source, subscriber: &mut Subscriber, now: Millis) -> Vec<Message> {
-    let mut said = Vec::new();
-    while let PublisherAction::Send(message) = source.next_action(LINE, now) {
-        said.push(message.clone());
-        for reply in subscriber.on_message(message, now).expect("it is taken").replies {
-            assert_eq!(source.on_message(LINE, reply, now), Ok(Vec::new()));
+fn exchange(source: &mut Source, subscriber: &mut Subscriber, now: Millis) -> Vec<Message> {
+    let mut sent = Vec::new();
+    while let PublisherAction::Send(message) = source.next_action(SUBSCRIBER, now) {
+        sent.push(message.clone());
+        for reply in subscriber.on_message(message, now).expect("accepted").replies {
+            assert_eq!(source.on_message(SUBSCRIBER, reply, now), Ok(Vec::new()));
         }
     }
-    said
+    sent
 }
 
 /// Connects and says all that is there.
 fn connect(source: &mut Source, subscriber: &mut Subscriber, now: Millis) -> Vec<Message> {
-    source.disconnect(LINE);
-    let welcome = source.on_message(LINE, subscriber.hello(), now).expect("hello is taken");
+    source.disconnect(SUBSCRIBER);
+    let welcome = source.on_message(SUBSCRIBER, subscriber.hello(), now).expect("hello is accepted");
     assert!(matches!(welcome[..], [Message::Welcome { protocol: PROTOCOL_VERSION, .. }]));
-    converse(source, subscriber, now)
+    exchange(source, subscriber, now)
 }
 
-fn agree(source: &Source, subscriber: &Subscriber, scope: &Scope) {
+fn assert_equal_records(source: &Source, subscriber: &Subscriber, scope: &Scope) {
     let truth: Vec<&Record> =
         source.store().live_records().filter(|record| scope.contains(record.key.service)).collect();
-    let held: Vec<&Record> = subscriber.stores().flat_map(|(_, store)| store.live_records()).collect();
-    assert_eq!(truth, held);
+    let stored: Vec<&Record> = subscriber.stores().flat_map(|(_, store)| store.live_records()).collect();
+    assert_eq!(truth, stored);
 }
 
-fn records(said: &[Message]) -> Vec<&Record> {
-    let batches = said.iter().filter_map(|message| match message {
+fn records(sent: &[Message]) -> Vec<&Record> {
+    let batches = sent.iter().filter_map(|message| match message {
         Message::Batch { records, .. } => Some(records),
         _ => None,
     });
     batches.flatten().collect()
 }
 
-fn wholes(said: &[Message]) -> Vec<ServiceId> {
-    let wholes = said.iter().filter_map(|message| match message {
+fn snapshots(sent: &[Message]) -> Vec<ServiceId> {
+    let snapshots = sent.iter().filter_map(|message| match message {
         Message::ServiceSnapshot { service, .. } => Some(*service),
         _ => None,
     });
-    wholes.collect()
+    snapshots.collect()
 }
 
 #[test]
-fn a_slow_subscriber_gets_the_newest_alone_and_holds_no_memory() {
+fn slow_subscriber_receives_only_the_newest_records_without_queueing() {
     let scope = services(0..8);
     let (mut source, mut subscriber) = (source(FAST), Subscriber::new("agent", scope.clone()));
     connect(&mut source, &mut subscriber, 0);
-    let before = source.retained_items(LINE);
+    let before = source.retained_items(SUBSCRIBER);
     for round in 0..2_000 {
         for name in ["a", "b"] {
             let state = if round % 2 == 0 { State::Draining } else { State::Active };
             backend(&mut source, round % 8, name, state);
         }
-        assert_eq!(source.retained_items(LINE), before, "the feed's state grew");
+        assert_eq!(source.retained_items(SUBSCRIBER), before, "the feed's state grew");
     }
-    let said = converse(&mut source, &mut subscriber, 500);
-    let told = records(&said);
-    assert_eq!(told.len(), 16, "each of 16 records once");
-    assert!(told.iter().all(|record| source.store().get(&record.key) == Some(record)));
-    agree(&source, &subscriber, &scope);
+    let sent = exchange(&mut source, &mut subscriber, 500);
+    let received = records(&sent);
+    assert_eq!(received.len(), 16, "each of 16 records once");
+    assert!(received.iter().all(|record| source.store().get(&record.key) == Some(record)));
+    assert_equal_records(&source, &subscriber, &scope);
 }
 
 #[test]
-fn drains_go_before_additions_before_the_rest_over_all_sources() {
+fn sends_drains_before_additions_before_other_changes_across_sources() {
     let mut sources: Vec<Source> =
         (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), FAST)).collect();
     let mut relay = Relay::new("relay", &[0, 1, 2], FAST);
     let scope = services(0..3);
     let mut subscriber = Subscriber::new("agent", scope);
-    let mut feed = |sources: &mut [Source], relay: &mut Relay, now: Millis| {
+    let mut publish = |sources: &mut [Source], relay: &mut Relay, now: Millis| {
         for (id, source) in sources.iter_mut().enumerate() {
             while let PublisherAction::Send(message) = source.next_action(5, now) {
-                for answer in relay.on_source_message(id as u16, message, now).expect("it is taken") {
-                    source.on_message(5, answer, now).expect("it may be said");
+                for response in relay.on_source_message(id as u16, message, now).expect("accepted") {
+                    source.on_message(5, response, now).expect("accepted");
                 }
             }
         }
-        let mut said = Vec::new();
-        while let PublisherAction::Send(message) = relay.next_action(LINE, now) {
-            said.push(message.clone());
-            for reply in subscriber.on_message(message, now).expect("it is taken").replies {
-                relay.on_message(LINE, reply, now).expect("it may be said");
+        let mut sent = Vec::new();
+        while let PublisherAction::Send(message) = relay.next_action(SUBSCRIBER, now) {
+            sent.push(message.clone());
+            for reply in subscriber.on_message(message, now).expect("accepted").replies {
+                relay.on_message(SUBSCRIBER, reply, now).expect("accepted");
             }
         }
-        said
+        sent
     };
     for (id, source) in sources.iter_mut().enumerate() {
-        source.on_message(5, relay.hello(id as u16), 0).expect("hello is taken");
+        source.on_message(5, relay.hello(id as u16), 0).expect("hello is accepted");
         backend(source, id as u32, "old", State::Active);
     }
     let hello = Subscriber::new("agent", services(0..3)).hello();
-    relay.on_message(LINE, hello, 0).expect("hello is taken");
-    feed(&mut sources, &mut relay, 0);
+    relay.on_message(SUBSCRIBER, hello, 0).expect("hello is accepted");
+    publish(&mut sources, &mut relay, 0);
     // The least urgent is said first.
     for (id, source) in sources.iter_mut().enumerate() {
         write(source, change(id as u32, Kind::Route, "route", State::Active, 10));
@@ -150,8 +150,8 @@
         backend(source, id as u32, "old", State::Draining);
         backend(source, id as u32, "older", State::Draining);
     }
-    let said = feed(&mut sources, &mut relay, 100);
-    let urgencies: Vec<_> = records(&said).iter().map(|record| record.urgency()).collect();
+    let sent = publish(&mut sources, &mut relay, 100);
+    let urgencies: Vec<_> = records(&sent).iter().map(|record| record.urgency()).collect();
     assert_eq!(urgencies.len(), 15);
     assert!(urgencies.is_sorted(), "{urgencies:?}");
 }
@@ -161,33 +161,33 @@
 
     /// Never more than the burst and what the rate adds, however it is asked.
     #[test]
-    fn the_pace_holds(
+    fn never_exceeds_the_rate_limit(
         rate in 500..20_000_u32,
         burst in 2_000..50_000_u32,
         steps in prop::collection::vec((0..2_000_u64, 0..30_usize, 0..600_usize), 1..60),
     ) {
         let mut source = source(RateLimit { bytes_per_s: rate, burst });
         let mut subscriber = Subscriber::new("agent", services(0..10));
-        let welcome = source.on_message(LINE, subscriber.hello(), 0).expect("hello is taken");
+        let welcome = source.on_message(SUBSCRIBER, subscriber.hello(), 0).expect("hello is accepted");
         let bytes = |message: &Message| 4 + postcard::to_stdvec(message).expect("it is encoded").len();
         let mut sent: usize = welcome.iter().map(bytes).sum();
         let mut now = 0;
         let mut count = 0;
         for (wait, writes, size) in steps {
             now += wait;
-            for place in 0..writes {
-                write(&mut source, change(place as u32 % 12, Kind::Backend, &format!("b{}", count % 50), State::Active, size));
+            for index in 0..writes {
+                write(&mut source, change(index as u32 % 12, Kind::Backend, &format!("b{}", count % 50), State::Active, size));
                 count += 1;
             }
-            while let PublisherAction::Send(message) = source.next_action(LINE, now) {
+            while let PublisherAction::Send(message) = source.next_action(SUBSCRIBER, now) {
                 sent += bytes(&message);
-                for reply in subscriber.on_message(message, now).expect("it is taken").replies {
-                    source.on_message(LINE, reply, now).expect("it may be said");
+                for reply in subscriber.on_message(message, now).expect("accepted").replies {
+                    source.on_message(SUBSCRIBER, reply, now).expect("accepted");
                 }
-                let most = f64::from(burst) + f64::from(rate) * now as f64 / 1_000.0;
-                prop_assert!(sent as f64 <= most, "{sent} bytes after {now} ms, {most} at the most");
+                let max = f64::from(burst) + f64::from(rate) * now as f64 / 1_000.0;
+                prop_assert!(sent as f64 <= max, "{sent} bytes after {now} ms, {max} at the most");
             }
-            if let PublisherAction::WaitUntil(until) = source.next_action(LINE, now) {
+            if let PublisherAction::WaitUntil(until) = source.next_action(SUBSCRIBER, now) {
                 prop_assert!(until > now, "a wait that is over would be asked for ever");
             }
         }
@@ -195,7 +195,7 @@
 
     /// The weight by which is paced is no less than the bytes on the wire, and not much more.
     #[test]
-    fn a_weight_is_never_less_than_the_bytes(
+    fn encoded_size_bound_is_a_tight_upper_bound(
         name in "[a-z]{0,200}",
         size in 0..70_000_usize,
         (epoch, revision) in any::<(u64, u64)>(),
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn no_message_is_too_large() {
+fn splits_large_services_below_the_message_limit() {
     let scope = services([1, 2]);
     let mut source = source(RateLimit::default());
     let mut subscriber = Subscriber::new("agent", scope.clone());
@@ -243,24 +243,24 @@
         &mut source,
         change(2, Kind::Configuration, &"c".repeat(MAX_NAME_BYTES), State::Active, MAX_BODY_BYTES),
     );
-    let mut said = connect(&mut source, &mut subscriber, 0);
+    let mut sent = connect(&mut source, &mut subscriber, 0);
     // The largest record is more than all tokens at once: it goes once there won't be more.
     let mut now = 0;
     while now < 120_000 {
         now += 100;
-        said.extend(converse(&mut source, &mut subscriber, now));
+        sent.extend(exchange(&mut source, &mut subscriber, now));
     }
-    agree(&source, &subscriber, &scope);
-    let parts = wholes(&said).iter().filter(|service| **service == 1).count();
+    assert_equal_records(&source, &subscriber, &scope);
+    let parts = snapshots(&sent).iter().filter(|service| **service == 1).count();
     assert!(parts > 3, "a large service comes in parts, not {parts}");
-    for message in &said {
+    for message in &sent {
         let bytes = postcard::to_stdvec(message).expect("it is encoded").len();
         assert!(bytes <= MAX_MESSAGE_BYTES, "{} of {bytes} bytes", message.name());
     }
 }
 
 #[test]
-fn a_write_beyond_a_bound_is_refused_whole() {
+fn rejects_all_changes_of_a_write_if_one_exceeds_a_bound() {
     let mut source = source(FAST);
     let cases = [
         change(1, Kind::Backend, &"n".repeat(MAX_NAME_BYTES + 1), State::Active, 1),
@@ -270,8 +270,8 @@
     for bad in cases {
         let reason = validate_change(&bad).expect_err("it is beyond a bound").to_string();
         let changes = vec![change(1, Kind::Backend, "good", State::Active, 1), bad];
-        let answers = source.on_message(9, Message::Write { id: 4, changes }, 0);
-        assert_eq!(answers, Ok(vec![Message::Written { id: 4, result: Err(reason) }]));
+        let responses = source.on_message(9, Message::Write { id: 4, changes }, 0);
+        assert_eq!(responses, Ok(vec![Message::Written { id: 4, result: Err(reason) }]));
         assert_eq!(source.store().live_records().count(), 0, "all or none");
         assert_eq!(source.store().head().revision, 0);
     }
@@ -287,75 +287,75 @@
 
 /// Where there are more changes of the same urgency than the pace allows, the sources take turns.
 #[test]
-fn no_source_starves_another() {
+fn sources_share_the_rate_limit_evenly() {
     let mut sources: Vec<Source> =
         (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), FAST)).collect();
     let mut relay = Relay::new("relay", &[0, 1, 2], RateLimit { bytes_per_s: 2_000, burst: 2_000 });
     let mut subscriber = Subscriber::new("agent", services(0..3));
     for (id, source) in sources.iter_mut().enumerate() {
-        source.on_message(5, relay.hello(id as u16), 0).expect("hello is taken");
+        source.on_message(5, relay.hello(id as u16), 0).expect("hello is accepted");
     }
-    relay.on_message(LINE, subscriber.hello(), 0).expect("hello is taken");
-    let mut told = [0_usize; 3];
+    relay.on_message(SUBSCRIBER, subscriber.hello(), 0).expect("hello is accepted");
+    let mut received = [0_usize; 3];
     for now in (0..30_000).step_by(50) {
         for (id, source) in sources.iter_mut().enumerate() {
             // Far more than the pace, at any time, after all have begun.
             if now > 1_000 {
-                (0..20).for_each(|place| {
-                    backend(source, id as u32, &format!("b{}", (now + place) % 997), State::Active);
+                (0..20).for_each(|index| {
+                    backend(source, id as u32, &format!("b{}", (now + index) % 997), State::Active);
                 });
             }
             while let PublisherAction::Send(message) = source.next_action(5, now) {
-                for answer in relay.on_source_message(id as u16, message, now).expect("it is taken") {
-                    source.on_message(5, answer, now).expect("it may be said");
+                for response in relay.on_source_message(id as u16, message, now).expect("accepted") {
+                    source.on_message(5, response, now).expect("accepted");
                 }
             }
         }
-        while let PublisherAction::Send(message) = relay.next_action(LINE, now) {
+        while let PublisherAction::Send(message) = relay.next_action(SUBSCRIBER, now) {
             if let Message::Batch { source, records, .. } = &message {
-                told[usize::from(*source)] += records.len();
+                received[usize::from(*source)] += records.len();
             }
-            for reply in subscriber.on_message(message, now).expect("it is taken").replies {
-                relay.on_message(LINE, reply, now).expect("it may be said");
+            for reply in subscriber.on_message(message, now).expect("accepted").replies {
+                relay.on_message(SUBSCRIBER, reply, now).expect("accepted");
             }
         }
     }
-    let (least, most) = (told.iter().min().expect("some"), told.iter().max().expect("some"));
-    assert!(*least > 100 && most - least <= least / 5, "{told:?}");
+    let (min, max) = (received.iter().min().expect("some"), received.iter().max().expect("some"));
+    assert!(*min > 100 && max - min <= min / 5, "{received:?}");
 }
 
 /// More services than one summary or one question holds; a part of the summary is lost.
 #[test]
-fn many_services_are_told_in_parts() {
+fn sends_many_services_in_parts_and_recovers_a_lost_one() {
     let mut source = source(FAST);
     for service in 0..10_000 {
         backend(&mut source, service * 3, "b", State::Active);
     }
     let mut subscriber = Subscriber::new("agent", Scope::All);
-    source.on_message(LINE, subscriber.hello(), 0).expect("hello is taken");
-    let (mut now, mut parts, mut asked) = (0, 0, 0);
+    source.on_message(SUBSCRIBER, subscriber.hello(), 0).expect("hello is accepted");
+    let (mut now, mut parts, mut requests) = (0, 0, 0);
     while now < 10_000 {
         let mut replies = subscriber.tick(now);
-        while let PublisherAction::Send(message) = source.next_action(LINE, now) {
+        while let PublisherAction::Send(message) = source.next_action(SUBSCRIBER, now) {
             parts += usize::from(matches!(message, Message::DigestSummary { .. }));
             if matches!(message, Message::DigestSummary { .. }) && parts == 2 {
                 continue;
             }
-            replies.extend(subscriber.on_message(message, now).expect("it is taken").replies);
+            replies.extend(subscriber.on_message(message, now).expect("accepted").replies);
             for reply in replies.drain(..) {
-                asked += usize::from(matches!(reply, Message::SnapshotRequest { .. }));
-                assert_eq!(source.on_message(LINE, reply, now), Ok(vec![]));
+                requests += usize::from(matches!(reply, Message::SnapshotRequest { .. }));
+                assert_eq!(source.on_message(SUBSCRIBER, reply, now), Ok(vec![]));
             }
         }
         now += 100;
     }
     assert!(parts >= 6, "three parts, the second lost, and three more: {parts}");
-    assert_eq!(asked, 3, "4,096 services at a time");
-    agree(&source, &subscriber, &Scope::All);
+    assert_eq!(requests, 3, "4,096 services at a time");
+    assert_equal_records(&source, &subscriber, &Scope::All);
 }
 
 #[test]
-fn one_behind_the_tombstones_is_repaired_with_what_differs_alone() {
+fn repairs_only_differing_services_behind_the_tombstone_floor() {
     let scope = services(0..50);
     let store = VersionedStore::new(0, 1).with_max_tombstones(10);
     let mut source = Source::new("source", store, FAST);
@@ -366,9 +366,9 @@
         }
     }
     connect(&mut source, &mut subscriber, 0);
-    agree(&source, &subscriber, &scope);
+    assert_equal_records(&source, &subscriber, &scope);
     // It is away; in three services more is gone than tombstones are kept, one out of scope changes as well.
-    source.disconnect(LINE);
+    source.disconnect(SUBSCRIBER);
     for service in [3, 17, 41] {
         (0..6).for_each(|name| {
             backend(&mut source, service, &format!("b{name}"), State::Gone);
@@ -376,27 +376,27 @@
     }
     backend(&mut source, 70, "b", State::Active);
     assert_eq!(source.store().tombstone_count(), 10);
-    let said = connect(&mut source, &mut subscriber, 1_000);
-    assert_eq!(said.iter().filter(|message| matches!(message, Message::DigestSummary { .. })).count(), 1);
-    assert_eq!(wholes(&said), [3, 17, 41], "these differ and no others");
-    agree(&source, &subscriber, &scope);
+    let sent = connect(&mut source, &mut subscriber, 1_000);
+    assert_eq!(sent.iter().filter(|message| matches!(message, Message::DigestSummary { .. })).count(), 1);
+    assert_eq!(snapshots(&sent), [3, 17, 41], "these differ and no others");
+    assert_equal_records(&source, &subscriber, &scope);
     // As long as the tombstones reach, the log is enough.
-    source.disconnect(LINE);
+    source.disconnect(SUBSCRIBER);
     (0..10).for_each(|name| {
         backend(&mut source, 5, &format!("b{name}"), State::Gone);
     });
-    let said = connect(&mut source, &mut subscriber, 2_000);
+    let sent = connect(&mut source, &mut subscriber, 2_000);
     assert!(
-        said.iter().all(|message| matches!(message, Message::Batch { .. } | Message::Heartbeat)),
-        "{said:?}"
+        sent.iter().all(|message| matches!(message, Message::Batch { .. } | Message::Heartbeat)),
+        "{sent:?}"
     );
-    assert_eq!(records(&said).len(), 10);
-    agree(&source, &subscriber, &scope);
+    assert_eq!(records(&sent).len(), 10);
+    assert_equal_records(&source, &subscriber, &scope);
 }
 
 /// A start of the source without loss costs a summary, and no records.
 #[test]
-fn a_new_epoch_with_the_same_records_sends_none() {
+fn sends_no_records_for_a_new_epoch_without_differences() {
     let scope = services(0..50);
     let mut source = source(FAST);
     let mut subscriber = Subscriber::new("agent", scope.clone());
@@ -407,28 +407,28 @@
     let records = source.store().live_records().cloned().collect();
     let mut source =
         Source::new("source", VersionedStore::restore(0, 2, source.store().head(), records), FAST);
-    let said = connect(&mut source, &mut subscriber, 1_000);
-    assert!(wholes(&said).is_empty());
+    let sent = connect(&mut source, &mut subscriber, 1_000);
+    assert!(snapshots(&sent).is_empty());
     let version = backend(&mut source, 3, "b", State::Draining);
     assert_eq!(version, Version { epoch: 2, revision: 51 });
-    converse(&mut source, &mut subscriber, 1_100);
-    agree(&source, &subscriber, &scope);
+    exchange(&mut source, &mut subscriber, 1_100);
+    assert_equal_records(&source, &subscriber, &scope);
 }
 
 #[test]
-fn quiet_upstream_says_each_second_that_it_is_alive_and_checks_each_ten() {
+fn idle_upstream_sends_heartbeats_and_periodic_digests() {
     let scope = services([1]);
     let (mut source, mut subscriber) = (source(FAST), Subscriber::new("agent", scope));
     backend(&mut source, 1, "b", State::Active);
     connect(&mut source, &mut subscriber, 0);
-    let (mut words, mut checks) = (0, 0);
+    let (mut messages, mut checks) = (0, 0);
     let mut now = 0;
     while now <= 60_000 {
-        match source.next_action(LINE, now) {
+        match source.next_action(SUBSCRIBER, now) {
             PublisherAction::Send(message) => {
-                words += 1;
+                messages += 1;
                 checks += usize::from(matches!(message, Message::Batch { scope_digest: Some(_), .. }));
-                assert_eq!(subscriber.on_message(message, now).expect("it is taken").replies, []);
+                assert_eq!(subscriber.on_message(message, now).expect("accepted").replies, []);
             }
             PublisherAction::WaitUntil(until) => {
                 assert!(until > now && until <= now + 1_000);
@@ -436,43 +436,46 @@
             }
         }
     }
-    assert!((55..=65).contains(&words), "{words} words in a minute");
+    assert!((55..=65).contains(&messages), "{messages} messages in a minute");
     assert_eq!(checks, 6);
 }
 
 /// What happens out of scope is not sent, but how far one is: else a long absence would cost a long look into the log.
 #[test]
-fn what_is_out_of_scope_costs_one_word_a_second() {
+fn changes_out_of_scope_cost_one_progress_message_per_second() {
     let scope = services([1]);
     let (mut source, mut subscriber) = (source(FAST), Subscriber::new("agent", scope.clone()));
     backend(&mut source, 1, "b", State::Active);
     connect(&mut source, &mut subscriber, 0);
-    let mut said = Vec::new();
+    let mut sent = Vec::new();
     for now in 0..5_000 {
         backend(&mut source, 2, &format!("b{}", now % 7), State::Active);
-        said.extend(converse(&mut source, &mut subscriber, now));
+        sent.extend(exchange(&mut source, &mut subscriber, now));
     }
-    assert!(records(&said).is_empty());
-    assert!(said.len() <= 6, "{} messages in 5 s", said.len());
+    assert!(records(&sent).is_empty());
+    assert!(sent.len() <= 6, "{} messages in 5 s", sent.len());
     let Message::Hello { positions, .. } = subscriber.hello() else { panic!("hello is Hello") };
     assert!(positions[0].cursor[0].revision > 4_000);
 }
 
 #[test]
-fn what_must_not_be_said_ends_the_connection() {
+fn rejects_unexpected_messages_and_exceeded_limits() {
     let mut source = source(FAST);
     let hello = Subscriber::new("agent", services([1])).hello();
-    let out_of_turn = |result: Result<Vec<Message>, SessionError>| {
+    let is_unexpected = |result: Result<Vec<Message>, SessionError>| {
         matches!(result, Err(SessionError::UnexpectedMessage { .. }))
     };
-    assert!(out_of_turn(source.on_message(LINE, Message::DigestRequest { source: 0 }, 0)), "before hello");
     assert!(
-        matches!(source.next_action(LINE, 0), PublisherAction::WaitUntil(_)),
+        is_unexpected(source.on_message(SUBSCRIBER, Message::DigestRequest { source: 0 }, 0)),
+        "before hello"
+    );
+    assert!(
+        matches!(source.next_action(SUBSCRIBER, 0), PublisherAction::WaitUntil(_)),
         "before hello there is nothing"
     );
-    source.on_message(LINE, hello.clone(), 0).expect("hello is taken");
-    assert!(out_of_turn(source.on_message(LINE, hello.clone(), 0)), "hello twice");
-    assert!(out_of_turn(source.on_message(LINE, Message::Heartbeat, 0)), "what upstream says");
+    source.on_message(SUBSCRIBER, hello.clone(), 0).expect("hello is accepted");
+    assert!(is_unexpected(source.on_message(SUBSCRIBER, hello.clone(), 0)), "hello twice");
+    assert!(is_unexpected(source.on_message(SUBSCRIBER, Message::Heartbeat, 0)), "what upstream says");
     let other = Message::Hello {
         protocol: PROTOCOL_VERSION + 1,
         name: "x".into(),
@@ -490,15 +493,15 @@
     let many = Message::Hello { protocol: PROTOCOL_VERSION, name: "x".into(), scope: Scope::All, positions };
     assert!(matches!(source.on_message(2, many, 0), Err(SessionError::LimitExceeded { .. })));
     let services = (0..5_000).collect();
-    let want = Message::SnapshotRequest { source: 0, services };
-    assert!(matches!(source.on_message(LINE, want, 0), Err(SessionError::LimitExceeded { .. })));
+    let request = Message::SnapshotRequest { source: 0, services };
+    assert!(matches!(source.on_message(SUBSCRIBER, request, 0), Err(SessionError::LimitExceeded { .. })));
     let mut source = source.with_max_subscribers(1);
     assert_eq!(source.on_message(2, hello.clone(), 0), Err(SessionError::TooManySubscribers(1)));
-    source.disconnect(LINE);
+    source.disconnect(SUBSCRIBER);
     assert!(source.on_message(2, hello, 0).is_ok(), "there is room again");
     let mut relay = Relay::new("relay", &[0], FAST);
     assert!(
-        out_of_turn(relay.on_source_message(1, Message::Heartbeat, 0)),
+        is_unexpected(relay.on_source_message(1, Message::Heartbeat, 0)),
         "a source that is none of its own"
     );
     let foreign = Message::DigestSummary {
@@ -508,14 +511,17 @@
         to: Default::default(),
         digests: vec![],
     };
-    assert!(out_of_turn(relay.on_source_message(0, foreign, 0)), "a source that speaks of another's records");
+    assert!(
+        is_unexpected(relay.on_source_message(0, foreign, 0)),
+        "a source that speaks of another's records"
+    );
     let mut subscriber = Subscriber::new("agent", Scope::All);
     assert!(subscriber.on_message(Message::DigestRequest { source: 0 }, 0).is_err());
 }
 
 /// Requests that come over and over replace one another.
 #[test]
-fn repeated_requests_hold_no_memory() {
+fn repeated_requests_replace_one_another() {
     let scope = services(0..20);
     let (mut source, mut subscriber) =
         (source(RateLimit { bytes_per_s: 100, burst: 2_000 }), Subscriber::new("agent", scope));
@@ -526,14 +532,14 @@
     for round in 0..1_000 {
         let services = (0..4_000).map(|service| service * 7 % 100).collect();
         source
-            .on_message(LINE, Message::SnapshotRequest { source: 0, services }, round)
-            .expect("it may be said");
-        source.on_message(LINE, Message::DigestRequest { source: 0 }, round).expect("it may be said");
-        assert!(source.retained_items(LINE) <= 20 + 1 + 20);
+            .on_message(SUBSCRIBER, Message::SnapshotRequest { source: 0, services }, round)
+            .expect("accepted");
+        source.on_message(SUBSCRIBER, Message::DigestRequest { source: 0 }, round).expect("accepted");
+        assert!(source.retained_items(SUBSCRIBER) <= 20 + 1 + 20);
     }
     // And they are paced as all else is.
     let mut sent = 0;
-    while let PublisherAction::Send(message) = source.next_action(LINE, 1_000) {
+    while let PublisherAction::Send(message) = source.next_action(SUBSCRIBER, 1_000) {
         sent += message.encoded_size_bound();
     }
     assert!(sent <= 2_100, "{sent} bytes");
--- /dev/null
+++ b/crates/control-plane/tests/simulation/convergence.rs
@@ -0,0 +1,83 @@
+//! Whatever happens on the way: once all is well, every subscriber holds what the sources hold for its scope.
+
+use crate::link::Unreliability;
+use crate::simulation::{Event, Settings, Simulation};
+use control_plane::rate_limit::RateLimit;
+use control_plane::record::{Kind, Scope, State};
+use proptest::prelude::*;
+
+const SERVICES: u32 = 12;
+/// Ticks after which all must be equal: the longest wait before a question is asked again (32 s), twice, and a check (10 s).
+const BOUND: usize = 800;
+
+fn states() -> impl Strategy<Value = State> {
+    prop_oneof![4 => Just(State::Active), 2 => Just(State::Draining), 2 => Just(State::Gone)]
+}
+
+fn kinds() -> impl Strategy<Value = Kind> {
+    prop_oneof![5 => Just(Kind::Backend), 1 => Just(Kind::Configuration), 1 => Just(Kind::Route)]
+}
+
+fn events() -> impl Strategy<Value = Event> {
+    let write = (0..SERVICES, kinds(), 0..4_u8, states(), 0..400_u16);
+    prop_oneof![
+        20 => write.prop_map(|(service, kind, name, state, size)| Event::Write { service, kind, name, state, size }),
+        12 => (1..12_u8).prop_map(Event::Wait),
+        1 => (0..6_usize, 1..50_u8).prop_map(|(subscriber, ticks)| Event::CutSubscriber(subscriber, ticks)),
+        1 => (0..3_usize, 0..3_usize, 1..50_u8).prop_map(|(relay, source, ticks)| Event::CutRelay(relay, source, ticks)),
+        2 => (0..6_usize, 0..3_usize).prop_map(|(subscriber, relay)| Event::ChangeRelay(subscriber, relay)),
+        1 => (0..3_usize).prop_map(Event::RestartRelay),
+        1 => (0..3_usize, 1..60_u8).prop_map(|(relay, ticks)| Event::Suspend(relay, ticks)),
+        1 => (0..3_usize, 0..6_u8).prop_map(|(source, lost)| Event::RestartSource(source, lost)),
+    ]
+}
+
+fn scopes() -> impl Strategy<Value = Vec<Scope>> {
+    let some = prop::collection::btree_set(0..SERVICES, 0..8).prop_map(Scope::Services);
+    prop::collection::vec(prop_oneof![6 => some, 1 => Just(Scope::All)], 1..6)
+}
+
+fn noises() -> impl Strategy<Value = Unreliability> {
+    (0..40_u8, 0..30_u8, 0..1_500_u64).prop_map(|(loss, duplication, max_delay)| Unreliability {
+        loss,
+        duplication,
+        max_delay,
+    })
+}
+
+fn setting_strategy() -> impl Strategy<Value = Settings> {
+    let rate_limit =
+        prop_oneof![Just(RateLimit::default()), Just(RateLimit { bytes_per_s: 1_500, burst: 3_000 })];
+    let max_tombstones = prop_oneof![Just(65_536), 0..6_usize];
+    (rate_limit, max_tombstones)
+        .prop_map(|(rate_limit, max_tombstones)| Settings { rate_limit, max_tombstones })
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
+
+    #[test]
+    fn all_nodes_converge_under_any_schedule(
+        (sources, relays) in (1..4_usize, 1..4_usize),
+        scopes in scopes(),
+        setting in setting_strategy(),
+        unreliability in noises(),
+        events in prop::collection::vec(events(), 1..160),
+        seed in any::<u64>(),
+    ) {
+        let mut simulation = Simulation::new(sources, relays, &scopes, setting, seed);
+        simulation.unreliability = unreliability;
+        for event in &events {
+            for event in event.by_ticks() {
+                simulation.apply(&event);
+                prop_assert_eq!(simulation.violations(), Vec::<String>::new());
+            }
+        }
+        simulation.end_faults();
+        let took = simulation.run_until_converged(BOUND);
+        prop_assert_eq!(simulation.differences(), Vec::<String>::new(), "after {} ticks", took);
+        // And it stays so, over a check and whatever was under way.
+        simulation.run(150);
+        prop_assert_eq!(simulation.differences(), Vec::<String>::new(), "some time after");
+    }
+}
--- /dev/null
+++ b/crates/control-plane/tests/simulation/faults.rs
@@ -0,0 +1,255 @@
+//! Planted faults: the comparison from outside finds each, and where a check is left in, the parties mend it.
+
+use crate::applied_records::epoch;
+use crate::link::Unreliability;
+use crate::simulation::{Settings, Simulation, services};
+use control_plane::message::Message;
+use control_plane::rate_limit::RateLimit;
+use control_plane::record::{Kind, Scope, State};
+use control_plane::store::MAX_TOMBSTONES;
+use std::sync::Arc;
+
+const SETTINGS: Settings = Settings {
+    rate_limit: RateLimit { bytes_per_s: 12_000, burst: 120_000 },
+    max_tombstones: MAX_TOMBSTONES,
+};
+/// Ticks in which any single fault is mended: a check (10 s), its questions and answers, asked twice.
+const REPAIR_TICKS: usize = 300;
+
+/// One source, one relay, one subscriber of services 0 to 3, in each of which are some backends.
+fn small_simulation(scope: Scope) -> Simulation {
+    let mut simulation = Simulation::new(1, 1, &[scope], SETTINGS, 1);
+    for service in 0..4 {
+        for name in ["a", "b", "c"] {
+            simulation.write(service, Kind::Backend, name, State::Active, 50);
+        }
+    }
+    assert!(simulation.run_until_converged(REPAIR_TICKS) < REPAIR_TICKS, "{:?}", simulation.differences());
+    simulation
+}
+
+fn without_checks(message: &mut Message) {
+    if let Message::Batch { scope_digest, .. } = message {
+        *scope_digest = None;
+    }
+}
+
+/// Loses the first record that comes in a batch.
+fn lose_one(message: &mut Message, lost: &mut bool) {
+    if let Message::Batch { records, .. } = message
+        && !*lost
+        && !records.is_empty()
+    {
+        *lost = true;
+        records.remove(0);
+    }
+}
+
+#[test]
+fn digest_detects_and_repairs_a_silently_lost_record() {
+    for checks in [false, true] {
+        let mut simulation = small_simulation(services(0..4));
+        let mut lost = false;
+        simulation.interceptor = Some(Box::new(move |message| {
+            lose_one(message, &mut lost);
+            if !checks {
+                without_checks(message);
+            }
+            true
+        }));
+        simulation.write(1, Kind::Backend, "a", State::Draining, 50);
+        simulation.run(REPAIR_TICKS);
+        let differences = simulation.differences();
+        assert_eq!(differences.is_empty(), checks, "{differences:?}");
+        assert!(checks || differences.iter().all(|found| found.contains("\"a\"")), "{differences:?}");
+    }
+}
+
+#[test]
+fn detects_a_wrong_scope() {
+    // What it asks for is not what it should have.
+    let mut simulation = small_simulation(services([1, 2]));
+    simulation.check_with_scope(0, services([1, 3]));
+    simulation.write(2, Kind::Backend, "a", State::Draining, 50);
+    simulation.write(3, Kind::Backend, "a", State::Draining, 50);
+    simulation.run(REPAIR_TICKS);
+    let differences = simulation.differences();
+    assert!(differences.iter().any(|found| found.contains("service: 3") && found.contains("is None")));
+    assert!(differences.iter().any(|found| found.contains("service: 2") && found.contains("should be None")));
+    assert!(
+        simulation.violations().iter().any(|violation| violation.contains("out of scope")),
+        "{differences:?}"
+    );
+}
+
+#[test]
+fn ignores_records_out_of_scope() {
+    let mut simulation = small_simulation(services([1, 2]));
+    let mut foreign = None;
+    simulation.interceptor = Some(Box::new(move |message| {
+        if let Message::Batch { records, .. } = message {
+            if foreign.is_none() {
+                foreign = records.first().cloned();
+            }
+            records.extend(foreign.clone().map(|mut record| {
+                record.key.service = 3;
+                record
+            }));
+        }
+        true
+    }));
+    simulation.write(1, Kind::Backend, "a", State::Draining, 50);
+    simulation.run(REPAIR_TICKS);
+    assert_eq!(simulation.differences(), Vec::<String>::new());
+}
+
+/// A source that starts again without its last changes; with the old epoch in all that is said, nobody can know.
+#[test]
+fn detects_an_ignored_epoch() {
+    for ignored in [true, false] {
+        let mut simulation = small_simulation(services(0..4));
+        simulation.write(2, Kind::Backend, "d", State::Active, 50);
+        simulation.write(2, Kind::Backend, "a", State::Gone, 0);
+        assert!(simulation.run_until_converged(REPAIR_TICKS) < REPAIR_TICKS);
+        if ignored {
+            simulation.interceptor = Some(Box::new(|message| {
+                match message {
+                    Message::Batch { epoch, from, to, records, .. } => {
+                        *epoch = 1;
+                        for version in from.iter_mut().chain(to) {
+                            version.epoch = 1;
+                        }
+                        for record in records {
+                            record.version.epoch = 1;
+                        }
+                    }
+                    Message::DigestSummary { epoch, to, .. } => {
+                        *epoch = 1;
+                        for version in to {
+                            version.epoch = 1;
+                        }
+                    }
+                    Message::ServiceSnapshot { epoch, as_of, records, .. } => {
+                        (*epoch, as_of.epoch) = (1, 1);
+                        for record in records {
+                            record.version.epoch = 1;
+                        }
+                    }
+                    _ => {}
+                }
+                true
+            }));
+        }
+        simulation.restart_source(0, 2);
+        simulation.run(REPAIR_TICKS);
+        let differences = simulation.differences();
+        assert_eq!(differences.is_empty(), !ignored, "{differences:?}");
+    }
+}
+
+/// A former life of the source is heard again, from a relay that is behind.
+#[test]
+fn ignores_messages_of_a_former_epoch() {
+    let mut simulation = small_simulation(services(0..4));
+    let old = Arc::new(std::sync::Mutex::new(Vec::new()));
+    let keep = Arc::clone(&old);
+    simulation.interceptor = Some(Box::new(move |message| {
+        keep.lock().expect("no panic in a tamper").push(message.clone());
+        true
+    }));
+    simulation.write(2, Kind::Backend, "d", State::Active, 50);
+    simulation.run(REPAIR_TICKS);
+    simulation.send_to_relay(0, Message::DigestRequest { source: 0 });
+    simulation.send_to_relay(0, Message::SnapshotRequest { source: 0, services: vec![0, 1, 2] });
+    simulation.run(REPAIR_TICKS);
+    simulation.restart_source(0, 1);
+    simulation.run(REPAIR_TICKS);
+    assert_eq!(simulation.differences(), Vec::<String>::new());
+    let former: Vec<Message> = old.lock().expect("no panic in a tamper").clone();
+    let former = former.into_iter().filter(|message| epoch(message) == 1);
+    let mut outcome = 0;
+    for message in former {
+        let now = simulation.now;
+        let response = simulation.subscribers[0].subscriber.on_message(message, now).expect("it is no error");
+        assert!(response.applied.is_empty() && response.replies.is_empty());
+        outcome += 1;
+    }
+    assert!(outcome > 0);
+    assert_eq!(simulation.differences(), Vec::<String>::new());
+}
+
+#[test]
+fn digest_detects_and_repairs_a_damaged_record() {
+    for checks in [false, true] {
+        let mut simulation = small_simulation(services(0..4));
+        let mut damaged = false;
+        simulation.interceptor = Some(Box::new(move |message| {
+            if let Message::Batch { records, .. } = message
+                && let Some(record) = records.first_mut()
+                && !damaged
+            {
+                damaged = true;
+                record.body = Arc::from(&b"damaged"[..]);
+            }
+            if !checks {
+                without_checks(message);
+            }
+            true
+        }));
+        simulation.write(1, Kind::Backend, "a", State::Draining, 50);
+        simulation.run(REPAIR_TICKS);
+        let differences = simulation.differences();
+        assert_eq!(differences.is_empty(), checks, "{differences:?}");
+    }
+}
+
+/// Upstream itself takes something back within one life of the source: only a watcher can tell.
+#[test]
+fn detects_an_older_record_replacing_a_newer_one() {
+    let mut simulation = small_simulation(services(0..4));
+    simulation.interceptor = Some(Box::new(|message| {
+        without_checks(message);
+        // As if upstream knew more than it does, and took back what it said.
+        if let Message::ServiceSnapshot { as_of, records, .. } = message {
+            as_of.revision += 100;
+            for record in records {
+                record.version.revision -= 1;
+            }
+        }
+        true
+    }));
+    simulation.write(1, Kind::Backend, "a", State::Draining, 50);
+    simulation.run(20);
+    simulation.send_to_relay(0, Message::SnapshotRequest { source: 0, services: vec![1] });
+    simulation.run(20);
+    assert!(
+        simulation.violations().iter().any(|violation| violation.contains("came over")),
+        "{:?}",
+        simulation.differences()
+    );
+}
+
+/// Noise alone plants nothing: the same small world, on bad links.
+#[test]
+fn recovers_from_an_unreliable_link() {
+    let mut simulation = small_simulation(services(0..4));
+    simulation.unreliability = Unreliability { loss: 30, duplication: 30, max_delay: 800 };
+    for round in 0..40 {
+        let state = [State::Active, State::Draining, State::Gone][round % 3];
+        simulation.write(
+            round as u32 % 4,
+            Kind::Backend,
+            "a",
+            state,
+            round as u16 * u16::from(state != State::Gone),
+        );
+        simulation.run(3);
+        assert_eq!(simulation.violations(), Vec::<String>::new());
+    }
+    simulation.end_faults();
+    assert!(
+        simulation.run_until_converged(REPAIR_TICKS * 3) < REPAIR_TICKS * 3,
+        "{:?}",
+        simulation.differences()
+    );
+}
--- /dev/null
+++ b/crates/control-plane/tests/simulation/simulation.rs
@@ -0,0 +1,458 @@
+//! The simulated nodes and the connections between them.
+
+use crate::applied_records::{self, AppliedRecordChecker};
+use crate::link::{Link, Random, Unreliability};
+use control_plane::Millis;
+use control_plane::message::Message;
+use control_plane::publisher::PublisherAction;
+use control_plane::rate_limit::RateLimit;
+use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, SourceId, State, Version};
+use control_plane::relay::Relay;
+use control_plane::source::Source;
+use control_plane::store::VersionedStore;
+use control_plane::subscriber::Subscriber;
+use control_plane::upstream::Upstream;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Virtual time of one tick.
+pub const TICK: Millis = 100;
+/// A connection on which nothing was received for this long is closed.
+const SILENCE_TIMEOUT: Millis = 2_500;
+/// Messages that one connection accepts in one tick.
+const MAX_MESSAGES_PER_TICK: usize = 16;
+/// The id of connections from writers.
+const WRITER: u64 = 0;
+
+/// Changes a message from a relay to a subscriber; `false`: it is dropped.
+pub type Interceptor = Box<dyn FnMut(&mut Message) -> bool>;
+
+/// An event of a simulation. Numbers of nodes are taken modulo the number of such nodes; durations are in ticks.
+#[derive(Clone, Debug)]
+pub enum Event {
+    /// A source applies a change.
+    Write { service: ServiceId, kind: Kind, name: u8, state: State, size: u16 },
+    /// Time passes.
+    Wait(u8),
+    /// All connections of a subscriber are interrupted.
+    CutSubscriber(usize, u8),
+    /// The connection between a relay and a source is interrupted.
+    CutRelay(usize, usize, u8),
+    /// A subscriber connects to another relay.
+    ChangeRelay(usize, usize),
+    /// A relay restarts without records.
+    RestartRelay(usize),
+    /// A relay is suspended.
+    Suspend(usize, u8),
+    /// A source restarts without its last changes.
+    RestartSource(usize, u8),
+}
+
+impl Event {
+    /// The same event, tick by tick.
+    pub fn by_ticks(&self) -> Vec<Self> {
+        match self {
+            Self::Wait(count) => vec![Self::Wait(1); usize::from(*count)],
+            other => vec![other.clone()],
+        }
+    }
+}
+
+/// The records of a source after one of its changes, tombstones included.
+#[derive(Clone)]
+pub struct HistoryEntry {
+    pub head: Version,
+    pub records: BTreeMap<Key, Record>,
+}
+
+pub struct SourceNode {
+    pub source: Source,
+    /// The state after each change, from which a restart may continue.
+    pub history: Vec<HistoryEntry>,
+}
+
+pub struct RelayNode {
+    pub relay: Relay,
+    /// The connection to each source.
+    uplinks: Vec<Option<Link>>,
+    cut_until: Vec<Millis>,
+    suspended_until: Millis,
+}
+
+pub struct SubscriberNode {
+    pub subscriber: Subscriber,
+    pub scope: Scope,
+    pub checker: AppliedRecordChecker,
+    uplink: Option<Link>,
+    relay: usize,
+    cut_until: Millis,
+}
+
+pub struct Simulation {
+    pub now: Millis,
+    pub sources: Vec<SourceNode>,
+    pub relays: Vec<RelayNode>,
+    pub subscribers: Vec<SubscriberNode>,
+    pub unreliability: Unreliability,
+    pub random: Random,
+    pub interceptor: Option<Interceptor>,
+    next_link: u64,
+    settings: Settings,
+}
+
+/// Settings of all nodes.
+#[derive(Clone, Copy, Debug)]
+pub struct Settings {
+    /// The limit of a relay to a subscriber.
+    pub rate_limit: RateLimit,
+    /// Tombstones that a source or relay retains at the most.
+    pub max_tombstones: usize,
+}
+
+impl Settings {
+    fn source(&self, store: VersionedStore) -> Source {
+        /// The limit of a source to a relay: enough for all changes of a test.
+        const RELAY_LIMIT: RateLimit = RateLimit { bytes_per_s: 1_000_000, burst: 1_000_000 };
+        let name = format!("source-{}", store.source());
+        Source::new(&name, store.with_max_tombstones(self.max_tombstones), RELAY_LIMIT)
+    }
+
+    fn relay(&self, index: usize, sources: usize) -> Relay {
+        let ids: Vec<SourceId> = (0..sources as SourceId).collect();
+        Relay::new(&format!("relay-{index}"), &ids, self.rate_limit).with_max_tombstones(self.max_tombstones)
+    }
+}
+
+/// The body of a record: different for different sizes.
+fn body(state: State, size: u16) -> Arc<[u8]> {
+    let size = if state == State::Gone { 0 } else { size };
+    (0..size).map(|index| (size ^ index) as u8).collect()
+}
+
+impl Simulation {
+    pub fn new(sources: usize, relays: usize, scopes: &[Scope], settings: Settings, seed: u64) -> Self {
+        let source = |id: usize| {
+            let initial = HistoryEntry { head: Version { epoch: 1, revision: 0 }, records: BTreeMap::new() };
+            let source = settings.source(VersionedStore::new(id as SourceId, 1));
+            SourceNode { source, history: vec![initial] }
+        };
+        let relay = |index: usize| RelayNode {
+            relay: settings.relay(index, sources),
+            uplinks: (0..sources).map(|_| None).collect(),
+            cut_until: vec![0; sources],
+            suspended_until: 0,
+        };
+        let subscriber = |(index, scope): (usize, &Scope)| SubscriberNode {
+            subscriber: Subscriber::new(&format!("agent-{index}"), scope.clone()),
+            scope: scope.clone(),
+            checker: AppliedRecordChecker::new(scope.clone()),
+            uplink: None,
+            relay: index % relays,
+            cut_until: 0,
+        };
+        Self {
+            now: 0,
+            sources: (0..sources).map(source).collect(),
+            relays: (0..relays).map(relay).collect(),
+            subscribers: scopes.iter().enumerate().map(subscriber).collect(),
+            unreliability: Unreliability::default(),
+            random: Random(seed),
+            interceptor: None,
+            next_link: 1,
+            settings,
+        }
+    }
+
+    /// The index of the source of a service.
+    fn source_of(&self, service: ServiceId) -> usize {
+        service as usize % self.sources.len()
+    }
+
+    pub fn write(&mut self, service: ServiceId, kind: Kind, name: &str, state: State, size: u16) -> Version {
+        let source = self.source_of(service);
+        let key = Key { service, kind, name: name.into() };
+        let body = body(state, size);
+        let changes = vec![Change { key: key.clone(), state, body: Arc::clone(&body) }];
+        let node = &mut self.sources[source];
+        let request = Message::Write { id: 7, changes };
+        let responses = node.source.on_message(WRITER, request, self.now).expect("a write is accepted");
+        let [Message::Written { id: 7, result: Ok(version) }] = responses[..] else {
+            panic!("{responses:?}")
+        };
+        let last = node.history.last();
+        let mut records = last.map(|entry| entry.records.clone()).unwrap_or_default();
+        records.insert(key.clone(), Record { key, version, state, body });
+        node.history.push(HistoryEntry { head: version, records });
+        version
+    }
+
+    pub fn apply(&mut self, event: &Event) {
+        let ticks = |ticks: u8| Millis::from(ticks) * TICK;
+        match *event {
+            Event::Write { service, kind, name, state, size } => {
+                self.write(service, kind, &format!("b{name}"), state, size);
+            }
+            Event::Wait(count) => self.run(count.into()),
+            Event::CutSubscriber(subscriber, count) => {
+                let subscriber = subscriber % self.subscribers.len();
+                self.subscribers[subscriber].cut_until = self.now + ticks(count);
+            }
+            Event::CutRelay(relay, source, count) => {
+                let (relay, source) = (relay % self.relays.len(), source % self.sources.len());
+                self.relays[relay].cut_until[source] = self.now + ticks(count);
+            }
+            Event::ChangeRelay(subscriber, relay) => {
+                let subscriber = subscriber % self.subscribers.len();
+                self.disconnect_subscriber(subscriber);
+                self.subscribers[subscriber].relay = relay % self.relays.len();
+            }
+            Event::RestartRelay(relay) => self.restart_relay(relay % self.relays.len()),
+            Event::Suspend(relay, count) => {
+                let relay = relay % self.relays.len();
+                self.relays[relay].suspended_until = self.now + ticks(count);
+            }
+            Event::RestartSource(source, lost) => {
+                self.restart_source(source % self.sources.len(), lost.into());
+            }
+        }
+    }
+
+    pub fn restart_relay(&mut self, relay: usize) {
+        for subscriber in 0..self.subscribers.len() {
+            if self.subscribers[subscriber].relay == relay {
+                self.disconnect_subscriber(subscriber);
+            }
+        }
+        let node = &mut self.relays[relay];
+        for (source, uplink) in node.uplinks.iter_mut().enumerate() {
+            if let Some(link) = uplink.take() {
+                self.sources[source].source.disconnect(link.id);
+            }
+        }
+        node.relay = self.settings.relay(relay, self.sources.len());
+    }
+
+    /// Restarts a source in a greater epoch, without its last `lost` changes.
+    pub fn restart_source(&mut self, source: usize, lost: usize) {
+        let node = &mut self.sources[source];
+        let remaining = node.history.len().saturating_sub(lost).max(1);
+        node.history.truncate(remaining);
+        let HistoryEntry { head, records } =
+            node.history.last().cloned().expect("at least the initial state");
+        let records = records.into_values().filter(|record| record.state != State::Gone).collect();
+        let epoch = node.source.store().epoch() + 1;
+        let store = VersionedStore::restore(source as SourceId, epoch, head, records);
+        node.source = self.settings.source(store);
+        for relay in &mut self.relays {
+            relay.uplinks[source] = None;
+        }
+    }
+
+    /// Ends a subscriber's connection on both sides.
+    fn disconnect_subscriber(&mut self, subscriber: usize) {
+        let node = &mut self.subscribers[subscriber];
+        if let Some(link) = node.uplink.take() {
+            self.relays[node.relay].relay.disconnect(link.id);
+        }
+    }
+
+    pub fn run(&mut self, ticks: usize) {
+        for _ in 0..ticks {
+            self.tick();
+        }
+    }
+
+    /// Advances all nodes by one tick.
+    pub fn tick(&mut self) {
+        self.now += TICK;
+        for relay in 0..self.relays.len() {
+            self.tick_relay(relay);
+        }
+        for subscriber in 0..self.subscribers.len() {
+            self.tick_subscriber(subscriber);
+        }
+    }
+
+    fn tick_relay(&mut self, relay: usize) {
+        let node = &mut self.relays[relay];
+        if node.suspended_until > self.now {
+            return;
+        }
+        let requests = node.relay.tick(self.now);
+        for source in 0..self.sources.len() {
+            let is_of_source = |(id, _): &&(SourceId, Message)| usize::from(*id) == source;
+            let requests = requests.iter().filter(is_of_source).map(|(_, request)| request.clone());
+            self.tick_uplink(relay, source, requests.collect());
+        }
+    }
+
+    /// Advances the connection of a relay to a source, on which the relay sends `requests`.
+    fn tick_uplink(&mut self, relay: usize, source: usize, requests: Vec<Message>) {
+        let now = self.now;
+        let node = &mut self.relays[relay];
+        let upstream = &mut self.sources[source].source;
+        let uplink = &mut node.uplinks[source];
+        let is_cut = node.cut_until[source] > now;
+        if uplink.as_ref().is_some_and(|link| now - link.last_received_at > SILENCE_TIMEOUT) {
+            upstream.disconnect(uplink.take().map_or(0, |link| link.id));
+        }
+        if uplink.is_none() && !is_cut {
+            let mut link = Link::new(self.next_link, now);
+            self.next_link += 1;
+            // A connection is only established if the hello arrives.
+            let hello = node.relay.hello(source as SourceId);
+            for response in upstream.on_message(link.id, hello, now).expect("hello is accepted") {
+                link.down.push(response, now, is_cut, &self.unreliability, &mut self.random);
+            }
+            *uplink = Some(link);
+        }
+        let Some(link) = uplink else { return };
+        for request in requests {
+            link.up.push(request, now, is_cut, &self.unreliability, &mut self.random);
+        }
+        for message in link.up.take(now) {
+            let responses =
+                upstream.on_message(link.id, message, now).expect("a source accepts messages of relays");
+            assert!(responses.is_empty());
+        }
+        for _ in 0..MAX_MESSAGES_PER_TICK {
+            let PublisherAction::Send(message) = upstream.next_action(link.id, now) else { break };
+            link.down.push(message, now, is_cut, &self.unreliability, &mut self.random);
+        }
+        for message in link.down.take(now) {
+            link.last_received_at = now;
+            let responses = node.relay.on_source_message(source as SourceId, message, now);
+            for response in responses.expect("a relay accepts messages of sources") {
+                link.up.push(response, now, is_cut, &self.unreliability, &mut self.random);
+            }
+        }
+    }
+
+    fn tick_subscriber(&mut self, subscriber: usize) {
+        let uplink = &self.subscribers[subscriber].uplink;
+        if uplink.as_ref().is_some_and(|link| self.now - link.last_received_at > SILENCE_TIMEOUT) {
+            self.disconnect_subscriber(subscriber);
+            let next = (self.subscribers[subscriber].relay + 1) % self.relays.len();
+            self.subscribers[subscriber].relay = next;
+        }
+        self.connect_subscriber(subscriber);
+        self.send_to_subscriber(subscriber);
+        self.receive_at_subscriber(subscriber);
+    }
+
+    /// Connects a subscriber that has no connection, if its relay is reachable.
+    fn connect_subscriber(&mut self, subscriber: usize) {
+        let now = self.now;
+        let node = &mut self.subscribers[subscriber];
+        let upstream = &mut self.relays[node.relay];
+        let is_cut = node.cut_until > now;
+        if node.uplink.is_some() || is_cut || upstream.suspended_until > now {
+            return;
+        }
+        let mut link = Link::new(self.next_link, now);
+        self.next_link += 1;
+        let hello = node.subscriber.hello();
+        for response in upstream.relay.on_message(link.id, hello, now).expect("hello is accepted") {
+            link.down.push(response, now, is_cut, &self.unreliability, &mut self.random);
+        }
+        node.uplink = Some(link);
+    }
+
+    /// Delivers a subscriber's requests, and sends what its relay has for it.
+    fn send_to_subscriber(&mut self, subscriber: usize) {
+        let now = self.now;
+        let node = &mut self.subscribers[subscriber];
+        let upstream = &mut self.relays[node.relay];
+        let is_cut = node.cut_until > now;
+        let Some(link) = &mut node.uplink else { return };
+        for request in node.subscriber.tick(now) {
+            link.up.push(request, now, is_cut, &self.unreliability, &mut self.random);
+        }
+        if upstream.suspended_until > now {
+            return;
+        }
+        for message in link.up.take(now) {
+            let responses =
+                upstream.relay.on_message(link.id, message, now).expect("a relay accepts messages of agents");
+            assert!(responses.is_empty());
+        }
+        for _ in 0..MAX_MESSAGES_PER_TICK {
+            let PublisherAction::Send(mut message) = upstream.relay.next_action(link.id, now) else { break };
+            if self.interceptor.as_mut().is_none_or(|intercept| intercept(&mut message)) {
+                link.down.push(message, now, is_cut, &self.unreliability, &mut self.random);
+            }
+        }
+        let scope = match &node.scope {
+            Scope::All => 1,
+            Scope::Services(services) => services.len(),
+        };
+        // The scope, and for each source: a cursor and no more services than there are in scope.
+        let max = scope + self.sources.len() * (1 + scope.max(64));
+        assert!(
+            upstream.relay.retained_items(link.id) <= max,
+            "a subscriber's send state is beyond its bound"
+        );
+    }
+
+    /// Delivers the messages that arrive at a subscriber.
+    fn receive_at_subscriber(&mut self, subscriber: usize) {
+        let now = self.now;
+        let node = &mut self.subscribers[subscriber];
+        let is_cut = node.cut_until > now;
+        let Some(link) = &mut node.uplink else { return };
+        for message in link.down.take(now) {
+            link.last_received_at = now;
+            let epoch = applied_records::epoch(&message);
+            let outcome = node.subscriber.on_message(message, now);
+            let outcome = outcome.expect("a subscriber accepts messages of relays");
+            for reply in outcome.replies {
+                link.up.push(reply, now, is_cut, &self.unreliability, &mut self.random);
+            }
+            for applied in outcome.applied {
+                node.checker.check(epoch, applied);
+            }
+        }
+    }
+
+    /// Ends all faults: nothing is lost, interrupted or suspended from now on.
+    pub fn end_faults(&mut self) {
+        self.unreliability = Unreliability::default();
+        for relay in &mut self.relays {
+            relay.suspended_until = 0;
+            relay.cut_until.fill(0);
+        }
+        for node in &mut self.subscribers {
+            node.cut_until = 0;
+        }
+    }
+
+    /// Runs until there are no differences, `max` ticks at the most. Returns the number of ticks.
+    pub fn run_until_converged(&mut self, max: usize) -> usize {
+        for ticks in 0..max {
+            if self.differences().is_empty() {
+                return ticks;
+            }
+            self.tick();
+        }
+        max
+    }
+
+    /// Sends a message to a subscriber's relay on its connection.
+    pub fn send_to_relay(&mut self, subscriber: usize, message: Message) {
+        let node = &self.subscribers[subscriber];
+        let link = node.uplink.as_ref().expect("it is connected").id;
+        let responses = self.relays[node.relay].relay.on_message(link, message, self.now).expect("accepted");
+        assert!(responses.is_empty());
+    }
+
+    /// Checks a subscriber against another scope than its own, to inject a fault.
+    pub fn check_with_scope(&mut self, subscriber: usize, scope: Scope) {
+        self.subscribers[subscriber].scope = scope.clone();
+        self.subscribers[subscriber].checker = AppliedRecordChecker::new(scope);
+    }
+}
+
+/// A scope of these services.
+pub fn services(services: impl IntoIterator<Item = ServiceId>) -> Scope {
+    Scope::Services(services.into_iter().collect())
+}
--- a/crates/control-plane/tests/snapshot.rs
+++ b/crates/control-plane/tests/snapshot.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 
 /// A folder of this test's own, removed with it.
-struct Folder(PathBuf);
+struct TestDirectory(PathBuf);
 
-impl Folder {
+impl TestDirectory {
     fn new(test: &str) -> Self {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("snapshot-{test}-{}", std::process::id()));
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -39,20 +39,20 @@
 }
 
 #[test]
-fn what_was_kept_is_read_and_none_is_no_error() {
-    let folder = Folder::new("kept");
-    assert_eq!(read(&folder.file(), 3).expect("no file"), None);
+fn reads_the_written_snapshot_and_accepts_a_missing_file() {
+    let directory = TestDirectory::new("kept");
+    assert_eq!(read(&directory.file(), 3).expect("no file"), None);
     for records in [5, 2] {
-        snapshot(records).write(&folder.file()).expect("written");
-        assert_eq!(read(&folder.file(), 3).expect("good"), Some(snapshot(records)));
+        snapshot(records).write(&directory.file()).expect("written");
+        assert_eq!(read(&directory.file(), 3).expect("good"), Some(snapshot(records)));
     }
 }
 
 #[test]
-fn a_file_with_any_byte_changed_or_cut_anywhere_is_damaged_and_left_as_it_is() {
-    let folder = Folder::new("damaged");
-    snapshot(2).write(&folder.file()).expect("written");
-    let good = fs::read(folder.file()).expect("bytes");
+fn rejects_any_corrupted_or_truncated_file_and_leaves_it() {
+    let directory = TestDirectory::new("damaged");
+    snapshot(2).write(&directory.file()).expect("written");
+    let good = fs::read(directory.file()).expect("bytes");
     let changed = (0..good.len()).map(|at| {
         let mut bytes = good.clone();
         bytes[at] ^= 1;
@@ -60,37 +60,37 @@
     });
     let cut = (0..good.len()).map(|at| good[..at].to_vec());
     for bytes in changed.chain(cut) {
-        fs::write(folder.file(), &bytes).expect("written");
-        let error = read(&folder.file(), 3).expect_err("damaged");
+        fs::write(directory.file(), &bytes).expect("written");
+        let error = read(&directory.file(), 3).expect_err("damaged");
         assert!(matches!(error, SnapshotError::Damaged(..)), "{error}");
-        assert_eq!(fs::read(folder.file()).expect("bytes"), bytes);
+        assert_eq!(fs::read(directory.file()).expect("bytes"), bytes);
     }
 }
 
 #[test]
-fn the_file_of_another_source_is_not_taken() {
-    let folder = Folder::new("other");
-    snapshot(1).write(&folder.file()).expect("written");
-    let error = read(&folder.file(), 4).expect_err("another's").to_string();
+fn rejects_the_file_of_another_source() {
+    let directory = TestDirectory::new("other");
+    snapshot(1).write(&directory.file()).expect("written");
+    let error = read(&directory.file(), 4).expect_err("another's").to_string();
     assert!(error.contains("is of source 3, this is source 4"), "{error}");
 }
 
 #[test]
-fn one_process_holds_the_file() {
-    let folder = Folder::new("lock");
-    let held = lock(&folder.file()).expect("free");
-    assert!(matches!(lock(&folder.file()), Err(SnapshotError::Locked(_))));
-    drop(held);
-    lock(&folder.file()).expect("free again");
+fn locks_the_file_exclusively() {
+    let directory = TestDirectory::new("lock");
+    let lock_file = lock(&directory.file()).expect("free");
+    assert!(matches!(lock(&directory.file()), Err(SnapshotError::Locked(_))));
+    drop(lock_file);
+    lock(&directory.file()).expect("free again");
 }
 
 #[tokio::test]
-async fn the_thread_writes_and_says_where_it_could_not() {
-    let folder = Folder::new("thread");
-    let writer = SnapshotWriter::start(folder.file()).expect("a thread");
+async fn writer_thread_writes_and_reports_the_failed_path() {
+    let directory = TestDirectory::new("thread");
+    let writer = SnapshotWriter::start(directory.file()).expect("a thread");
     writer.write(snapshot(4)).await.expect("written");
-    assert_eq!(read(&folder.file(), 3).expect("good"), Some(snapshot(4)));
-    let nowhere = SnapshotWriter::start(folder.0.join("none/source.snapshot")).expect("a thread");
+    assert_eq!(read(&directory.file(), 3).expect("good"), Some(snapshot(4)));
+    let nowhere = SnapshotWriter::start(directory.0.join("none/source.snapshot")).expect("a thread");
     let error = nowhere.write(snapshot(4)).await.expect_err("no folder").to_string();
     assert!(error.contains("none/source.snapshot.new"), "{error}");
 }
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -21,19 +21,19 @@
 
     /// A ledger holds the last word of each key, and its digests depend on nothing but the records.
     #[test]
-    fn the_last_word_of_each_key_stands(changes in changes(), most in 0..20_usize) {
-        let mut store = VersionedStore::new(4, 3).with_max_tombstones(most);
+    fn stores_the_last_change_of_each_key_and_bounded_tombstones(changes in changes(), max_tombstones in 0..20_usize) {
+        let mut store = VersionedStore::new(4, 3).with_max_tombstones(max_tombstones);
         let mut last: BTreeMap<Key, Record> = BTreeMap::new();
         // Tombstones, the oldest first: beyond the bound these are dropped.
         let mut tombstones: Vec<Key> = Vec::new();
-        for (place, change) in changes.iter().enumerate() {
+        for (index, change) in changes.iter().enumerate() {
             let record = store.write(change.clone()).expect("it is within bounds");
-            prop_assert_eq!(record.version, Version { epoch: 3, revision: place as u64 + 1 });
+            prop_assert_eq!(record.version, Version { epoch: 3, revision: index as u64 + 1 });
             tombstones.retain(|key| *key != change.key);
             if record.state == State::Gone {
                 tombstones.push(change.key.clone());
             }
-            tombstones.drain(..tombstones.len().saturating_sub(most));
+            tombstones.drain(..tombstones.len().saturating_sub(max_tombstones));
             last.insert(change.key.clone(), record);
         }
         let live: Vec<Record> = last.values().filter(|record| record.state != State::Gone).cloned().collect();
@@ -41,9 +41,9 @@
         prop_assert_eq!(store.live_count(), live.len());
         prop_assert_eq!(store.tombstone_count(), tombstones.len());
         for (key, record) in last.iter().filter(|(_, record)| record.state == State::Gone) {
-            let kept = tombstones.contains(key);
-            prop_assert_eq!(store.get(key), kept.then_some(record));
-            prop_assert!(kept || store.tombstone_floor() >= record.version);
+            let is_retained = tombstones.contains(key);
+            prop_assert_eq!(store.get(key), is_retained.then_some(record));
+            prop_assert!(is_retained || store.tombstone_floor() >= record.version);
         }
         for service in 0..6 {
             let of = live.iter().filter(|record| record.key.service == service).cloned().collect::<Vec<_>>();
@@ -62,22 +62,22 @@
 
     /// Any single difference shows in the digest.
     #[test]
-    fn a_digest_tells_any_difference(changes in changes(), which in any::<prop::sample::Index>(), what in 0..4_u8) {
+    fn digest_shows_any_single_difference(changes in changes(), which in any::<prop::sample::Index>(), what in 0..4_u8) {
         let mut store = VersionedStore::new(0, 1);
         for change in changes {
             store.write(change).expect("it is within bounds");
         }
         let mut records: Vec<Record> = store.live_records().cloned().collect();
         prop_assume!(!records.is_empty());
-        let place = which.index(records.len());
-        let service = records[place].key.service;
-        let record = &mut records[place];
+        let index = which.index(records.len());
+        let service = records[index].key.service;
+        let record = &mut records[index];
         match what {
             0 => record.version.revision += 1_000,
             1 => record.state = if record.state == State::Active { State::Draining } else { State::Active },
             2 => record.body = [&record.body[..], &[0]].concat().into(),
             _ => {
-                records.remove(place);
+                records.remove(index);
             }
         }
         let other = VersionedStore::restore(0, 1, store.head(), records);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_log_goes_on_after_a_restart() {
+fn revisions_continue_after_a_restart() {
     let key = Key { service: 1, kind: Kind::Backend, name: "b".into() };
     let change = Change { key: key.clone(), state: State::Active, body: [1].into() };
     let mut store = VersionedStore::new(0, 1);
--- a/crates/control-plane/tests/upstream_link.rs
+++ b/crates/control-plane/tests/upstream_link.rs
@@ -24,7 +24,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Virtual time that is far beyond what anything takes.
-const PATIENCE: Duration = Duration::from_secs(7_200);
+const TIMEOUT: Duration = Duration::from_secs(7_200);
 const FOLLOWERS: usize = 120;
 
 /// Addresses of this process's own, unlike those of tests over processes.
@@ -36,25 +36,25 @@
 }
 
 /// A party with all its connections, which ends with this.
-struct Running(JoinHandle<()>);
+struct TaskGuard(JoinHandle<()>);
 
-impl Drop for Running {
+impl Drop for TaskGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-fn start_relay(config: RelayConfig, rate_limit: RateLimitConfig) -> Running {
+fn start_relay(config: RelayConfig, rate_limit: RateLimitConfig) -> TaskGuard {
     // A set of its own, so that connections end with it.
-    Running(spawn_local(async move {
+    TaskGuard(spawn_local(async move {
         LocalSet::new().run_until(relay::run(&config, &rate_limit, pending())).await.expect("it runs");
     }))
 }
 
 /// A folder of a test's own, removed with it.
-struct Folder(PathBuf);
+struct TestDirectory(PathBuf);
 
-impl Folder {
+impl TestDirectory {
     fn new(test: &str) -> Self {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
@@ -62,75 +62,75 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn start_source(folder: &Folder, listen: SocketAddr) -> Running {
+fn start_source(directory: &TestDirectory, listen: SocketAddr) -> TaskGuard {
     let config = SourceConfig {
         id: 1,
         name: "s".into(),
         listen,
-        snapshot: folder.0.join("source.snapshot"),
+        snapshot: directory.0.join("source.snapshot"),
         snapshot_interval_ms: 3_600_000,
         connections: 8,
     };
-    Running(spawn_local(async move {
+    TaskGuard(spawn_local(async move {
         let rate_limit = RateLimitConfig::default();
         LocalSet::new().run_until(source::run(&config, &rate_limit, pending())).await.expect("it runs");
     }))
 }
 
-struct Counted {
+struct CountingNode {
     subscriber: Subscriber,
     /// The relay that it follows.
-    on: Option<String>,
+    current_relay: Option<String>,
     /// How often it was said to follow one, and how many welcomes it heard.
-    greeted: (usize, usize),
+    connections: (usize, usize),
     moves: usize,
     losses: usize,
     applied: usize,
-    came: u64,
+    received_bytes: u64,
 }
 
-impl DownstreamNode for Counted {
+impl DownstreamNode for CountingNode {
     fn hello(&mut self) -> Message {
         self.subscriber.hello()
     }
     fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError> {
-        self.greeted.1 += usize::from(matches!(message, Message::Welcome { .. }));
-        let heard = self.subscriber.on_message(message, now)?;
-        self.applied += heard.applied.len();
-        Ok(heard.replies)
+        self.connections.1 += usize::from(matches!(message, Message::Welcome { .. }));
+        let outcome = self.subscriber.on_message(message, now)?;
+        self.applied += outcome.applied.len();
+        Ok(outcome.replies)
     }
     fn tick(&mut self, now: Millis) -> Vec<Message> {
         self.subscriber.tick(now)
     }
     fn on_connected(&mut self, upstream: &str) {
-        self.greeted.0 += 1;
-        if self.on.replace(upstream.to_owned()).is_some() {
+        self.connections.0 += 1;
+        if self.current_relay.replace(upstream.to_owned()).is_some() {
             self.moves += 1;
         }
     }
     fn on_lost(&mut self, _: &str, _: &LinkError) {
-        self.on = None;
+        self.current_relay = None;
         self.losses += 1;
     }
-    fn on_transferred(&mut self, came: u64, _: u64) {
-        self.came += came;
+    fn on_transferred(&mut self, received_bytes: u64, _: u64) {
+        self.received_bytes += received_bytes;
     }
 }
 
 /// Takes connections and says nothing on them. Counts them.
-async fn mute(address: SocketAddr) -> (Running, Rc<Cell<usize>>) {
+async fn accept_silently(address: SocketAddr) -> (TaskGuard, Rc<Cell<usize>>) {
     let (listener, taken) = (TcpListener::bind(address).await.expect("free"), Rc::new(Cell::new(0)));
     let count = Rc::clone(&taken);
-    let running = Running(spawn_local(async move {
-        let mut held = Vec::new();
+    let running = TaskGuard(spawn_local(async move {
+        let mut stored_records = Vec::new();
         loop {
-            held.push(listener.accept().await.expect("a call"));
+            stored_records.push(listener.accept().await.expect("a call"));
             count.set(count.get() + 1);
         }
     }));
@@ -138,7 +138,7 @@
 }
 
 async fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain for: {what}");
         sleep(Duration::from_millis(100)).await;
@@ -155,13 +155,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn followers_spread_over_relays_leave_one_that_is_gone_and_return_once_it_is_back() {
-    LocalSet::new().run_until(spread()).await;
+async fn followers_spread_over_relays_and_return_to_a_restored_one() {
+    LocalSet::new().run_until(run_failover()).await;
 }
 
-async fn spread() {
-    let (folder, at) = (Folder::new("spread"), address());
-    let _source = start_source(&folder, at);
+async fn run_failover() {
+    let (directory, at) = (TestDirectory::new("spread"), address());
+    let _source = start_source(&directory, at);
     let relays: Vec<UpstreamAddress> =
         (0..3).map(|n| UpstreamAddress { name: format!("relay-{n}"), address: address() }).collect();
     let relay = |place: usize| {
@@ -178,25 +178,36 @@
     let mut running: Vec<_> = (0..3).map(|place| Some(relay(place))).collect();
     let names: Vec<String> = relays.iter().map(|relay| relay.name.clone()).collect();
     let clock = Clock::start();
-    let parties: Vec<_> = (0..FOLLOWERS)
+    let nodes: Vec<_> = (0..FOLLOWERS)
         .map(|n| {
             let name = format!("agent-{n}");
             let scope = Scope::Services([1].into());
             let subscriber = Subscriber::new(&name, scope);
-            let party =
-                Counted { subscriber, on: None, greeted: (0, 0), moves: 0, losses: 0, applied: 0, came: 0 };
-            let party = Rc::new(RefCell::new(party));
-            let (followed, relays) = (Rc::clone(&party), relays.clone());
+            let node = CountingNode {
+                subscriber,
+                current_relay: None,
+                connections: (0, 0),
+                moves: 0,
+                losses: 0,
+                applied: 0,
+                received_bytes: 0,
+            };
+            let node = Rc::new(RefCell::new(node));
+            let (followed, relays) = (Rc::clone(&node), relays.clone());
             spawn_local(async move { follow(followed, relays, &name, n as u64, clock).await });
-            party
+            node
         })
         .collect();
     let preferred: Vec<&String> =
         (0..FOLLOWERS).map(|n| &names[Failover::new(&format!("agent-{n}"), &names, 0).order()[0]]).collect();
-    let all_on_preferred =
-        || parties.iter().zip(&preferred).all(|(p, on)| p.borrow().on.as_ref() == Some(*on));
+    let all_on_preferred = || {
+        nodes
+            .iter()
+            .zip(&preferred)
+            .all(|(p, current_relay)| p.borrow().current_relay.as_ref() == Some(*current_relay))
+    };
     wait_for("all on the relay that they prefer", all_on_preferred).await;
-    let of_first = preferred.iter().filter(|on| **on == &names[0]).count();
+    let of_first = preferred.iter().filter(|current_relay| **current_relay == &names[0]).count();
     assert!(
         (FOLLOWERS / 6..FOLLOWERS / 2).contains(&of_first),
         "{of_first} of {FOLLOWERS} prefer one of three"
@@ -204,51 +215,55 @@
 
     let mut writer = Writer::connect(at).await.expect("the source");
     writer.write((0..10).map(|n| change(format!("r-{n}"))).collect()).await.expect("written");
-    wait_for("all records", || parties.iter().all(|p| p.borrow().applied == 10)).await;
+    wait_for("all records", || nodes.iter().all(|p| p.borrow().applied == 10)).await;
 
     // Those of the relay that dies move, nobody else does.
     running[0] = None;
-    let elsewhere = || parties.iter().all(|p| p.borrow().on.as_ref().is_some_and(|on| *on != names[0]));
+    let elsewhere = || {
+        nodes.iter().all(|p| {
+            p.borrow().current_relay.as_ref().is_some_and(|current_relay| *current_relay != names[0])
+        })
+    };
     wait_for("all on the others", elsewhere).await;
-    let lost = parties.iter().filter(|p| p.borrow().losses > 0).count();
+    let lost = nodes.iter().filter(|p| p.borrow().losses > 0).count();
     assert_eq!(lost, of_first);
     writer.write(vec![change("r-10".into())]).await.expect("written");
-    wait_for("the next record", || parties.iter().all(|p| p.borrow().applied == 11)).await;
+    wait_for("the next record", || nodes.iter().all(|p| p.borrow().applied == 11)).await;
 
     // Somebody is there again who says nothing: they try it beside the connection that works, and stay.
-    let losses = || parties.iter().map(|p| p.borrow().losses).sum::<usize>();
+    let losses = || nodes.iter().map(|p| p.borrow().losses).sum::<usize>();
     let before = losses();
-    let mute = mute(relays[0].address).await;
-    wait_for("calls, again after no answer came", || mute.1.get() > of_first).await;
+    let accept_silently = accept_silently(relays[0].address).await;
+    wait_for("calls, again after no answer came", || accept_silently.1.get() > of_first).await;
     sleep(Duration::from_secs(10)).await;
     assert!(elsewhere());
     assert_eq!(losses(), before);
-    assert_eq!(parties.iter().map(|p| p.borrow().moves).sum::<usize>(), 0);
-    drop(mute);
+    assert_eq!(nodes.iter().map(|p| p.borrow().moves).sum::<usize>(), 0);
+    drop(accept_silently);
 
     // It is back: they return by themselves, without a loss, and without hearing anything again.
     running[0] = Some(relay(0));
     wait_for("all back on the relay that they prefer", all_on_preferred).await;
     writer.write(vec![change("r-11".into())]).await.expect("written");
-    wait_for("the last record", || parties.iter().all(|p| p.borrow().applied == 12)).await;
+    wait_for("the last record", || nodes.iter().all(|p| p.borrow().applied == 12)).await;
     assert_eq!(losses(), before);
-    assert_eq!(parties.iter().map(|p| p.borrow().moves).sum::<usize>(), of_first);
-    assert!(parties.iter().all(|p| p.borrow().came > 0));
+    assert_eq!(nodes.iter().map(|p| p.borrow().moves).sum::<usize>(), of_first);
+    assert!(nodes.iter().all(|p| p.borrow().received_bytes > 0));
     // Each welcome, also that of the relay it returned to, is heard by the party: it asks again what was not answered.
-    assert!(parties.iter().all(|p| p.borrow().greeted.0 == p.borrow().greeted.1));
+    assert!(nodes.iter().all(|p| p.borrow().connections.0 == p.borrow().connections.1));
 }
 
 /// Whoever takes nothing for half a minute has its connection ended, and may come back and say how far it is.
 #[tokio::test(start_paused = true)]
-async fn a_subscriber_that_stands_too_long_is_let_go_and_begins_where_it_was() {
-    LocalSet::new().run_until(stands()).await;
+async fn disconnects_a_stalled_subscriber_which_resumes_at_its_position() {
+    LocalSet::new().run_until(run_stalled_subscriber()).await;
 }
 
-async fn stands() {
+async fn run_stalled_subscriber() {
     const RECORDS: usize = 40;
     const BYTES: usize = 60_000;
-    let (folder, at, relay) = (Folder::new("stands"), address(), address());
-    let _source = start_source(&folder, at);
+    let (directory, at, relay) = (TestDirectory::new("stands"), address(), address());
+    let _source = start_source(&directory, at);
     let sources = vec![SourceAddress { id: 1, address: at }];
     let config = RelayConfig { name: "r".into(), listen: relay, sources, connections: 4 };
     let rate_limit =
@@ -267,11 +282,11 @@
 
     let mut subscriber = Subscriber::new("stands", Scope::All);
     let mut ends = 0;
-    let held =
+    let stored_records =
         |subscriber: &Subscriber| subscriber.stores().map(|(_, store)| store.live_count()).sum::<usize>();
-    let end = Instant::now() + PATIENCE;
-    while held(&subscriber) < RECORDS {
-        assert!(Instant::now() < end, "{} of {RECORDS} after {ends} ends", held(&subscriber));
+    let end = Instant::now() + TIMEOUT;
+    while stored_records(&subscriber) < RECORDS {
+        assert!(Instant::now() < end, "{} of {RECORDS} after {ends} ends", stored_records(&subscriber));
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(128 << 10).expect("a buffer");
         let Ok(stream) = socket.connect(relay).await else {
@@ -282,17 +297,17 @@
         let (mut reader, mut writer) = (FrameReader::new(reader), FrameWriter::new(writer));
         writer.write(&subscriber.hello()).await.expect("said");
         // The first time it only answers what has to be asked for, and then stands.
-        let mut stood = ends > 0;
-        while let Ok(Some(message)) = timeout(PATIENCE, reader.read()).await.expect("a word each second") {
+        let mut has_stalled = ends > 0;
+        while let Ok(Some(message)) = timeout(TIMEOUT, reader.read()).await.expect("a word each second") {
             // In parts of a whole service, or in batches where the relay heard of it before the records were written.
             let some = matches!(&message, Message::ServiceSnapshot { records, .. } | Message::Batch { records, .. } if !records.is_empty());
             for reply in subscriber.on_message(message, 0).expect("sense").replies {
                 writer.write(&reply).await.expect("said");
             }
-            if some && !std::mem::replace(&mut stood, true) {
+            if some && !std::mem::replace(&mut has_stalled, true) {
                 sleep(Duration::from_secs(120)).await;
             }
-            if held(&subscriber) == RECORDS {
+            if stored_records(&subscriber) == RECORDS {
                 break;
             }
         }
