--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -1,4 +1,4 @@
-//! What travels between parties: every message comes back as it went, and nothing else is taken for one.
+//! Framing and encoding: messages round-trip, and other bytes are rejected.
 
 mod strategies;
 
@@ -15,7 +15,7 @@
 use strategies::message;
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// Gives bytes in pieces of these sizes, then ends.
+/// A stream that returns its bytes in pieces of these sizes.
 struct Pieces {
     bytes: Vec<u8>,
     position: usize,
@@ -42,7 +42,7 @@
     FrameReader::new(Pieces { bytes, position: 0, sizes, reads: 0 })
 }
 
-/// All messages, then how it ended.
+/// Reads all messages. Returns them and how the stream ended.
 fn read_all(bytes: Vec<u8>, sizes: Vec<usize>) -> (Vec<Message>, Result<(), CodecError>) {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
@@ -76,8 +76,8 @@
         sizes in vec(1_usize..200, 1..5),
     ) {
         let frames: Vec<Vec<u8>> = messages.iter().map(|m| encode(m).expect("short enough")).collect();
-        let (last, before) = frames.split_last().expect("one at the least");
-        // Between its first byte and the last but one.
+        let (last, before) = frames.split_last().expect("at least one");
+        // The cut is after its first byte and before its last one.
         let received = 1 + cut.index(last.len() - 1);
         let mut bytes = before.concat();
         bytes.extend_from_slice(&last[..received]);
@@ -89,10 +89,10 @@
 
     #[test]
     fn decodes_arbitrary_bytes_to_an_error_or_an_encodable_message(bytes in vec(any::<u8>(), 0..400)) {
-        // Whatever these bytes happen to mean can be written again; nothing panics.
+        // A message that these bytes happen to encode can be encoded again; nothing panics.
         if let Ok(message) = decode(&bytes) {
             let encoded = encode(&message).expect("short enough");
-            prop_assert_eq!(decode(&encoded[4..]).expect("what was written"), message);
+            prop_assert_eq!(decode(&encoded[4..]).expect("encodable"), message);
         }
         let (_, _) = read_all(bytes, vec![7]);
     }
@@ -105,7 +105,7 @@
         let at = at.index(bytes.len());
         bytes[at] = byte;
         let (received_messages, end) = read_all(bytes, vec![64]);
-        prop_assert!(received_messages.len() <= 1 || end.is_err(), "one message is never several whole ones");
+        prop_assert!(received_messages.len() <= 1 || end.is_err(), "one frame is never read as several messages");
     }
 
     #[test]
@@ -135,13 +135,13 @@
 
 #[test]
 fn rejects_messages_over_the_length_limit_when_writing_and_reading() {
-    let why = |bytes| Message::Close { reason: "x".repeat(bytes) };
-    // One byte for the place of the message, three for the length of the text.
+    let close = |bytes| Message::Close { reason: "x".repeat(bytes) };
+    // One byte for the variant, three for the length of the text.
     let longest = MAX_MESSAGE_BYTES - 4;
-    assert_eq!(body_of(&why(longest)).len(), MAX_MESSAGE_BYTES);
-    let (received_messages, end) = read_all(encode(&why(longest)).expect("just fits"), vec![100_000]);
-    assert_eq!((received_messages, end.is_ok()), (vec![why(longest)], true));
-    let error = encode(&why(longest + 1)).expect_err("too long");
+    assert_eq!(body_of(&close(longest)).len(), MAX_MESSAGE_BYTES);
+    let (received_messages, end) = read_all(encode(&close(longest)).expect("just fits"), vec![100_000]);
+    assert_eq!((received_messages, end.is_ok()), (vec![close(longest)], true));
+    let error = encode(&close(longest + 1)).expect_err("too long");
     assert!(
         matches!(error, CodecError::TooLong { bytes, max: MAX_MESSAGE_BYTES } if bytes == MAX_MESSAGE_BYTES + 1)
     );
@@ -164,8 +164,8 @@
     }
 }
 
-/// Hello and Welcome keep their places and begin with their version, whatever else another version does: else parties of
-/// two versions could only say that they don't understand one another.
+/// Hello and Welcome keep their variant numbers and begin with the version in every protocol version: else nodes of two
+/// versions could not report the mismatch.
 #[test]
 fn reports_a_protocol_mismatch_regardless_of_the_remaining_bytes() {
     let hello = Message::Hello {
@@ -177,12 +177,12 @@
     let welcome = Message::Welcome { protocol: PROTOCOL_VERSION, name: "n".into() };
     for message in [hello, welcome] {
         let bytes = body_of(&message);
-        assert_eq!(decode(&bytes).expect("our words"), message);
+        assert_eq!(decode(&bytes).expect("this version"), message);
         let theirs = PROTOCOL_VERSION + 1;
         let mut other = vec![bytes[0]];
         other.push(u8::try_from(theirs).expect("one byte"));
-        other.extend_from_slice(b"\xff\xfe whatever they say in that version");
-        let error = decode(&other).expect_err("other words");
+        other.extend_from_slice(b"\xff\xfe the rest in that version");
+        let error = decode(&other).expect_err("another version");
         assert!(matches!(error, CodecError::ProtocolMismatch { theirs: t } if t == theirs), "{error}");
         assert!(
             error
@@ -203,7 +203,7 @@
     );
 }
 
-/// A length says little: a list that claims to be long is not believed before its entries are there.
+/// The encoded length of a list does not make the decoder allocate memory before the entries are read.
 #[test]
 fn rejects_a_list_longer_than_its_bytes() {
     let mut bytes = body_of(&Message::SnapshotRequest { source: 1, services: Vec::new() });
--- a/crates/control-plane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -1,4 +1,4 @@
-//! What is wrong with settings is said by key.
+//! Errors in the configuration name the key.
 
 use control_plane::config::{Config, RateLimitConfig};
 use std::path::Path;
@@ -30,7 +30,7 @@
 #[test]
 fn reports_a_missing_section() {
     let path = Path::new("control.toml");
-    let config = parse("").expect("nothing is wrong with it");
+    let config = parse("").expect("valid");
     for (error, expected) in [
         (config.source(path).map(|_| ()), "[source]"),
         (config.relay(path).map(|_| ()), "[relay]"),
--- a/crates/control-plane/tests/discovery_list.rs
+++ b/crates/control-plane/tests/discovery_list.rs
@@ -1,4 +1,4 @@
-//! The list that an agent serves: versions, changes since one, and a bounded log.
+//! The discovery list: revisions, changes after a revision, and the bounded log.
 
 use control_plane::codec::encode_backend_body;
 use control_plane::record::{Backend, Key, Kind, Record, State, Version};
@@ -80,7 +80,7 @@
     }
     let stays = ("stays".to_owned(), Phase::Active);
     assert_eq!(ids(&list, 0), (true, vec![stays.clone()]));
-    // Ten that left were dropped: whoever may not have heard of one of them gets everything.
+    // Ten removed entries were dropped: a request from before one of them gets the complete list.
     assert_eq!(ids(&list, START + 1), (true, vec![stays]));
     let revision = list.revision();
     let (complete, left) = ids(&list, revision - 2 * 100);
@@ -125,7 +125,7 @@
 }
 
 proptest! {
-    /// A watcher that takes changes at whatever moments holds what the whole list says.
+    /// A client that requests changes at arbitrary times has the same entries as the complete list.
     #[test]
     fn changes_after_any_revision_reproduce_the_complete_list(
         steps in vec((0_u8..6, 0_u8..3, 1_u16..4, any::<bool>()), 0..80),
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Whom a failover calls, and when.
+//! Which relay a node connects to, and when.
 
 use control_plane::Millis;
 use control_plane::failover::{Action, Failover};
@@ -8,14 +8,14 @@
     (0..count).map(|index| format!("{prefix}-{index}")).collect()
 }
 
-/// Calls until a relay that is up answers. Gives which, when, and how many calls it took.
+/// Connects until a relay that is up responds. Returns the relay, the time, and the number of attempts.
 fn connect(failover: &mut Failover, up: impl Fn(usize) -> bool, mut now: Millis) -> (usize, Millis, usize) {
     for attempts in 1.. {
         let relay = loop {
             match failover.next_action(now) {
                 Action::Connect(relay) => break relay,
                 Action::WaitUntil(until) => {
-                    assert!(until > now, "a wait that is over would be asked for ever");
+                    assert!(until > now, "a wait in the past would loop for ever");
                     now = until;
                 }
             }
@@ -29,7 +29,7 @@
     unreachable!()
 }
 
-/// The subscribers of a relay that is gone spread over all others, and don't come at one moment.
+/// The subscribers of a failed relay spread over all others and over time.
 #[test]
 fn subscribers_of_a_lost_relay_spread_over_the_others() {
     let relays = names("relay", 20);
@@ -60,7 +60,7 @@
         let more = load - before;
         assert!(more <= 35, "relay {index} got {more} of {before} at once, 14 on average");
     }
-    // Half a second holds them all, and none of its tenths more than a fifth of them.
+    // Within half a second, and less than a third of them in any tenth of it.
     assert!(times.iter().all(|time| *time <= 1_000));
     for tenth in 0..5 {
         let here = times.iter().filter(|time| (tenth * 100..(tenth + 1) * 100).contains(*time)).count();
@@ -79,17 +79,17 @@
         let (relay, now, _) = connect(&mut failover, |relay| relay != 0, 0);
         if preferred != 0 {
             assert_eq!(relay, preferred);
-            assert_eq!(failover.probe_at(), None, "it is where it wants to be");
+            assert_eq!(failover.probe_at(), None, "it is connected to the preferred relay");
             continue;
         }
-        // The first try comes too early: it stays where it is.
-        let first = failover.probe_at().expect("it is elsewhere");
+        // The first probe fails: the subscriber stays at its relay.
+        let first = failover.probe_at().expect("connected to another relay");
         assert!((now + 30_000..=now + 90_000).contains(&first));
         assert_eq!(failover.next_probe(first - 1), None);
         assert_eq!(failover.next_probe(first), Some(0));
         failover.on_probe_failed(first);
-        let second = failover.probe_at().expect("it is still elsewhere");
-        assert!(second >= first + 60_000, "while it stays away it is tried less often");
+        let second = failover.probe_at().expect("still connected to another relay");
+        assert!(second >= first + 60_000, "a failed probe doubles the delay");
         assert_eq!(failover.next_probe(second), Some(0));
         failover.on_moved(second);
         assert_eq!(failover.probe_at(), None);
@@ -97,13 +97,13 @@
     }
     assert!(return_times.len() > 150, "{} of 2,000 prefer one of ten", return_times.len());
     let (min, max) = (return_times.iter().min().expect("some"), return_times.iter().max().expect("some"));
-    assert!(max - min > 50_000, "they come back within {} ms", max - min);
+    assert!(max - min > 50_000, "they return within {} ms", max - min);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// While nothing answers: all relays are called in turn, with waits that grow, and none is called hot.
+    /// While no relay responds, all are tried in turn with growing delays.
     #[test]
     fn backs_off_while_no_relay_responds(count in 1..8_usize, seed in any::<u64>()) {
         let relays = names("relay", count);
@@ -124,13 +124,13 @@
         }
         let (min, max) = (attempts.iter().min().expect("some"), attempts.iter().max().expect("some"));
         prop_assert!(*max <= min + 1, "{:?}", attempts);
-        // A round takes a second and half a second for each relay at the least on average; far less would be hot.
+        // On average a round takes at least a second, and half a second for each relay.
         prop_assert!(attempts.iter().sum::<u32>() <= 120 * 4 + 20, "{:?}", attempts);
-        // All are tried again within some seconds: the longest wait and half a second for each relay.
+        // Each relay is retried within seconds: the longest backoff, and half a second for each relay.
         prop_assert!(u64::from(*min) >= 120_000 / (2_000 + 500 * count as u64) - 1, "{:?}", attempts);
     }
 
-    /// After a good connection the order begins at its top; after a short one it goes on.
+    /// After a stable connection the order restarts with the preferred relay; after a short one it continues.
     #[test]
     fn continues_the_order_after_a_short_connection_and_restarts_it_after_a_stable_one(seed in any::<u64>()) {
         let relays = names("relay", 5);
@@ -149,10 +149,10 @@
         prop_assert_eq!(third, order[2]);
         failover.on_lost(now + 20_000);
         let (fourth, now, _) = connect(&mut failover, |_| true, now + 20_000);
-        prop_assert_eq!(fourth, order[0], "after a good one: the top");
+        prop_assert_eq!(fourth, order[0], "the preferred relay after a stable connection");
         failover.on_lost(now + 20_000);
         let (fifth, _, _) = connect(&mut failover, |_| true, now + 20_000);
-        prop_assert_eq!(fifth, order[1], "not the one that was just lost");
+        prop_assert_eq!(fifth, order[1], "not the relay that was just lost");
     }
 }
 
@@ -164,13 +164,13 @@
     assert!(matches!(failover.next_action(6), Action::WaitUntil(until) if until > 6));
 }
 
-/// The same name and relays give the same order, wherever and whenever.
+/// The same name and relays give the same order with any seed.
 #[test]
 fn order_depends_on_names_only() {
     let relays = names("relay", 8);
     let one = Failover::new("agent", &relays, 1);
     assert_eq!(one.order(), Failover::new("agent", &relays, 2).order());
-    // One more relay: the others keep their order among themselves.
+    // With one more relay, the order of the others is unchanged.
     let more = names("relay", 9);
     let other = Failover::new("agent", &more, 1);
     let common: Vec<usize> = other.order().iter().copied().filter(|index| *index < 8).collect();
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -176,7 +176,7 @@
 fn writes_the_golden_snapshot_file() {
     let directory = Directory::new("snapshot");
     let path = directory.0.join("source-1.snapshot");
-    let _locked = lock(&path).expect("nobody else holds it");
+    let _locked = lock(&path).expect("unlocked");
     let snapshot = Snapshot { source: 513, epoch: 9, head: version(70_000), records: records() };
     snapshot.write(&path).expect("written");
     golden().assert_bytes("source.snapshot", &fs::read(&path).expect("the file"));
@@ -219,7 +219,7 @@
 relay_burst = 1004
 "#;
 
-/// Each section refuses a key that it does not know, and its error names all keys that it does.
+/// Each section rejects an unknown key, and the error names all known ones.
 #[test]
 fn accepts_the_golden_configuration_keys() {
     Config::parse(EVERY_KEY, Path::new("control.toml")).expect("good");
--- a/crates/control-plane/tests/message.rs
+++ b/crates/control-plane/tests/message.rs
@@ -1,4 +1,4 @@
-//! Messages as they are encoded.
+//! The encoding of messages.
 
 mod strategies;
 
@@ -9,21 +9,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// What is encoded is read again; a message that was cut anywhere is an error and never another message.
+    /// Encoded messages round-trip; a truncated one is an error and never another message.
     #[test]
     fn decodes_encoded_messages_and_rejects_truncated_ones(message in message()) {
-        let bytes = postcard::to_stdvec(&message).expect("it is encoded");
-        prop_assert_eq!(postcard::from_bytes::<Message>(&bytes).expect("it is read"), message);
+        let bytes = postcard::to_stdvec(&message).expect("encodable");
+        prop_assert_eq!(postcard::from_bytes::<Message>(&bytes).expect("decodable"), message);
         for cut in 0..bytes.len() {
             prop_assert!(postcard::from_bytes::<Message>(&bytes[..cut]).is_err(), "cut at {}", cut);
         }
     }
 
-    /// Whatever comes in place of a message is a message or an error, and takes no memory that wasn't sent.
+    /// Arbitrary bytes are an error or a message no longer than the bytes.
     #[test]
     fn decodes_arbitrary_bytes_within_their_size(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(message) = postcard::from_bytes::<Message>(&bytes) {
-            let encoded = postcard::to_stdvec(&message).expect("it is encoded");
+            let encoded = postcard::to_stdvec(&message).expect("encodable");
             prop_assert!(encoded.len() <= bytes.len(), "{:?}", message);
         }
     }
--- a/crates/control-plane/tests/processes/main.rs
+++ b/crates/control-plane/tests/processes/main.rs
@@ -5,6 +5,8 @@
 mod malformed_input;
 mod stalled_subscribers;
 mod support;
+#[path = "../test_directory/mod.rs"]
+mod test_directory;
 
 use control_plane::record::State::{Active, Draining, Gone};
 use support::*;
--- a/crates/control-plane/tests/processes/support/mod.rs
+++ b/crates/control-plane/tests/processes/support/mod.rs
@@ -7,6 +7,7 @@
 mod raw_connection;
 mod region;
 
+pub use crate::test_directory::TestDirectory;
 pub use change_writer::{ChangeWriter, configuration_change};
 pub use process::{Process, run_program};
 pub use proxy::{Proxy, request_discovery};
@@ -15,7 +16,7 @@
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -44,29 +45,11 @@
     SocketAddrV4::new(ip, 7000 + used / 128).into()
 }
 
-/// A directory of one test, removed with it.
-pub struct TestDirectory(PathBuf);
-
 impl TestDirectory {
-    pub fn new(test: &str) -> Self {
-        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a directory");
-        Self(path)
-    }
-
-    pub fn file(&self, name: &str) -> PathBuf {
-        self.0.join(name)
-    }
-
+    /// Writes a file. Returns its path.
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.file(name);
         fs::write(&path, text).expect("a file");
         path
     }
 }
-
-impl Drop for TestDirectory {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
--- a/crates/control-plane/tests/simulation/convergence.rs
+++ b/crates/control-plane/tests/simulation/convergence.rs
@@ -1,4 +1,4 @@
-//! Whatever happens on the way: once all is well, every subscriber holds what the sources hold for its scope.
+//! After arbitrary events and faults, all subscribers converge to the records of the sources in their scope.
 
 use crate::link::Unreliability;
 use crate::simulation::{Event, Settings, Simulation};
@@ -7,8 +7,8 @@
 use proptest::prelude::*;
 
 const SERVICES: u32 = 12;
-/// Ticks after which all must be equal: the longest wait before a question is asked again (32 s), twice, and a check (10 s).
-const BOUND: usize = 800;
+/// Ticks within which all nodes converge: twice the longest retry delay of a request (32 s), and a digest (10 s).
+const MAX_CONVERGENCE_TICKS: usize = 800;
 
 fn states() -> impl Strategy<Value = State> {
     prop_oneof![4 => Just(State::Active), 2 => Just(State::Draining), 2 => Just(State::Gone)]
@@ -37,7 +37,7 @@
     prop::collection::vec(prop_oneof![6 => some, 1 => Just(Scope::All)], 1..6)
 }
 
-fn noises() -> impl Strategy<Value = Unreliability> {
+fn unreliabilities() -> impl Strategy<Value = Unreliability> {
     (0..40_u8, 0..30_u8, 0..1_500_u64).prop_map(|(loss, duplication, max_delay)| Unreliability {
         loss,
         duplication,
@@ -45,7 +45,7 @@
     })
 }
 
-fn setting_strategy() -> impl Strategy<Value = Settings> {
+fn settings() -> impl Strategy<Value = Settings> {
     let rate_limit =
         prop_oneof![Just(RateLimit::default()), Just(RateLimit { bytes_per_s: 1_500, burst: 3_000 })];
     let max_tombstones = prop_oneof![Just(65_536), 0..6_usize];
@@ -60,12 +60,12 @@
     fn all_nodes_converge_under_any_schedule(
         (sources, relays) in (1..4_usize, 1..4_usize),
         scopes in scopes(),
-        setting in setting_strategy(),
-        unreliability in noises(),
+        settings in settings(),
+        unreliability in unreliabilities(),
         events in prop::collection::vec(events(), 1..160),
         seed in any::<u64>(),
     ) {
-        let mut simulation = Simulation::new(sources, relays, &scopes, setting, seed);
+        let mut simulation = Simulation::new(sources, relays, &scopes, settings, seed);
         simulation.unreliability = unreliability;
         for event in &events {
             for event in event.by_ticks() {
@@ -74,10 +74,10 @@
             }
         }
         simulation.end_faults();
-        let took = simulation.run_until_converged(BOUND);
-        prop_assert_eq!(simulation.differences(), Vec::<String>::new(), "after {} ticks", took);
-        // And it stays so, over a check and whatever was under way.
+        let ticks = simulation.run_until_converged(MAX_CONVERGENCE_TICKS);
+        prop_assert_eq!(simulation.differences(), Vec::<String>::new(), "after {} ticks", ticks);
+        // They stay equal over the next digest and the messages in flight.
         simulation.run(150);
-        prop_assert_eq!(simulation.differences(), Vec::<String>::new(), "some time after");
+        prop_assert_eq!(simulation.differences(), Vec::<String>::new(), "after convergence");
     }
 }
--- a/crates/control-plane/tests/simulation/faults.rs
+++ b/crates/control-plane/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Planted faults: the comparison from outside finds each, and where a check is left in, the parties mend it.
+//! Injected faults: the verification detects each, and with scope digests the nodes repair it.
 
 use crate::applied_records::epoch;
 use crate::link::Unreliability;
@@ -13,10 +13,10 @@
     rate_limit: RateLimit { bytes_per_s: 12_000, burst: 120_000 },
     max_tombstones: MAX_TOMBSTONES,
 };
-/// Ticks in which any single fault is mended: a check (10 s), its questions and answers, asked twice.
+/// Ticks within which any single fault is repaired: a digest (10 s), its requests and responses, sent twice.
 const REPAIR_TICKS: usize = 300;
 
-/// One source, one relay, one subscriber of services 0 to 3, in each of which are some backends.
+/// One source, one relay and one subscriber; services 0 to 3 have backends.
 fn small_simulation(scope: Scope) -> Simulation {
     let mut simulation = Simulation::new(1, 1, &[scope], SETTINGS, 1);
     for service in 0..4 {
@@ -28,13 +28,13 @@
     simulation
 }
 
-fn without_checks(message: &mut Message) {
+fn remove_scope_digest(message: &mut Message) {
     if let Message::Batch { scope_digest, .. } = message {
         *scope_digest = None;
     }
 }
 
-/// Loses the first record that comes in a batch.
+/// Drops the first record that is sent in a batch.
 fn lose_one(message: &mut Message, lost: &mut bool) {
     if let Message::Batch { records, .. } = message
         && !*lost
@@ -47,27 +47,27 @@
 
 #[test]
 fn digest_detects_and_repairs_a_silently_lost_record() {
-    for checks in [false, true] {
+    for with_digests in [false, true] {
         let mut simulation = small_simulation(services(0..4));
         let mut lost = false;
         simulation.interceptor = Some(Box::new(move |message| {
             lose_one(message, &mut lost);
-            if !checks {
-                without_checks(message);
+            if !with_digests {
+                remove_scope_digest(message);
             }
             true
         }));
         simulation.write(1, Kind::Backend, "a", State::Draining, 50);
         simulation.run(REPAIR_TICKS);
         let differences = simulation.differences();
-        assert_eq!(differences.is_empty(), checks, "{differences:?}");
-        assert!(checks || differences.iter().all(|found| found.contains("\"a\"")), "{differences:?}");
+        assert_eq!(differences.is_empty(), with_digests, "{differences:?}");
+        assert!(with_digests || differences.iter().all(|found| found.contains("\"a\"")), "{differences:?}");
     }
 }
 
 #[test]
 fn detects_a_wrong_scope() {
-    // What it asks for is not what it should have.
+    // The subscriber's scope is not the expected one.
     let mut simulation = small_simulation(services([1, 2]));
     simulation.check_with_scope(0, services([1, 3]));
     simulation.write(2, Kind::Backend, "a", State::Draining, 50);
@@ -103,7 +103,7 @@
     assert_eq!(simulation.differences(), Vec::<String>::new());
 }
 
-/// A source that starts again without its last changes; with the old epoch in all that is said, nobody can know.
+/// A source restarts without its last changes; with the old epoch in all messages the loss can't be detected downstream.
 #[test]
 fn detects_an_ignored_epoch() {
     for ignored in [true, false] {
@@ -147,14 +147,14 @@
     }
 }
 
-/// A former life of the source is heard again, from a relay that is behind.
+/// Messages of a former epoch arrive late, from a relay that is behind.
 #[test]
 fn ignores_messages_of_a_former_epoch() {
     let mut simulation = small_simulation(services(0..4));
     let old = Arc::new(std::sync::Mutex::new(Vec::new()));
-    let keep = Arc::clone(&old);
+    let recorded = Arc::clone(&old);
     simulation.interceptor = Some(Box::new(move |message| {
-        keep.lock().expect("no panic in a tamper").push(message.clone());
+        recorded.lock().expect("no panic in an interceptor").push(message.clone());
         true
     }));
     simulation.write(2, Kind::Backend, "d", State::Active, 50);
@@ -165,12 +165,12 @@
     simulation.restart_source(0, 1);
     simulation.run(REPAIR_TICKS);
     assert_eq!(simulation.differences(), Vec::<String>::new());
-    let former: Vec<Message> = old.lock().expect("no panic in a tamper").clone();
+    let former: Vec<Message> = old.lock().expect("no panic in an interceptor").clone();
     let former = former.into_iter().filter(|message| epoch(message) == 1);
     let mut outcome = 0;
     for message in former {
         let now = simulation.now;
-        let response = simulation.subscribers[0].subscriber.on_message(message, now).expect("it is no error");
+        let response = simulation.subscribers[0].subscriber.on_message(message, now).expect("accepted");
         assert!(response.applied.is_empty() && response.replies.is_empty());
         outcome += 1;
     }
@@ -180,7 +180,7 @@
 
 #[test]
 fn digest_detects_and_repairs_a_damaged_record() {
-    for checks in [false, true] {
+    for with_digests in [false, true] {
         let mut simulation = small_simulation(services(0..4));
         let mut damaged = false;
         simulation.interceptor = Some(Box::new(move |message| {
@@ -191,25 +191,25 @@
                 damaged = true;
                 record.body = Arc::from(&b"damaged"[..]);
             }
-            if !checks {
-                without_checks(message);
+            if !with_digests {
+                remove_scope_digest(message);
             }
             true
         }));
         simulation.write(1, Kind::Backend, "a", State::Draining, 50);
         simulation.run(REPAIR_TICKS);
         let differences = simulation.differences();
-        assert_eq!(differences.is_empty(), checks, "{differences:?}");
+        assert_eq!(differences.is_empty(), with_digests, "{differences:?}");
     }
 }
 
-/// Upstream itself takes something back within one life of the source: only a watcher can tell.
+/// Upstream itself reverts a change within one epoch: only the checker of applied records detects this.
 #[test]
 fn detects_an_older_record_replacing_a_newer_one() {
     let mut simulation = small_simulation(services(0..4));
     simulation.interceptor = Some(Box::new(|message| {
-        without_checks(message);
-        // As if upstream knew more than it does, and took back what it said.
+        remove_scope_digest(message);
+        // As if upstream were at a later position, and reverted its records.
         if let Message::ServiceSnapshot { as_of, records, .. } = message {
             as_of.revision += 100;
             for record in records {
@@ -229,7 +229,7 @@
     );
 }
 
-/// Noise alone plants nothing: the same small world, on bad links.
+/// An unreliable link alone causes no violation.
 #[test]
 fn recovers_from_an_unreliable_link() {
     let mut simulation = small_simulation(services(0..4));
--- a/crates/control-plane/tests/snapshot.rs
+++ b/crates/control-plane/tests/snapshot.rs
@@ -1,31 +1,13 @@
-//! A source's file: whole or not at all, nothing guessed over, nothing overwritten that was not understood.
+//! The snapshot file: written atomically; a damaged or foreign file is rejected and not overwritten.
+
+mod test_directory;
 
 use control_plane::record::{Key, Kind, Record, State, Version};
 use control_plane::runtime::snapshot::{Snapshot, SnapshotError, SnapshotWriter, lock, read};
 use std::fs;
-use std::path::PathBuf;
-
-/// A folder of this test's own, removed with it.
-struct TestDirectory(PathBuf);
+use test_directory::TestDirectory;
 
-impl TestDirectory {
-    fn new(test: &str) -> Self {
-        let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
-            .join(format!("snapshot-{test}-{}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
-        Self(path)
-    }
-
-    fn file(&self) -> PathBuf {
-        self.0.join("source.snapshot")
-    }
-}
-
-impl Drop for TestDirectory {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
+const FILE: &str = "source.snapshot";
 
 fn snapshot(records: u64) -> Snapshot {
     let version = |revision| Version { epoch: 9, revision };
@@ -40,19 +22,19 @@
 
 #[test]
 fn reads_the_written_snapshot_and_accepts_a_missing_file() {
-    let directory = TestDirectory::new("kept");
-    assert_eq!(read(&directory.file(), 3).expect("no file"), None);
+    let directory = TestDirectory::new("snapshot-kept");
+    assert_eq!(read(&directory.file(FILE), 3).expect("no file"), None);
     for records in [5, 2] {
-        snapshot(records).write(&directory.file()).expect("written");
-        assert_eq!(read(&directory.file(), 3).expect("good"), Some(snapshot(records)));
+        snapshot(records).write(&directory.file(FILE)).expect("written");
+        assert_eq!(read(&directory.file(FILE), 3).expect("good"), Some(snapshot(records)));
     }
 }
 
 #[test]
 fn rejects_any_corrupted_or_truncated_file_and_leaves_it() {
-    let directory = TestDirectory::new("damaged");
-    snapshot(2).write(&directory.file()).expect("written");
-    let good = fs::read(directory.file()).expect("bytes");
+    let directory = TestDirectory::new("snapshot-damaged");
+    snapshot(2).write(&directory.file(FILE)).expect("written");
+    let good = fs::read(directory.file(FILE)).expect("bytes");
     let changed = (0..good.len()).map(|at| {
         let mut bytes = good.clone();
         bytes[at] ^= 1;
@@ -60,37 +42,37 @@
     });
     let cut = (0..good.len()).map(|at| good[..at].to_vec());
     for bytes in changed.chain(cut) {
-        fs::write(directory.file(), &bytes).expect("written");
-        let error = read(&directory.file(), 3).expect_err("damaged");
+        fs::write(directory.file(FILE), &bytes).expect("written");
+        let error = read(&directory.file(FILE), 3).expect_err("damaged");
         assert!(matches!(error, SnapshotError::Damaged(..)), "{error}");
-        assert_eq!(fs::read(directory.file()).expect("bytes"), bytes);
+        assert_eq!(fs::read(directory.file(FILE)).expect("bytes"), bytes);
     }
 }
 
 #[test]
 fn rejects_the_file_of_another_source() {
-    let directory = TestDirectory::new("other");
-    snapshot(1).write(&directory.file()).expect("written");
-    let error = read(&directory.file(), 4).expect_err("another's").to_string();
+    let directory = TestDirectory::new("snapshot-other");
+    snapshot(1).write(&directory.file(FILE)).expect("written");
+    let error = read(&directory.file(FILE), 4).expect_err("of another source").to_string();
     assert!(error.contains("is of source 3, this is source 4"), "{error}");
 }
 
 #[test]
 fn locks_the_file_exclusively() {
-    let directory = TestDirectory::new("lock");
-    let lock_file = lock(&directory.file()).expect("free");
-    assert!(matches!(lock(&directory.file()), Err(SnapshotError::Locked(_))));
+    let directory = TestDirectory::new("snapshot-lock");
+    let lock_file = lock(&directory.file(FILE)).expect("free");
+    assert!(matches!(lock(&directory.file(FILE)), Err(SnapshotError::Locked(_))));
     drop(lock_file);
-    lock(&directory.file()).expect("free again");
+    lock(&directory.file(FILE)).expect("free again");
 }
 
 #[tokio::test]
 async fn writer_thread_writes_and_reports_the_failed_path() {
-    let directory = TestDirectory::new("thread");
-    let writer = SnapshotWriter::start(directory.file()).expect("a thread");
+    let directory = TestDirectory::new("snapshot-thread");
+    let writer = SnapshotWriter::start(directory.file(FILE)).expect("a thread");
     writer.write(snapshot(4)).await.expect("written");
-    assert_eq!(read(&directory.file(), 3).expect("good"), Some(snapshot(4)));
-    let nowhere = SnapshotWriter::start(directory.0.join("none/source.snapshot")).expect("a thread");
-    let error = nowhere.write(snapshot(4)).await.expect_err("no folder").to_string();
+    assert_eq!(read(&directory.file(FILE), 3).expect("good"), Some(snapshot(4)));
+    let failing = SnapshotWriter::start(directory.file("none/source.snapshot")).expect("a thread");
+    let error = failing.write(snapshot(4)).await.expect_err("no directory").to_string();
     assert!(error.contains("none/source.snapshot.new"), "{error}");
 }
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -1,4 +1,4 @@
-//! What a ledger keeps and counts.
+//! Records, tombstones and digests of a store.
 
 use control_plane::record::{Change, Key, Kind, Record, Scope, State, Version};
 use control_plane::store::VersionedStore;
@@ -19,15 +19,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A ledger holds the last word of each key, and its digests depend on nothing but the records.
+    /// A store has the last change of each key, and its digests depend only on the live records.
     #[test]
     fn stores_the_last_change_of_each_key_and_bounded_tombstones(changes in changes(), max_tombstones in 0..20_usize) {
         let mut store = VersionedStore::new(4, 3).with_max_tombstones(max_tombstones);
         let mut last: BTreeMap<Key, Record> = BTreeMap::new();
-        // Tombstones, the oldest first: beyond the bound these are dropped.
+        // Tombstones, the oldest first: those beyond the bound are dropped.
         let mut tombstones: Vec<Key> = Vec::new();
         for (index, change) in changes.iter().enumerate() {
-            let record = store.write(change.clone()).expect("it is within bounds");
+            let record = store.write(change.clone()).expect("within bounds");
             prop_assert_eq!(record.version, Version { epoch: 3, revision: index as u64 + 1 });
             tombstones.retain(|key| *key != change.key);
             if record.state == State::Gone {
@@ -50,7 +50,7 @@
             prop_assert_eq!(store.service(service).cloned().collect::<Vec<_>>(), of.clone());
             prop_assert_eq!(store.digest(service) == 0, of.is_empty());
         }
-        // In another order, from a file: the same digests.
+        // Restored in another order: the same digests.
         let backwards = live.iter().rev().cloned().collect();
         let restored = VersionedStore::restore(4, 9, store.head(), backwards);
         prop_assert_eq!(restored.scope_digest(&Scope::All), store.scope_digest(&Scope::All));
@@ -60,12 +60,12 @@
         prop_assert!(restored.head() > store.head() && restored.head().revision == store.head().revision);
     }
 
-    /// Any single difference shows in the digest.
+    /// Any single difference changes the digest.
     #[test]
     fn digest_shows_any_single_difference(changes in changes(), which in any::<prop::sample::Index>(), what in 0..4_u8) {
         let mut store = VersionedStore::new(0, 1);
         for change in changes {
-            store.write(change).expect("it is within bounds");
+            store.write(change).expect("within bounds");
         }
         let mut records: Vec<Record> = store.live_records().cloned().collect();
         prop_assume!(!records.is_empty());
@@ -91,10 +91,10 @@
     let key = Key { service: 1, kind: Kind::Backend, name: "b".into() };
     let change = Change { key: key.clone(), state: State::Active, body: [1].into() };
     let mut store = VersionedStore::new(0, 1);
-    let first = store.write(change.clone()).expect("it is within bounds");
+    let first = store.write(change.clone()).expect("within bounds");
     let mut store = VersionedStore::restore(0, 2, store.head(), vec![first.clone()]);
-    assert_eq!(store.get(&key), Some(&first), "a record keeps its version");
-    let second = store.write(change).expect("it is within bounds");
+    assert_eq!(store.get(&key), Some(&first), "a record has its former version");
+    let second = store.write(change).expect("within bounds");
     assert_eq!(second.version, Version { epoch: 2, revision: 2 });
     assert_eq!(store.head(), second.version);
 }
--- a/crates/control-plane/tests/strategies/mod.rs
+++ b/crates/control-plane/tests/strategies/mod.rs
@@ -1,4 +1,4 @@
-//! Any message, for tests of what travels.
+//! Strategies for arbitrary messages.
 
 use control_plane::message::{
     KeyBound, Message, PROTOCOL_VERSION, ReplicaPosition, ServiceDigest, ServiceRange,
--- a/crates/control-plane/tests/upstream_link.rs
+++ b/crates/control-plane/tests/upstream_link.rs
@@ -1,4 +1,6 @@
-//! Many subscribers on one thread over real connections, in virtual time: it runs on where nobody has anything to do.
+//! Many subscribers on one thread over real connections, in virtual time, which advances while no task can run.
+
+mod test_directory;
 
 use control_plane::Millis;
 use control_plane::codec::{FrameReader, FrameWriter};
@@ -15,27 +17,27 @@
 use std::cell::{Cell, RefCell};
 use std::future::pending;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
-use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket};
+use test_directory::TestDirectory;
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Virtual time that is far beyond what anything takes.
+/// How long anything may take, in virtual time.
 const TIMEOUT: Duration = Duration::from_secs(7_200);
 const FOLLOWERS: usize = 120;
 
-/// Addresses of this process's own, unlike those of tests over processes.
+/// An unused address, outside the range of the tests with processes.
 fn address() -> SocketAddr {
-    static TAKEN: AtomicU16 = AtomicU16::new(0);
+    static USED: AtomicU16 = AtomicU16::new(0);
     let [high, low, ..] = (std::process::id() as u16).to_be_bytes();
-    let taken = TAKEN.fetch_add(1, Ordering::Relaxed);
-    SocketAddrV4::new(Ipv4Addr::new(127, 192 + (taken % 32) as u8, high, low), 7500 + taken / 32).into()
+    let used = USED.fetch_add(1, Ordering::Relaxed);
+    SocketAddrV4::new(Ipv4Addr::new(127, 192 + (used % 32) as u8, high, low), 7500 + used / 32).into()
 }
 
-/// A party with all its connections, which ends with this.
+/// The task of a node with all its connections, which ends when this is dropped.
 struct TaskGuard(JoinHandle<()>);
 
 impl Drop for TaskGuard {
@@ -45,35 +47,18 @@
 }
 
 fn start_relay(config: RelayConfig, rate_limit: RateLimitConfig) -> TaskGuard {
-    // A set of its own, so that connections end with it.
+    // With a task set of its own the connections end with it.
     TaskGuard(spawn_local(async move {
         LocalSet::new().run_until(relay::run(&config, &rate_limit, pending())).await.expect("it runs");
     }))
 }
 
-/// A folder of a test's own, removed with it.
-struct TestDirectory(PathBuf);
-
-impl TestDirectory {
-    fn new(test: &str) -> Self {
-        let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Self(path)
-    }
-}
-
-impl Drop for TestDirectory {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
 fn start_source(directory: &TestDirectory, listen: SocketAddr) -> TaskGuard {
     let config = SourceConfig {
         id: 1,
         name: "s".into(),
         listen,
-        snapshot: directory.0.join("source.snapshot"),
+        snapshot: directory.file("source.snapshot"),
         snapshot_interval_ms: 3_600_000,
         connections: 8,
     };
@@ -83,24 +68,43 @@
     }))
 }
 
+/// A subscriber that counts what happens to it.
 struct CountingNode {
     subscriber: Subscriber,
-    /// The relay that it follows.
+    /// The connected relay.
     current_relay: Option<String>,
-    /// How often it was said to follow one, and how many welcomes it heard.
-    connections: (usize, usize),
+    /// Calls of `on_connected`.
+    connections: usize,
+    /// Received welcomes.
+    welcomes: usize,
     moves: usize,
     losses: usize,
     applied: usize,
     received_bytes: u64,
 }
 
+impl CountingNode {
+    /// A subscriber of service 1.
+    fn new(name: &str) -> Self {
+        Self {
+            subscriber: Subscriber::new(name, Scope::Services([1].into())),
+            current_relay: None,
+            connections: 0,
+            welcomes: 0,
+            moves: 0,
+            losses: 0,
+            applied: 0,
+            received_bytes: 0,
+        }
+    }
+}
+
 impl DownstreamNode for CountingNode {
     fn hello(&mut self) -> Message {
         self.subscriber.hello()
     }
     fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError> {
-        self.connections.1 += usize::from(matches!(message, Message::Welcome { .. }));
+        self.welcomes += usize::from(matches!(message, Message::Welcome { .. }));
         let outcome = self.subscriber.on_message(message, now)?;
         self.applied += outcome.applied.len();
         Ok(outcome.replies)
@@ -109,7 +113,7 @@
         self.subscriber.tick(now)
     }
     fn on_connected(&mut self, upstream: &str) {
-        self.connections.0 += 1;
+        self.connections += 1;
         if self.current_relay.replace(upstream.to_owned()).is_some() {
             self.moves += 1;
         }
@@ -123,195 +127,227 @@
     }
 }
 
-/// Takes connections and says nothing on them. Counts them.
-async fn accept_silently(address: SocketAddr) -> (TaskGuard, Rc<Cell<usize>>) {
-    let (listener, taken) = (TcpListener::bind(address).await.expect("free"), Rc::new(Cell::new(0)));
-    let count = Rc::clone(&taken);
-    let running = TaskGuard(spawn_local(async move {
-        let mut stored_records = Vec::new();
-        loop {
-            stored_records.push(listener.accept().await.expect("a call"));
-            count.set(count.get() + 1);
-        }
-    }));
-    (running, taken)
+/// A listener that accepts connections and sends nothing on them.
+struct SilentListener {
+    accepted: Rc<Cell<usize>>,
+    _task: TaskGuard,
 }
 
-async fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < end, "waited in vain for: {what}");
+impl SilentListener {
+    async fn bind(address: SocketAddr) -> Self {
+        let listener = TcpListener::bind(address).await.expect("a free address");
+        let accepted = Rc::new(Cell::new(0));
+        let count = Rc::clone(&accepted);
+        let task = TaskGuard(spawn_local(async move {
+            let mut connections = Vec::new();
+            loop {
+                connections.push(listener.accept().await.expect("a connection"));
+                count.set(count.get() + 1);
+            }
+        }));
+        Self { accepted, _task: task }
+    }
+}
+
+async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "waited in vain for: {what}");
         sleep(Duration::from_millis(100)).await;
     }
 }
 
 fn change(name: String) -> Change {
-    sized(name, 30)
+    change_of_size(name, 30)
 }
 
-fn sized(name: String, bytes: usize) -> Change {
+fn change_of_size(name: String, bytes: usize) -> Change {
     let key = Key { service: 1, kind: Kind::Route, name: name.into() };
     Change { key, state: State::Active, body: vec![1; bytes].into() }
 }
 
+/// Nodes that follow one of several relays each.
+struct Followers {
+    relays: Vec<String>,
+    nodes: Vec<Rc<RefCell<CountingNode>>>,
+    /// The name of the preferred relay of each node.
+    preferred: Vec<String>,
+}
+
+impl Followers {
+    fn start(relays: &[UpstreamAddress]) -> Self {
+        let clock = Clock::start();
+        let names: Vec<String> = relays.iter().map(|relay| relay.name.clone()).collect();
+        let start = |n: usize| {
+            let name = format!("agent-{n}");
+            let node = Rc::new(RefCell::new(CountingNode::new(&name)));
+            let (followed, relays) = (Rc::clone(&node), relays.to_vec());
+            spawn_local(async move { follow(followed, relays, &name, n as u64, clock).await });
+            node
+        };
+        let nodes = (0..FOLLOWERS).map(start).collect();
+        let preferred = |n| Failover::new(&format!("agent-{n}"), &names, 0).order()[0];
+        let preferred = (0..FOLLOWERS).map(|n| names[preferred(n)].clone()).collect();
+        Self { relays: names, nodes, preferred }
+    }
+
+    /// Whether each node is connected to its preferred relay.
+    fn all_on_preferred(&self) -> bool {
+        let mut nodes = self.nodes.iter().zip(&self.preferred);
+        nodes.all(|(node, preferred)| node.borrow().current_relay.as_ref() == Some(preferred))
+    }
+
+    /// Whether each node is connected to another relay than the first one.
+    fn none_on_first(&self) -> bool {
+        self.all(|node| node.current_relay.as_ref().is_some_and(|relay| *relay != self.relays[0]))
+    }
+
+    fn prefer_first(&self) -> usize {
+        self.preferred.iter().filter(|relay| **relay == self.relays[0]).count()
+    }
+
+    fn all(&self, condition: impl Fn(&CountingNode) -> bool) -> bool {
+        self.nodes.iter().all(|node| condition(&node.borrow()))
+    }
+
+    fn losses(&self) -> usize {
+        self.nodes.iter().map(|node| node.borrow().losses).sum()
+    }
+
+    fn moves(&self) -> usize {
+        self.nodes.iter().map(|node| node.borrow().moves).sum()
+    }
+}
+
 #[tokio::test(start_paused = true)]
 async fn followers_spread_over_relays_and_return_to_a_restored_one() {
     LocalSet::new().run_until(run_failover()).await;
 }
 
 async fn run_failover() {
-    let (directory, at) = (TestDirectory::new("spread"), address());
-    let _source = start_source(&directory, at);
+    let (directory, source) = (TestDirectory::new("spread"), address());
+    let _source = start_source(&directory, source);
     let relays: Vec<UpstreamAddress> =
         (0..3).map(|n| UpstreamAddress { name: format!("relay-{n}"), address: address() }).collect();
-    let relay = |place: usize| {
-        start_relay(
-            RelayConfig {
-                name: relays[place].name.clone(),
-                listen: relays[place].address,
-                sources: vec![SourceAddress { id: 1, address: at }],
-                connections: FOLLOWERS,
-            },
-            RateLimitConfig::default(),
-        )
+    let start = |relay: &UpstreamAddress| {
+        let sources = vec![SourceAddress { id: 1, address: source }];
+        let (name, listen) = (relay.name.clone(), relay.address);
+        let config = RelayConfig { name, listen, sources, connections: FOLLOWERS };
+        start_relay(config, RateLimitConfig::default())
     };
-    let mut running: Vec<_> = (0..3).map(|place| Some(relay(place))).collect();
-    let names: Vec<String> = relays.iter().map(|relay| relay.name.clone()).collect();
-    let clock = Clock::start();
-    let nodes: Vec<_> = (0..FOLLOWERS)
-        .map(|n| {
-            let name = format!("agent-{n}");
-            let scope = Scope::Services([1].into());
-            let subscriber = Subscriber::new(&name, scope);
-            let node = CountingNode {
-                subscriber,
-                current_relay: None,
-                connections: (0, 0),
-                moves: 0,
-                losses: 0,
-                applied: 0,
-                received_bytes: 0,
-            };
-            let node = Rc::new(RefCell::new(node));
-            let (followed, relays) = (Rc::clone(&node), relays.clone());
-            spawn_local(async move { follow(followed, relays, &name, n as u64, clock).await });
-            node
-        })
-        .collect();
-    let preferred: Vec<&String> =
-        (0..FOLLOWERS).map(|n| &names[Failover::new(&format!("agent-{n}"), &names, 0).order()[0]]).collect();
-    let all_on_preferred = || {
-        nodes
-            .iter()
-            .zip(&preferred)
-            .all(|(p, current_relay)| p.borrow().current_relay.as_ref() == Some(*current_relay))
-    };
-    wait_for("all on the relay that they prefer", all_on_preferred).await;
-    let of_first = preferred.iter().filter(|current_relay| **current_relay == &names[0]).count();
+    let mut running: Vec<_> = relays.iter().map(|relay| Some(start(relay))).collect();
+    let followers = Followers::start(&relays);
+    wait_for("all connected to the preferred relay", || followers.all_on_preferred()).await;
+    let of_first = followers.prefer_first();
     assert!(
         (FOLLOWERS / 6..FOLLOWERS / 2).contains(&of_first),
         "{of_first} of {FOLLOWERS} prefer one of three"
     );
 
-    let mut writer = Writer::connect(at).await.expect("the source");
+    let mut writer = Writer::connect(source).await.expect("the source");
     writer.write((0..10).map(|n| change(format!("r-{n}"))).collect()).await.expect("written");
-    wait_for("all records", || nodes.iter().all(|p| p.borrow().applied == 10)).await;
+    wait_for("all records", || followers.all(|node| node.applied == 10)).await;
 
-    // Those of the relay that dies move, nobody else does.
+    // Only the subscribers of the stopped relay move.
     running[0] = None;
-    let elsewhere = || {
-        nodes.iter().all(|p| {
-            p.borrow().current_relay.as_ref().is_some_and(|current_relay| *current_relay != names[0])
-        })
-    };
-    wait_for("all on the others", elsewhere).await;
-    let lost = nodes.iter().filter(|p| p.borrow().losses > 0).count();
+    wait_for("all on the others", || followers.none_on_first()).await;
+    let lost = followers.nodes.iter().filter(|node| node.borrow().losses > 0).count();
     assert_eq!(lost, of_first);
     writer.write(vec![change("r-10".into())]).await.expect("written");
-    wait_for("the next record", || nodes.iter().all(|p| p.borrow().applied == 11)).await;
+    wait_for("the next record", || followers.all(|node| node.applied == 11)).await;
 
-    // Somebody is there again who says nothing: they try it beside the connection that works, and stay.
-    let losses = || nodes.iter().map(|p| p.borrow().losses).sum::<usize>();
-    let before = losses();
-    let accept_silently = accept_silently(relays[0].address).await;
-    wait_for("calls, again after no answer came", || accept_silently.1.get() > of_first).await;
+    // A listener that sends nothing: the subscribers probe it beside their working connection, and stay.
+    let losses = followers.losses();
+    let listener = SilentListener::bind(relays[0].address).await;
+    wait_for("probes, repeated without a response", || listener.accepted.get() > of_first).await;
     sleep(Duration::from_secs(10)).await;
-    assert!(elsewhere());
-    assert_eq!(losses(), before);
-    assert_eq!(nodes.iter().map(|p| p.borrow().moves).sum::<usize>(), 0);
-    drop(accept_silently);
-
-    // It is back: they return by themselves, without a loss, and without hearing anything again.
-    running[0] = Some(relay(0));
-    wait_for("all back on the relay that they prefer", all_on_preferred).await;
+    assert!(followers.none_on_first());
+    assert_eq!(followers.losses(), losses);
+    assert_eq!(followers.moves(), 0);
+    drop(listener);
+
+    // The relay is restored: they return without losing a connection, and receive no record twice.
+    running[0] = Some(start(&relays[0]));
+    wait_for("all back at the preferred relay", || followers.all_on_preferred()).await;
     writer.write(vec![change("r-11".into())]).await.expect("written");
-    wait_for("the last record", || nodes.iter().all(|p| p.borrow().applied == 12)).await;
-    assert_eq!(losses(), before);
-    assert_eq!(nodes.iter().map(|p| p.borrow().moves).sum::<usize>(), of_first);
-    assert!(nodes.iter().all(|p| p.borrow().received_bytes > 0));
-    // Each welcome, also that of the relay it returned to, is heard by the party: it asks again what was not answered.
-    assert!(nodes.iter().all(|p| p.borrow().connections.0 == p.borrow().connections.1));
+    wait_for("the last record", || followers.all(|node| node.applied == 12)).await;
+    assert_eq!(followers.losses(), losses);
+    assert_eq!(followers.moves(), of_first);
+    assert!(followers.all(|node| node.received_bytes > 0));
+    // The node receives each welcome, also on a moved connection, and then repeats its pending requests.
+    assert!(followers.all(|node| node.connections == node.welcomes));
 }
 
-/// Whoever takes nothing for half a minute has its connection ended, and may come back and say how far it is.
+/// A subscriber that reads nothing for half a minute is disconnected, and may reconnect and resume at its position.
 #[tokio::test(start_paused = true)]
 async fn disconnects_a_stalled_subscriber_which_resumes_at_its_position() {
     LocalSet::new().run_until(run_stalled_subscriber()).await;
 }
 
+/// Records that are more than the buffers of a connection hold.
+const RECORDS: usize = 40;
+const BODY_BYTES: usize = 60_000;
+
 async fn run_stalled_subscriber() {
-    const RECORDS: usize = 40;
-    const BYTES: usize = 60_000;
-    let (directory, at, relay) = (TestDirectory::new("stands"), address(), address());
-    let _source = start_source(&directory, at);
-    let sources = vec![SourceAddress { id: 1, address: at }];
+    let (directory, source, relay) = (TestDirectory::new("stalled"), address(), address());
+    let _source = start_source(&directory, source);
+    let sources = vec![SourceAddress { id: 1, address: source }];
     let config = RelayConfig { name: "r".into(), listen: relay, sources, connections: 4 };
     let rate_limit =
         RateLimitConfig { agent_bytes_per_s: 1 << 29, agent_burst: 1 << 29, ..RateLimitConfig::default() };
     let _relay = start_relay(config, rate_limit);
     let mut writer = loop {
-        match Writer::connect(at).await {
+        match Writer::connect(source).await {
             Ok(writer) => break writer,
             Err(_) => sleep(Duration::from_millis(10)).await,
         }
     };
-    writer
-        .write_parts((0..RECORDS).map(|n| sized(format!("r-{n}"), BYTES)).collect())
-        .await
-        .expect("written");
-
-    let mut subscriber = Subscriber::new("stands", Scope::All);
-    let mut ends = 0;
-    let stored_records =
-        |subscriber: &Subscriber| subscriber.stores().map(|(_, store)| store.live_count()).sum::<usize>();
-    let end = Instant::now() + TIMEOUT;
+    let changes = (0..RECORDS).map(|n| change_of_size(format!("r-{n}"), BODY_BYTES)).collect();
+    writer.write_parts(changes).await.expect("written");
+
+    let mut subscriber = Subscriber::new("stalled", Scope::All);
+    let mut connections = 0;
+    let deadline = Instant::now() + TIMEOUT;
     while stored_records(&subscriber) < RECORDS {
-        assert!(Instant::now() < end, "{} of {RECORDS} after {ends} ends", stored_records(&subscriber));
+        let stored = stored_records(&subscriber);
+        assert!(Instant::now() < deadline, "{stored} of {RECORDS} after {connections} connections");
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(128 << 10).expect("a buffer");
         let Ok(stream) = socket.connect(relay).await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let (reader, writer) = stream.into_split();
-        let (mut reader, mut writer) = (FrameReader::new(reader), FrameWriter::new(writer));
-        writer.write(&subscriber.hello()).await.expect("said");
-        // The first time it only answers what has to be asked for, and then stands.
-        let mut has_stalled = ends > 0;
-        while let Ok(Some(message)) = timeout(TIMEOUT, reader.read()).await.expect("a word each second") {
-            // In parts of a whole service, or in batches where the relay heard of it before the records were written.
-            let some = matches!(&message, Message::ServiceSnapshot { records, .. } | Message::Batch { records, .. } if !records.is_empty());
-            for reply in subscriber.on_message(message, 0).expect("sense").replies {
-                writer.write(&reply).await.expect("said");
-            }
-            if some && !std::mem::replace(&mut has_stalled, true) {
-                sleep(Duration::from_secs(120)).await;
-            }
-            if stored_records(&subscriber) == RECORDS {
-                break;
-            }
+        // On the first connection it stalls after the first records.
+        receive_records(&mut subscriber, stream, connections == 0).await;
+        connections += 1;
+    }
+    assert_eq!(connections, 2, "disconnected once, and complete after that");
+}
+
+fn stored_records(subscriber: &Subscriber) -> usize {
+    subscriber.stores().map(|(_, store)| store.live_count()).sum()
+}
+
+/// Follows a relay until the connection ends or all records are stored. If it `stalls`, it stops reading for a while after the
+/// first records.
+async fn receive_records(subscriber: &mut Subscriber, stream: TcpStream, mut stalls: bool) {
+    let (reader, writer) = stream.into_split();
+    let (mut reader, mut writer) = (FrameReader::new(reader), FrameWriter::new(writer));
+    writer.write(&subscriber.hello()).await.expect("sent");
+    while let Ok(Some(message)) = timeout(TIMEOUT, reader.read()).await.expect("a message in time") {
+        // The records arrive in a snapshot, or in batches if the relay connected before they were written.
+        let has_records = match &message {
+            Message::ServiceSnapshot { records, .. } | Message::Batch { records, .. } => !records.is_empty(),
+            _ => false,
+        };
+        for reply in subscriber.on_message(message, 0).expect("accepted").replies {
+            writer.write(&reply).await.expect("sent");
+        }
+        if has_records && std::mem::take(&mut stalls) {
+            sleep(Duration::from_secs(120)).await;
+        }
+        if stored_records(subscriber) == RECORDS {
+            return;
         }
-        ends += 1;
     }
-    assert_eq!(ends, 2, "it was let go once, and had all after that");
 }
