--- a/crates/control-plane/src/codec.rs
+++ b/crates/control-plane/src/codec.rs
@@ -17,6 +17,17 @@
 /// version, so that a mismatch is reported as such.
 const VERSIONED_VARIANTS: [u32; 2] = [0, 1];
 
+/// Why bytes could not be encoded or decoded.
+#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+pub enum EncodingError {
+    /// The bytes are not of this type.
+    #[error("{0}")]
+    Postcard(#[from] postcard::Error),
+    /// There are bytes after the value.
+    #[error("{0} bytes are left over")]
+    TrailingBytes(usize),
+}
+
 /// Why a message could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
@@ -43,7 +54,7 @@
         /// The length.
         bytes: usize,
         /// The decoding error.
-        problem: String,
+        problem: EncodingError,
     },
     /// A [`Message::Hello`] or [`Message::Welcome`] of another protocol version.
     #[error(
@@ -64,8 +75,7 @@
 /// # Errors
 /// [`CodecError::TooLong`].
 pub fn encode(message: &Message) -> Result<Vec<u8>, CodecError> {
-    let malformed =
-        |problem: postcard::Error| CodecError::Malformed { bytes: 0, problem: problem.to_string() };
+    let malformed = |error: postcard::Error| CodecError::Malformed { bytes: 0, problem: error.into() };
     let mut frame = postcard::to_extend(message, vec![0; LENGTH_PREFIX_BYTES]).map_err(malformed)?;
     let bytes = frame.len() - LENGTH_PREFIX_BYTES;
     match u32::try_from(bytes) {
@@ -91,8 +101,8 @@
     }
     let problem = match postcard::take_from_bytes(bytes) {
         Ok((message, [])) => return Ok(message),
-        Ok((_, rest)) => format!("{} bytes are left over", rest.len()),
-        Err(error) => error.to_string(),
+        Ok((_, rest)) => EncodingError::TrailingBytes(rest.len()),
+        Err(error) => error.into(),
     };
     Err(CodecError::Malformed { bytes: bytes.len(), problem })
 }
@@ -162,7 +172,7 @@
         let message = decode(&self.buffer[LENGTH_PREFIX_BYTES..frame_bytes]);
         self.buffer.advance(frame_bytes);
         if self.buffer.is_empty() && frame_bytes > IDLE_BUFFER_BYTES {
-            // The memory of one long message is released again.
+            // Releases the memory of a long message.
             self.buffer = BytesMut::new();
         }
         message
@@ -206,7 +216,7 @@
 }
 
 /// Why a body is not a valid [`Backend`].
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+#[derive(Debug, thiserror::Error, PartialEq)]
 pub enum BodyError {
     /// Bytes that are not an encoded backend.
     #[error("a body of {bytes} bytes is no backend ({problem})")]
@@ -214,11 +224,11 @@
         /// The length.
         bytes: usize,
         /// The decoding error.
-        problem: String,
+        problem: EncodingError,
     },
     /// A size that is not finite and above 0.
     #[error("`size` is {0}, must be finite and above 0")]
-    Size(String),
+    InvalidSize(f64),
 }
 
 /// Encodes the body of a backend's record.
@@ -233,14 +243,15 @@
 /// # Errors
 /// See [`BodyError`].
 pub fn decode_backend_body(body: &[u8]) -> Result<Backend, BodyError> {
-    let malformed = |problem: String| BodyError::Malformed { bytes: body.len(), problem };
-    let (backend, rest) = postcard::take_from_bytes::<Backend>(body).map_err(|e| malformed(e.to_string()))?;
+    let malformed = |problem| BodyError::Malformed { bytes: body.len(), problem };
+    let (backend, rest) =
+        postcard::take_from_bytes::<Backend>(body).map_err(|error| malformed(error.into()))?;
     if !rest.is_empty() {
-        return Err(malformed(format!("{} bytes are left over", rest.len())));
+        return Err(malformed(EncodingError::TrailingBytes(rest.len())));
     }
     if backend.size.is_finite() && backend.size > 0.0 {
         Ok(backend)
     } else {
-        Err(BodyError::Size(backend.size.to_string()))
+        Err(BodyError::InvalidSize(backend.size))
     }
 }
--- a/crates/control-plane/src/config/validation.rs
+++ b/crates/control-plane/src/config/validation.rs
@@ -1,9 +1,10 @@
 //! Bounds of the configuration's values.
 
-use super::{AgentConfig, Config, RateLimitConfig, RelayConfig, SourceConfig};
+use super::settings::{AgentConfig, Config, RateLimitConfig, RelayConfig, SourceConfig};
 use crate::session::{MAX_SCOPE, MAX_SOURCES};
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
+use std::path::PathBuf;
 
 /// The longest name, bytes.
 const MAX_NAME_BYTES: usize = 128;
@@ -18,16 +19,58 @@
 /// Accepted bursts, bytes. Batches and parts of snapshots have 64 KB at the most; a smaller burst is overdrawn each time.
 const BURST: RangeInclusive<u64> = 1_000..=1_000_000_000;
 
+/// A value that is not accepted.
+#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+pub enum InvalidValue {
+    /// A number out of its range.
+    #[error("is {value}, must lie in {min}..={max}")]
+    OutOfRange {
+        /// The value.
+        value: u64,
+        /// The least accepted value.
+        min: u64,
+        /// The greatest accepted value.
+        max: u64,
+    },
+    /// An empty name.
+    #[error("is empty; give it a name of its own")]
+    EmptyName,
+    /// A name beyond its bound.
+    #[error("has {bytes} bytes, {MAX_NAME_BYTES} at most")]
+    NameTooLong {
+        /// The length.
+        bytes: usize,
+    },
+    /// An empty list.
+    #[error("is empty; name one at the least")]
+    EmptyList,
+    /// A list beyond its bound.
+    #[error("names {count}, {max} at most")]
+    TooManyEntries {
+        /// The number of entries.
+        count: usize,
+        /// The greatest accepted number.
+        max: usize,
+    },
+    /// A value that has to be unique within its list.
+    #[error("`{0}` stands there twice; each its own")]
+    Duplicate(String),
+    /// A path without a file name.
+    #[error("`{path}` names no file", path = .0.display())]
+    NoFileName(PathBuf),
+}
+
 /// A key with a value that is not accepted.
+#[derive(Debug)]
 pub(super) struct KeyProblem {
     /// The path of the key.
     pub key: String,
-    /// The problem, and what would be accepted.
-    pub problem: String,
+    /// The problem.
+    pub problem: InvalidValue,
 }
 
 impl KeyProblem {
-    fn new(key: &str, problem: String) -> Self {
+    fn new(key: &str, problem: InvalidValue) -> Self {
         Self { key: key.to_owned(), problem }
     }
 }
@@ -55,7 +98,7 @@
     check_range("source.snapshot_every_ms", source.snapshot_interval_ms, &SNAPSHOT_INTERVAL_MS)?;
     check_range("source.connections", source.connections as u64, &CONNECTIONS)?;
     if source.snapshot.file_name().is_none() {
-        let problem = format!("`{}` names no file", source.snapshot.display());
+        let problem = InvalidValue::NoFileName(source.snapshot.clone());
         return Err(KeyProblem::new("source.snapshot", problem));
     }
     Ok(())
@@ -85,22 +128,22 @@
     if accepted.contains(&value) {
         return Ok(());
     }
-    let (min, max) = (accepted.start(), accepted.end());
-    Err(KeyProblem::new(key, format!("is {value}, must lie in {min}..={max}")))
+    let (min, max) = (*accepted.start(), *accepted.end());
+    Err(KeyProblem::new(key, InvalidValue::OutOfRange { value, min, max }))
 }
 
 fn check_name(key: &str, name: &str) -> Result<(), KeyProblem> {
     match name.len() {
         1..=MAX_NAME_BYTES => Ok(()),
-        0 => Err(KeyProblem::new(key, "is empty; give it a name of its own".into())),
-        bytes => Err(KeyProblem::new(key, format!("has {bytes} bytes, {MAX_NAME_BYTES} at most"))),
+        0 => Err(KeyProblem::new(key, InvalidValue::EmptyName)),
+        bytes => Err(KeyProblem::new(key, InvalidValue::NameTooLong { bytes })),
     }
 }
 
 fn check_count(key: &str, count: usize, max: usize) -> Result<(), KeyProblem> {
     match count {
-        0 => Err(KeyProblem::new(key, "is empty; name one at the least".into())),
-        _ if count > max => Err(KeyProblem::new(key, format!("names {count}, {max} at most"))),
+        0 => Err(KeyProblem::new(key, InvalidValue::EmptyList)),
+        _ if count > max => Err(KeyProblem::new(key, InvalidValue::TooManyEntries { count, max })),
         _ => Ok(()),
     }
 }
@@ -109,7 +152,7 @@
     let mut seen = BTreeSet::new();
     for (index, value) in values.enumerate() {
         if seen.contains(&value) {
-            let problem = format!("`{value}` stands there twice; each its own");
+            let problem = InvalidValue::Duplicate(value);
             return Err(KeyProblem::new(&format!("{key}[{index}].{field}"), problem));
         }
         seen.insert(value);
--- a/crates/control-plane/src/failover.rs
+++ b/crates/control-plane/src/failover.rs
@@ -29,7 +29,7 @@
 /// After a connection of at least this duration the order starts again with the preferred relay, milliseconds.
 const STABLE_CONNECTION: Millis = 10_000;
 /// Delay until a subscriber of another relay probes the preferred one, milliseconds: long enough not to overrun a relay
-/// that has come back, short enough to balance load again within minutes.
+/// that has come back, short enough to restore the balance within minutes.
 const PROBE_DELAY: RangeInclusive<Millis> = 30_000..=90_000;
 /// The probe delay doubles with each failed probe, this many times at the most.
 const MAX_PROBE_DOUBLINGS: u32 = 4;
--- a/crates/control-plane/src/replica/mod.rs
+++ b/crates/control-plane/src/replica/mod.rs
@@ -211,7 +211,7 @@
         let is_beyond = record.version > cursor[record.urgency() as usize].max(compared);
         match self.store.get(&record.key) {
             Some(stored) if record.version > stored.version => true,
-            // A repair wrote a tombstone later than the change that it stands for. A log needs the change at its own
+            // A repair wrote a tombstone later than the change that it represents. A log needs the change at its own
             // position: a subscriber that is sent everything up to there would miss it.
             Some(stored) => {
                 self.is_publishing && is_beyond && [stored.state, record.state] == [State::Gone; 2]
--- a/crates/control-plane/src/runtime/discovery.rs
+++ b/crates/control-plane/src/runtime/discovery.rs
@@ -128,7 +128,7 @@
     }
 }
 
-/// Serves for as long as the process runs, `max_connections` at a time; a further connection is closed at once.
+/// Serves for as long as the process runs, `max_connections` at a time; connections beyond that are closed at once.
 pub async fn serve(listener: TcpListener, state: DiscoveryState, max_connections: usize) -> Infallible {
     let open_connections = Rc::new(Cell::new(0));
     loop {
--- a/crates/control-plane/src/runtime/server.rs
+++ b/crates/control-plane/src/runtime/server.rs
@@ -38,7 +38,7 @@
 /// File descriptors that are not connections from downstream: files, links to sources, the async runtime.
 const RESERVED_DESCRIPTORS: usize = 64;
 
-/// Notifies all connections of changes, once for all changes within [`COALESCE_DELAY`].
+/// Notifies all connections of changes, once for all changes within 10 ms.
 #[derive(Clone, Debug)]
 pub struct ChangeNotifier {
     pending: Rc<Notify>,
@@ -251,7 +251,7 @@
     }
 
     /// Handles a message and sends the responses before the next one is read, so that a peer that does not read its
-    /// responses can't add further requests.
+    /// responses can't send more requests.
     async fn on_message(&mut self, message: Option<Message>) -> Result<(), DisconnectReason> {
         let message = match message.ok_or(DisconnectReason::Closed)? {
             Message::Close { reason } => return Err(DisconnectReason::CloseNotice(loggable(&reason))),
--- a/crates/control-plane/src/runtime/snapshot.rs
+++ b/crates/control-plane/src/runtime/snapshot.rs
@@ -15,6 +15,23 @@
 /// Size of the hash at the end, over everything before it, bytes.
 const HASH_BYTES: usize = 8;
 
+/// Why the content of a file is not a snapshot.
+#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+pub enum DamageCause {
+    /// The file is shorter than a hash.
+    #[error("too short")]
+    TooShort,
+    /// The file does not begin with the magic bytes.
+    #[error("it does not begin as a snapshot does")]
+    WrongMagic,
+    /// The hash does not match the content.
+    #[error("its hash does not agree")]
+    HashMismatch,
+    /// The content can't be encoded or decoded.
+    #[error("{0}")]
+    Encoding(#[from] postcard::Error),
+}
+
 /// Why records could not be read or persisted.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
@@ -25,7 +42,7 @@
     #[error(
         "{0} is damaged ({1}) and was left as it is; put a good copy in its place, or move it away to begin with no records"
     )]
-    Damaged(PathBuf, String),
+    Damaged(PathBuf, DamageCause),
     /// The file belongs to another source.
     #[error("{path} is of source {theirs}, this is source {ours}; each source has a file of its own")]
     OtherSource {
@@ -89,13 +106,14 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(SnapshotError::Io(path.into(), error)),
     };
-    let damaged = |problem: &str| SnapshotError::Damaged(path.into(), problem.to_owned());
-    let (content, hash) = bytes.split_last_chunk::<HASH_BYTES>().ok_or_else(|| damaged("too short"))?;
-    let body = content.strip_prefix(MAGIC).ok_or_else(|| damaged("it does not begin as a snapshot does"))?;
+    let damaged = |cause: DamageCause| SnapshotError::Damaged(path.into(), cause);
+    let (content, hash) =
+        bytes.split_last_chunk::<HASH_BYTES>().ok_or_else(|| damaged(DamageCause::TooShort))?;
+    let body = content.strip_prefix(MAGIC).ok_or_else(|| damaged(DamageCause::WrongMagic))?;
     if u64::from_be_bytes(*hash) != XxHash3_64::oneshot(content) {
-        return Err(damaged("its hash does not agree"));
+        return Err(damaged(DamageCause::HashMismatch));
     }
-    let snapshot: Snapshot = postcard::from_bytes(body).map_err(|error| damaged(&error.to_string()))?;
+    let snapshot: Snapshot = postcard::from_bytes(body).map_err(|error| damaged(error.into()))?;
     if snapshot.source != ours {
         return Err(SnapshotError::OtherSource { path: path.into(), theirs: snapshot.source, ours });
     }
@@ -125,7 +143,7 @@
 
     /// The bytes of the file; `path` is for errors.
     fn encode(&self, path: &Path) -> Result<Vec<u8>, SnapshotError> {
-        let damaged = |error: postcard::Error| SnapshotError::Damaged(path.into(), error.to_string());
+        let damaged = |error: postcard::Error| SnapshotError::Damaged(path.into(), error.into());
         let mut bytes = postcard::to_extend(self, MAGIC.to_vec()).map_err(damaged)?;
         let hash = XxHash3_64::oneshot(&bytes);
         bytes.extend_from_slice(&hash.to_be_bytes());
--- a/crates/control-plane/src/runtime/writer.rs
+++ b/crates/control-plane/src/runtime/writer.rs
@@ -11,7 +11,7 @@
 
 /// Time for a source to accept a connection, and to respond to a write.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest part of many changes, bytes of names and bodies: it fits into a message with room to spare.
+/// The longest part of many changes, bytes of names and bodies: it always fits into a message.
 const MAX_PART_BYTES: usize = MAX_MESSAGE_BYTES / 4;
 /// Size of a change beside its name and body, bytes at the most.
 const MAX_CHANGE_OVERHEAD_BYTES: usize = 32;
@@ -70,7 +70,7 @@
     /// Applies these changes, all or none. Returns the version of the last one. Writes are idempotent.
     ///
     /// # Errors
-    /// The changes were not applied, or the result is unknown; the connection can be used further only after
+    /// The changes were not applied, or the result is unknown; the connection can only be reused after
     /// [`WriterError::Rejected`].
     pub async fn write(&mut self, changes: Vec<Change>) -> Result<Version, WriterError> {
         self.last_id += 1;
--- a/crates/control-plane/src/session.rs
+++ b/crates/control-plane/src/session.rs
@@ -36,7 +36,7 @@
         /// The greatest accepted count.
         max: usize,
     },
-    /// No further subscriber is accepted.
+    /// The bound of subscribers is reached.
     #[error("{0} subscribers are connected, no more are taken; try another relay")]
     TooManySubscribers(usize),
 }
--- a/crates/control-plane/src/subscription_cursor/mod.rs
+++ b/crates/control-plane/src/subscription_cursor/mod.rs
@@ -360,7 +360,7 @@
         let part_size = part_size(bucket);
         let mut records: Vec<Record> = Vec::new();
         let (mut size, mut through) = (0, None);
-        // Tombstones newer than `as_of` are included: without one, a removed record would be kept downstream.
+        // Tombstones newer than `as_of` are included: without one, a removed record would stay downstream.
         let stored = store.range(service, self.snapshot_position.as_ref(), None);
         for record in stored.filter(|record| record.state != State::Gone || record.version > as_of) {
             if size + record.encoded_size_bound() > part_size
--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -198,7 +198,7 @@
     bytes.extend_from_slice(b"ab");
     let error = decode(&bytes).expect_err("too much");
     assert!(
-        matches!(&error, CodecError::Malformed { bytes: 3, problem } if problem == "2 bytes are left over"),
+        matches!(&error, CodecError::Malformed { bytes: 3, problem } if problem.to_string() == "2 bytes are left over"),
         "{error}"
     );
 }
@@ -225,7 +225,7 @@
             up_since_ms: 0,
         };
         assert!(
-            matches!(decode_backend_body(&encode_backend_body(&backend)), Err(BodyError::Size(_))),
+            matches!(decode_backend_body(&encode_backend_body(&backend)), Err(BodyError::InvalidSize(_))),
             "{size}"
         );
     }
--- a/crates/control-plane/tests/simulation/convergence.rs
+++ b/crates/control-plane/tests/simulation/convergence.rs
@@ -1,7 +1,9 @@
 //! After arbitrary events and faults, all subscribers converge to the records of the sources in their scope.
 
+use crate::events::Event;
 use crate::link::Unreliability;
-use crate::simulation::{Event, Settings, Simulation};
+use crate::nodes::Settings;
+use crate::simulation::Simulation;
 use control_plane::rate_limit::RateLimit;
 use control_plane::record::{Kind, Scope, State};
 use proptest::prelude::*;
--- a/crates/control-plane/tests/simulation/faults.rs
+++ b/crates/control-plane/tests/simulation/faults.rs
@@ -2,7 +2,8 @@
 
 use crate::applied_records::epoch;
 use crate::link::Unreliability;
-use crate::simulation::{Settings, Simulation, services};
+use crate::nodes::Settings;
+use crate::simulation::{Simulation, services};
 use control_plane::message::Message;
 use control_plane::rate_limit::RateLimit;
 use control_plane::record::{Kind, Scope, State};
--- a/crates/control-plane/tests/simulation/main.rs
+++ b/crates/control-plane/tests/simulation/main.rs
@@ -3,7 +3,9 @@
 
 mod applied_records;
 mod convergence;
+mod events;
 mod faults;
 mod link;
+mod nodes;
 mod simulation;
 mod verification;
--- a/crates/control-plane/tests/simulation/simulation.rs
+++ b/crates/control-plane/tests/simulation/simulation.rs
@@ -1,14 +1,13 @@
 //! The simulated nodes and the connections between them.
 
 use crate::applied_records::{self, AppliedRecordChecker};
+use crate::events::Event;
 use crate::link::{Link, Random, Unreliability};
+use crate::nodes::{HistoryEntry, RelayNode, Settings, SourceNode, SubscriberNode};
 use control_plane::Millis;
 use control_plane::message::Message;
 use control_plane::publisher::PublisherAction;
-use control_plane::rate_limit::RateLimit;
 use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, SourceId, State, Version};
-use control_plane::relay::Relay;
-use control_plane::source::Source;
 use control_plane::store::VersionedStore;
 use control_plane::subscriber::Subscriber;
 use control_plane::upstream::Upstream;
@@ -27,67 +26,6 @@
 /// Changes a message from a relay to a subscriber; `false`: it is dropped.
 pub type Interceptor = Box<dyn FnMut(&mut Message) -> bool>;
 
-/// An event of a simulation. Numbers of nodes are taken modulo the number of such nodes; durations are in ticks.
-#[derive(Clone, Debug)]
-pub enum Event {
-    /// A source applies a change.
-    Write { service: ServiceId, kind: Kind, name: u8, state: State, size: u16 },
-    /// Time passes.
-    Wait(u8),
-    /// All connections of a subscriber are interrupted.
-    CutSubscriber(usize, u8),
-    /// The connection between a relay and a source is interrupted.
-    CutRelay(usize, usize, u8),
-    /// A subscriber connects to another relay.
-    ChangeRelay(usize, usize),
-    /// A relay restarts without records.
-    RestartRelay(usize),
-    /// A relay is suspended.
-    Suspend(usize, u8),
-    /// A source restarts without its last changes.
-    RestartSource(usize, u8),
-}
-
-impl Event {
-    /// The same event, tick by tick.
-    pub fn by_ticks(&self) -> Vec<Self> {
-        match self {
-            Self::Wait(count) => vec![Self::Wait(1); usize::from(*count)],
-            other => vec![other.clone()],
-        }
-    }
-}
-
-/// The records of a source after one of its changes, tombstones included.
-#[derive(Clone)]
-pub struct HistoryEntry {
-    pub head: Version,
-    pub records: BTreeMap<Key, Record>,
-}
-
-pub struct SourceNode {
-    pub source: Source,
-    /// The state after each change, from which a restart may continue.
-    pub history: Vec<HistoryEntry>,
-}
-
-pub struct RelayNode {
-    pub relay: Relay,
-    /// The connection to each source.
-    uplinks: Vec<Option<Link>>,
-    cut_until: Vec<Millis>,
-    suspended_until: Millis,
-}
-
-pub struct SubscriberNode {
-    pub subscriber: Subscriber,
-    pub scope: Scope,
-    pub checker: AppliedRecordChecker,
-    uplink: Option<Link>,
-    relay: usize,
-    cut_until: Millis,
-}
-
 pub struct Simulation {
     pub now: Millis,
     pub sources: Vec<SourceNode>,
@@ -100,29 +38,6 @@
     settings: Settings,
 }
 
-/// Settings of all nodes.
-#[derive(Clone, Copy, Debug)]
-pub struct Settings {
-    /// The limit of a relay to a subscriber.
-    pub rate_limit: RateLimit,
-    /// Tombstones that a source or relay retains at the most.
-    pub max_tombstones: usize,
-}
-
-impl Settings {
-    fn source(&self, store: VersionedStore) -> Source {
-        /// The limit of a source to a relay: enough for all changes of a test.
-        const RELAY_LIMIT: RateLimit = RateLimit { bytes_per_s: 1_000_000, burst: 1_000_000 };
-        let name = format!("source-{}", store.source());
-        Source::new(&name, store.with_max_tombstones(self.max_tombstones), RELAY_LIMIT)
-    }
-
-    fn relay(&self, index: usize, sources: usize) -> Relay {
-        let ids: Vec<SourceId> = (0..sources as SourceId).collect();
-        Relay::new(&format!("relay-{index}"), &ids, self.rate_limit).with_max_tombstones(self.max_tombstones)
-    }
-}
-
 /// The body of a record: different for different sizes.
 fn body(state: State, size: u16) -> Arc<[u8]> {
     let size = if state == State::Gone { 0 } else { size };
--- a/crates/control-plane/tests/simulation/verification.rs
+++ b/crates/control-plane/tests/simulation/verification.rs
@@ -1,6 +1,7 @@
 //! Comparison of all nodes with the records of the sources.
 
-use crate::simulation::{Simulation, SourceNode};
+use crate::nodes::SourceNode;
+use crate::simulation::Simulation;
 use control_plane::message::{Message, ReplicaPosition};
 use control_plane::record::{Key, Record, Scope, SourceId, State};
 use control_plane::store::VersionedStore;
