--- a/crates/control-plane/src/relay.rs
+++ b/crates/control-plane/src/relay.rs
@@ -13,6 +13,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// A request to a source that is due to be sent again.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SourceRequest {
+    /// The source.
+    pub source: SourceId,
+    /// The request.
+    pub message: Message,
+}
+
 /// A relay.
 #[derive(Debug)]
 pub struct Relay {
@@ -78,10 +87,12 @@
         }
     }
 
-    /// Returns the requests to send again, because no response arrived in time, with the source of each.
-    pub fn tick(&mut self, now: Millis) -> Vec<(SourceId, Message)> {
-        let requests = self.replicas.iter_mut().map(|(source, replica)| (*source, replica.tick(now)));
-        requests.filter_map(|(source, request)| Some((source, request?))).collect()
+    /// Returns the requests to send again, because no response arrived in time.
+    pub fn tick(&mut self, now: Millis) -> Vec<SourceRequest> {
+        let request = |(source, replica): (&SourceId, &mut Replica)| {
+            Some(SourceRequest { source: *source, message: replica.tick(now)? })
+        };
+        self.replicas.iter_mut().filter_map(request).collect()
     }
 
     /// The records of a source.
--- a/crates/control-plane/src/runtime/relay.rs
+++ b/crates/control-plane/src/runtime/relay.rs
@@ -52,9 +52,9 @@
 
     fn tick(&mut self, now: Millis) -> Vec<Message> {
         let mut send_queues = self.send_queues.borrow_mut();
-        for (source, message) in self.relay.borrow_mut().tick(now) {
-            if let Some(queue) = send_queues.get_mut(&source) {
-                queue.push(message);
+        for request in self.relay.borrow_mut().tick(now) {
+            if let Some(queue) = send_queues.get_mut(&request.source) {
+                queue.push(request.message);
             }
         }
         send_queues.get_mut(&self.source).map(std::mem::take).unwrap_or_default()
--- a/crates/control-plane/src/runtime/upstream_link.rs
+++ b/crates/control-plane/src/runtime/upstream_link.rs
@@ -116,6 +116,13 @@
     result: Pin<Box<dyn Future<Output = Result<WelcomedConnection, LinkError>>>>,
 }
 
+/// A connection that was lost or not established.
+struct LostConnection {
+    /// The index of the relay.
+    relay: usize,
+    cause: LinkError,
+}
+
 /// Why [`Follower::run_connection`] returned.
 enum ConnectionEnd {
     /// The connection failed.
@@ -257,18 +264,18 @@
         Ok(())
     }
 
-    /// Connects to a relay and runs the connection, and those that replace it. Returns the relay that was lost, and why.
-    async fn connect(&mut self, mut relay: usize) -> (usize, LinkError) {
+    /// Connects to a relay and runs the connection, and those that replace it. Returns how the last one was lost.
+    async fn connect(&mut self, mut relay: usize) -> LostConnection {
         let mut connection = match Connection::open(self.relays[relay].address).await {
             Ok(connection) => connection,
-            Err(error) => return (relay, error),
+            Err(cause) => return LostConnection { relay, cause },
         };
         let hello = self.node.borrow_mut().hello();
-        if let Err(error) = connection.send(&[hello]).await {
-            return (relay, error);
+        if let Err(cause) = connection.send(&[hello]).await {
+            return LostConnection { relay, cause };
         }
         let mut is_welcomed = false;
-        let error = loop {
+        let cause = loop {
             let Err(end) = self.run_connection(&mut connection, relay, is_welcomed).await;
             self.report_transferred(&mut connection);
             match end {
@@ -284,8 +291,8 @@
                 }
             }
         };
-        connection.close(&error).await;
-        (relay, error)
+        connection.close(&cause).await;
+        LostConnection { relay, cause }
     }
 
     /// Reports the bytes transferred since the last report.
@@ -323,9 +330,9 @@
         match follower.failover.next_action(clock.now()) {
             Action::WaitUntil(until) => sleep_until(clock.instant(until)).await,
             Action::Connect(relay) => {
-                let (relay, error) = follower.connect(relay).await;
+                let LostConnection { relay, cause } = follower.connect(relay).await;
                 follower.failover.on_lost(clock.now());
-                follower.node.borrow_mut().on_lost(&follower.relays[relay].name, &error);
+                follower.node.borrow_mut().on_lost(&follower.relays[relay].name, &cause);
             }
         }
     }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -17,8 +17,18 @@
 /// Tombstones retained at the most, the oldest are dropped first: about 8 MB, 15 minutes at 70 removals per second.
 pub const MAX_TOMBSTONES: usize = 65_536;
 
-/// An entry of a change log: a record's version, and its key.
-type LogEntry = (Version, Key);
+/// An entry of a change log, ordered by version, then by key.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct LogEntry {
+    version: Version,
+    key: Key,
+}
+
+impl LogEntry {
+    fn of(record: &Record) -> Self {
+        Self { version: record.version, key: record.key.clone() }
+    }
+}
 
 /// The records of one source.
 #[derive(Debug)]
@@ -270,19 +280,19 @@
         after: Version,
         through: Version,
     ) -> impl Iterator<Item = (Version, &Key)> {
-        let first = Version { revision: after.revision.saturating_add(1), ..after };
-        let log = &self.logs[urgency as usize];
+        let version = Version { revision: after.revision.saturating_add(1), ..after };
+        let first = LogEntry { version, key: self.first_key.clone() };
         // A range whose end lies before its beginning would panic, so the end is checked entry by entry.
         let entries =
-            log.range((first, self.first_key.clone())..).take_while(move |(version, _)| *version <= through);
-        entries.map(|(version, key)| (*version, key))
+            self.logs[urgency as usize].range(first..).take_while(move |entry| entry.version <= through);
+        entries.map(|entry| (entry.version, &entry.key))
     }
 
     /// Replaces the record of a key, whatever its version. Returns the former record.
     pub(crate) fn insert(&mut self, record: Record) -> Option<Record> {
         let previous = self.remove(&record.key);
         self.head = self.head.max(record.version);
-        let entry = (record.version, record.key.clone());
+        let entry = LogEntry::of(&record);
         if self.has_logs {
             self.logs[record.urgency() as usize].insert(entry.clone());
         }
@@ -302,7 +312,7 @@
     /// Removes the record of a key without a tombstone.
     fn remove(&mut self, key: &Key) -> Option<Record> {
         let record = self.services.get_mut(&key.service)?.remove(key, &self.empty_body)?;
-        let entry = (record.version, record.key.clone());
+        let entry = LogEntry::of(&record);
         self.logs[record.urgency() as usize].remove(&entry);
         if record.state == State::Gone {
             self.tombstones.remove(&entry);
@@ -326,7 +336,7 @@
     pub(crate) fn prune_tombstones(&mut self) {
         let complete = self.complete_through();
         while self.tombstones.len() > self.max_tombstones {
-            let Some((version, key)) = self.tombstones.first().cloned() else { break };
+            let Some(LogEntry { version, key }) = self.tombstones.first().cloned() else { break };
             if version > complete {
                 break;
             }
@@ -337,8 +347,8 @@
 
     /// Drops all tombstones up to a version; subscribers before it have to be repaired by digests.
     pub(crate) fn drop_tombstones(&mut self, through: Version) {
-        while let Some((version, key)) =
-            self.tombstones.first().cloned().filter(|(version, _)| *version <= through)
+        while let Some(LogEntry { version, key }) =
+            self.tombstones.first().cloned().filter(|entry| entry.version <= through)
         {
             self.remove(&key);
             self.tombstone_floor = self.tombstone_floor.max(version);
--- a/crates/control-plane/tests/replica/main.rs
+++ b/crates/control-plane/tests/replica/main.rs
@@ -82,10 +82,10 @@
     let mut subscriber = Subscriber::new("agent", Scope::All);
     deliver(&mut subscriber, summary(to, records));
     for service in 0..9 {
-        let of: Vec<Record> =
+        let of_service: Vec<Record> =
             records.iter().filter(|record| record.key.service == service).cloned().collect();
-        if !of.is_empty() {
-            deliver(&mut subscriber, snapshot(to, service, of));
+        if !of_service.is_empty() {
+            deliver(&mut subscriber, snapshot(to, service, of_service));
         }
     }
     assert_eq!(position(&subscriber), Some(ReplicaPosition { source: 0, epoch: 1, cursor: cursor([to; 3]) }));
--- a/crates/control-plane/tests/replica/relay.rs
+++ b/crates/control-plane/tests/replica/relay.rs
@@ -7,10 +7,10 @@
     let mut relay = Relay::new("relay", &[0], RateLimit::unbounded());
     relay.on_source_message(0, summary(to, records), 0).expect("accepted");
     for service in 0..9 {
-        let of: Vec<Record> =
+        let of_service: Vec<Record> =
             records.iter().filter(|record| record.key.service == service).cloned().collect();
-        if !of.is_empty() {
-            relay.on_source_message(0, snapshot(to, service, of), 0).expect("accepted");
+        if !of_service.is_empty() {
+            relay.on_source_message(0, snapshot(to, service, of_service), 0).expect("accepted");
         }
     }
     relay
@@ -195,8 +195,9 @@
         let load = |relay: &mut Relay, to: u64, records: &[Record]| {
             relay.on_source_message(0, summary(to, records), 0).expect("accepted");
             for service in [1, 2] {
-                let of = records.iter().filter(|record| record.key.service == service).cloned().collect();
-                relay.on_source_message(0, snapshot(to, service, of), 0).expect("accepted");
+                let of_service =
+                    records.iter().filter(|record| record.key.service == service).cloned().collect();
+                relay.on_source_message(0, snapshot(to, service, of_service), 0).expect("accepted");
             }
         };
         load(&mut relay, to, &sorted);
--- a/crates/control-plane/tests/simulation/simulation.rs
+++ b/crates/control-plane/tests/simulation/simulation.rs
@@ -195,9 +195,9 @@
         }
         let requests = node.relay.tick(self.now);
         for source in 0..self.sources.len() {
-            let is_of_source = |(id, _): &&(SourceId, Message)| usize::from(*id) == source;
-            let requests = requests.iter().filter(is_of_source).map(|(_, request)| request.clone());
-            self.tick_uplink(relay, source, requests.collect());
+            let requests = requests.iter().filter(|request| usize::from(request.source) == source);
+            let messages = requests.map(|request| request.message.clone()).collect();
+            self.tick_uplink(relay, source, messages);
         }
     }
 
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -46,9 +46,9 @@
             prop_assert!(is_retained || store.tombstone_floor() >= record.version);
         }
         for service in 0..6 {
-            let of = live.iter().filter(|record| record.key.service == service).cloned().collect::<Vec<_>>();
-            prop_assert_eq!(store.service(service).cloned().collect::<Vec<_>>(), of.clone());
-            prop_assert_eq!(store.digest(service) == 0, of.is_empty());
+            let of_service = live.iter().filter(|record| record.key.service == service).cloned().collect::<Vec<_>>();
+            prop_assert_eq!(store.service(service).cloned().collect::<Vec<_>>(), of_service.clone());
+            prop_assert_eq!(store.digest(service) == 0, of_service.is_empty());
         }
         // Restored in another order: the same digests.
         let backwards = live.iter().rev().cloned().collect();
