--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn encodes_all_messages_to_the_golden_frames() {
+fn frames_of_all_messages_keep_their_bytes() {
     let messages = messages();
     let frame = |message: &Message| encode(message).expect("short enough");
     let lines: Vec<String> =
@@ -173,10 +173,10 @@
 }
 
 #[test]
-fn writes_the_golden_snapshot_file() {
+fn the_snapshot_file_keeps_its_bytes_and_names() {
     let directory = Directory::new("snapshot");
     let path = directory.0.join("source-1.snapshot");
-    let _locked = lock(&path).expect("unlocked");
+    let _locked = lock(&path).expect("nobody else holds it");
     let snapshot = Snapshot { source: 513, epoch: 9, head: version(70_000), records: records() };
     snapshot.write(&path).expect("written");
     golden().assert_bytes("source.snapshot", &fs::read(&path).expect("the file"));
@@ -219,9 +219,9 @@
 relay_burst = 1004
 "#;
 
-/// Each section rejects an unknown key, and the error names all known ones.
+/// Each section refuses a key that it does not know, and its error names all keys that it does.
 #[test]
-fn accepts_the_golden_configuration_keys() {
+fn the_keys_of_the_configuration_keep_their_names() {
     Config::parse(EVERY_KEY, Path::new("control.toml")).expect("good");
     let sections = ["[source]", "[relay]", "[[relay.sources]]", "[agent]", "[[agent.relays]]", "[pace]"];
     let mut lines: Vec<String> = Vec::new();
