--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -1,11 +1,11 @@
-//! What travels between parties: every message comes back as it went, and nothing else is taken for one.
+//! Framing and encoding: messages round-trip, and other bytes are rejected.
 
 mod strategies;
 
 use control_plane::codec::{
-    BodyError, CodecError, FrameReader, FrameWriter, backend_body, decode, encode, read_backend,
+    BodyError, CodecError, FrameReader, FrameWriter, decode, decode_backend_body, encode, encode_backend_body,
 };
-use control_plane::message::{MAX_BYTES, Message, PROTOCOL};
+use control_plane::message::{MAX_MESSAGE_BYTES, Message, PROTOCOL_VERSION};
 use control_plane::record::{Backend, Scope};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -15,12 +15,12 @@
 use strategies::message;
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// Gives bytes in pieces of these sizes, then ends.
+/// A stream that returns its bytes in pieces of these sizes.
 struct Pieces {
     bytes: Vec<u8>,
-    given: usize,
+    position: usize,
     sizes: Vec<usize>,
-    turn: usize,
+    reads: usize,
 }
 
 impl AsyncRead for Pieces {
@@ -29,20 +29,20 @@
         _: &mut Context<'_>,
         into: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let size = self.sizes[self.turn % self.sizes.len()];
-        let size = size.min(into.remaining()).min(self.bytes.len() - self.given);
-        into.put_slice(&self.bytes[self.given..self.given + size]);
-        self.given += size;
-        self.turn += 1;
+        let size = self.sizes[self.reads % self.sizes.len()];
+        let size = size.min(into.remaining()).min(self.bytes.len() - self.position);
+        into.put_slice(&self.bytes[self.position..self.position + size]);
+        self.position += size;
+        self.reads += 1;
         Poll::Ready(Ok(()))
     }
 }
 
 fn reader(bytes: Vec<u8>, sizes: Vec<usize>) -> FrameReader<Pieces> {
-    FrameReader::new(Pieces { bytes, given: 0, sizes, turn: 0 })
+    FrameReader::new(Pieces { bytes, position: 0, sizes, reads: 0 })
 }
 
-/// All messages, then how it ended.
+/// Reads all messages. Returns them and how the stream ended.
 fn read_all(bytes: Vec<u8>, sizes: Vec<usize>) -> (Vec<Message>, Result<(), CodecError>) {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
@@ -59,57 +59,57 @@
 
 proptest! {
     #[test]
-    fn messages_come_back_as_they_went_however_they_are_cut(
+    fn reads_written_messages_for_any_split_of_the_stream(
         messages in vec(message(), 0..6),
         sizes in vec(1_usize..200, 1..5),
     ) {
         let bytes: Vec<u8> = messages.iter().flat_map(|m| encode(m).expect("short enough")).collect();
-        let (came, end) = read_all(bytes, sizes);
-        prop_assert_eq!(came, messages);
+        let (received_messages, end) = read_all(bytes, sizes);
+        prop_assert_eq!(received_messages, messages);
         prop_assert!(end.is_ok());
     }
 
     #[test]
-    fn a_message_cut_in_the_middle_is_none_and_those_before_it_are_whole(
+    fn reports_truncation_after_the_complete_messages(
         messages in vec(message(), 1..4),
         cut in any::<prop::sample::Index>(),
         sizes in vec(1_usize..200, 1..5),
     ) {
         let frames: Vec<Vec<u8>> = messages.iter().map(|m| encode(m).expect("short enough")).collect();
-        let (last, before) = frames.split_last().expect("one at the least");
-        // Between its first byte and the last but one.
-        let had = 1 + cut.index(last.len() - 1);
+        let (last, before) = frames.split_last().expect("at least one");
+        // The cut is after its first byte and before its last one.
+        let received = 1 + cut.index(last.len() - 1);
         let mut bytes = before.concat();
-        bytes.extend_from_slice(&last[..had]);
-        let (came, end) = read_all(bytes, sizes);
-        prop_assert_eq!(came.as_slice(), &messages[..before.len()]);
-        let cut_off = matches!(end, Err(CodecError::CutOff { had: h }) if h == had);
+        bytes.extend_from_slice(&last[..received]);
+        let (received_messages, end) = read_all(bytes, sizes);
+        prop_assert_eq!(received_messages.as_slice(), &messages[..before.len()]);
+        let cut_off = matches!(end, Err(CodecError::Truncated { received: r }) if r == received);
         prop_assert!(cut_off, "{:?}", end);
     }
 
     #[test]
-    fn garbage_is_an_error_or_a_message_that_would_be_written_likewise(bytes in vec(any::<u8>(), 0..400)) {
-        // Whatever these bytes happen to mean can be written again; nothing panics.
+    fn decodes_arbitrary_bytes_to_an_error_or_an_encodable_message(bytes in vec(any::<u8>(), 0..400)) {
+        // A message that these bytes happen to encode can be encoded again; nothing panics.
         if let Ok(message) = decode(&bytes) {
-            let again = encode(&message).expect("short enough");
-            prop_assert_eq!(decode(&again[4..]).expect("what was written"), message);
+            let encoded = encode(&message).expect("short enough");
+            prop_assert_eq!(decode(&encoded[4..]).expect("encodable"), message);
         }
         let (_, _) = read_all(bytes, vec![7]);
     }
 
     #[test]
-    fn a_changed_byte_never_brings_a_panic(
+    fn does_not_panic_on_a_corrupted_byte(
         message in message(), at in any::<prop::sample::Index>(), byte in any::<u8>(),
     ) {
         let mut bytes = encode(&message).expect("short enough");
         let at = at.index(bytes.len());
         bytes[at] = byte;
-        let (came, end) = read_all(bytes, vec![64]);
-        prop_assert!(came.len() <= 1 || end.is_err(), "one message is never several whole ones");
+        let (received_messages, end) = read_all(bytes, vec![64]);
+        prop_assert!(received_messages.len() <= 1 || end.is_err(), "one frame is never read as several messages");
     }
 
     #[test]
-    fn a_backend_comes_back_as_it_went_and_garbage_is_none(
+    fn round_trips_backend_bodies_and_rejects_trailing_bytes(
         address in any::<std::net::SocketAddrV4>(),
         locality in ".{0,12}",
         flavor in ".{0,12}",
@@ -119,13 +119,13 @@
         garbage in vec(any::<u8>(), 0..60),
     ) {
         let backend = Backend { address, locality, flavor, cell, size, up_since_ms };
-        let body = backend_body(&backend);
-        prop_assert_eq!(read_backend(&body), Ok(backend));
+        let body = encode_backend_body(&backend);
+        prop_assert_eq!(decode_backend_body(&body), Ok(backend));
         let mut longer = body.to_vec();
         longer.push(0);
-        let left_over = matches!(read_backend(&longer), Err(BodyError::Malformed { .. }));
+        let left_over = matches!(decode_backend_body(&longer), Err(BodyError::Malformed { .. }));
         prop_assert!(left_over);
-        let _ = read_backend(&garbage);
+        let _ = decode_backend_body(&garbage);
     }
 }
 
@@ -134,73 +134,87 @@
 }
 
 #[test]
-fn a_message_beyond_the_bound_is_refused_by_its_length_alone_on_either_side() {
-    let why = |bytes| Message::Goodbye { why: "x".repeat(bytes) };
-    // One byte for the place of the message, three for the length of the text.
-    let longest = MAX_BYTES - 4;
-    assert_eq!(body_of(&why(longest)).len(), MAX_BYTES);
-    let (came, end) = read_all(encode(&why(longest)).expect("just fits"), vec![100_000]);
-    assert_eq!((came, end.is_ok()), (vec![why(longest)], true));
-    let error = encode(&why(longest + 1)).expect_err("too long");
-    assert!(matches!(error, CodecError::TooLong { bytes, most: MAX_BYTES } if bytes == MAX_BYTES + 1));
-
-    for bytes in [MAX_BYTES + 1, u32::MAX as usize] {
+fn rejects_messages_over_the_length_limit_when_writing_and_reading() {
+    let close = |bytes| Message::Close { reason: "x".repeat(bytes) };
+    // One byte for the variant, three for the length of the text.
+    let longest = MAX_MESSAGE_BYTES - 4;
+    assert_eq!(body_of(&close(longest)).len(), MAX_MESSAGE_BYTES);
+    let (received_messages, end) = read_all(encode(&close(longest)).expect("just fits"), vec![100_000]);
+    assert_eq!((received_messages, end.is_ok()), (vec![close(longest)], true));
+    let error = encode(&close(longest + 1)).expect_err("too long");
+    assert!(
+        matches!(error, CodecError::TooLong { bytes, max: MAX_MESSAGE_BYTES } if bytes == MAX_MESSAGE_BYTES + 1)
+    );
+
+    for bytes in [MAX_MESSAGE_BYTES + 1, u32::MAX as usize] {
         let prefix = u32::try_from(bytes).expect("fits").to_be_bytes();
-        let (came, end) = read_all(prefix.to_vec(), vec![1]);
+        let (received_messages, end) = read_all(prefix.to_vec(), vec![1]);
         let error = end.expect_err("too long");
-        assert!(came.is_empty());
-        assert!(matches!(error, CodecError::TooLong { bytes: b, most: MAX_BYTES } if b == bytes), "{error}");
+        assert!(received_messages.is_empty());
+        assert!(
+            matches!(error, CodecError::TooLong { bytes: b, max: MAX_MESSAGE_BYTES } if b == bytes),
+            "{error}"
+        );
         assert_eq!(
             error.to_string(),
             format!(
-                "a message of {bytes} bytes is too long, {MAX_BYTES} bytes at most are taken; send it in parts"
+                "a message of {bytes} bytes is too long, {MAX_MESSAGE_BYTES} bytes at most are taken; send it in parts"
             )
         );
     }
 }
 
-/// Hello and Welcome keep their places and begin with their version, whatever else another version does: else parties of
-/// two versions could only say that they don't understand one another.
+/// Hello and Welcome keep their variant numbers and begin with the version in every protocol version: else nodes of two
+/// versions could not report the mismatch.
 #[test]
-fn a_greeting_of_another_version_is_told_by_its_version_whatever_follows() {
-    let hello = Message::Hello { protocol: PROTOCOL, name: "n".into(), scope: Scope::All, have: Vec::new() };
-    let welcome = Message::Welcome { protocol: PROTOCOL, name: "n".into() };
+fn reports_a_protocol_mismatch_regardless_of_the_remaining_bytes() {
+    let hello = Message::Hello {
+        protocol: PROTOCOL_VERSION,
+        name: "n".into(),
+        scope: Scope::All,
+        positions: Vec::new(),
+    };
+    let welcome = Message::Welcome { protocol: PROTOCOL_VERSION, name: "n".into() };
     for message in [hello, welcome] {
         let bytes = body_of(&message);
-        assert_eq!(decode(&bytes).expect("our words"), message);
-        let theirs = PROTOCOL + 1;
+        assert_eq!(decode(&bytes).expect("this version"), message);
+        let theirs = PROTOCOL_VERSION + 1;
         let mut other = vec![bytes[0]];
         other.push(u8::try_from(theirs).expect("one byte"));
-        other.extend_from_slice(b"\xff\xfe whatever they say in that version");
-        let error = decode(&other).expect_err("other words");
-        assert!(matches!(error, CodecError::OtherVersion { theirs: t } if t == theirs), "{error}");
-        assert!(error.to_string().contains(&format!("protocol {theirs} is not spoken here, {PROTOCOL} is")));
+        other.extend_from_slice(b"\xff\xfe the rest in that version");
+        let error = decode(&other).expect_err("another version");
+        assert!(matches!(error, CodecError::ProtocolMismatch { theirs: t } if t == theirs), "{error}");
+        assert!(
+            error
+                .to_string()
+                .contains(&format!("protocol {theirs} is not spoken here, {PROTOCOL_VERSION} is"))
+        );
     }
 }
 
 #[test]
-fn bytes_left_over_are_no_message() {
-    let mut bytes = body_of(&Message::Alive);
+fn rejects_trailing_bytes() {
+    let mut bytes = body_of(&Message::Heartbeat);
     bytes.extend_from_slice(b"ab");
     let error = decode(&bytes).expect_err("too much");
     assert!(
-        matches!(&error, CodecError::NotUnderstood { bytes: 3, problem } if problem == "2 bytes are left over"),
+        matches!(&error, CodecError::Malformed { bytes: 3, problem } if problem.to_string() == "2 bytes are left over"),
         "{error}"
     );
 }
 
-/// A length says little: a list that claims to be long is not believed before its entries are there.
+/// The encoded length of a list does not make the decoder allocate memory before the entries are read.
 #[test]
-fn a_list_that_claims_to_be_long_is_cut_off_not_made_room_for() {
-    let mut bytes = body_of(&Message::Want { source: 1, services: Vec::new() });
+fn rejects_a_list_longer_than_its_bytes() {
+    let mut bytes = body_of(&Message::SnapshotRequest { source: 1, services: Vec::new() });
     assert_eq!(bytes.pop(), Some(0), "the length of the list is last");
     // u64::MAX as a varint.
     bytes.extend_from_slice(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
-    assert!(matches!(decode(&bytes), Err(CodecError::NotUnderstood { .. })));
+    assert!(matches!(decode(&bytes), Err(CodecError::Malformed { .. })));
 }
 
 #[test]
-fn sizes_that_cannot_be_weighed_are_none() {
+fn rejects_backend_sizes_that_are_not_finite_and_positive() {
     for size in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let backend = Backend {
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -210,21 +224,24 @@
             size,
             up_since_ms: 0,
         };
-        assert!(matches!(read_backend(&backend_body(&backend)), Err(BodyError::Size(_))), "{size}");
+        assert!(
+            matches!(decode_backend_body(&encode_backend_body(&backend)), Err(BodyError::InvalidSize(_))),
+            "{size}"
+        );
     }
 }
 
 #[tokio::test]
-async fn what_went_and_came_is_counted() {
+async fn counts_bytes_read_and_written() {
     let (ours, theirs) = tokio::io::duplex(1 << 20);
     let (mut writer, mut reader) = (FrameWriter::new(ours), FrameReader::new(theirs));
-    let message = Message::Goodbye { why: "counted".into() };
+    let message = Message::Close { reason: "counted".into() };
     for _ in 0..3 {
         writer.write(&message).await.expect("written");
         assert_eq!(reader.read().await.expect("read"), Some(message.clone()));
     }
     let bytes = 3 * encode(&message).expect("short enough").len() as u64;
-    assert_eq!((writer.given(), reader.taken()), (bytes, bytes));
-    writer.end().await;
+    assert_eq!((writer.bytes_written(), reader.bytes_read()), (bytes, bytes));
+    writer.shutdown().await;
     assert_eq!(reader.read().await.expect("ended"), None);
 }
