--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -3,6 +3,7 @@
 use super::Balancer;
 use crate::api::{Idempotency, Micros};
 use crate::state::{BackendState, LARGE_FLEET, RetryScope};
+use smallvec::SmallVec;
 
 /// Time over which all instances take turns in using a returned backend first, microseconds.
 const FIRST_USE_WINDOW: f64 = 4e6;
@@ -25,6 +26,10 @@
     overdue_time: Micros,
     /// Whether the request may be the trial of an ejected backend.
     is_retryable: bool,
+    /// Whether this instance has no attempt in flight.
+    is_idle: bool,
+    /// Slots of the backends that the request was sent to.
+    tried: SmallVec<[usize; 2]>,
 }
 
 /// The best backend so far, chosen at random among equals.
@@ -65,15 +70,23 @@
     ///
     /// Departure: where crossing zones has a cost, other zones are used when the local one has no free
     /// capacity. An instance without a slot on any backend would serve no request; it may have one in flight.
+    ///
+    /// Departure: on a large fleet a request looks at a random sample, of the preferred backends and then, if
+    /// none of those has free capacity, of all. A fleet with free capacity on one backend in ten is missed
+    /// once in 800 times; the request is then queued, and selects again.
     pub(super) fn select(&mut self, now: Micros, slot: usize) -> Option<usize> {
         let criteria = self.criteria(now, slot)?;
         let mut candidates = Candidates::default();
-        if criteria.scope == RetryScope::Anywhere && self.fleet.ready.len() > LARGE_FLEET {
-            self.consider_samples(now, slot, &criteria, &mut candidates);
-        } else {
-            for position in 0..self.fleet.ready.len() {
-                self.consider(now, slot, self.fleet.ready[position], &criteria, &mut candidates);
-            }
+        let is_sampled = criteria.scope == RetryScope::Anywhere && self.fleet.ready.len() > LARGE_FLEET;
+        let looks = if is_sampled { 2 * SAMPLE_SIZE } else { self.fleet.ready.len() };
+        for look in 0..looks {
+            let position = match is_sampled {
+                true if look < SAMPLE_SIZE => self.rng.usize(self.fleet.local.clone()),
+                true if candidates.preferred.backend.is_some() => break,
+                true => self.rng.usize(0..self.fleet.ready.len()),
+                false => look,
+            };
+            self.consider(now, self.fleet.ready[position], &criteria, &mut candidates);
         }
         candidates.preferred.backend.or(candidates.other_zones.backend).or(candidates.fallback)
     }
@@ -95,6 +108,8 @@
             slot_factor: self.slot_budget.spread * quota_factor,
             overdue_time: self.overdue_time(request.class),
             is_retryable: class.idempotency != Idempotency::NonIdempotent,
+            is_idle: in_flight == 0,
+            tried: request.attempts.iter().map(|attempt| attempt.backend).collect(),
         })
     }
 
@@ -104,48 +119,17 @@
         time.clamp(objective * MIN_OVERDUE_FRACTION, objective * MAX_OVERDUE_FRACTION) as Micros
     }
 
-    /// Departure: on a large fleet a request looks at a random sample, of the preferred backends and then, if
-    /// none of those has free capacity, of all. A fleet with free capacity on one backend in ten is missed
-    /// once in 800 times; the request is then queued, and selects again.
-    fn consider_samples(
-        &mut self,
-        now: Micros,
-        slot: usize,
-        criteria: &Criteria,
-        candidates: &mut Candidates,
-    ) {
-        for _ in 0..SAMPLE_SIZE {
-            let position = self.rng.usize(self.fleet.local.clone());
-            self.consider(now, slot, self.fleet.ready[position], criteria, candidates);
-        }
-        for _ in 0..SAMPLE_SIZE {
-            if candidates.preferred.backend.is_some() {
-                return;
-            }
-            let position = self.rng.usize(0..self.fleet.ready.len());
-            self.consider(now, slot, self.fleet.ready[position], criteria, candidates);
-        }
-    }
-
-    fn consider(
-        &mut self,
-        now: Micros,
-        slot: usize,
-        index: usize,
-        criteria: &Criteria,
-        candidates: &mut Candidates,
-    ) {
+    /// Adds a backend to the candidates if it meets the criteria.
+    fn consider(&mut self, now: Micros, index: usize, criteria: &Criteria, candidates: &mut Candidates) {
         let backend = &self.fleet.backends[index];
-        let was_tried = self.requests.open[slot].attempts.iter().any(|attempt| attempt.backend == index);
-        if was_tried
-            || !criteria.scope.contains(backend.zone, backend.cell)
+        if !criteria.scope.contains(backend.zone, backend.cell)
+            || criteria.tried.contains(&index)
             || !self.is_available(now, backend, criteria)
         {
             return;
         }
-        let is_idle = self.requests.in_flight == 0;
         let remaining_limit = backend.limit * criteria.slot_factor + backend.dither;
-        if is_idle && remaining_limit > candidates.fallback_limit {
+        if criteria.is_idle && remaining_limit > candidates.fallback_limit {
             candidates.fallback = Some(index);
             candidates.fallback_limit = remaining_limit;
         }
@@ -168,8 +152,8 @@
         // it.
         let unused_time = now.saturating_sub(backend.unused_since) as f64;
         let is_due = unused_time > (1.0 - backend.dither) * FIRST_USE_WINDOW;
-        let is_idle = self.requests.in_flight == 0;
-        if is_due && free_slots > 0 && is_idle && backend.warm_up.is_none() { i64::MAX } else { free_slots }
+        let is_first_use = is_due && free_slots > 0 && criteria.is_idle && backend.warm_up.is_none();
+        if is_first_use { i64::MAX } else { free_slots }
     }
 
     /// Whether a backend may be selected at all, apart from its free slots.
