--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -56,7 +56,7 @@
         /// The attempt.
         attempt: u16,
     },
-    /// An attempt became a session (a tunnel, say): its client has its response, and the session occupies a slot without
+    /// An attempt became a session (such as a tunnel): its client has its response, and the session occupies a slot without
     /// a latency to measure until its [`AttemptResult`].
     SessionEstablished {
         /// The request.
--- a/crates/balancer/src/api/learned_state.rs
+++ b/crates/balancer/src/api/learned_state.rs
@@ -7,7 +7,7 @@
 pub struct LearnedLimit {
     /// The backend.
     pub backend: BackendId,
-    /// When its process started: the limit says nothing about another incarnation.
+    /// When its process started: the limit does not apply to another incarnation.
     pub started_at: Option<Micros>,
     /// The limit, in requests.
     pub limit: f64,
--- a/crates/balancer/src/api/outcome.rs
+++ b/crates/balancer/src/api/outcome.rs
@@ -7,7 +7,7 @@
     Ok,
     /// The backend responded with an error.
     Error,
-    /// A response came that cannot be parsed. Unlike [`Outcome::Error`] it says little about the backend: intermediaries
+    /// A response came that cannot be parsed. Unlike [`Outcome::Error`] it is weak evidence against the backend: intermediaries
     /// corrupt responses of healthy backends. Real sockets only; the simulator has no such outcome.
     Malformed,
     /// The backend rejected it without processing it.
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -22,7 +22,7 @@
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it again changes nothing.
+    /// A second execution changes nothing.
     Idempotent,
     /// It carries an idempotency key: backends of one scope drop a retry for a while after the first attempt.
     Keyed {
--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -41,7 +41,7 @@
     /// Takes a token of a tenant's quota; returns whether the tenant is over its quota.
     ///
     /// An instance gets more than its share of the traffic where others died: a tenant without a token is
-    /// over its quota only if it also demands more of its quota here than the tenants do on the whole.
+    /// over its quota only if it also demands more of its quota here than the tenants do on average.
     fn take_quota(&mut self, now: Micros, tenant: usize) -> bool {
         let quota = |tenant: usize| self.settings.tenants[tenant].quota_per_s;
         let Some(bucket) = self.tenant_quotas.get_mut(tenant) else { return false };
@@ -61,7 +61,7 @@
             return self.send(now, slot, backend, out);
         }
         let request = &self.requests.open[slot];
-        let is_shed = request.is_over_quota && self.traffic.rejections.queues_stand();
+        let is_shed = request.is_over_quota && self.traffic.rejections.has_standing_queues();
         if is_shed || self.retry_scope(now, request) == RetryScope::Nowhere || self.is_too_late(now, request)
         {
             return self.give_up(slot, out);
--- a/crates/balancer/src/balancer/limits.rs
+++ b/crates/balancer/src/balancer/limits.rs
@@ -8,7 +8,7 @@
 const MIN_WINDOW: Micros = SECOND / 4;
 /// A window with too few samples starts anew after this many times its shortest length.
 const MAX_WINDOW_MULTIPLE: Micros = 40;
-/// Samples that a window needs; fewer say too little where work varies as much as its mean.
+/// Samples that a window needs; fewer are too noisy where work varies as much as its mean.
 const MIN_SAMPLES: u32 = 6;
 /// Factor on a limit whose window was too slow.
 const BACKOFF_RATIO: f64 = 0.7;
@@ -66,7 +66,7 @@
 
     /// Adds a sample to a kind's window; evaluates the window if it is complete.
     ///
-    /// Departure: a limit is also kept for each kind of machine, by the same AIMD on the samples of all its
+    /// Departure: there is also a limit for each kind of machine, by the same AIMD on the samples of all its
     /// backends, and doubling until its first back-off. Backends without recent samples have this limit: each
     /// of many instances holds a slot on few backends, and the limits of the others would freeze.
     pub(super) fn adjust_kind_limit(&mut self, now: Micros, kind: usize, sample: f64) {
--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts: what each tells about its backend, its connection and the limits.
+//! Outcomes of attempts as evidence about the backend, the connection and the limits.
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, Micros, Outcome};
@@ -59,7 +59,7 @@
         self.apply_load_report(now, index, result.load_report);
     }
 
-    /// Applies what an outcome tells about the backend at once; returns whether the backend failed.
+    /// Updates the state that a single outcome determines; returns whether the backend failed.
     fn apply_outcome(
         &mut self,
         now: Micros,
--- a/crates/balancer/src/balancer/retries.rs
+++ b/crates/balancer/src/balancer/retries.rs
@@ -93,9 +93,9 @@
     /// When an attempt that starts now is given up.
     ///
     /// Departure: where work takes a small part of the time that clients wait, an attempt without a response
-    /// long after its expected time is lost (its connection broke silently, say). If it were awaited until
-    /// the deadline, it would leave no time for a retry, occupy its slot, and make a backend that responds to
-    /// all others look silent.
+    /// long after its expected time is lost (for example because its connection broke silently). If it were
+    /// awaited until the deadline, it would leave no time for a retry, occupy its slot, and make a backend
+    /// that responds to all others look silent.
     pub(super) fn attempt_timeout(&self, now: Micros, request: &OpenRequest) -> AttemptTimeout {
         let class = &self.settings.classes[request.class];
         let is_last = request.attempts.len() + 1 >= request.max_attempts;
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -133,7 +133,7 @@
             candidates.fallback = Some(index);
             candidates.fallback_limit = remaining_limit;
         }
-        let free_slots = self.free_slots(now, backend, criteria);
+        let free_slots = free_slots(now, backend, criteria);
         if free_slots > 0 {
             let best = if self.is_preferred(backend) {
                 &mut candidates.preferred
@@ -144,18 +144,6 @@
         }
     }
 
-    /// Free slots of a backend; `i64::MAX` where this instance is to use it first.
-    fn free_slots(&self, now: Micros, backend: &BackendState, criteria: &Criteria) -> i64 {
-        let used = i64::from(backend.in_flight + backend.sessions);
-        let free_slots = backend.slots(criteria.slot_factor) - used;
-        // Departure: a returned backend with free capacity is used first, once; a quiet fleet would never try
-        // it.
-        let unused_time = now.saturating_sub(backend.unused_since) as f64;
-        let is_due = unused_time > (1.0 - backend.dither) * FIRST_USE_WINDOW;
-        let is_first_use = is_due && free_slots > 0 && criteria.is_idle && backend.warm_up.is_none();
-        if is_first_use { i64::MAX } else { free_slots }
-    }
-
     /// Whether a backend may be selected at all, apart from its free slots.
     fn is_available(&self, now: Micros, backend: &BackendState, criteria: &Criteria) -> bool {
         if let Some(until) = backend.health.ejected_until {
@@ -169,3 +157,15 @@
         !is_silent && now >= backend.rejecting_until && backend.warm_up.as_ref().is_none_or(has_token)
     }
 }
+
+/// Free slots of a backend; `i64::MAX` where this instance is to use it first.
+fn free_slots(now: Micros, backend: &BackendState, criteria: &Criteria) -> i64 {
+    let used = i64::from(backend.in_flight + backend.sessions);
+    let free_slots = backend.slots(criteria.slot_factor) - used;
+    // Departure: a returned backend with free capacity is used first, once; a quiet fleet would never try
+    // it.
+    let unused_time = now.saturating_sub(backend.unused_since) as f64;
+    let is_due = unused_time > (1.0 - backend.dither) * FIRST_USE_WINDOW;
+    let is_first_use = is_due && free_slots > 0 && criteria.is_idle && backend.warm_up.is_none();
+    if is_first_use { i64::MAX } else { free_slots }
+}
--- a/crates/balancer/src/balancer/timer.rs
+++ b/crates/balancer/src/balancer/timer.rs
@@ -10,7 +10,7 @@
 pub(super) enum Timer {
     /// The request in this slot has waited long enough in the queue.
     QueueTimeout { slot: usize },
-    /// Time to watch discovery again.
+    /// A failed watch on discovery is to be renewed.
     Subscribe,
 }
 
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,4 +1,4 @@
-//! What an instance knows, by concern; the decisions that use it stand in [`balancer`](crate::balancer).
+//! State of an instance, by concern. The decisions that use it are in [`balancer`](crate::balancer).
 
 mod backend;
 mod failure_rate;
--- a/crates/balancer/src/state/backend.rs
+++ b/crates/balancer/src/state/backend.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The limit in whole requests; `factor` scales the limit before it is rounded down.
+    /// The limit as an integer; `factor` scales the limit before it is rounded down.
     ///
     /// Departure: below 1 the dither decides which instances hold a slot, so that the admitted sum does not
     /// grow with their number. A warming backend's budget ensures that alone: with both, hardly any of many
--- a/crates/balancer/src/state/latency.rs
+++ b/crates/balancer/src/state/latency.rs
@@ -10,7 +10,7 @@
 /// Growth of the baseline per second, so that it follows a fleet that became slower.
 const BASELINE_GROWTH_PER_S: f64 = 0.01;
 /// The back-off threshold as a multiple of the baseline. Departure: the first while requests are rejected for
-/// lack of capacity (queues stand), the second while none is (queues drain); in between, by the fraction
+/// lack of capacity (standing queues), the second while none is (queues drain); in between, by the fraction
 /// rejected.
 const THRESHOLD_WITH_STANDING_QUEUES: f64 = 1.8;
 const THRESHOLD_WITH_DRAINING_QUEUES: f64 = 6.0;
--- a/crates/balancer/src/state/rejection_rate.rs
+++ b/crates/balancer/src/state/rejection_rate.rs
@@ -2,7 +2,7 @@
 
 /// Weight of one more request in the average.
 const WEIGHT: f64 = 1.0 / 64.0;
-/// The fraction at which queues at the backends count as standing.
+/// The fraction from which on the backends count as having standing queues.
 const STANDING_QUEUE_FRACTION: f64 = 0.1;
 
 /// Moving average of rejections for lack of capacity.
@@ -21,12 +21,12 @@
         self.fraction -= self.fraction * WEIGHT;
     }
 
-    /// 0 where queues drain, 1 where they stand.
+    /// 0 if queues drain, 1 if there are standing queues.
     pub(crate) fn queue_pressure(&self) -> f64 {
         (self.fraction / STANDING_QUEUE_FRACTION).min(1.0)
     }
 
-    pub(crate) fn queues_stand(&self) -> bool {
+    pub(crate) fn has_standing_queues(&self) -> bool {
         self.fraction >= STANDING_QUEUE_FRACTION
     }
 }
--- a/crates/balancer/tests/common/emulated_proxy.rs
+++ b/crates/balancer/tests/common/emulated_proxy.rs
@@ -1,4 +1,4 @@
-//! An emulated proxy around one balancer: keeps timers and attempts, and checks the four rules from outside.
+//! An emulated proxy around one balancer: keeps timers and attempts, and checks the four rules independently.
 
 use super::fixtures::{MS, SECOND};
 use balancer::api::*;
--- a/crates/balancer/tests/health.rs
+++ b/crates/balancer/tests/health.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// Where connections break everywhere, a backend that fails all its requests still stands out, and so does one where a third
+/// Where connections break everywhere, a backend that fails all its requests is still detected, and so is one where a third
 /// of the fleet fails at once: those failures must not excuse each other.
 #[test]
 fn ejects_a_backend_that_serves_nothing_among_others_that_fail_occasionally() {
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -86,7 +86,7 @@
 /// Booking of orders: backends there queue without falling behind and clients wait for twelve times the work, yet limits
 /// fell at 1.8 times the baseline latency and one request in ten was rejected with the fleet half idle.
 #[test]
-fn limits_tolerate_a_queue_that_drains_and_not_one_that_stands() {
+fn limits_tolerate_a_draining_queue_and_not_a_standing_one() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(2));
     let min_limit =
         |proxy: &EmulatedProxy| proxy.balancer.limits().map(|(limit, _)| limit).fold(f64::MAX, f64::min);
@@ -98,15 +98,15 @@
     proxy.load(10_000, 300, 20, |_| 80 * MS);
     assert!(proxy.rejections() > 3_000, "ten times what two backends take");
     let limit = min_limit(&proxy);
-    assert!(limit < 3.0, "the same latency is too much where queues stand: {limit}");
+    assert!(limit < 3.0, "the same latency is too much with standing queues: {limit}");
     proxy.load(20_000, 800, 1, |_| 20 * MS);
     let before = proxy.rejections();
     proxy.load(30_000, 200, 1, |_| 80 * MS);
     assert_eq!(proxy.rejections(), before, "the flood is over and forgotten");
 }
 
-/// Booking of orders, rate+silent+leave: of two instances one rejected half of its requests for the whole day. Work of a few
-/// milliseconds waited for ten, limits fell for it to the minimum, what they rejected kept the threshold low, and so on.
+/// Booking of orders, rate+silent+leave: of two instances one rejected half of its requests all day. Work of a few
+/// milliseconds waited for ten, limits fell for it to the minimum, what they rejected held the threshold down, and so on.
 #[test]
 fn limits_recover_from_waits_that_cost_nothing() {
     let mut settings = single_zone();
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, checked from outside on random sequences of events, and scenarios for each rule.
+//! The four rules, checked independently on random sequences of events, and scenarios for each rule.
 
 mod common;
 
--- a/crates/balancer/tests/slot_budget.rs
+++ b/crates/balancer/tests/slot_budget.rs
@@ -169,7 +169,7 @@
     assert!(trials < 20, "one request was enough");
 }
 
-/// Two hundred instances that all are notified of the return at once: those with a slot there come first, in turns, and no
+/// Two hundred instances that all are notified of the return at once: those with a slot there come first, one after the other, and no
 /// backend without free slots is filled further.
 #[test]
 fn few_of_many_instances_use_a_returned_backend_at_once() {
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -6,7 +6,7 @@
     SettingsProblem, Tenant,
 };
 
-/// Largest number of machine kinds that the decisions tell apart.
+/// Largest number of machine kinds: the decisions number them in one byte.
 const MAX_MACHINE_KINDS: usize = 255;
 
 /// Parses settings from JSON text. Unknown keys are ignored.
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,4 +1,4 @@
-//! The settings as they stand in JSON: keys of the protocol under the names of [`balancer::api`]. Times are in microseconds.
+//! The settings in JSON: keys of the protocol under the names of [`balancer::api`]. Times are in microseconds.
 //!
 //! The names of the types and the order of the fields show in error messages.
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Where a record stands.
+/// Context of a record in its batch.
 #[derive(Clone, Copy)]
 struct RecordContext {
     now: Micros,
--- a/crates/simulator-adapter/src/protocol/record.rs
+++ b/crates/simulator-adapter/src/protocol/record.rs
@@ -134,7 +134,7 @@
         })
     }
 
-    /// The event for which the record stands, unless it needs more than itself or is none.
+    /// The event that the record describes completely; `None` for records that are not events of their own.
     #[must_use]
     pub fn event(&self) -> Option<Event<'_>> {
         Some(match *self {
--- a/crates/socket-io/src/retry.rs
+++ b/crates/socket-io/src/retry.rs
@@ -19,7 +19,7 @@
 }
 
 /// Whether a call failed for lack of descriptors, memory, ports or a route on this machine, or because it was interrupted:
-/// a transient error that says nothing about the peer.
+/// a transient error that is no evidence against the peer.
 #[must_use]
 pub fn is_local(error: &io::Error) -> bool {
     let transient = [Errno::EADDRNOTAVAIL, Errno::ENETUNREACH, Errno::ENETDOWN, Errno::EAGAIN, Errno::EINTR];
--- a/crates/socket-io/src/stream.rs
+++ b/crates/socket-io/src/stream.rs
@@ -16,7 +16,7 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads the bytes that have arrived, up to the room left in `buffer`; none at the end of the stream.
+/// Reads the bytes that have arrived, up to the free space in `buffer`; none at the end of the stream.
 ///
 /// # Errors
 /// The connection failed.
