--- a/crates/http-proxy/src/discovery/client.rs
+++ b/crates/http-proxy/src/discovery/client.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
-use tokio::time::{Instant, sleep, timeout, timeout_at};
+use tokio::time::{Instant, timeout, timeout_at};
 
 /// The largest list that is read, in bytes: some 25,000 backends.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
@@ -128,10 +128,5 @@
 
 /// Connects, with retries while this machine lacks resources: such a failure says nothing of discovery.
 async fn connect_stream(address: SocketAddr) -> io::Result<TcpStream> {
-    loop {
-        match TcpStream::connect(address).await {
-            Err(error) if retry::is_local(&error) => sleep(CONNECT_RETRY_DELAY).await,
-            connected => return connected,
-        }
-    }
+    retry::retry(None, CONNECT_RETRY_DELAY, retry::is_local, async || TcpStream::connect(address).await).await
 }
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -10,13 +10,14 @@
 use http_proxy::transport::Handle;
 use serde_json::Value;
 use settings::reload::{ClassIndices, ReloadError, restart_only_keys};
+use socket_io::retry::retry;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
-use tokio::time::{Instant, sleep};
+use tokio::time::Instant;
 
 /// How long an unreadable configuration is retried. Discovery's state is expected to be in force 4 s after the signal.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -99,13 +100,9 @@
 
     /// Retries while the file cannot be read: its content is due from the signal on.
     async fn reload_with_retry(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
-        let end = Instant::now() + READ_TIMEOUT;
-        loop {
-            match self.reload(clients) {
-                Err(ConfigError::Unreadable(..)) if Instant::now() < end => sleep(READ_RETRY_DELAY).await,
-                result => return result,
-            }
-        }
+        let deadline = Instant::now() + READ_TIMEOUT;
+        let is_unreadable = |error: &ConfigError| matches!(error, ConfigError::Unreadable(..));
+        retry(Some(deadline), READ_RETRY_DELAY, is_unreadable, async || self.reload(clients)).await
     }
 
     /// Reads and checks the complete configuration before it changes anything. Returns discovery's address.
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -11,7 +11,6 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::thread;
 use std::time::{Duration, Instant};
 use thiserror::Error;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -88,16 +87,10 @@
 
 /// Retries a call of the startup, before there is anything to serve, until it succeeds or fails permanently. Blocks.
 fn retry_at_startup<T, E>(
-    mut call: impl FnMut() -> Result<T, E>,
+    call: impl FnMut() -> Result<T, E>,
     is_transient: impl Fn(&E) -> bool,
 ) -> Result<T, E> {
-    let end = Instant::now() + STARTUP_TIMEOUT;
-    loop {
-        match call() {
-            Err(error) if is_transient(&error) && Instant::now() < end => thread::sleep(STARTUP_RETRY_DELAY),
-            result => return result,
-        }
-    }
+    retry::retry_blocking(Instant::now() + STARTUP_TIMEOUT, STARTUP_RETRY_DELAY, is_transient, call)
 }
 
 fn is_transient_config_error(error: &ConfigError) -> bool {
--- a/crates/proxy-server/src/persistence.rs
+++ b/crates/proxy-server/src/persistence.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Mutex;
-use tokio::time::{Instant, sleep};
+use tokio::time::Instant;
 
 /// How long a starting process retries a disk that fails. Its readiness is due within 6 s.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(4);
@@ -211,19 +211,25 @@
 /// Loads the exclusions of a starting process. Transient errors are retried until `end`; after that the process starts
 /// without exclusions and reads the file later.
 async fn load_with_retry(store: &ExclusionStore, end: Instant) -> InitialExclusions {
-    loop {
+    let is_transient = |(error, _): &(StoreError, LastRead)| match error {
+        StoreError::Io(_, error) => retry::is_of_disk(error),
+        _ => false,
+    };
+    let load = async || {
+        // The version comes first: a change between the two calls is read again later.
         let version = LastRead::from(store.version());
         match store.load() {
-            Ok(exclusions) => return InitialExclusions { exclusions, last_read: version },
-            Err(StoreError::Io(_, error)) if retry::is_of_disk(&error) && Instant::now() < end => {
-                sleep(OPEN_RETRY_DELAY).await;
-            }
-            Err(error) => {
-                log(format_args!("exclusions could not be read, starting without any: {error}"));
-                let is_damaged = matches!(error, StoreError::Damaged(..));
-                let last_read = if is_damaged { version } else { LastRead::Failed };
-                return InitialExclusions { exclusions: Exclusions::default(), last_read };
-            }
+            Ok(exclusions) => Ok(InitialExclusions { exclusions, last_read: version }),
+            Err(error) => Err((error, version)),
+        }
+    };
+    match retry::retry(Some(end), OPEN_RETRY_DELAY, is_transient, load).await {
+        Ok(initial) => initial,
+        Err((error, version)) => {
+            log(format_args!("exclusions could not be read, starting without any: {error}"));
+            let is_damaged = matches!(error, StoreError::Damaged(..));
+            let last_read = if is_damaged { version } else { LastRead::Failed };
+            InitialExclusions { exclusions: Exclusions::default(), last_read }
         }
     }
 }
