--- a/crates/testbed/src/invariant_checker/tests.rs
+++ b/crates/testbed/src/invariant_checker/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::path::Path;
 
-const DAY: &str = r#"
+const SCRIPT: &str = r#"
 seed = 7
 seconds = 10.0
 fleet = { boxes = 12, proxies = 2, zones = 2, cells = 3, cores = 1.0, holds = 2.0 }
@@ -13,126 +13,157 @@
 ]
 "#;
 
-/// The breaks of each rule in this record, where request 1 is of the class and asked at 0 of proxy 0.
-fn broken(class: usize, seen: &[(Micros, Observation)]) -> [u64; 4] {
-    day(class, seen).violations
+/// The violations of each rule when request 1 of this class is sent to proxy 0 at time 0, followed by `seen`.
+fn violations(class: usize, seen: &[(Micros, Observation)]) -> [u64; 4] {
+    report(class, seen).violations
 }
 
-fn day(class: usize, seen: &[(Micros, Observation)]) -> CheckReport {
-    let script = Script::parse(DAY, Path::new("day")).expect("a good script");
-    let mut record = ObservationLog::default();
-    record.add(0, Observation::RequestSent { id: 1, class, end: 500_000, proxy: 0 });
-    for &(at, seen) in seen {
-        record.add(at, seen);
+fn report(class: usize, seen: &[(Micros, Observation)]) -> CheckReport {
+    let script = Script::parse(SCRIPT, Path::new("day")).expect("a good script");
+    let mut log = ObservationLog::default();
+    log.add(0, Observation::RequestSent { id: 1, class, end: 500_000, proxy: 0 });
+    for &(at, observation) in seen {
+        log.add(at, observation);
     }
-    check(&script, &record, 0)
+    check(&script, &log, 0)
 }
 
-const fn began(at_box: usize) -> Observation {
-    Observation::AttemptStarted { id: 1, backend: at_box, work: 10_000 }
+const fn attempt_started(backend: usize) -> Observation {
+    Observation::AttemptStarted { id: 1, backend, work: 10_000 }
 }
 
-const fn got(got: ResponseKind) -> Observation {
-    Observation::ResponseReceived { id: 1, kind: got }
+const fn response(kind: ResponseKind) -> Observation {
+    Observation::ResponseReceived { id: 1, kind }
 }
 
 #[test]
-fn one_answer_in_time_is_clean_and_earns_its_worth() {
-    let good = day(1, &[(10, began(0)), (50_000, got(ResponseKind::Served))]);
+fn one_answer_in_time_is_clean_and_earns_its_weight() {
+    let good = report(1, &[(10, attempt_started(0)), (50_000, response(ResponseKind::Served))]);
     assert_eq!((good.violations, good.total.earned_weight, good.total.in_time), ([0; 4], 9.0, 1));
-    let late = day(1, &[(10, began(0)), (300_000, got(ResponseKind::Served))]);
+    let late = report(1, &[(10, attempt_started(0)), (300_000, response(ResponseKind::Served))]);
     assert_eq!((late.violations, late.total.earned_weight, late.total.late), ([0; 4], 4.5, 1));
 }
 
 #[test]
-fn rule_1_lost_doubled_late_and_forged_answers() {
-    assert_eq!(broken(0, &[]), [1, 0, 0, 0]);
-    let served = (20, got(ResponseKind::Served));
-    assert_eq!(broken(0, &[(10, began(0)), served, (30, got(ResponseKind::Failed))]), [1, 0, 0, 0]);
-    assert_eq!(broken(0, &[(10, began(0)), (500_001, got(ResponseKind::Served))]), [1, 0, 0, 0]);
-    assert_eq!(broken(0, &[served]), [1, 0, 0, 0]);
+fn rule_1_counts_missing_duplicate_late_and_forged_answers() {
+    assert_eq!(violations(0, &[]), [1, 0, 0, 0]);
+    let served = (20, response(ResponseKind::Served));
+    assert_eq!(
+        violations(0, &[(10, attempt_started(0)), served, (30, response(ResponseKind::Failed))]),
+        [1, 0, 0, 0]
+    );
+    assert_eq!(
+        violations(0, &[(10, attempt_started(0)), (500_001, response(ResponseKind::Served))]),
+        [1, 0, 0, 0]
+    );
+    assert_eq!(violations(0, &[served]), [1, 0, 0, 0]);
 }
 
 #[test]
-fn rule_2_what_ran_twice_or_was_refused_after_it_ran() {
-    let end = (90, got(ResponseKind::Failed));
-    assert_eq!(broken(2, &[(10, began(0)), (20, began(2)), end]), [0, 1, 0, 0]);
-    // Boxes 0 and 6 share a cell, 0 and 2 do not.
-    assert_eq!(broken(1, &[(10, began(0)), (20, began(6)), end]), [0; 4]);
-    assert_eq!(broken(1, &[(10, began(0)), (20, began(2)), end]), [0, 1, 0, 0]);
-    assert_eq!(broken(1, &[(10, began(0)), (90, got(ResponseKind::Rejected))]), [0, 1, 0, 0]);
-    assert_eq!(broken(1, &[(90, got(ResponseKind::Rejected)), (95, began(0))]), [0, 1, 0, 0]);
-    assert_eq!(broken(0, &[(10, began(0)), (20, began(2)), (90, got(ResponseKind::Rejected))]), [0; 4]);
+fn rule_2_counts_repeated_effects_and_rejections_after_an_attempt() {
+    let end = (90, response(ResponseKind::Failed));
+    assert_eq!(violations(2, &[(10, attempt_started(0)), (20, attempt_started(2)), end]), [0, 1, 0, 0]);
+    // Backends 0 and 6 share a cell, 0 and 2 do not.
+    assert_eq!(violations(1, &[(10, attempt_started(0)), (20, attempt_started(6)), end]), [0; 4]);
+    assert_eq!(violations(1, &[(10, attempt_started(0)), (20, attempt_started(2)), end]), [0, 1, 0, 0]);
+    assert_eq!(
+        violations(1, &[(10, attempt_started(0)), (90, response(ResponseKind::Rejected))]),
+        [0, 1, 0, 0]
+    );
+    assert_eq!(
+        violations(1, &[(90, response(ResponseKind::Rejected)), (95, attempt_started(0))]),
+        [0, 1, 0, 0]
+    );
+    assert_eq!(
+        violations(
+            0,
+            &[(10, attempt_started(0)), (20, attempt_started(2)), (90, response(ResponseKind::Rejected))]
+        ),
+        [0; 4]
+    );
 }
 
 #[test]
-fn rule_3_counts_from_when_the_proxy_was_told() {
-    let told = |proxy, ready| Observation::BackendNotified { proxy, backend: 3, ready };
+fn rule_3_grace_counts_from_notification_of_the_proxy() {
+    let notified = |proxy, ready| Observation::BackendNotified { proxy, backend: 3, ready };
     let late = Observation::AttemptRejected { id: 1, backend: 3 };
-    let end = (1_400_000, got(ResponseKind::Failed));
-    let seen = |proxy, at| broken(0, &[(0, told(proxy, false)), (at, late), end])[2];
-    assert_eq!((seen(0, 1_000_000), seen(0, 1_000_001), seen(1, 1_000_001)), (0, 1, 0));
-    let back = broken(0, &[(0, told(0, false)), (500_000, told(0, true)), (1_200_000, late), end]);
-    assert_eq!(back[2], 0);
+    let end = (1_400_000, response(ResponseKind::Failed));
+    let rule_3 = |proxy, at| violations(0, &[(0, notified(proxy, false)), (at, late), end])[2];
+    assert_eq!((rule_3(0, 1_000_000), rule_3(0, 1_000_001), rule_3(1, 1_000_001)), (0, 1, 0));
+    let ready_again =
+        violations(0, &[(0, notified(0, false)), (500_000, notified(0, true)), (1_200_000, late), end]);
+    assert_eq!(ready_again[2], 0);
 }
 
 #[test]
-fn what_goes_with_a_killed_process_is_excused_and_nothing_else() {
+fn excuses_only_requests_lost_with_a_killed_process() {
     let killed = |at, proxy| (at, Observation::ProxyKilled { proxy });
-    let day = day(0, &[(10, began(0)), killed(20, 0)]);
-    assert_eq!((day.violations, day.total.excused), ([0; 4], 1));
-    assert_eq!(broken(0, &[(10, began(0)), killed(20, 1)]), [1, 0, 0, 0], "another process");
+    let report = report(0, &[(10, attempt_started(0)), killed(20, 0)]);
+    assert_eq!((report.violations, report.total.excused), ([0; 4], 1));
+    assert_eq!(
+        violations(0, &[(10, attempt_started(0)), killed(20, 1)]),
+        [1, 0, 0, 0],
+        "another process was killed"
+    );
     let asked = Observation::RequestSent { id: 2, class: 0, end: 500_000, proxy: 0 };
-    let (served, anew) = (got(ResponseKind::Served), (25, Observation::ProxyRestarted { proxy: 0 }));
+    let (served, restarted) =
+        (response(ResponseKind::Served), (25, Observation::ProxyRestarted { proxy: 0 }));
     assert_eq!(
-        broken(0, &[(10, began(0)), (15, served), killed(20, 0), anew, (30, asked)])[0],
+        violations(0, &[(10, attempt_started(0)), (15, served), killed(20, 0), restarted, (30, asked)])[0],
         1,
-        "asked later"
+        "sent to the successor"
+    );
+    // An attempt after the kill still counts for the rule on effects.
+    assert_eq!(
+        violations(2, &[(10, attempt_started(0)), killed(20, 0), (30, attempt_started(1))]),
+        [0, 1, 0, 0]
     );
-    // What another process does for it later breaks the rule on effects as ever.
-    assert_eq!(broken(2, &[(10, began(0)), killed(20, 0), (30, began(1))]), [0, 1, 0, 0]);
 }
 
 #[test]
-fn a_stalled_process_has_no_time_until_it_goes_on() {
+fn stall_time_of_a_process_does_not_count() {
     let stalled = (100, Observation::ProxyStalled { proxy: 0, until: 900_000 });
-    let answered = |at| broken(0, &[(10, began(0)), stalled, (at, got(ResponseKind::Failed))]);
+    let answered =
+        |at| violations(0, &[(10, attempt_started(0)), stalled, (at, response(ResponseKind::Failed))]);
     assert_eq!((answered(900_000), answered(900_001)), ([0; 4], [1, 0, 0, 0]));
-    // One that comes while it stands has its whole time from when it goes on.
+    // A request that arrives during the stall has its complete time from the end of the stall.
     let asked = (300, Observation::RequestSent { id: 2, class: 0, end: 500_300, proxy: 0 });
     let second = |at| {
         let end = (at, Observation::ResponseReceived { id: 2, kind: ResponseKind::Failed });
-        broken(0, &[stalled, asked, (400, got(ResponseKind::Failed)), end])[0]
+        violations(0, &[stalled, asked, (400, response(ResponseKind::Failed)), end])[0]
     };
     assert_eq!((second(1_400_000), second(1_400_001)), (0, 1));
-    let told = (50, Observation::BackendNotified { proxy: 0, backend: 3, ready: false });
+    let notified = (50, Observation::BackendNotified { proxy: 0, backend: 3, ready: false });
     let late = Observation::AttemptRejected { id: 1, backend: 3 };
-    let end = (120, got(ResponseKind::Failed));
-    let sent = |at| broken(0, &[told, stalled, end, (at, late)])[2];
-    assert_eq!((sent(1_900_000), sent(1_900_001)), (0, 1), "the grace counts from when it goes on");
+    let end = (120, response(ResponseKind::Failed));
+    let sent = |at| violations(0, &[notified, stalled, end, (at, late)])[2];
+    assert_eq!((sent(1_900_000), sent(1_900_001)), (0, 1), "the grace counts from the end of the stall");
 }
 
 #[test]
-fn a_process_started_anew_was_told_nothing_and_a_missed_request_earns_nothing() {
-    let told = (0, Observation::BackendNotified { proxy: 0, backend: 3, ready: false });
-    let anew = (1_100_000, Observation::ProxyRestarted { proxy: 0 });
+fn restart_clears_notifications_and_undelivered_requests_earn_nothing() {
+    let notified = (0, Observation::BackendNotified { proxy: 0, backend: 3, ready: false });
+    let restarted = (1_100_000, Observation::ProxyRestarted { proxy: 0 });
     let late = (1_200_000, Observation::AttemptRejected { id: 1, backend: 3 });
-    let end = (90, got(ResponseKind::Failed));
-    assert_eq!((broken(0, &[told, end, anew, late])[2], broken(0, &[told, end, late])[2]), (0, 1));
-    let missed = day(
+    let end = (90, response(ResponseKind::Failed));
+    assert_eq!(
+        (violations(0, &[notified, end, restarted, late])[2], violations(0, &[notified, end, late])[2]),
+        (0, 1)
+    );
+    let undelivered = report(
         1,
         &[
-            (10, began(0)),
-            (20, got(ResponseKind::Served)),
+            (10, attempt_started(0)),
+            (20, response(ResponseKind::Served)),
             (30, Observation::RequestUndelivered { class: 1 }),
         ],
     );
-    assert_eq!((missed.total.undelivered, missed.total.goodput()), (1, 0.5));
+    assert_eq!((undelivered.total.undelivered, undelivered.total.goodput()), (1, 0.5));
 }
 
 #[test]
-fn rule_4_is_a_budget_over_two_seconds() {
-    let flood = |count: u64| {
+fn rule_4_limits_work_within_two_seconds() {
+    let overload = |count: u64| {
         let mut seen = vec![(0, Observation::BackendStarted { backend: 0 })];
         for n in 0..count {
             seen.push((
@@ -145,52 +176,56 @@
                 Observation::ResponseReceived { id: 10 + n, kind: ResponseKind::Served },
             ));
         }
-        broken(0, &seen)[3]
+        violations(0, &seen)[3]
     };
-    // A third of a core for two seconds, three times over: 198 requests of 10 ms, and two for chance.
-    assert_eq!((flood(200), flood(210) > 0), (0, true));
+    // Three times a third of a core for two seconds: 198 requests of 10 ms, and the slack of two.
+    assert_eq!((overload(200), overload(210) > 0), (0, true));
 }
 
 #[test]
-fn no_proxy_answers_for_what_is_late_on_a_link() {
-    let cut =
+fn link_delay_does_not_count_against_a_proxy() {
+    let link_fault =
         "link = [{ between = \"clients\", at_s = 0.2, for_s = 1.0, cut = true, way = \"back\" }]\nclass = [";
-    let script = Script::parse(&DAY.replace("class = [", cut), Path::new("day")).expect("a good script");
-    let lost = |begun| {
-        let mut record = ObservationLog::default();
-        record.add(
+    let script =
+        Script::parse(&SCRIPT.replace("class = [", link_fault), Path::new("day")).expect("a good script");
+    let violations_of = |started| {
+        let mut log = ObservationLog::default();
+        log.add(
             0,
-            if begun { Observation::ScenarioStarted } else { Observation::DiscoveryCalled { proxy: 0 } },
+            if started { Observation::ScenarioStarted } else { Observation::DiscoveryCalled { proxy: 0 } },
         );
-        record.add(0, Observation::RequestSent { id: 1, class: 0, end: 500_000, proxy: 0 });
-        record.add(10, began(0));
-        record.add(1_190_000, got(ResponseKind::Served));
-        check(&script, &record, 0).violations
+        log.add(0, Observation::RequestSent { id: 1, class: 0, end: 500_000, proxy: 0 });
+        log.add(10, attempt_started(0));
+        log.add(1_190_000, response(ResponseKind::Served));
+        check(&script, &log, 0).violations
     };
-    assert_eq!((lost(true), lost(false)), ([0; 4], [1, 0, 0, 0]));
+    assert_eq!((violations_of(true), violations_of(false)), ([0; 4], [1, 0, 0, 0]));
 }
 
 #[test]
-fn a_request_that_nobody_read_may_be_asked_again_and_is_no_loss() {
-    let untaken = (20, Observation::RequestNotAccepted { id: 1 });
-    let again = (30, Observation::RequestSent { id: 1, class: 0, end: 500_030, proxy: 0 });
-    let served = [(40, began(0)), (50, got(ResponseKind::Served))];
-    let asked_again = day(0, &[untaken, again, served[0], served[1]]);
+fn unaccepted_request_may_be_sent_again_and_is_not_lost() {
+    let unaccepted = (20, Observation::RequestNotAccepted { id: 1 });
+    let sent_again_event = (30, Observation::RequestSent { id: 1, class: 0, end: 500_030, proxy: 0 });
+    let served = [(40, attempt_started(0)), (50, response(ResponseKind::Served))];
+    let sent_again = report(0, &[unaccepted, sent_again_event, served[0], served[1]]);
     assert_eq!(
-        (asked_again.violations, asked_again.total.requests, asked_again.total.undelivered),
+        (sent_again.violations, sent_again.total.requests, sent_again.total.undelivered),
         ([0; 4], 1, 0)
     );
-    let missed = day(0, &[untaken]);
-    assert_eq!((missed.violations, missed.total.requests, missed.total.undelivered), ([0; 4], 0, 1));
+    let undelivered = report(0, &[unaccepted]);
+    assert_eq!(
+        (undelivered.violations, undelivered.total.requests, undelivered.total.undelivered),
+        ([0; 4], 0, 1)
+    );
     assert_eq!(
-        broken(0, &[(10, began(0)), untaken, (30, got(ResponseKind::Failed))])[0],
+        violations(0, &[(10, attempt_started(0)), unaccepted, (30, response(ResponseKind::Failed))])[0],
         1,
-        "a box had it already"
+        "a backend had already started it"
     );
-    // What is written to a process that is gone is lost with it; what its successor is asked is not.
+    // A request written to a killed process is excused; one sent to its successor is not.
     let asked = |at| (at, Observation::RequestSent { id: 2, class: 0, end: at + 500_000, proxy: 0 });
-    let (killed, anew) =
+    let (killed, restarted) =
         ((60, Observation::ProxyKilled { proxy: 0 }), (70, Observation::ProxyRestarted { proxy: 0 }));
-    assert_eq!(broken(0, &[served[0], served[1], killed, asked(65), anew])[0], 0);
-    assert_eq!(broken(0, &[served[0], served[1], killed, anew, asked(75)])[0], 1);
+    assert_eq!(violations(0, &[served[0], served[1], killed, asked(65), restarted])[0], 0);
+    assert_eq!(violations(0, &[served[0], served[1], killed, restarted, asked(75)])[0], 1);
 }
--- a/crates/testbed/src/slow_start_load.rs
+++ b/crates/testbed/src/slow_start_load.rs
@@ -5,7 +5,7 @@
 //! settings allow it then: `fallMultiple` times the capacity that it has at the window's beginning, for as long as the
 //! window lasts. What it turns away counts too: that is work which reached it.
 
-use crate::invariant_checker::{FALL_MULTIPLE, FALL_TIME, Observation, ResponseKind};
+use crate::invariant_checker::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, Observation, ResponseKind};
 use crate::plan::Plan;
 use crate::script::{Script, micros};
 use balancer::api::Micros;
@@ -43,7 +43,7 @@
     let age = age as f64 / micros(fleet.warm_up_s).max(1) as f64;
     let part = fleet.initial_capacity + (1.0 - fleet.initial_capacity) * age.min(1.0);
     let per_s = fleet.cores * script.speed(at_box) * 1e3 / script.mean_work_ms();
-    FALL_MULTIPLE * part * per_s * FALL_TIME as f64 / 1e6
+    OVERLOAD_MULTIPLE * part * per_s * OVERLOAD_WINDOW as f64 / 1e6
 }
 
 /// What is no more than chance where so many are allowed.
@@ -66,14 +66,14 @@
 impl Life {
     /// Work comes; gives the part of the bound that the window which ends now has had.
     fn add(&mut self, script: &Script, at: Micros, work: f64) -> f64 {
-        let from = at.saturating_sub(FALL_TIME).max(self.started);
+        let from = at.saturating_sub(OVERLOAD_WINDOW).max(self.started);
         self.lately.push_back((at, work));
         self.sum += work;
         while let Some((_, old)) = self.lately.front().copied().filter(|&(when, _)| when < from) {
             self.lately.pop_front();
             self.sum -= old;
         }
-        let window = ((at - self.started) / FALL_TIME) as usize;
+        let window = ((at - self.started) / OVERLOAD_WINDOW) as usize;
         if let Some(window) = self.windows.get_mut(window) {
             *window += work;
         }
@@ -101,7 +101,7 @@
                 any_until = any_until.max(Some(at + cold));
                 // Windows that begin while it is cold, and end while there is traffic.
                 let span = cold.min(asked_last.saturating_sub(at));
-                let windows = vec![0.0; (span / FALL_TIME) as usize];
+                let windows = vec![0.0; (span / OVERLOAD_WINDOW) as usize];
                 lives.push(Life { at_box, started: at, lately: VecDeque::new(), sum: 0.0, windows });
             }
             Observation::AttemptStarted { backend: at_box, .. }
@@ -112,7 +112,7 @@
                     _ => 0.0,
                 };
                 let life = current[at_box].and_then(|place| lives.get_mut(place));
-                if let Some(life) = life.filter(|life| at < life.started + cold + FALL_TIME) {
+                if let Some(life) = life.filter(|life| at < life.started + cold + OVERLOAD_WINDOW) {
                     out.most = out.most.max(life.add(script, at, work));
                 }
             }
@@ -136,5 +136,5 @@
     life.windows
         .iter()
         .enumerate()
-        .map(|(number, sum)| sum / bound(allowed(script, life.at_box, number as Micros * FALL_TIME)))
+        .map(|(number, sum)| sum / bound(allowed(script, life.at_box, number as Micros * OVERLOAD_WINDOW)))
 }
