--- a/crates/testbed/src/script/discovery.rs
+++ b/crates/testbed/src/script/discovery.rs
@@ -1,54 +1,58 @@
-//! How proxies hear of backends, as scripts have it.
+//! How proxies receive the list of backends in a script.
 
 use super::micros;
 use crate::call_queue::CallQueue;
 use serde::Deserialize;
 
-/// Discovery.
+/// The discovery service of a scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// An agent for each proxy, or one service for all.
+    /// One agent per proxy, or one shared service.
     #[serde(default)]
     pub mode: DiscoveryMode,
-    /// What a call takes of the one service, milliseconds, from and to; a watch that goes on takes nothing.
-    #[serde(default = "usual_call")]
+    /// Shortest and longest processing time of a call at the shared service, milliseconds; an open watch costs nothing.
+    #[serde(default = "default_call_ms")]
     pub call_ms: [f64; 2],
-    /// A call that has waited so long for its turn fails, milliseconds.
-    #[serde(default = "usual_wait")]
+    /// Queueing time after which a call fails, milliseconds.
+    #[serde(default = "default_fails_after_ms")]
     pub fails_after_ms: f64,
 }
 
-/// Who serves lists.
+/// Which service delivers the list.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiscoveryMode {
-    /// An agent beside each proxy, which is sent what changes and answers at once.
+    /// An agent beside each proxy, which receives changes and responds immediately.
     #[default]
     Pushed,
-    /// One service for all proxies, which works through their calls in turn.
+    /// One shared service, which processes the calls of all proxies in order.
     Asked,
 }
 
-fn usual_call() -> [f64; 2] {
+fn default_call_ms() -> [f64; 2] {
     [60.0, 160.0]
 }
 
-fn usual_wait() -> f64 {
+fn default_fails_after_ms() -> f64 {
     2_000.0
 }
 
 impl Default for Discovery {
     fn default() -> Self {
-        Self { mode: DiscoveryMode::default(), call_ms: usual_call(), fails_after_ms: usual_wait() }
+        Self {
+            mode: DiscoveryMode::default(),
+            call_ms: default_call_ms(),
+            fails_after_ms: default_fails_after_ms(),
+        }
     }
 }
 
 impl Discovery {
-    /// The calls of the one service, where there is one.
+    /// The call queue of the shared service; `None` with agents.
     pub(crate) fn queue(&self, seed: u64) -> Option<CallQueue> {
-        let [from, to] = self.call_ms.map(|ms| micros(ms / 1e3));
+        let [shortest, longest] = self.call_ms.map(|ms| micros(ms / 1e3));
         (self.mode == DiscoveryMode::Asked)
-            .then(|| CallQueue::new((from, to), micros(self.fails_after_ms / 1e3), seed))
+            .then(|| CallQueue::new((shortest, longest), micros(self.fails_after_ms / 1e3), seed))
     }
 }
--- a/crates/testbed/src/script/faults.rs
+++ b/crates/testbed/src/script/faults.rs
@@ -1,33 +1,106 @@
-//! Faults of processes and links, as scripts name them.
+//! Faults that a script injects into backends, proxy processes and links.
 
 use super::Script;
 use serde::Deserialize;
 
-/// Something that happens to processes of the proxy.
+/// A fault of backends or of discovery.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct BackendFault {
+    /// Kind of fault.
+    pub what: BackendFaultKind,
+    /// Start of the fault, seconds.
+    pub at_s: f64,
+    /// Duration of the fault, seconds.
+    pub for_s: f64,
+    /// Fraction of the backends that are affected, drawn at random.
+    #[serde(default)]
+    pub part: f64,
+    /// Affects all backends of this zone instead of a fraction.
+    #[serde(default)]
+    pub zone: Option<u16>,
+    /// Severity: the factor of `slow`, otherwise the fraction of the requests, responses or connections affected.
+    #[serde(default)]
+    pub degree: f64,
+}
+
+/// Kinds of backend and discovery faults.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
+#[serde(rename_all = "kebab-case")]
+pub enum BackendFaultKind {
+    /// The process dies, and restarts at the end of the fault.
+    Crash,
+    /// Requests are accepted and never answered.
+    Hang,
+    /// The process makes no progress.
+    Pause,
+    /// Requests take longer.
+    Slow,
+    /// Connections are reset while some requests run.
+    Reset,
+    /// Connections are reset while some requests arrive, before the backend starts them.
+    ResetRequest,
+    /// Connections are reset in the middle of some responses.
+    BreakAnswer,
+    /// Connections are closed after some responses without `Connection: close`.
+    CloseAfter,
+    /// Idle keep-alive connections become black holes: data sent on them is lost.
+    Silence,
+    /// New connections are reset once established.
+    ResetNew,
+    /// Data on some new connections is read late.
+    AcceptLate,
+    /// Some responses are malformed.
+    Spoil,
+    /// The backend finishes its requests and accepts no new ones.
+    Drain,
+    /// Discovery sends no notifications.
+    DiscoveryDown,
+}
+
+impl BackendFaultKind {
+    /// Faults of connections, which are no evidence of a backend's health.
+    pub const OF_CONNECTIONS: [Self; 7] = [
+        Self::Reset,
+        Self::ResetRequest,
+        Self::BreakAnswer,
+        Self::CloseAfter,
+        Self::Silence,
+        Self::ResetNew,
+        Self::AcceptLate,
+    ];
+
+    /// Whether [`BackendFault::degree`] applies to this kind.
+    #[must_use]
+    pub fn has_degree(self) -> bool {
+        matches!(self, Self::Slow | Self::Spoil) || Self::OF_CONNECTIONS.contains(&self)
+    }
+}
+
+/// A fault of proxy processes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessFault {
-    /// What happens.
+    /// Kind of fault.
     pub what: ProcessFaultKind,
-    /// When it begins, seconds.
+    /// Start of the fault, seconds.
     pub at_s: f64,
-    /// How long the process is gone, or stands; seconds.
+    /// How long the process is down or stopped, seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// Part of the proxies that have it, drawn by chance.
+    /// Fraction of the proxies that are affected, drawn at random.
     #[serde(default)]
     pub part: f64,
-    /// They have it in so many waves ...
+    /// Number of waves into which the affected proxies are divided.
     #[serde(default = "one_wave")]
     pub waves: u32,
-    /// ... so far apart, seconds.
+    /// Time between two waves, seconds.
     #[serde(default)]
     pub wave_s: f64,
-    /// A stall comes again so often until the day's last answers are in, seconds, not at all processes at once; 0: it
-    /// comes once.
+    /// Period of repeated stalls until the last responses are due, seconds; the processes are staggered. 0: one stall.
     #[serde(default)]
     pub every_s: f64,
-    /// The list of boxes with which a process starts again.
+    /// The list of backends with which a process restarts.
     #[serde(default)]
     pub list: InitialList,
 }
@@ -36,107 +109,127 @@
     1
 }
 
-/// Kinds of faults of processes.
+/// Kinds of process faults.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProcessFaultKind {
-    /// It is killed outright (SIGKILL), and started again after a while.
+    /// The process is killed (SIGKILL) and restarted later.
     Kill,
-    /// It is told to end (SIGTERM), and started again after a while.
+    /// The process is terminated (SIGTERM) and restarted later.
     End,
-    /// It stands still (SIGSTOP), and goes on after a while (SIGCONT).
+    /// The process is stopped (SIGSTOP) and continued later (SIGCONT).
     Stall,
-    /// Another process takes its place while it serves (over processes alone).
+    /// A successor process takes over while it serves (only in runs with processes).
     Replace,
 }
 
-/// The list with which a process starts.
+/// The list of backends with which a process starts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum InitialList {
-    /// The one of the day's beginning.
+    /// The list from the start of the scenario.
     #[default]
     Old,
-    /// None at all.
+    /// No list.
     Nothing,
 }
 
-/// Something that happens between two kinds of parties.
+/// A fault of the links between two kinds of endpoints.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkFault {
-    /// Between whom.
+    /// The endpoints.
     pub between: LinkEndpoints,
-    /// When it begins, seconds.
+    /// Start of the fault, seconds.
     pub at_s: f64,
-    /// How long it lasts, seconds.
+    /// Duration of the fault, seconds.
     pub for_s: f64,
-    /// Part of the pairs that have it, fixed by the seed.
-    #[serde(default = "every")]
+    /// Fraction of the links that are affected, determined by the seed.
+    #[serde(default = "all_links")]
     pub part: f64,
-    /// Only the links of this zone's proxies.
+    /// Affects only links of this zone's proxies.
     #[serde(default)]
     pub zone: Option<u16>,
-    /// Which way.
+    /// The affected direction.
     #[serde(default)]
     pub way: Direction,
-    /// Nothing passes.
+    /// The link passes nothing.
     #[serde(default)]
     pub cut: bool,
-    /// Each message takes this much longer, milliseconds ...
+    /// Additional delay of each message, milliseconds.
     #[serde(default)]
     pub delay_ms: f64,
-    /// ... and up to this much more, drawn for each.
+    /// Largest additional jitter, drawn for each message, milliseconds.
     #[serde(default)]
     pub spread_ms: f64,
-    /// Part of the messages that is lost; over TCP it comes after a further delay, as a repeat would.
+    /// Fraction of the messages that are lost; over TCP they arrive after a retransmission delay.
     #[serde(default)]
     pub drop: f64,
-    /// Part of the datagrams that comes twice.
+    /// Fraction of the datagrams that are duplicated.
     #[serde(default)]
     pub duplicate: f64,
-    /// Part of the datagrams that comes behind later ones.
+    /// Fraction of the datagrams that are overtaken by later ones.
     #[serde(default)]
     pub reorder: f64,
-    /// Bytes that pass in a second, thousands; 0: any number.
+    /// Bandwidth, kilobytes per second; 0: unlimited.
     #[serde(default)]
     pub kbytes_s: f64,
 }
 
-const fn every() -> f64 {
+const fn all_links() -> f64 {
     1.0
 }
 
-/// Between whom a link lies.
+/// The endpoints of a link.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkEndpoints {
     /// Clients and proxies.
     Clients,
-    /// Proxies and boxes.
+    /// Proxies and backends.
     Boxes,
     /// Proxies and discovery.
     Discovery,
-    /// Proxies among themselves (datagrams).
+    /// Two proxies (datagrams).
     Proxies,
 }
 
-/// Which way of a link is hit. Out is from the client to the proxy, and from the proxy to whoever else there is; among
-/// proxies, from the one with the lower number.
+/// Direction on a link. Out leads from the client to the proxy, from the proxy to a backend or discovery, and from the
+/// proxy with the lower number to the other one.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// Both.
+    /// Both directions.
     #[default]
     Both,
-    /// Out.
+    /// Outbound.
     Out,
-    /// Back.
+    /// Return direction.
     Back,
 }
 
 impl Script {
-    /// Which proxies a fault of processes has, by chance but the same for the same seed.
+    /// The backends that a fault affects: random, but the same for the same seed.
+    ///
+    /// # Panics
+    /// If there is no backend fault of this index.
+    #[must_use]
+    pub fn faulty_backends(&self, index: usize) -> Vec<usize> {
+        let fault = &self.backend_faults[index];
+        if let Some(zone) = fault.zone {
+            return (0..self.fleet.backends).filter(|&backend| self.zone(backend) == zone).collect();
+        }
+        let mut rng = fastrand::Rng::with_seed(self.seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9));
+        let mut all: Vec<usize> = (0..self.fleet.backends).collect();
+        rng.shuffle(&mut all);
+        all.truncate((self.fleet.backends as f64 * fault.part).round() as usize);
+        all
+    }
+
+    /// The proxies that a process fault affects: random, but the same for the same seed.
+    ///
+    /// # Panics
+    /// If there is no process fault of this index.
     #[must_use]
     pub fn faulty_proxies(&self, index: usize) -> Vec<usize> {
         let mut rng =
@@ -147,7 +240,7 @@
         all
     }
 
-    /// Whether anything goes wrong with links of this kind.
+    /// Whether any link fault affects links between these endpoints.
     #[must_use]
     pub fn has_links(&self, between: LinkEndpoints) -> bool {
         self.link_faults.iter().any(|link| link.between == between)
--- a/crates/testbed/src/script/traffic.rs
+++ b/crates/testbed/src/script/traffic.rs
@@ -116,7 +116,10 @@
     #[must_use]
     pub fn mean_work_ms(&self) -> f64 {
         let total_share = self.classes.iter().map(|class| class.share).sum::<f64>();
-        self.classes.iter().map(|class| class.share * (class.work_ms[0] + class.work_ms[1]) / 2.0).sum::<f64>()
+        self.classes
+            .iter()
+            .map(|class| class.share * (class.work_ms[0] + class.work_ms[1]) / 2.0)
+            .sum::<f64>()
             / total_share
     }
 
--- a/crates/testbed/src/script/validation.rs
+++ b/crates/testbed/src/script/validation.rs
@@ -5,13 +5,13 @@
     MAX_SECONDS, ProcessFault, ProcessFaultKind, Script, ScriptError,
 };
 
-/// The most waves of one fault of processes.
+/// Largest number of waves of one process fault.
 const MAX_WAVES: f64 = 1_000.0;
-/// The most stalls per second of one fault, over all processes.
+/// Largest rate of stalls of one fault over all processes, per second.
 const MAX_STALLS_PER_S: f64 = 5_000.0;
-/// The most request classes of one script.
+/// Largest number of request classes.
 const MAX_CLASSES: usize = 64;
-/// The shortest time between the end of a stall and the next one of the same fault, seconds.
+/// Shortest time between the end of a stall and the next one of the same process, seconds.
 const MIN_STALL_GAP_S: f64 = 0.001;
 
 fn invalid(field: impl Into<String>, problem: impl Into<String>) -> Result<(), ScriptError> {
@@ -25,15 +25,15 @@
     invalid(field, format!("{value} does not lie in {min}..={max}"))
 }
 
-fn fractions(parts: &[(&str, f64)]) -> Result<(), ScriptError> {
-    for (name, part) in parts {
-        within(name, *part, 0.0, 1.0)?;
+fn fractions(fractions: &[(&str, f64)]) -> Result<(), ScriptError> {
+    for (name, fraction) in fractions {
+        within(name, *fraction, 0.0, 1.0)?;
     }
     Ok(())
 }
 
 impl Script {
-    /// Checks that all of the script can be played.
+    /// Checks that all values are within their ranges.
     ///
     /// # Errors
     /// The first key whose value is out of range, and why.
@@ -43,14 +43,14 @@
         self.check_discovery()?;
         self.check_traffic()?;
         self.check_classes()?;
-        for (index, trouble) in self.backend_faults.iter().enumerate() {
-            self.check_backend_fault(index, trouble)?;
+        for (index, fault) in self.backend_faults.iter().enumerate() {
+            self.check_backend_fault(index, fault)?;
         }
-        for (index, process) in self.process_faults.iter().enumerate() {
-            self.check_process_fault(index, process)?;
+        for (index, fault) in self.process_faults.iter().enumerate() {
+            self.check_process_fault(index, fault)?;
         }
-        for (index, link) in self.link_faults.iter().enumerate() {
-            self.check_link_fault(index, link)?;
+        for (index, fault) in self.link_faults.iter().enumerate() {
+            self.check_link_fault(index, fault)?;
         }
         Ok(())
     }
@@ -149,7 +149,7 @@
         if fault.what != ProcessFaultKind::Stall {
             return invalid(field("every_s"), "only a `stall` comes again");
         }
-        // As often as all of them can be signalled, and with a moment between two of them.
+        // The period leaves time to signal all processes, and a gap between two stalls of one process.
         let signalling_s = self.fleet.proxies as f64 * fault.part / MAX_STALLS_PER_S;
         within(&field("every_s"), fault.every_s, signalling_s.max(fault.for_s + MIN_STALL_GAP_S), MAX_SECONDS)
     }
