--- a/crates/testbed/src/backend_model.rs
+++ b/crates/testbed/src/backend_model.rs
@@ -1,201 +1,167 @@
-//! A box as a model: cores that its requests share, a bound on what it holds, a cold start, and what can be wrong with
-//! it. No I/O and no clock; both modes of the rig use it.
+//! Model of a backend: cores shared by its requests, a bounded queue, a warm-up phase, and injected faults. Pure: no I/O
+//! and no clock; used in virtual time and on sockets.
 
 use balancer::api::Micros;
 
-/// While a box warms up, its speed is looked at this often.
-const WARM_STEP: Micros = 50_000;
+/// Interval at which the speed of a warming backend is recomputed, microseconds.
+const WARM_UP_STEP: Micros = 50_000;
 
-/// What a box is.
+/// Properties of a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendSpec {
-    /// Work that runs at full speed at a time.
+    /// Number of requests that run at full speed in parallel.
     pub cores: f64,
-    /// Speed of a core beside the usual one.
+    /// Relative speed of a core.
     pub speed: f64,
-    /// Requests that it holds at the most.
+    /// Largest number of requests, running and queued.
     pub capacity: usize,
-    /// Part of its capacity with which it starts.
+    /// Fraction of its capacity with which it starts.
     pub initial_capacity: f64,
-    /// After how long it is warm.
+    /// Warm-up time, microseconds.
     pub warm_up_duration: Micros,
 }
 
-/// What became of a request that arrived.
+/// Admission decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs and will be answered.
+    /// The request runs and will be answered.
     Accepted,
-    /// It was taken and will never be answered.
+    /// The request was accepted but will never be answered.
     Swallowed,
-    /// Turned away unseen.
+    /// The request was rejected without being read.
     Rejected,
 }
 
 struct Job {
     id: u64,
-    left: f64,
+    /// Remaining work, microseconds on a core of speed 1.
+    remaining: f64,
 }
 
-/// A box's process.
+/// The process of a backend.
 pub struct BackendModel {
     spec: BackendSpec,
     now: Micros,
-    /// `None`: long ago.
-    started: Option<Micros>,
+    /// `None`: it started long ago and is warm.
+    started_at: Option<Micros>,
     jobs: Vec<Job>,
     swallowed: usize,
-    slow: f64,
-    hangs: bool,
-    stands: bool,
-    drains: bool,
+    /// Factor by which requests take longer, at least 1.
+    slowdown: f64,
+    hanging: bool,
+    paused: bool,
+    draining: bool,
 }
 
 impl BackendModel {
-    /// A process that began to run at `started`; `None`: long ago.
+    /// A process that started at `started_at`; `None`: long ago, so that it is warm.
     #[must_use]
-    pub fn new(spec: BackendSpec, now: Micros, started: Option<Micros>) -> Self {
-        let (jobs, swallowed, slow) = (Vec::new(), 0, 1.0);
-        Self { spec, now, started, jobs, swallowed, slow, hangs: false, stands: false, drains: false }
+    pub fn new(spec: BackendSpec, now: Micros, started_at: Option<Micros>) -> Self {
+        Self {
+            spec,
+            now,
+            started_at,
+            jobs: Vec::new(),
+            swallowed: 0,
+            slowdown: 1.0,
+            hanging: false,
+            paused: false,
+            draining: false,
+        }
     }
 
-    /// Its capacity at a time, in cores.
+    /// Capacity at a time, in cores.
     #[must_use]
     pub fn capacity(&self, at: Micros) -> f64 {
-        self.spec.cores * self.warmth(at)
+        self.spec.cores * self.warm_up_fraction(at)
     }
 
-    fn warmth(&self, at: Micros) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
-        let age = at.saturating_sub(started) as f64 / self.spec.warm_up_duration.max(1) as f64;
+    fn warm_up_fraction(&self, at: Micros) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let age = at.saturating_sub(started_at) as f64 / self.spec.warm_up_duration.max(1) as f64;
         self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * age.min(1.0)
     }
 
-    /// The speed of each request now, in work a second of time.
+    /// Speed of each request now: work done per unit of time.
     fn speed(&self) -> f64 {
-        if self.stands || self.jobs.is_empty() {
+        if self.paused || self.jobs.is_empty() {
             return 0.0;
         }
-        (self.capacity(self.now) / self.jobs.len() as f64).min(1.0) * self.spec.speed / self.slow
+        (self.capacity(self.now) / self.jobs.len() as f64).min(1.0) * self.spec.speed / self.slowdown
     }
 
-    /// A request with so much work (microseconds on a core) arrives.
+    /// Admits or rejects a request with this work, in microseconds on a core of speed 1. The model must have been advanced
+    /// to `now` before.
     pub fn arrive(&mut self, now: Micros, id: u64, work: Micros) -> Admission {
-        debug_assert!(now >= self.now, "advance comes first");
-        if self.drains || self.jobs.len() + self.swallowed >= self.spec.capacity {
+        debug_assert!(now >= self.now, "advance must be called first");
+        if self.draining || self.jobs.len() + self.swallowed >= self.spec.capacity {
             return Admission::Rejected;
         }
-        if self.hangs {
+        if self.hanging {
             self.swallowed += 1;
             return Admission::Swallowed;
         }
-        self.jobs.push(Job { id, left: work as f64 });
+        self.jobs.push(Job { id, remaining: work as f64 });
         Admission::Accepted
     }
 
-    /// Lets time pass; gives the requests that are done, in the order in which they ended.
+    /// Advances to a time; returns the requests that finished, in the order of their ends.
     pub fn advance(&mut self, now: Micros) -> Vec<u64> {
-        let mut done = Vec::new();
+        let mut finished = Vec::new();
         while self.now < now {
             let next = self.next().unwrap_or(now).min(now).max(self.now + 1);
-            let worked = self.speed() * (next - self.now) as f64;
+            let work_done = self.speed() * (next - self.now) as f64;
             self.now = next;
-            // Half a microsecond's work is what rounding leaves.
-            self.jobs.iter_mut().for_each(|job| job.left -= worked);
-            done.extend(self.jobs.extract_if(.., |job| job.left < 0.5).map(|job| job.id));
+            // Rounding leaves less than half a microsecond of work.
+            self.jobs.iter_mut().for_each(|job| job.remaining -= work_done);
+            finished.extend(self.jobs.extract_if(.., |job| job.remaining < 0.5).map(|job| job.id));
         }
-        done
+        finished
     }
 
-    /// When to look again.
+    /// When [`BackendModel::advance`] has to be called next; `None` if nothing is running.
     #[must_use]
     pub fn next(&self) -> Option<Micros> {
-        let least = self.jobs.iter().map(|job| job.left).min_by(f64::total_cmp)?;
+        let least_remaining = self.jobs.iter().map(|job| job.remaining).min_by(f64::total_cmp)?;
         let speed = self.speed();
         if speed == 0.0 {
             return None;
         }
-        let done = self.now + (least / speed).ceil().max(1.0) as Micros;
-        let warming = self.started.is_some_and(|s| self.now < s + self.spec.warm_up_duration);
-        Some(if warming { done.min(self.now + WARM_STEP) } else { done })
+        let finished_at = self.now + (least_remaining / speed).ceil().max(1.0) as Micros;
+        let warming =
+            self.started_at.is_some_and(|started_at| self.now < started_at + self.spec.warm_up_duration);
+        Some(if warming { finished_at.min(self.now + WARM_UP_STEP) } else { finished_at })
     }
 
-    /// Requests that it holds.
+    /// Number of accepted requests without a response.
     #[must_use]
     pub fn held(&self) -> usize {
         self.jobs.len() + self.swallowed
     }
 
-    /// Everything takes this many times as long.
+    /// Sets the factor by which requests take longer; at least 1.
     pub fn set_slow(&mut self, factor: f64) {
-        self.slow = factor.max(1.0);
+        self.slowdown = factor.max(1.0);
     }
 
-    /// Whether it takes requests and answers none. What it has swallowed is let go when that ends.
-    pub fn set_hangs(&mut self, hangs: bool) {
-        self.hangs = hangs;
-        if !hangs {
+    /// Sets whether requests are accepted but never answered. Swallowed requests are dropped when this ends.
+    pub fn set_hangs(&mut self, hanging: bool) {
+        self.hanging = hanging;
+        if !hanging {
             self.swallowed = 0;
         }
     }
 
-    /// Whether it stands still.
-    pub fn set_stands(&mut self, stands: bool) {
-        self.stands = stands;
+    /// Sets whether the process makes no progress.
+    pub fn set_stands(&mut self, paused: bool) {
+        self.paused = paused;
     }
 
-    /// Whether it wants nothing new.
-    pub fn set_drains(&mut self, drains: bool) {
-        self.drains = drains;
+    /// Sets whether new requests are rejected.
+    pub fn set_drains(&mut self, draining: bool) {
+        self.draining = draining;
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const SPEC: BackendSpec = BackendSpec {
-        cores: 2.0,
-        speed: 1.0,
-        capacity: 4,
-        initial_capacity: 0.5,
-        warm_up_duration: 1_000_000,
-    };
-
-    #[test]
-    fn requests_share_the_cores() {
-        let mut model = BackendModel::new(SPEC, 0, None);
-        for id in 0..4 {
-            assert_eq!(model.arrive(0, id, 10_000), Admission::Accepted);
-        }
-        assert_eq!(model.arrive(0, 4, 10_000), Admission::Rejected);
-        assert!(model.advance(19_999).is_empty());
-        assert_eq!(model.advance(20_001), [0, 1, 2, 3]);
-        assert_eq!(model.arrive(20_001, 5, 10_000), Admission::Accepted);
-        assert_eq!(model.next(), Some(30_001), "alone it has a core to itself");
-    }
-
-    #[test]
-    fn a_cold_box_is_slower_and_warms_up() {
-        let mut model = BackendModel::new(SPEC, 0, Some(0));
-        assert_eq!((model.capacity(0), model.capacity(500_000), model.capacity(9_000_000)), (1.0, 1.5, 2.0));
-        model.arrive(0, 1, 100_000);
-        model.arrive(0, 2, 100_000);
-        let end = (100_000..400_000).step_by(1_000).find(|&t| !model.advance(t).is_empty());
-        assert!(end.is_some_and(|t| (150_000..200_000).contains(&t)), "{end:?}");
-    }
-
-    #[test]
-    fn a_hung_box_swallows_a_standing_one_goes_on_later() {
-        let mut model = BackendModel::new(SPEC, 0, None);
-        model.set_hangs(true);
-        assert_eq!(model.arrive(0, 1, 10), Admission::Swallowed);
-        assert!(model.advance(1_000_000).is_empty());
-        model.set_hangs(false);
-        model.arrive(1_000_000, 2, 10_000);
-        model.set_stands(true);
-        assert_eq!((model.next(), model.advance(2_000_000)), (None, Vec::new()));
-        model.set_stands(false);
-        assert_eq!(model.advance(2_010_001), [2]);
-    }
-}
+mod tests;
