--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -1,144 +1,140 @@
-//! Boxes, discovery and troubles of a day in virtual time.
+//! Backends, discovery and backend faults in virtual time.
 
-use super::{Event, Sent, World};
+use super::{AttemptResult, Event, Simulation};
 use crate::backend_model::{Admission, BackendModel};
 use crate::invariant_checker::Observation;
 use crate::script::{BackendFaultKind, micros};
 use balancer::api::{Backend, MembershipUpdate, Micros, Readiness};
 
-/// How long after it came a request's connection breaks.
-const RESET_AFTER: Micros = 5_000;
+/// Time from the arrival of a request to the reset of its connection, microseconds.
+const RESET_DELAY: Micros = 5_000;
 
-impl World<'_> {
-    // ---- Boxes ----
-
-    pub(super) fn reach_box(&mut self, which: usize) {
-        let (at_box, client) = (self.tries[which].at_box, self.tries[which].client);
-        let way = self.way(which);
-        self.box_advances(at_box);
-        let at = &mut self.boxes[at_box];
-        let Some(model) = &mut at.model else {
-            return self.after(way, Event::ToProxy { which, outcome: Sent::ConnectFailed });
+impl Simulation<'_> {
+    pub(super) fn backend_receives(&mut self, index: usize) {
+        let (backend, client) = (self.attempts[index].backend, self.attempts[index].client);
+        let latency = self.latency(index);
+        self.advance_backend(backend);
+        let simulated = &mut self.backends[backend];
+        let Some(model) = &mut simulated.model else {
+            return self
+                .after(latency, Event::ProxyReceives { index, outcome: AttemptResult::ConnectFailed });
         };
         let work = self.plan.arrivals[client as usize].work;
-        let arrived = model.arrive(self.now, which as u64, work);
-        if arrived == Admission::Rejected {
-            self.record.add(self.now, Observation::AttemptRejected { id: client, backend: at_box });
-            return self.after(way, Event::ToProxy { which, outcome: Sent::Full });
+        let admission = model.arrive(self.now, index as u64, work);
+        if admission == Admission::Rejected {
+            self.log.add(self.now, Observation::AttemptRejected { id: client, backend });
+            return self.after(latency, Event::ProxyReceives { index, outcome: AttemptResult::Full });
         }
-        at.holds.push(which);
-        let (resets, spoils) = (at.resets, at.spoils);
-        self.record.add(self.now, Observation::AttemptStarted { id: client, backend: at_box, work });
-        if self.rng.f64() < resets {
-            self.after(RESET_AFTER, Event::ToProxy { which, outcome: Sent::Reset });
+        simulated.in_flight.push(index);
+        let (reset_fraction, malformed_fraction) = (simulated.reset_fraction, simulated.malformed_fraction);
+        self.log.add(self.now, Observation::AttemptStarted { id: client, backend, work });
+        if self.rng.f64() < reset_fraction {
+            self.after(RESET_DELAY, Event::ProxyReceives { index, outcome: AttemptResult::Reset });
         }
-        self.tries[which].spoilt = self.rng.f64() < spoils;
-        self.box_due(at_box);
+        self.attempts[index].malformed = self.rng.f64() < malformed_fraction;
+        self.schedule_backend(backend);
     }
 
-    pub(super) fn box_due(&mut self, at_box: usize) {
-        let at = &mut self.boxes[at_box];
-        let next = at.model.as_ref().and_then(BackendModel::next).unwrap_or(Micros::MAX);
-        // An earlier event that is set but no longer wanted passes unheard.
-        if std::mem::replace(&mut at.due, next) != next && next < Micros::MAX {
-            self.at(next, Event::BoxDue(at_box));
+    pub(super) fn schedule_backend(&mut self, backend: usize) {
+        let simulated = &mut self.backends[backend];
+        let next = simulated.model.as_ref().and_then(BackendModel::next).unwrap_or(Micros::MAX);
+        // A timer event that was scheduled before and is no longer due is ignored.
+        if std::mem::replace(&mut simulated.due, next) != next && next < Micros::MAX {
+            self.at(next, Event::BackendTimer(backend));
         }
     }
 
-    pub(super) fn box_advances(&mut self, at_box: usize) {
-        let at = &mut self.boxes[at_box];
-        let Some(model) = &mut at.model else { return };
-        for which in model.advance(self.now).into_iter().map(|id| id as usize) {
-            self.boxes[at_box].holds.retain(|&w| w != which);
-            let way = self.way(which);
-            let outcome = if self.tries[which].spoilt { Sent::Spoilt } else { Sent::Ok };
-            self.after(way, Event::ToProxy { which, outcome });
+    pub(super) fn advance_backend(&mut self, backend: usize) {
+        let simulated = &mut self.backends[backend];
+        let Some(model) = &mut simulated.model else { return };
+        for index in model.advance(self.now).into_iter().map(|id| id as usize) {
+            self.backends[backend].in_flight.retain(|&other| other != index);
+            let latency = self.latency(index);
+            let outcome =
+                if self.attempts[index].malformed { AttemptResult::Malformed } else { AttemptResult::Ok };
+            self.after(latency, Event::ProxyReceives { index, outcome });
         }
-        self.box_due(at_box);
+        self.schedule_backend(backend);
     }
 
-    // ---- Discovery ----
-
-    pub(super) fn entry(&self, at_box: usize) -> Backend {
-        let at = &self.boxes[at_box];
-        let readiness = match (&at.model, at.drains) {
+    pub(super) fn membership_entry(&self, backend: usize) -> Backend {
+        let simulated = &self.backends[backend];
+        let readiness = match (&simulated.model, simulated.draining) {
             (None, _) => Readiness::Removed,
             (Some(_), true) => Readiness::Draining,
             (Some(_), false) => Readiness::Ready,
         };
         Backend {
-            id: at_box as u32,
-            zone: self.script.zone(at_box),
+            id: backend as u32,
+            zone: self.script.zone(backend),
             machine_kind: 0,
-            cell: self.script.cell(at_box),
+            cell: self.script.cell(backend),
             readiness,
-            started_at: at.started,
+            started_at: simulated.started_at,
         }
     }
 
-    pub(super) fn tell_all(&mut self, at_box: usize) {
+    pub(super) fn notify_all(&mut self, backend: usize) {
         for proxy in 0..self.proxies.len() {
-            let late = self.script.fleet.notification_delay_s * (1.0 + self.rng.f64());
-            self.after(micros(late), Event::News { proxy, at_box });
+            let delay_s = self.script.fleet.notification_delay_s * (1.0 + self.rng.f64());
+            self.after(micros(delay_s), Event::NotificationArrives { proxy, backend });
         }
     }
 
-    pub(super) fn news(&mut self, proxy: usize, at_box: usize) {
+    pub(super) fn notify(&mut self, proxy: usize, backend: usize) {
         if self.discovery_down > 0 {
-            return self.unsaid.push(Event::News { proxy, at_box });
+            return self.deferred_notifications.push(Event::NotificationArrives { proxy, backend });
         }
-        let entry = self.entry(at_box);
+        let entry = self.membership_entry(backend);
         let ready = entry.readiness == Readiness::Ready;
-        self.record.add(self.now, Observation::BackendNotified { proxy, backend: at_box, ready });
+        self.log.add(self.now, Observation::BackendNotified { proxy, backend, ready });
         self.proxies[proxy].update_membership(self.now, MembershipUpdate::Delta(&[entry]));
-        self.obey(proxy);
+        self.run_commands(proxy);
     }
 
-    // ---- Troubles ----
-
-    pub(super) fn trouble(&mut self, index: usize, begins: bool) {
-        let trouble = &self.script.backend_faults[index];
-        if trouble.what == BackendFaultKind::DiscoveryDown {
-            self.discovery_down = self.discovery_down.saturating_add_signed(if begins { 1 } else { -1 });
+    pub(super) fn apply_fault(&mut self, index: usize, starts: bool) {
+        let fault = &self.script.backend_faults[index];
+        if fault.what == BackendFaultKind::DiscoveryDown {
+            self.discovery_down = self.discovery_down.saturating_add_signed(if starts { 1 } else { -1 });
             if self.discovery_down == 0 {
-                for event in std::mem::take(&mut self.unsaid) {
+                for event in std::mem::take(&mut self.deferred_notifications) {
                     self.after(0, event);
                 }
             }
             return;
         }
-        for at_box in self.script.faulty_backends(index) {
-            self.box_advances(at_box);
-            self.strike(at_box, index, begins);
-            self.box_due(at_box);
+        for backend in self.script.faulty_backends(index) {
+            self.advance_backend(backend);
+            self.apply_fault_to(backend, index, starts);
+            self.schedule_backend(backend);
         }
     }
 
-    pub(super) fn strike(&mut self, at_box: usize, index: usize, begins: bool) {
-        let trouble = &self.script.backend_faults[index];
-        let (what, degree) = (trouble.what, if begins { trouble.degree } else { 0.0 });
-        let at = &mut self.boxes[at_box];
+    pub(super) fn apply_fault_to(&mut self, backend: usize, index: usize, starts: bool) {
+        let fault = &self.script.backend_faults[index];
+        let (what, degree) = (fault.what, if starts { fault.degree } else { 0.0 });
+        let simulated = &mut self.backends[backend];
         match what {
-            BackendFaultKind::Reset => at.resets = degree,
-            BackendFaultKind::Spoil => at.spoils = degree,
-            BackendFaultKind::Crash if begins => self.crash(at_box),
-            BackendFaultKind::Crash => self.start(at_box),
+            BackendFaultKind::Reset => simulated.reset_fraction = degree,
+            BackendFaultKind::Spoil => simulated.malformed_fraction = degree,
+            BackendFaultKind::Crash if starts => self.crash(backend),
+            BackendFaultKind::Crash => self.start(backend),
             BackendFaultKind::Drain => {
-                at.drains = begins;
-                if let Some(model) = &mut at.model {
-                    model.set_drains(begins);
+                simulated.draining = starts;
+                if let Some(model) = &mut simulated.model {
+                    model.set_drains(starts);
                 }
-                self.tell_all(at_box);
+                self.notify_all(backend);
             }
             BackendFaultKind::Hang | BackendFaultKind::Pause | BackendFaultKind::Slow => {
-                let Some(model) = &mut at.model else { return };
+                let Some(model) = &mut simulated.model else { return };
                 match what {
-                    BackendFaultKind::Hang => model.set_hangs(begins),
-                    BackendFaultKind::Pause => model.set_stands(begins),
+                    BackendFaultKind::Hang => model.set_hangs(starts),
+                    BackendFaultKind::Pause => model.set_stands(starts),
                     _ => model.set_slow(degree),
                 }
             }
-            // Of what goes wrong with connections this mode knows only those that break under a request.
+            // Of the connection faults, only resets during a request exist in virtual time.
             BackendFaultKind::ResetRequest
             | BackendFaultKind::BreakAnswer
             | BackendFaultKind::CloseAfter
@@ -149,28 +145,28 @@
         }
     }
 
-    pub(super) fn crash(&mut self, at_box: usize) {
-        let at = &mut self.boxes[at_box];
-        if at.model.take().is_none() {
+    pub(super) fn crash(&mut self, backend: usize) {
+        let simulated = &mut self.backends[backend];
+        if simulated.model.take().is_none() {
             return;
         }
-        at.due = Micros::MAX;
-        for which in std::mem::take(&mut at.holds) {
-            let way = self.way(which);
-            self.after(way, Event::ToProxy { which, outcome: Sent::Reset });
+        simulated.due = Micros::MAX;
+        for index in std::mem::take(&mut simulated.in_flight) {
+            let latency = self.latency(index);
+            self.after(latency, Event::ProxyReceives { index, outcome: AttemptResult::Reset });
         }
-        self.tell_all(at_box);
+        self.notify_all(backend);
     }
 
-    pub(super) fn start(&mut self, at_box: usize) {
-        let (spec, now) = (self.script.box_spec(at_box), self.now);
-        let at = &mut self.boxes[at_box];
-        if at.model.is_some() {
+    pub(super) fn start(&mut self, backend: usize) {
+        let (spec, now) = (self.script.box_spec(backend), self.now);
+        let simulated = &mut self.backends[backend];
+        if simulated.model.is_some() {
             return;
         }
-        at.model = Some(BackendModel::new(spec, now, Some(now)));
-        at.started = Some(now);
-        self.record.add(now, Observation::BackendStarted { backend: at_box });
-        self.tell_all(at_box);
+        simulated.model = Some(BackendModel::new(spec, now, Some(now)));
+        simulated.started_at = Some(now);
+        self.log.add(now, Observation::BackendStarted { backend });
+        self.notify_all(backend);
     }
 }
--- a/crates/testbed/src/virtual_time/processes.rs
+++ b/crates/testbed/src/virtual_time/processes.rs
@@ -1,136 +1,137 @@
-//! Processes of a day in virtual time: killed, told to end, stopped, started anew; and the front that deals requests out
-//! among them.
+//! Proxy processes in virtual time: kill, termination, stall and restart; and the front end that routes requests to them.
 
-use super::{Event, World, add, engine};
+use super::{Event, Simulation, engine};
 use crate::invariant_checker::Observation;
 use crate::plan::ProcessAction;
 use crate::script::{InitialList, micros};
 use balancer::api::{MembershipUpdate, Micros};
 
-/// How long after its start a process has discovery's list.
-const FIRST_LIST: Micros = 20_000;
+/// Time from the start of a process to the first snapshot from discovery, microseconds.
+const SNAPSHOT_DELAY: Micros = 20_000;
 
-/// A proxy's process.
+/// The process of a proxy.
 #[derive(Clone, Default)]
 pub(super) struct Process {
-    /// Counts its processes.
-    pub(super) life: u32,
-    /// Since when it is gone.
-    gone: Option<Micros>,
-    /// It was told to end; the front knows.
+    /// Number of restarts.
+    pub(super) incarnation: u32,
+    /// When it ended; `None` while it runs.
+    ended_at: Option<Micros>,
+    /// It was terminated; the front end no longer routes to it.
     ending: bool,
     stopped: bool,
-    /// What happened to it while it stood, and requests that came.
+    /// Events during a stall.
     deferred: Vec<Event>,
-    kept: Vec<usize>,
+    queued_requests: Vec<usize>,
 }
 
 impl Process {
     pub(super) fn runs(&self) -> bool {
-        self.gone.is_none()
+        self.ended_at.is_none()
     }
 
-    /// Whether an event has to wait until it goes on, or comes to nothing as the process is gone.
+    /// Whether an event is deferred by a stall, or dropped because the process has ended.
     pub(super) fn defers(&mut self, event: Event) -> bool {
         if self.stopped {
             self.deferred.push(event);
         }
-        self.stopped || self.gone.is_some()
+        self.stopped || self.ended_at.is_some()
     }
 
-    /// Whether a request has to wait in the socket of a process that stands.
-    pub(super) fn keeps(&mut self, which: usize) -> bool {
+    /// Whether a request is queued in the socket of a stopped process.
+    pub(super) fn queues(&mut self, index: usize) -> bool {
         if self.stopped {
-            self.kept.push(which);
+            self.queued_requests.push(index);
         }
         self.stopped
     }
 }
 
-impl World<'_> {
-    /// The proxy that gets a request meant for this one: `None` where the front has not noticed that it is gone.
-    pub(super) fn front(&mut self, meant: usize) -> Option<usize> {
-        let process = &self.processes[meant];
-        match process.gone {
-            None if !process.ending => return Some(meant),
+impl Simulation<'_> {
+    /// The proxy that receives a request intended for this one; `None` if the front end has not detected its end yet, or
+    /// no other proxy serves.
+    pub(super) fn route(&mut self, intended: usize) -> Option<usize> {
+        let process = &self.processes[intended];
+        match process.ended_at {
+            None if !process.ending => return Some(intended),
             Some(since) if self.now < since + micros(self.script.fleet.front_end_detection_s) => return None,
             _ => {}
         }
-        let serves = |proxy: usize| self.processes[proxy].runs() && !self.processes[proxy].ending;
-        self.script.in_place_of(meant, serves, &mut self.rng)
+        let is_serving = |proxy: usize| self.processes[proxy].runs() && !self.processes[proxy].ending;
+        self.script.in_place_of(intended, is_serving, &mut self.rng)
     }
 
-    pub(super) fn process(&mut self, which: usize) {
-        let event = self.plan.processes[which];
+    pub(super) fn apply_process_event(&mut self, index: usize) {
+        let event = self.plan.processes[index];
         let proxy = event.proxy;
         match event.action {
             ProcessAction::Kill => {
-                self.record.add(self.now, Observation::ProxyKilled { proxy });
-                self.gone(proxy);
+                self.log.add(self.now, Observation::ProxyKilled { proxy });
+                self.process_ended(proxy);
             }
             ProcessAction::Term => self.processes[proxy].ending = true,
-            // By now it has ended by itself, unless it owes answers, which is then a broken rule.
-            ProcessAction::Reap => self.gone(proxy),
-            ProcessAction::Start(list) => self.start_again(proxy, list),
+            // Without open requests it has ended by itself; open ones now violate rule 1.
+            ProcessAction::Reap => self.process_ended(proxy),
+            ProcessAction::Start(list) => self.restart(proxy, list),
             ProcessAction::Stop(until) if self.processes[proxy].runs() => {
-                self.record.add(self.now, Observation::ProxyStalled { proxy, until: super::START + until });
+                self.log.add(self.now, Observation::ProxyStalled { proxy, until: super::START + until });
                 self.processes[proxy].stopped = true;
             }
-            ProcessAction::Continue => self.go_on(proxy),
+            ProcessAction::Continue => self.resume(proxy),
             ProcessAction::Stop(_) | ProcessAction::Replace => {}
         }
     }
 
-    fn gone(&mut self, proxy: usize) {
+    fn process_ended(&mut self, proxy: usize) {
         let process = &mut self.processes[proxy];
-        process.gone.get_or_insert(self.now);
+        process.ended_at.get_or_insert(self.now);
         process.stopped = false;
         process.deferred.clear();
-        process.kept.clear();
+        process.queued_requests.clear();
         self.proxy_due[proxy] = Micros::MAX;
     }
 
-    fn start_again(&mut self, proxy: usize, list: InitialList) {
-        let life = self.processes[proxy].life + 1;
-        // The settings were good when the day began.
-        let Ok(new) = engine(self.script, proxy, life, self.now) else { return };
+    fn restart(&mut self, proxy: usize, list: InitialList) {
+        let incarnation = self.processes[proxy].incarnation + 1;
+        // The settings were valid at the start of the scenario.
+        let Ok(new) = engine(self.script, proxy, incarnation, self.now) else { return };
         let old = std::mem::replace(&mut self.proxies[proxy], new);
-        add(&mut self.past.0, &mut self.past.1, old.counts(), old.lease_counts());
-        self.processes[proxy] = Process { life, ..Process::default() };
+        self.ended_process_totals.add(old.counts(), old.lease_counts());
+        self.processes[proxy] = Process { incarnation, ..Process::default() };
         self.proxy_due[proxy] = Micros::MAX;
-        self.record.add(self.now, Observation::ProxyRestarted { proxy });
+        self.log.add(self.now, Observation::ProxyRestarted { proxy });
         if list == InitialList::Old {
             self.proxies[proxy]
-                .update_membership(self.now, MembershipUpdate::CachedSnapshot(&self.first_list));
-            self.obey(proxy);
+                .update_membership(self.now, MembershipUpdate::CachedSnapshot(&self.initial_snapshot));
+            self.run_commands(proxy);
         }
-        self.after(FIRST_LIST, Event::FirstList(proxy));
+        self.after(SNAPSHOT_DELAY, Event::SnapshotArrives(proxy));
     }
 
-    /// The whole list as discovery has it, told at once.
-    pub(super) fn first_list(&mut self, proxy: usize) {
+    /// Delivers discovery's current snapshot to a proxy.
+    pub(super) fn deliver_snapshot(&mut self, proxy: usize) {
         if self.discovery_down > 0 {
-            return self.unsaid.push(Event::FirstList(proxy));
+            return self.deferred_notifications.push(Event::SnapshotArrives(proxy));
         }
-        let list: Vec<_> = (0..self.boxes.len()).map(|at_box| self.entry(at_box)).collect();
-        for (at_box, entry) in list.iter().enumerate() {
+        let list: Vec<_> = (0..self.backends.len()).map(|backend| self.membership_entry(backend)).collect();
+        for (backend, entry) in list.iter().enumerate() {
             let ready = entry.readiness == balancer::api::Readiness::Ready;
-            self.record.add(self.now, Observation::BackendNotified { proxy, backend: at_box, ready });
+            self.log.add(self.now, Observation::BackendNotified { proxy, backend, ready });
         }
         self.proxies[proxy].update_membership(self.now, MembershipUpdate::Snapshot(&list));
-        self.obey(proxy);
+        self.run_commands(proxy);
     }
 
-    /// It goes on: what it had set itself is due at once, then it reads what came, in order.
-    fn go_on(&mut self, proxy: usize) {
+    /// Ends a stall: first handles the deferred events, then reads the queued requests, in order.
+    fn resume(&mut self, proxy: usize) {
         let process = &mut self.processes[proxy];
         process.stopped = false;
-        let (deferred, kept) = (std::mem::take(&mut process.deferred), std::mem::take(&mut process.kept));
+        let (deferred, queued_requests) =
+            (std::mem::take(&mut process.deferred), std::mem::take(&mut process.queued_requests));
         for event in deferred {
-            self.happen(event);
+            self.handle(event);
         }
-        for which in kept {
-            self.reach_proxy(proxy, which);
+        for index in queued_requests {
+            self.proxy_receives(proxy, index);
         }
     }
 }
--- /dev/null
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -0,0 +1,115 @@
+//! The request engines of the proxies in virtual time: their commands, attempts and leases.
+
+use super::{Attempt, Event, MAX_SLOW_SEND_DELAY, SEND_DELAY, Simulation};
+use crate::invariant_checker::{Observation, ResponseKind};
+use balancer::api::{BackendId, Micros, Outcome, RequestId};
+use request_engine::engine::{AttemptEnd, Command, FinalOutcome, LeaseGrant};
+
+impl Simulation<'_> {
+    pub(super) fn run_commands(&mut self, proxy: usize) {
+        while let Some(command) = self.proxies[proxy].next_command() {
+            match command {
+                Command::StartAttempt { request, attempt, backend, schedule, outbound_request: client } => {
+                    let give_up_at = schedule.give_up_at;
+                    let index = self.record_attempt(proxy, client, (request, attempt), backend, give_up_at);
+                    let latency = self.latency(index);
+                    self.after(latency, Event::BackendReceives(index));
+                    self.at(give_up_at, Event::AttemptTimeout(index));
+                }
+                Command::GrantLease(grant) => self.lease_granted(proxy, grant),
+                Command::RevokeLease { lease, .. } => {
+                    if let Some(&index) = self.by_lease.get(&lease) {
+                        self.attempts[index].revoked = true;
+                    }
+                }
+                Command::Respond { responder, outcome, .. } => {
+                    let kind = match outcome {
+                        FinalOutcome::Served(_) => ResponseKind::Served,
+                        FinalOutcome::Rejected { .. } => ResponseKind::Rejected,
+                        FinalOutcome::Failed => ResponseKind::Failed,
+                    };
+                    self.log.add(self.now, Observation::ResponseReceived { id: responder, kind });
+                }
+                Command::CancelAttempt { .. }
+                | Command::CancelUnsentAttempt { .. }
+                | Command::Subscribe
+                | Command::CheckHealth(_)
+                | Command::CloseIdleConnections(_)
+                | Command::Log(_) => {}
+            }
+        }
+        if let Some(due) = self.proxies[proxy].next_timer().map(|due| due.max(self.now))
+            && due < self.proxy_due[proxy]
+        {
+            self.proxy_due[proxy] = due;
+            self.at(due, Event::ProxyTimer(proxy));
+        }
+    }
+
+    pub(super) fn lease_granted(&mut self, proxy: usize, grant: LeaseGrant) {
+        let LeaseGrant { lease, request, attempt, backend, send_by, give_up_at } = grant;
+        // A client that already has its response lets the lease expire.
+        let Some(&client) = self.proxies[proxy].responder(request) else { return };
+        let index = self.record_attempt(proxy, client, (request, attempt), backend, give_up_at);
+        (self.attempts[index].lease, self.attempts[index].send_by) = (Some(lease), send_by);
+        self.by_lease.insert(lease, index);
+        let slow = self.rng.f64() < self.script.traffic.slow_callers;
+        let delay = if slow { self.rng.u64(0..MAX_SLOW_SEND_DELAY) } else { SEND_DELAY };
+        self.after(delay, Event::LeaseHolderSends(index));
+    }
+
+    pub(super) fn record_attempt(
+        &mut self,
+        proxy: usize,
+        client: u64,
+        (request, number): (RequestId, u16),
+        backend: BackendId,
+        give_up_at: Micros,
+    ) -> usize {
+        self.attempts.push(Attempt {
+            proxy,
+            incarnation: self.processes[proxy].incarnation,
+            client,
+            request,
+            number,
+            backend: backend as usize,
+            lease: None,
+            send_by: Micros::MAX,
+            give_up_at,
+            revoked: false,
+            finished: false,
+            malformed: false,
+        });
+        self.attempts.len() - 1
+    }
+
+    /// Reports the end of an attempt to its engine, once.
+    pub(super) fn finish_attempt(&mut self, index: usize, outcome: Outcome) {
+        let attempt = &mut self.attempts[index];
+        if std::mem::replace(&mut attempt.finished, true) {
+            return;
+        }
+        let (proxy, request, number, lease) = (attempt.proxy, attempt.request, attempt.number, attempt.lease);
+        if attempt.incarnation != self.processes[proxy].incarnation || !self.processes[proxy].runs() {
+            return;
+        }
+        let ended = AttemptEnd {
+            outcome,
+            response: (outcome == Outcome::Ok).then_some(()),
+            load_report: Vec::new(),
+            client_wait: 0,
+        };
+        match lease {
+            None => self.proxies[proxy].attempt_finished(self.now, request, number, ended),
+            Some(lease) => {
+                self.by_lease.remove(&lease);
+                if self.rng.f64() < self.script.traffic.lost_reports {
+                    return;
+                }
+                // The engine counts late reports; they have no effect.
+                let _ = self.proxies[proxy].report_result(self.now, lease, ended);
+            }
+        }
+        self.run_commands(proxy);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/virtual_time/requests.rs
@@ -0,0 +1,63 @@
+//! Client requests in virtual time: arrival at a proxy, and sending by lease holders.
+
+use super::{Event, START, Simulation};
+use crate::invariant_checker::{Observation, ResponseKind};
+use balancer::api::Outcome;
+use request_engine::engine::{Dispatch, IncomingRequest, Overload};
+
+impl Simulation<'_> {
+    pub(super) fn schedule_request(&mut self, index: usize) {
+        if let Some(arrival) = self.plan.arrivals.get(index) {
+            self.at(START + arrival.at, Event::RequestArrives(index));
+        }
+    }
+
+    pub(super) fn request_arrives(&mut self, index: usize) {
+        let arrival = self.plan.arrivals[index];
+        let (class, client) = (usize::from(arrival.class), index as u64);
+        let Some(proxy) = self.route(usize::from(arrival.proxy)) else {
+            return self.log.add(self.now, Observation::RequestUndelivered { class });
+        };
+        let timeout = self.script.classes[class].deadline_ms * 1_000;
+        self.log
+            .add(self.now, Observation::RequestSent { id: client, class, end: self.now + timeout, proxy });
+        self.proxy_receives(proxy, index);
+    }
+
+    /// The proxy has read the complete request.
+    pub(super) fn proxy_receives(&mut self, proxy: usize, index: usize) {
+        if self.processes[proxy].queues(index) {
+            return;
+        }
+        let arrival = self.plan.arrivals[index];
+        let leased = self.rng.f64() < self.script.traffic.leased;
+        let client = index as u64;
+        let arrival = IncomingRequest {
+            class: arrival.class,
+            tenant: arrival.tenant,
+            key: None,
+            arrived_at: self.now,
+            timeout: self.script.classes[usize::from(arrival.class)].deadline_ms * 1_000,
+            expected_work: None,
+            is_retry: false,
+            dispatch: if leased { Dispatch::Leased } else { Dispatch::Proxied(client) },
+        };
+        if let Err(Overload::Requests(client) | Overload::Leases(client)) =
+            self.proxies[proxy].admit(self.now, arrival, client)
+        {
+            self.log
+                .add(self.now, Observation::ResponseReceived { id: client, kind: ResponseKind::Rejected });
+        }
+        self.run_commands(proxy);
+    }
+
+    pub(super) fn lease_holder_sends(&mut self, index: usize) {
+        let attempt = &self.attempts[index];
+        if attempt.revoked || self.now > attempt.send_by {
+            return self.finish_attempt(index, Outcome::NotSent);
+        }
+        let (latency, give_up_at) = (self.latency(index), attempt.give_up_at);
+        self.after(latency, Event::BackendReceives(index));
+        self.at(give_up_at, Event::AttemptTimeout(index));
+    }
+}
