--- a/crates/testbed/src/call_queue.rs
+++ b/crates/testbed/src/call_queue.rs
@@ -1,21 +1,21 @@
-//! The calls to a discovery service that all proxies share: it works through them in turn and fails those that have
-//! waited too long. Pure: no I/O, no clock.
+//! Call queue of a discovery service that all proxies share: it processes calls in order, and fails those that waited too
+//! long. Pure: no I/O, no clock.
 
 use balancer::api::Micros;
 
-/// What becomes of a call, and when it is known.
+/// Outcome of a call, with the time at which it is known, microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Worked through by then.
+    /// The call was processed.
     Done(Micros),
-    /// It has waited too long by then and fails; the service has done nothing for it.
+    /// The call waited too long and failed without being processed.
     Failed(Micros),
 }
 
-/// The service's calls.
+/// The queue of calls.
 #[derive(Debug)]
 pub struct CallQueue {
-    /// What a call takes, from and to.
+    /// Shortest and longest processing time, microseconds.
     call: (Micros, Micros),
     fails_after: Micros,
     free_at: Micros,
@@ -23,14 +23,14 @@
 }
 
 impl CallQueue {
-    /// A service with no calls. A call takes between the two times of `call`, each as likely as the other, and fails
-    /// after so long a wait for its turn; microseconds.
+    /// An empty queue. The processing time of a call is uniform between the two times of `call`; a call fails after
+    /// waiting for `fails_after`. All times in microseconds.
     #[must_use]
     pub fn new(call: (Micros, Micros), fails_after: Micros, seed: u64) -> Self {
         Self { call, fails_after, free_at: 0, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// A call comes.
+    /// Adds a call at `now`, and returns its outcome.
     pub fn come(&mut self, now: Micros) -> CallOutcome {
         let begins = self.free_at.max(now);
         if begins > now + self.fails_after {
--- a/crates/testbed/src/restarts.rs
+++ b/crates/testbed/src/restarts.rs
@@ -1,35 +1,35 @@
-//! How soon processes that were started anew were ready, as their `/up` told whoever asked from outside. Pure.
+//! Readiness of restarted proxy processes, measured from outside by their `/up`. Pure.
 
 use crate::invariant_checker::Observation;
 use balancer::api::Micros;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-/// A process that was started anew is meant to be ready within this time.
+/// Time within which a restarted process should be ready, microseconds.
 pub const READY_TIMEOUT: Micros = 10_000_000;
 
-/// How soon processes that were started anew were ready.
+/// Time to readiness of restarted processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Restarts {
-    /// Processes that were started anew, less those that were killed again before they had their time.
+    /// Restarted processes, without those that were killed again within [`READY_TIMEOUT`].
     pub restarted: u64,
-    /// Those that were ready within [`READY_TIMEOUT`] of their start.
+    /// Processes that were ready within [`READY_TIMEOUT`] of their start.
     pub in_time: u64,
-    /// Median time from the start until `/up` said 200, seconds, over those that got there.
+    /// Median time from the start until `/up` answered 200, seconds, over the processes that became ready.
     pub median_s: f64,
-    /// The longest of these times.
+    /// The longest of these times, seconds.
     pub worst_s: f64,
 }
 
 impl Restarts {
-    /// Whether nine in ten were ready in time.
+    /// Whether at least 90 % were ready in time.
     #[must_use]
     pub fn is_soon(&self) -> bool {
         self.in_time * 10 >= self.restarted * 9
     }
 }
 
-/// Counts them; `None` where none was started anew. `seen` is in the order of time.
+/// Measures readiness; `None` if no process was restarted. `seen` is in the order of time.
 #[must_use]
 pub fn measure(seen: &[(Micros, Observation)]) -> Option<Restarts> {
     let mut starting: FxHashMap<usize, Micros> = FxHashMap::default();
--- a/crates/testbed/src/spread.rs
+++ b/crates/testbed/src/spread.rs
@@ -1,5 +1,5 @@
-//! How evenly boxes were loaded, and how soon service came back after each fault, from what the stand-ins saw. Pure.
-//! Chance alone spreads requests unevenly too: its deviation at so many requests stands beside each figure.
+//! Load distribution over backends, and recovery time after each fault, computed from observations. Pure. Each deviation
+//! is reported with the one that random selection has at the same number of requests.
 
 use crate::invariant_checker::{Observation, ResponseKind};
 use crate::plan::Plan;
@@ -8,51 +8,50 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-/// Length of the windows in which load is compared.
+/// Length of the windows in which load is compared, microseconds.
 const WINDOW: Micros = 1_000_000;
-/// Service is back once a window's part in time is this part of what it was before the fault ...
+/// Service has recovered once the fraction of requests in time is this fraction of that before the fault ...
 const BACK: f64 = 0.95;
-/// ... in so many windows in a row.
+/// ... in this number of consecutive windows.
 const BACK_WINDOWS: usize = 2;
 
-/// Load of the boxes. Each box's load is its requests over what its speed makes its part.
+/// Load of the backends. The relative load of a backend is its requests over the share that its speed gives it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// The busiest box over the mean, over the whole day.
+    /// Largest relative load over the complete scenario.
     pub busiest: f64,
-    /// The least busy one.
+    /// Smallest relative load.
     pub least: f64,
-    /// Standard deviation over the mean.
+    /// Standard deviation of the relative loads.
     pub deviation: f64,
-    /// What chance alone gives at so many requests.
+    /// Standard deviation of random selection.
     pub chance: f64,
-    /// The same two, in windows of a second: means over the windows.
+    /// Mean of the standard deviations in windows of a second.
     pub window_deviation: f64,
-    /// See `window_deviation`.
+    /// Mean of the standard deviations of random selection in windows of a second.
     pub window_chance: f64,
-    /// Windows of a second in which a box that was up got nothing.
+    /// Windows of a second in which an available backend received no request.
     pub idle: u64,
-    /// What chance alone leaves idle, and three of its deviations more.
+    /// Expected number of idle windows with random selection.
     pub idle_chance: f64,
-    /// See `idle_chance`.
+    /// `idle_chance` plus three standard deviations.
     pub idle_most: f64,
-    /// New connections to boxes for each request.
+    /// New connections to backends per request.
     pub connections: f64,
-    /// Attempts that boxes saw for each request.
+    /// Attempts that reached backends per request.
     pub attempts: f64,
-    /// Attempts that boxes turned away.
+    /// Attempts that backends rejected.
     pub turned_away: u64,
-    /// Calls to discovery for each request.
+    /// Calls to discovery per request.
     pub calls: f64,
-    /// Time from the end of each fault until service was back, seconds, by the order of their ends; none: not within
-    /// the day.
+    /// Time from the end of each fault until recovery, seconds, in the order of the ends; `None` without recovery.
     pub recovery_s: Vec<Option<f64>>,
-    /// Time from each start or return of a box until it began its first request, seconds; none: it began none. It returns
-    /// when the first proxy is told that it may be sent to, after any was told that it may not.
+    /// Time from each start or return of a backend to its first request, seconds; `None` without one. A backend returns
+    /// with the first notification that it is ready after one that it is not.
     pub first_use_s: Vec<Option<f64>>,
 }
 
-/// Measures it. `began` is when the day began on the record's clock.
+/// Measures the distribution. `began` is the start of the scenario on the clock of the observations.
 #[must_use]
 pub fn measure(script: &Script, plan: &Plan, seen: &[(Micros, Observation)], began: Micros) -> Spread {
     let mut loads = Loads::new(script, began);
@@ -78,7 +77,7 @@
                 }
             }
             Observation::AttemptRejected { .. } => (attempts, turned_away) = (attempts + 1, turned_away + 1),
-            // Proxies hear late of a box that has started: its start counts, not the word of it.
+            // Notifications of a start are delayed: the start itself counts.
             Observation::BackendStarted { backend: at_box } => {
                 out[at_box] = false;
                 starts.push((at_box, at, None));
@@ -104,7 +103,7 @@
     spread
 }
 
-/// Each fault's beginning and end, by their ends; those that a day ends in are none.
+/// Start and end of each fault that ends within the scenario, ordered by end.
 fn ends_of_faults(script: &Script, plan: &Plan) -> Vec<(Micros, Micros)> {
     let span = |at_s: f64, for_s: f64| (micros(at_s), micros(at_s + for_s));
     let boxes = script.backend_faults.iter().map(|t| span(t.at_s, t.for_s));
@@ -119,7 +118,7 @@
     all
 }
 
-/// Requests that each box began, in all and by window.
+/// Attempts that each backend started, in total and by window.
 struct Loads {
     began: Micros,
     counts: Vec<u64>,
@@ -180,7 +179,7 @@
     chance: f64,
 }
 
-/// Loads of these boxes over what their speeds make their parts.
+/// Relative loads of these backends.
 fn relative(script: &Script, boxes: &[usize], load: impl Fn(usize) -> f64) -> Relative {
     let total: f64 = boxes.iter().map(|&b| load(b)).sum();
     let speeds: f64 = boxes.iter().map(|&b| script.speed(b)).sum();
@@ -191,15 +190,15 @@
         (max, min) = (max.max(load), min.min(load));
         squares += (load - 1.0) * (load - 1.0);
     }
-    // Of a multinomial draw, each count's variance over its mean squared.
+    // In a multinomial draw: the variance of each count over its squared mean.
     let chance = boxes.iter().map(|&b| (1.0 - script.speed(b) / speeds) / part(b).max(f64::MIN_POSITIVE));
     let count = boxes.len() as f64;
     let chance = (chance.sum::<f64>() / count).sqrt();
     Relative { max, min, deviation: (squares / count).sqrt(), chance }
 }
 
-/// Whether a box is meant to get requests in the whole of a window: no trouble that takes it out of service touches
-/// it, nor the time in which news of that are late.
+/// Whether a backend is available for a complete window: no fault takes it out of service, and no notification of one
+/// is still delayed.
 fn is_in_service(script: &Script, at_box: usize, window: usize) -> bool {
     let (from, to) = (window as f64, window as f64 + 1.0);
     let out = |what| {
@@ -219,7 +218,7 @@
     })
 }
 
-/// Requests by the window in which they were asked, and how many of them were served in time.
+/// Requests by the window in which they were sent, and how many of them were served in time.
 #[derive(Default)]
 struct InTime {
     windows: Vec<(u32, u32)>,
@@ -261,7 +260,7 @@
     }
 
     fn recovery(&self, from: Micros, to: Micros) -> Option<f64> {
-        // A fault at the very beginning has nothing before it.
+        // A fault at the start of the scenario has no window before it.
         let before = self.part(0..(from / WINDOW) as usize).unwrap_or(1.0);
         let first = to.div_ceil(WINDOW) as usize;
         let good = |window: usize| self.part(window..window + 1).is_some_and(|part| part >= before * BACK);
