--- a/crates/testbed/src/connection_fault_matrix.rs
+++ b/crates/testbed/src/connection_fault_matrix.rs
@@ -4,7 +4,7 @@
 //! the proxy's doing.
 
 use crate::script::{BackendFault, BackendFaultKind, Script, ScriptError};
-use crate::sockets::{self, Day, SocketsError};
+use crate::sockets::{self, ScenarioResult, SocketScenarioError};
 use balancer::api::{Micros, Outcome};
 use std::fmt;
 use std::path::Path;
@@ -30,7 +30,7 @@
     Script(#[from] ScriptError),
     /// The day.
     #[error("{0}")]
-    Sockets(#[from] SocketsError),
+    Sockets(#[from] SocketScenarioError),
 }
 
 /// How the trouble comes.
@@ -102,7 +102,7 @@
     /// The case.
     pub case: Case,
     /// What came of it.
-    pub day: Day,
+    pub day: ScenarioResult,
 }
 
 /// The head of the table.
@@ -127,7 +127,7 @@
             all.goodput(),
             self.day.judgement.worst_goodput,
             all.attempts as f64 / all.requests.max(1) as f64,
-            self.day.hits,
+            self.day.fault_hits,
             self.day.ejections,
             all.rejected,
             all.failed,
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::invariant_checker::CheckReport;
 use crate::script::{BackendFaultKind, Script, ScriptError};
-use crate::sockets::{self, Live, Second, SocketsError};
+use crate::sockets::{self, ProgressCounts, ProgressReport, SocketScenarioError};
 use balancer::api::Micros;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -22,14 +22,15 @@
     Script(#[from] ScriptError),
     /// The day.
     #[error("{0}")]
-    Sockets(#[from] SocketsError),
+    Sockets(#[from] SocketScenarioError),
 }
 
 /// One line of the table.
 #[must_use]
-pub fn line(second: &Second, before: Live) -> String {
-    let live = second.live;
-    let (worth, earned) = (live.worth.0 - before.worth.0, live.worth.1 - before.worth.1);
+pub fn line(second: &ProgressReport, before: ProgressCounts) -> String {
+    let live = second.progress;
+    let (worth, earned) =
+        (live.weight_requested - before.weight_requested, live.weight_earned - before.weight_earned);
     let goodput = if worth > 0.0 { earned / worth } else { 1.0 };
     let mut limits = String::new();
     for &(limit, in_flight) in second.limits.iter().take(SHOWN) {
@@ -41,9 +42,9 @@
     format!(
         "{:>3} s  {:>5} {:>6} {:>7} {:>6}   {goodput:>7.2}   {:>2} up {:>2} drain  broken {}  limit/in flight:{limits}",
         second.at,
-        live.asked - before.asked,
+        live.requests - before.requests,
         live.served - before.served,
-        live.refused - before.refused,
+        live.rejected - before.rejected,
         live.failed - before.failed,
         second.up,
         second.draining,
@@ -82,7 +83,7 @@
 ///
 /// # Errors
 /// Where it can't be played.
-pub fn play(script: &Script, slack: Micros) -> Result<CheckReport, SocketsError> {
+pub fn play(script: &Script, slack: Micros) -> Result<CheckReport, SocketScenarioError> {
     let fleet = &script.fleet;
     println!("{}", script.title);
     println!(
@@ -91,10 +92,10 @@
     );
     print!("{}", programme(script));
     println!("\n time   asked served refused failed   goodput   boxes");
-    let mut before = Live::default();
+    let mut before = ProgressCounts::default();
     let day = sockets::play(script, slack, |second| {
         println!("{}", line(second, before));
-        before = second.live;
+        before = second.progress;
     })?;
     println!("\n{}", day.judgement);
     Ok(day.judgement)
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -10,7 +10,7 @@
 use crate::restarts;
 use crate::script::{InitialList, LinkEndpoints, Script, ScriptError, micros};
 use crate::slow_start_load;
-use crate::sockets::{Board, Shard};
+use crate::sockets::{Shard, SharedState};
 use crate::spread;
 use balancer::api::Micros;
 use serde_json::{Value, json};
@@ -83,16 +83,16 @@
 }
 
 async fn day(script: &Script, machine: &Machine) -> Result<Row, FleetError> {
-    let (board, news) = Board::new(script.clone(), Plan::draw(script));
+    let (shared_state, news) = SharedState::new(script.clone(), Plan::draw(script));
     let clock = Clock::default();
-    let stand_ins = open(&board, news, machine.threads.max(1), &clock)?;
-    let mut director = Director::new(&board, machine, stand_ins.lists.clone())?;
+    let stand_ins = open(&shared_state, news, machine.threads.max(1), &clock)?;
+    let mut director = Director::new(&shared_state, machine, stand_ins.lists.clone())?;
     for (proxy, &agent) in stand_ins.agents.iter().enumerate() {
         director.places.push(Place::new(&director.folder, proxy, agent)?);
     }
     director.start_all().await?;
-    let began = board.now() + HEAD_START;
-    clock.begin(board.instant(began));
+    let began = shared_state.now() + HEAD_START;
+    clock.begin(shared_state.instant(began));
     // A thread that is gone shows when it is joined.
     for begin in stand_ins.begin {
         let _ = begin.send(began);
@@ -100,9 +100,9 @@
     let own_before = cpu_s(std::process::id()).unwrap_or(0.0);
     director.record.borrow_mut().add(began, Observation::ScenarioStarted);
     let director = Rc::new(RefCell::new(director));
-    direct(&director, &board, began).await;
-    let end = began + micros(script.seconds).max(board.plan.quiet_after());
-    board.sleep_until(end).await;
+    direct(&director, &shared_state, began).await;
+    let end = began + micros(script.seconds).max(shared_state.plan.quiet_after());
+    shared_state.sleep_until(end).await;
     while stand_ins.threads.iter().any(|thread| !thread.is_finished()) {
         sleep(Duration::from_millis(20)).await;
     }
@@ -125,9 +125,9 @@
     let seen = record.in_order();
     let judged = check_ordered(script, &seen, machine.slack);
     judged.messages.iter().for_each(|words| eprintln!("{words}"));
-    let spread = spread::measure(script, &board.plan, &seen, began);
+    let spread = spread::measure(script, &shared_state.plan, &seen, began);
     let mut row = Row::new(script, "processes", &judged, spread);
-    row.cold = slow_start_load::measure(script, &board.plan, &seen);
+    row.cold = slow_start_load::measure(script, &shared_state.plan, &seen);
     row.restarts = restarts::measure(&seen);
     row.handed_on = handed_on;
     row.cost = Some(Cost { proxy_cpu_s, rig_cpu_s, late_p99_ms, spoilt: late_p99_ms > LATE });
@@ -136,7 +136,7 @@
 
 /// Opens stand-ins on so many threads, and a thread for relays where the script has faults of links.
 fn open(
-    board: &Arc<Board>,
+    shared_state: &Arc<SharedState>,
     news: UnboundedReceiver<usize>,
     threads: usize,
     clock: &Clock,
@@ -147,29 +147,29 @@
     for number in 0..threads {
         let (begins, begun) = oneshot::channel();
         let (wants_agents, agents_due) = oneshot::channel();
-        let (board, told) = (Arc::clone(board), told.clone());
+        let (shared_state, told) = (Arc::clone(shared_state), told.clone());
         let news = news.take_if(|_| number == 0);
         begin.push(begins);
         agents_wanted.push(wants_agents);
         running.push(std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
             LocalSet::new().block_on(&runtime, async {
-                let mut shard = Shard::open(&board, number, threads)?;
+                let mut shard = Shard::open(&shared_state, number, threads)?;
                 let _ = told.send(None);
                 let due: Result<(), _> = agents_due.await;
                 if let (Ok(()), Some(news)) = (due, news) {
-                    shard.open_agents(news).await?;
+                    shard.start_discovery(news).await?;
                     let agents = shard.agents();
                     let _ = told.send(Some(agents.iter().map(|a| (a.address, a.list())).unzip()));
                 }
                 drop(told);
                 let Ok(began) = begun.await else { return Ok(Taken::default()) };
-                let asking = shard.begin(began);
+                let asking = shard.start(began);
                 let _ = asking.await;
                 // Boxes answer for requests of other threads until the whole day is over.
-                let asked = board.now().max(began + micros(board.script.seconds));
-                board.sleep_until(asked + board.script.longest_deadline() + TAIL).await;
-                Ok(shard.take())
+                let asked = shared_state.now().max(began + micros(shared_state.script.seconds));
+                shared_state.sleep_until(asked + shared_state.script.longest_deadline() + TAIL).await;
+                Ok(shard.take_results())
             })
         }));
     }
@@ -177,7 +177,7 @@
     for _ in 0..threads {
         heard.recv().map_err(|_| FleetError::StandIns)?;
     }
-    let relays = open_relays(board, clock)?;
+    let relays = open_relays(shared_state, clock)?;
     for wanted in agents_wanted {
         let _ = wanted.send(());
     }
@@ -205,22 +205,22 @@
     }
 }
 
-fn open_relays(board: &Arc<Board>, clock: &Clock) -> Result<Option<Relays>, FleetError> {
-    if board.script.link_faults.is_empty() {
+fn open_relays(shared_state: &Arc<SharedState>, clock: &Clock) -> Result<Option<Relays>, FleetError> {
+    if shared_state.script.link_faults.is_empty() {
         return Ok(None);
     }
     let (told, heard) = mpsc::channel();
-    let (board, clock) = (Arc::clone(board), clock.clone());
+    let (shared_state, clock) = (Arc::clone(shared_state), clock.clone());
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let Ok(runtime) = runtime else { return };
         LocalSet::new().block_on(&runtime, async {
-            let opened = relays(&board, &clock);
+            let opened = relays(&shared_state, &clock);
             let went = opened.is_ok();
             let _ = told.send(opened);
             if went {
                 // They carry until the day's last connection is gone with the board.
-                while Arc::strong_count(&board) > 1 {
+                while Arc::strong_count(&shared_state) > 1 {
                     sleep(Duration::from_millis(100)).await;
                 }
             }
@@ -229,14 +229,15 @@
     Ok(Some(heard.recv().map_err(|_| FleetError::StandIns)??))
 }
 
-fn relays(board: &Arc<Board>, clock: &Clock) -> io::Result<Relays> {
-    let (script, links) = (&board.script, Rc::new(Links::new(&board.script)));
+fn relays(shared_state: &Arc<SharedState>, clock: &Clock) -> io::Result<Relays> {
+    let (script, links) = (&shared_state.script, Rc::new(Links::new(&shared_state.script)));
     if script.has_links(LinkEndpoints::Boxes) {
         let port = |at_box: usize| {
-            let address = board.face(at_box).address();
+            let address = shared_state.backend_status(at_box).address();
             relay::streams(&links, clock, LinkEndpoints::Boxes, at_box, Rc::new(move |_| address))
         };
-        board.relay_boxes((0..script.fleet.backends).map(port).collect::<io::Result<Vec<_>>>()?);
+        shared_state
+            .set_backend_relays((0..script.fleet.backends).map(port).collect::<io::Result<Vec<_>>>()?);
     }
     let mut discovery = None;
     if script.has_links(LinkEndpoints::Discovery) {
@@ -247,16 +248,24 @@
             Some((relay::streams(&links, clock, LinkEndpoints::Discovery, 0, Rc::new(target))?, targets));
     }
     if script.has_links(LinkEndpoints::Clients) {
-        let front = Arc::downgrade(board);
-        let target = move |proxy: usize| front.upgrade().and_then(|board| board.entrance(proxy).listens());
-        board.relay_clients(relay::streams(&links, clock, LinkEndpoints::Clients, 0, Rc::new(target))?);
+        let front = Arc::downgrade(shared_state);
+        let target = move |proxy: usize| {
+            front.upgrade().and_then(|shared_state| shared_state.proxy_endpoint(proxy).listen_address())
+        };
+        shared_state.set_client_relay(relay::streams(
+            &links,
+            clock,
+            LinkEndpoints::Clients,
+            0,
+            Rc::new(target),
+        )?);
     }
     Ok(Relays { discovery })
 }
 
 /// Starts processes, signals them, and keeps account of what it did.
 struct Director {
-    board: Arc<Board>,
+    shared_state: Arc<SharedState>,
     machine: Machine,
     places: Vec<Place>,
     running: Vec<Option<Process>>,
@@ -271,9 +280,9 @@
 }
 
 impl Director {
-    fn new(board: &Arc<Board>, machine: &Machine, lists: Vec<Value>) -> io::Result<Self> {
+    fn new(shared_state: &Arc<SharedState>, machine: &Machine, lists: Vec<Value>) -> io::Result<Self> {
         Ok(Self {
-            board: Arc::clone(board),
+            shared_state: Arc::clone(shared_state),
             machine: machine.clone(),
             places: Vec::new(),
             running: Vec::new(),
@@ -287,13 +296,13 @@
     }
 
     fn saw(&self, seen: Observation) {
-        self.record.borrow_mut().add(self.board.now(), seen);
+        self.record.borrow_mut().add(self.shared_state.now(), seen);
     }
 
     fn start(&mut self, proxy: usize, list: InitialList) -> io::Result<Process> {
         let nothing = json!({"revision": 0, "complete": true, "members": []});
         let known = if list == InitialList::Old { &self.lists[proxy] } else { &nothing };
-        self.places[proxy].start(&self.board.script, &self.machine, known)
+        self.places[proxy].start(&self.shared_state.script, &self.machine, known)
     }
 
     async fn start_all(&mut self) -> Result<(), FleetError> {
@@ -306,15 +315,15 @@
             if !process.is_ready().await {
                 return Err((proxy, &*process).into());
             }
-            self.board.entrance(proxy).listens_at(self.places[proxy].listen());
-            self.board.entrance(proxy).set_open(true);
+            self.shared_state.proxy_endpoint(proxy).set_listen_address(self.places[proxy].listen());
+            self.shared_state.proxy_endpoint(proxy).set_open(true);
         }
         Ok(())
     }
 
     /// Kills those that still run, and waits for them.
     fn kill(&mut self, proxy: usize) {
-        self.board.entrance(proxy).is_killed();
+        self.shared_state.proxy_endpoint(proxy).record_kill();
         if let Some(mut process) = self.running[proxy].take() {
             self.crash(proxy, &mut process);
             self.cpu_s += process.cpu_s();
@@ -386,21 +395,21 @@
 }
 
 /// Does what the plan says to processes, at its times.
-async fn direct(director: &Rc<RefCell<Director>>, board: &Arc<Board>, began: Micros) {
-    for event in &board.plan.processes {
-        board.sleep_until(began + event.at).await;
+async fn direct(director: &Rc<RefCell<Director>>, shared_state: &Arc<SharedState>, began: Micros) {
+    for event in &shared_state.plan.processes {
+        shared_state.sleep_until(began + event.at).await;
         let proxy = event.proxy;
         match event.action {
             ProcessAction::Kill => {
                 director.borrow_mut().kill(proxy);
-                let notice = Duration::from_micros(micros(board.script.fleet.front_end_detection_s));
-                close_later(board, proxy, notice);
+                let notice = Duration::from_micros(micros(shared_state.script.fleet.front_end_detection_s));
+                close_later(shared_state, proxy, notice);
             }
             ProcessAction::Term => {
                 if let Some(process) = &mut director.borrow_mut().running[proxy] {
                     process.terminate();
                 }
-                close_later(board, proxy, TERM_NOTICE);
+                close_later(shared_state, proxy, TERM_NOTICE);
             }
             ProcessAction::Reap => director.borrow_mut().reap(proxy),
             ProcessAction::Stop(until) => {
@@ -422,10 +431,10 @@
                 let Ok(process) = started else { continue };
                 let (console, listen) = (process.console(), director.borrow().places[proxy].listen());
                 director.borrow_mut().running[proxy] = Some(process);
-                let (board, director) = (Arc::clone(board), Rc::clone(director));
+                let (shared_state, director) = (Arc::clone(shared_state), Rc::clone(director));
                 tokio::task::spawn_local(async move {
                     if Process::wait_until_up(listen).await {
-                        board.entrance(proxy).set_open(true);
+                        shared_state.proxy_endpoint(proxy).set_open(true);
                         let mut director = director.borrow_mut();
                         director.saw(Observation::ProxyReady { proxy });
                         let running = director.running.get_mut(proxy).and_then(Option::as_mut);
@@ -441,14 +450,14 @@
 }
 
 /// The front notices after a while that a process is gone, where it still is.
-fn close_later(board: &Arc<Board>, proxy: usize, notice: Duration) {
-    let board = Arc::clone(board);
-    let kills = board.entrance(proxy).kills();
-    let opened = board.entrance(proxy).openings();
+fn close_later(shared_state: &Arc<SharedState>, proxy: usize, notice: Duration) {
+    let shared_state = Arc::clone(shared_state);
+    let kills = shared_state.proxy_endpoint(proxy).kill_count();
+    let opened = shared_state.proxy_endpoint(proxy).open_count();
     tokio::task::spawn_local(async move {
         sleep(notice).await;
-        let entrance = board.entrance(proxy);
-        if entrance.kills() == kills && entrance.openings() == opened {
+        let entrance = shared_state.proxy_endpoint(proxy);
+        if entrance.kill_count() == kills && entrance.open_count() == opened {
             entrance.set_open(false);
         }
     });
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -1,7 +1,6 @@
-//! Clients: requests by chance at a steady rate, whatever becomes of them, each with the time that it will wait.
+//! Emulated clients: an open-loop load of planned requests, each with its own deadline.
 
-use super::Live;
-use super::shard::Shared;
+use super::shard::ShardContext;
 use crate::http1::{self, Message};
 use crate::invariant_checker::{Observation, ResponseKind};
 use crate::plan::Arrival;
@@ -17,227 +16,231 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at};
 
-/// How long beyond its time a client listens on, so that a late answer is seen.
-const LISTENS_ON: Duration = Duration::from_secs(1);
-const UP_INTERVAL: Duration = Duration::from_millis(20);
+/// How long after its deadline a client still reads, so that a late response is observed.
+const LATE_RESPONSE_WINDOW: Duration = Duration::from_secs(1);
+/// Delay between two health checks of a proxy that is starting.
+const HEALTH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a box answers to a request: nobody else can make it up by chance.
+/// The body of a backend's response to a request. It contains the id, so that a forged response is detected.
 pub(crate) fn body(id: u64) -> String {
     format!("served {id:016x}")
 }
 
-/// Waits until a proxy says that it serves.
+/// Polls a proxy until `/up` returns 200.
 pub(crate) async fn wait_until_up(address: SocketAddr) {
     loop {
         if let Ok(200) = up(address).await {
             return;
         }
-        sleep(UP_INTERVAL).await;
+        sleep(HEALTH_POLL_INTERVAL).await;
     }
 }
 
+/// Requests `/up` and returns the status, or 0 where the connection ends without a response.
+///
+/// # Errors
+/// Where the connection fails or the response is malformed.
 pub(crate) async fn up(address: SocketAddr) -> io::Result<u16> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(b"GET /up HTTP/1.1\r\nHost: rig\r\n\r\n").await?;
-    let answer = http1::read(&mut stream, &mut Vec::new(), true).await?;
-    Ok(answer.map_or(0, |a| a.status))
+    let response = http1::read(&mut stream, &mut Vec::new(), true).await?;
+    Ok(response.map_or(0, |a| a.status))
 }
 
-struct Conn {
+struct ClientConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// The clients of a thread.
+/// The clients of one shard.
 pub(crate) struct Clients {
-    shared: Rc<Shared>,
-    /// Connections that rest, by proxy.
-    idle: Vec<RefCell<Vec<Conn>>>,
-    open: Cell<usize>,
+    context: Rc<ShardContext>,
+    /// Idle connections, by proxy.
+    idle: Vec<RefCell<Vec<ClientConnection>>>,
+    in_flight: Cell<usize>,
     rng: RefCell<fastrand::Rng>,
 }
 
-/// How far a request has come.
+/// How far the sending of a request has got.
 #[derive(Clone, Copy, PartialEq)]
-enum Stage {
-    /// It was never written.
+enum SendStage {
+    /// Not yet written to any connection.
     Unwritten,
-    /// It was written to a connection that had ended before.
-    Untaken,
-    /// It was written, and may have been read.
+    /// Written to a connection that the proxy had already closed.
+    NotAccepted,
+    /// Written to a connection, and possibly read.
     Written,
 }
 
-struct Ask {
+struct PlannedRequest {
     id: u64,
     class: usize,
     proxy: usize,
     tenant: u16,
-    /// How often the proxy had been killed before.
-    kills: u32,
+    /// How often the proxy had been killed when the request was dispatched.
+    kill_count: u32,
 }
 
 impl Clients {
-    pub(crate) fn new(shared: &Rc<Shared>, number: u64) -> Rc<Self> {
-        let idle = (0..shared.board.script.fleet.proxies).map(|_| RefCell::default()).collect();
-        let rng = RefCell::new(fastrand::Rng::with_seed(shared.board.script.seed ^ number << 40));
-        Rc::new(Self { shared: Rc::clone(shared), idle, open: Cell::new(0), rng })
+    pub(crate) fn new(context: &Rc<ShardContext>, shard_index: u64) -> Rc<Self> {
+        let idle = (0..context.state.script.fleet.proxies).map(|_| RefCell::default()).collect();
+        let rng = RefCell::new(fastrand::Rng::with_seed(context.state.script.seed ^ shard_index << 40));
+        Rc::new(Self { context: Rc::clone(context), idle, in_flight: Cell::new(0), rng })
     }
 
-    /// Requests that wait for their answer.
-    pub(crate) fn open(&self) -> usize {
-        self.open.get()
+    /// Requests that wait for their response.
+    pub(crate) fn in_flight(&self) -> usize {
+        self.in_flight.get()
     }
 
-    /// Asks what the plan has for this thread's part of the proxies.
-    pub(crate) async fn ask_all(self: Rc<Self>, began: Micros, number: usize, of: usize) {
-        let board = Arc::clone(&self.shared.board);
-        for (id, arrival) in board.plan.arrivals.iter().enumerate() {
-            if usize::from(arrival.proxy) % of != number {
+    /// Sends the planned requests of this shard's proxies at their times.
+    pub(crate) async fn send_all(self: Rc<Self>, began: Micros, shard_index: usize, shard_count: usize) {
+        let shared_state = Arc::clone(&self.context.state);
+        for (id, arrival) in shared_state.plan.arrivals.iter().enumerate() {
+            if usize::from(arrival.proxy) % shard_count != shard_index {
                 continue;
             }
             let at = began + arrival.at;
-            board.sleep_until(at).await;
-            self.shared.asked_late(board.now().saturating_sub(at));
-            self.open.set(self.open.get() + 1);
+            shared_state.sleep_until(at).await;
+            self.context.record_start_delay(shared_state.now().saturating_sub(at));
+            self.in_flight.set(self.in_flight.get() + 1);
             let clients = Rc::clone(&self);
             let arrival = *arrival;
             tokio::task::spawn_local(async move {
-                clients.arrive(id as u64, arrival).await;
-                clients.open.set(clients.open.get() - 1);
+                clients.dispatch(id as u64, arrival).await;
+                clients.in_flight.set(clients.in_flight.get() - 1);
             });
         }
     }
 
-    async fn arrive(&self, id: u64, arrival: Arrival) {
+    async fn dispatch(&self, id: u64, arrival: Arrival) {
         let class = usize::from(arrival.class);
-        let proxy = self.shared.board.front(usize::from(arrival.proxy), &mut self.rng.borrow_mut());
+        let proxy = self.context.state.select_proxy(usize::from(arrival.proxy), &mut self.rng.borrow_mut());
         match proxy {
             Some(proxy) => {
-                let kills = self.shared.board.entrance(proxy).kills();
-                self.ask(&Ask { id, class, proxy, tenant: arrival.tenant, kills }).await;
+                let kill_count = self.context.state.proxy_endpoint(proxy).kill_count();
+                self.send(&PlannedRequest { id, class, proxy, tenant: arrival.tenant, kill_count }).await;
             }
-            None => self.shared.saw(Observation::RequestUndelivered { class }),
+            None => self.context.record(Observation::RequestUndelivered { class }),
         }
     }
 
-    async fn ask(&self, ask: &Ask) {
-        let class = &self.shared.board.script.classes[ask.class];
-        let end = self.shared.board.now() + class.deadline_ms * 1_000;
-        let mut stage = Stage::Unwritten;
-        let listening = self.shared.board.instant(end) + LISTENS_ON;
-        let answer = timeout_at(listening, self.exchange(ask, end, &mut stage)).await;
-        let mut live = self.shared.live.get();
-        live.asked += 1;
-        live.worth.0 += class.priority_weight;
-        let got = match &answer {
-            Ok(Ok(answer)) => Some(match answer.status {
-                200 if answer.body == body(ask.id).as_bytes() => ResponseKind::Served,
+    async fn send(&self, planned: &PlannedRequest) {
+        let class = &self.context.state.script.classes[planned.class];
+        let deadline = self.context.state.now() + class.deadline_ms * 1_000;
+        let mut stage = SendStage::Unwritten;
+        let response_deadline = self.context.state.instant(deadline) + LATE_RESPONSE_WINDOW;
+        let response = timeout_at(response_deadline, self.exchange(planned, deadline, &mut stage)).await;
+        let mut progress = self.context.progress.get();
+        progress.requests += 1;
+        progress.weight_requested += class.priority_weight;
+        let kind = match &response {
+            Ok(Ok(response)) => Some(match response.status {
+                200 if response.body == body(planned.id).as_bytes() => ResponseKind::Served,
                 200 => ResponseKind::Forged,
                 429 | 503 => ResponseKind::Rejected,
                 _ => ResponseKind::Failed,
             }),
-            // A request that was never taken is nobody's to answer; one that was is lost, which the judge sees.
+            // The checker counts an accepted request without a response as lost.
             Ok(Err(_)) | Err(_) => None,
         };
-        match got {
+        match kind {
             Some(ResponseKind::Served) => {
-                live.served += 1;
-                let took = self.shared.board.now() + class.deadline_ms * 1_000 - end;
+                progress.served += 1;
+                let took = self.context.state.now() + class.deadline_ms * 1_000 - deadline;
                 let in_time = took <= class.latency_objective_ms * 1_000;
-                live.worth.1 +=
+                progress.weight_earned +=
                     class.priority_weight * if in_time { 1.0 } else { class.late_weight_fraction };
             }
-            Some(ResponseKind::Rejected) => live.refused += 1,
-            _ => live.failed += 1,
+            Some(ResponseKind::Rejected) => progress.rejected += 1,
+            _ => progress.failed += 1,
         }
-        self.shared.live.set(live);
-        match got {
-            Some(got) => self.shared.saw(Observation::ResponseReceived { id: ask.id, kind: got }),
-            None if stage == Stage::Unwritten => {
-                self.shared.saw(Observation::RequestUndelivered { class: ask.class })
+        self.context.progress.set(progress);
+        match kind {
+            Some(kind) => self.context.record(Observation::ResponseReceived { id: planned.id, kind }),
+            None if stage == SendStage::Unwritten => {
+                self.context.record(Observation::RequestUndelivered { class: planned.class });
             }
             None => {}
         }
     }
 
-    /// Asks on a connection that is kept, or on a new one. Where the proxy's close crosses the request, it is sent
-    /// once more on a new one.
-    async fn exchange(&self, ask: &Ask, end: Micros, stage: &mut Stage) -> io::Result<Message> {
-        let kept = self.idle[ask.proxy].borrow_mut().pop();
-        if let Some(conn) = kept
-            && let Some(answer) = self.on(conn, ask, end, stage).await?
+    /// Sends on an idle connection, or on a new one. Where the proxy closes the idle connection while the request is on
+    /// its way, the request is sent once more on a new connection.
+    async fn exchange(
+        &self,
+        planned: &PlannedRequest,
+        deadline: Micros,
+        stage: &mut SendStage,
+    ) -> io::Result<Message> {
+        let idle_connection = self.idle[planned.proxy].borrow_mut().pop();
+        if let Some(connection) = idle_connection
+            && let Some(response) = self.exchange_on(connection, planned, deadline, stage).await?
         {
-            return Ok(answer);
+            return Ok(response);
         }
-        if *stage == Stage::Written {
-            if self.shared.board.entrance(ask.proxy).kills() != ask.kills {
-                // It was written to a process that was killed, and may have run.
+        if *stage == SendStage::Written {
+            if self.context.state.proxy_endpoint(planned.proxy).kill_count() != planned.kill_count {
+                // The process it was written to was killed; the request may have taken effect.
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
-            *stage = Stage::Untaken;
-            self.shared.saw(Observation::RequestNotAccepted { id: ask.id });
+            *stage = SendStage::NotAccepted;
+            self.context.record(Observation::RequestNotAccepted { id: planned.id });
         }
-        let address = self.shared.board.way_to_proxy(ask.proxy).ok_or(io::ErrorKind::AddrNotAvailable)?;
+        let address =
+            self.context.state.proxy_address(planned.proxy).ok_or(io::ErrorKind::AddrNotAvailable)?;
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let conn = Conn { stream, buffer: Vec::new() };
-        self.on(conn, ask, end, stage).await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        let connection = ClientConnection { stream, buffer: Vec::new() };
+        self.exchange_on(connection, planned, deadline, stage)
+            .await?
+            .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 
-    /// `None`: the connection ended before the answer's first byte.
-    async fn on(
+    /// `None` where the connection ended before the first byte of the response.
+    async fn exchange_on(
         &self,
-        mut conn: Conn,
-        ask: &Ask,
-        end: Micros,
-        stage: &mut Stage,
+        mut connection: ClientConnection,
+        planned: &PlannedRequest,
+        deadline: Micros,
+        stage: &mut SendStage,
     ) -> io::Result<Option<Message>> {
-        // Its box may have it before this thread goes on.
-        let at = self.shared.board.now();
-        let written = conn.stream.write_all(self.request(ask, end).as_bytes()).await;
+        // Taken before the write: a backend may receive the request before this thread continues.
+        let at = self.context.state.now();
+        let written = connection.stream.write_all(self.render_request(planned, deadline).as_bytes()).await;
         if written.is_err() {
             return Ok(None);
         }
-        if std::mem::replace(stage, Stage::Written) != Stage::Written {
-            let (id, class, proxy) = (ask.id, ask.class, ask.proxy);
-            self.shared.saw_at(at, Observation::RequestSent { id, class, end, proxy });
+        if std::mem::replace(stage, SendStage::Written) != SendStage::Written {
+            let (id, class, proxy) = (planned.id, planned.class, planned.proxy);
+            self.context.record_at(at, Observation::RequestSent { id, class, end: deadline, proxy });
         }
-        let answer = match http1::read(&mut conn.stream, &mut conn.buffer, true).await {
-            Ok(answer) => answer,
-            Err(_) if conn.buffer.is_empty() => None,
+        let response = match http1::read(&mut connection.stream, &mut connection.buffer, true).await {
+            Ok(response) => response,
+            Err(_) if connection.buffer.is_empty() => None,
             Err(error) => return Err(error),
         };
-        let Some(answer) = answer else { return Ok(None) };
-        if !answer.closes() {
-            self.idle[ask.proxy].borrow_mut().push(conn);
+        let Some(response) = response else { return Ok(None) };
+        if !response.closes() {
+            self.idle[planned.proxy].borrow_mut().push(connection);
         }
-        Ok(Some(answer))
+        Ok(Some(response))
     }
 
-    fn request(&self, ask: &Ask, end: Micros) -> String {
-        let class = &self.shared.board.script.classes[ask.class];
-        let left = end.saturating_sub(self.shared.board.now()) / 1_000;
+    fn render_request(&self, planned: &PlannedRequest, deadline: Micros) -> String {
+        let class = &self.context.state.script.classes[planned.class];
+        let remaining_ms = deadline.saturating_sub(self.context.state.now()) / 1_000;
         let method = if class.idempotency == IdempotencySpec::Safe { "GET" } else { "POST" };
-        let keyed = matches!(class.idempotency, IdempotencySpec::KeyedZone | IdempotencySpec::KeyedCell);
-        let key = if keyed { format!("Idempotency-Key: {:032x}\r\n", ask.id) } else { String::new() };
-        let tenants = self.shared.board.script.traffic.tenants;
-        let account = if tenants > 0 { format!("X-Account: t{}\r\n", ask.tenant) } else { String::new() };
+        let has_key = matches!(class.idempotency, IdempotencySpec::KeyedZone | IdempotencySpec::KeyedCell);
+        let key = if has_key { format!("Idempotency-Key: {:032x}\r\n", planned.id) } else { String::new() };
+        let tenants = self.context.state.script.traffic.tenants;
+        let account = if tenants > 0 { format!("X-Account: t{}\r\n", planned.tenant) } else { String::new() };
         let length = if method == "POST" { "Content-Length: 4\r\n" } else { "" };
         let body = if method == "POST" { "wire" } else { "" };
         format!(
             "{method} /{0}?key={1:x} HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {1:016x}\r\n\
-             X-Service-Class: {0}\r\nX-Time-Left-Ms: {left}\r\n{key}{account}{length}\r\n{body}",
-            class.name, ask.id
+             X-Service-Class: {0}\r\nX-Time-Left-Ms: {remaining_ms}\r\n{key}{account}{length}\r\n{body}",
+            class.name, planned.id
         )
     }
 }
-
-/// Goodput so far, of a running day.
-impl Live {
-    /// Worth earned over worth asked for.
-    #[must_use]
-    pub fn goodput(&self) -> f64 {
-        if self.worth.0 > 0.0 { self.worth.1 / self.worth.0 } else { 1.0 }
-    }
-}
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery as each proxy's own agent, or as one service that all proxies ask: it is told late, answers watches, and
-//! records what it has told.
+//! Emulated discovery: one agent for each proxy, or one service context by all proxies. It receives changes after a delay,
+//! answers watches, and records what it has sent.
 
 use super::listen_on_loopback;
-use super::shard::Shared;
+use super::shard::ShardContext;
 use crate::address;
 use crate::call_queue::{CallOutcome, CallQueue};
 use crate::http1;
@@ -19,43 +19,46 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The longest that a watch waits, milliseconds.
+/// Upper bound on the wait of a watch, milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
-/// A watch goes on where the next call comes within this time of the last answer; a later call begins a new one.
-const WATCH_GOES_ON: Duration = Duration::from_millis(200);
+/// A call within this time of the last response continues the watch; a later call starts a new one.
+const WATCH_CONTINUATION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the agent holds of one box.
+/// The agent's entry for one backend.
 struct Entry {
-    /// The version that brought it.
+    /// The revision of its last change.
     revision: u64,
     member: Value,
     ready: bool,
-    left: bool,
+    has_left: bool,
 }
 
-/// What one proxy is told, be it by its own agent or by the service of all.
-pub(crate) struct Agent {
-    shared: Rc<Shared>,
+/// The view of one proxy, served by its own agent or by the shared service.
+pub(crate) struct DiscoveryAgent {
+    context: Rc<ShardContext>,
     proxy: usize,
     pub(crate) address: SocketAddr,
     revision: Cell<u64>,
     entries: RefCell<Vec<Entry>>,
     changed: Notify,
     rng: RefCell<fastrand::Rng>,
-    /// The calls of the service that all proxies ask, where there is one.
+    /// The call queue of the shared service, where there is one.
     queue: Option<Rc<RefCell<CallQueue>>>,
-    /// When it last answered a call for changes.
-    watched: Cell<Option<Instant>>,
+    /// When the last call for changes was answered.
+    last_watch_response: Cell<Option<Instant>>,
 }
 
-/// Opens discovery for all proxies.
-pub(crate) async fn open(shared: &Rc<Shared>) -> io::Result<Vec<Rc<Agent>>> {
-    let script = &shared.board.script;
+/// Starts discovery for all proxies.
+///
+/// # Errors
+/// Where a listener can't be opened.
+pub(crate) async fn open(context: &Rc<ShardContext>) -> io::Result<Vec<Rc<DiscoveryAgent>>> {
+    let script = &context.state.script;
     let mut agents = Vec::new();
     let Some(queue) = script.discovery.queue(script.seed) else {
         for proxy in 0..script.fleet.proxies {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            let agent = Agent::new(shared, proxy, listener.local_addr()?, None);
+            let agent = DiscoveryAgent::new(context, proxy, listener.local_addr()?, None);
             let serving = Rc::clone(&agent);
             tokio::task::spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
@@ -70,17 +73,17 @@
     let port = listener.local_addr()?.port();
     for proxy in 0..script.fleet.proxies {
         let address = SocketAddr::from((address::at_relay(proxy), port));
-        agents.push(Agent::new(shared, proxy, address, Some(Rc::clone(&queue))));
+        agents.push(DiscoveryAgent::new(context, proxy, address, Some(Rc::clone(&queue))));
     }
     let serving = agents.clone();
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            // The address that was called names the proxy.
-            let called = match stream.local_addr() {
+            // The destination address identifies the proxy.
+            let called_proxy = match stream.local_addr() {
                 Ok(SocketAddr::V4(at)) => address::relayed(*at.ip()),
                 _ => None,
             };
-            if let Some(agent) = called.and_then(|proxy| serving.get(proxy)) {
+            if let Some(agent) = called_proxy.and_then(|proxy| serving.get(proxy)) {
                 tokio::task::spawn_local(Rc::clone(agent).connection(stream));
             }
         }
@@ -88,149 +91,157 @@
     Ok(agents)
 }
 
-impl Agent {
-    /// It holds the list as it is.
+impl DiscoveryAgent {
+    /// Creates an agent that holds the current list.
     fn new(
-        shared: &Rc<Shared>,
+        context: &Rc<ShardContext>,
         proxy: usize,
         address: SocketAddr,
         queue: Option<Rc<RefCell<CallQueue>>>,
     ) -> Rc<Self> {
         let agent = Rc::new(Self {
-            shared: Rc::clone(shared),
+            context: Rc::clone(context),
             proxy,
             address,
             revision: Cell::new(1),
             entries: RefCell::default(),
             changed: Notify::new(),
-            rng: RefCell::new(fastrand::Rng::with_seed(shared.board.script.seed ^ (proxy as u64 + 1) << 32)),
+            rng: RefCell::new(fastrand::Rng::with_seed(context.state.script.seed ^ (proxy as u64 + 1) << 32)),
             queue,
-            watched: Cell::new(None),
+            last_watch_response: Cell::new(None),
         });
-        let entries = (0..shared.board.script.fleet.backends).map(|at_box| agent.entry(at_box)).collect();
+        let entries = (0..context.state.script.fleet.backends).map(|backend| agent.entry(backend)).collect();
         agent.entries.replace(entries);
         agent
     }
 
-    fn entry(&self, at_box: usize) -> Entry {
-        let face = self.shared.board.face(at_box);
-        let phase = match (face.is_up(), face.drains()) {
+    fn entry(&self, backend: usize) -> Entry {
+        let status = self.context.state.backend_status(backend);
+        let phase = match (status.is_up(), status.is_draining()) {
             (false, _) => "left",
             (true, true) => "leaving",
             (true, false) => "active",
         };
-        // The proxies' clocks count from the epoch.
-        let age = face.started().map(|at| Duration::from_micros(self.shared.board.now() - at));
+        // The proxies' clocks count from the Unix epoch.
+        let age = status.started_at().map(|at| Duration::from_micros(self.context.state.now() - at));
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let script = &self.shared.board.script;
-        let behind_ms = (script.fleet.clock_behind_s * 1e3) as i64;
-        let told_ms = |age| (unix.saturating_sub(age).as_millis() as u64).saturating_add_signed(-behind_ms);
-        let started = age.map_or(0, told_ms);
-        let address = self.shared.board.way_to_box(self.proxy, at_box).map(|a| a.to_string());
-        let member = json!({"id": format!("b{at_box}"), "host_port": address,
-            "locality": format!("z{}", script.zone(at_box)), "flavor": "box", "cell": script.cell(at_box),
+        let script = &self.context.state.script;
+        let clock_lag_ms = (script.fleet.clock_behind_s * 1e3) as i64;
+        let start_time_ms =
+            |age| (unix.saturating_sub(age).as_millis() as u64).saturating_add_signed(-clock_lag_ms);
+        let started = age.map_or(0, start_time_ms);
+        let address = self.context.state.backend_address(self.proxy, backend).map(|a| a.to_string());
+        let member = json!({"id": format!("b{backend}"), "host_port": address,
+            "locality": format!("z{}", script.zone(backend)), "flavor": "box", "cell": script.cell(backend),
             "phase": phase, "size": 1.0, "up_since_ms": started});
-        Entry { revision: self.revision.get(), member, ready: phase == "active", left: phase == "left" }
+        Entry { revision: self.revision.get(), member, ready: phase == "active", has_left: phase == "left" }
     }
 
-    /// The whole list as it is now, in discovery's form.
+    /// A snapshot of the current list, in discovery's format.
     pub(crate) fn list(&self) -> Value {
-        let members =
-            self.entries.borrow().iter().filter(|e| !e.left).map(|e| e.member.clone()).collect::<Vec<_>>();
+        let members = self
+            .entries
+            .borrow()
+            .iter()
+            .filter(|e| !e.has_left)
+            .map(|e| e.member.clone())
+            .collect::<Vec<_>>();
         json!({"revision": self.revision.get(), "complete": true, "members": members})
     }
 
-    /// A box has changed: this agent learns of it late; the service of all, for all proxies at once.
-    pub(crate) fn news(self: Rc<Self>, at_box: usize) {
-        let more = if self.queue.is_some() { 0.0 } else { self.rng.borrow_mut().f64() };
-        let late = self.shared.board.script.fleet.notification_delay_s * (1.0 + more);
+    /// Applies the change of a backend after the notification delay; the shared service applies it for all proxies at once.
+    pub(crate) fn schedule_update(self: Rc<Self>, backend: usize) {
+        let random_extra = if self.queue.is_some() { 0.0 } else { self.rng.borrow_mut().f64() };
+        let delay_s = self.context.state.script.fleet.notification_delay_s * (1.0 + random_extra);
         tokio::task::spawn_local(async move {
-            sleep(Duration::from_micros(micros(late))).await;
-            while self.shared.board.discovery_is_down() {
+            sleep(Duration::from_micros(micros(delay_s))).await;
+            while self.context.state.discovery_is_down() {
                 self.changed.notified().await;
             }
             self.revision.set(self.revision.get() + 1);
-            let entry = self.entry(at_box);
-            self.entries.borrow_mut()[at_box] = entry;
+            let entry = self.entry(backend);
+            self.entries.borrow_mut()[backend] = entry;
             self.changed.notify_waiters();
         });
     }
 
-    /// Discovery is back, or down: whoever waits looks again.
-    pub(crate) fn look(&self) {
+    /// Wakes waiting watches after discovery went down or came back.
+    pub(crate) fn wake_watches(&self) {
         self.changed.notify_waiters();
     }
 
     async fn connection(self: Rc<Self>, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         while let Ok(Some(request)) = http1::read(&mut stream, &mut buffer, false).await {
-            self.shared.saw(Observation::DiscoveryCalled { proxy: self.proxy });
+            self.context.record(Observation::DiscoveryCalled { proxy: self.proxy });
             let after = number(&request, "after");
             let wait = Duration::from_millis(number(&request, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS));
-            if !(self.is_taken(after).await && self.has_waited(after, wait).await) {
+            if !(self.accepts_call(after).await && self.wait_for_change(after, wait).await) {
                 if http1::answer(&mut stream, "503 Service Unavailable", "", b"").await.is_err() {
                     return;
                 }
                 continue;
             }
-            if self.tell(&mut stream, after).await.is_err() {
+            if self.send_changes(&mut stream, after).await.is_err() {
                 return;
             }
-            self.watched.set(after.map(|_| Instant::now()));
+            self.last_watch_response.set(after.map(|_| Instant::now()));
         }
     }
 
-    /// Whether the service of all has come to a call; an agent comes to each at once. A watch that goes on costs nothing.
-    async fn is_taken(&self, after: Option<u64>) -> bool {
+    /// Waits for the shared service's call queue and returns whether the call succeeded. Agents accept each call at once; a
+    /// continued watch does not go through the queue.
+    async fn accepts_call(&self, after: Option<u64>) -> bool {
         let Some(queue) = &self.queue else { return true };
-        let goes_on = self.watched.get().is_some_and(|at| at.elapsed() <= WATCH_GOES_ON);
-        if self.shared.board.discovery_is_down() || (after.is_some() && goes_on) {
-            return !self.shared.board.discovery_is_down();
+        let continues_watch =
+            self.last_watch_response.get().is_some_and(|at| at.elapsed() <= WATCH_CONTINUATION_TIMEOUT);
+        if self.context.state.discovery_is_down() || (after.is_some() && continues_watch) {
+            return !self.context.state.discovery_is_down();
         }
-        let fate = queue.borrow_mut().come(self.shared.board.now());
-        let (CallOutcome::Done(at) | CallOutcome::Failed(at)) = fate;
-        self.shared.board.sleep_until(at).await;
-        matches!(fate, CallOutcome::Done(_)) && !self.shared.board.discovery_is_down()
+        let outcome = queue.borrow_mut().come(self.context.state.now());
+        let (CallOutcome::Done(at) | CallOutcome::Failed(at)) = outcome;
+        self.context.state.sleep_until(at).await;
+        matches!(outcome, CallOutcome::Done(_)) && !self.context.state.discovery_is_down()
     }
 
-    /// Waits for something newer. Whether the watch ended well: while discovery is down an agent is silent and the
-    /// service of all ends its watches.
-    async fn has_waited(&self, after: Option<u64>, wait: Duration) -> bool {
+    /// Waits for a newer revision and returns whether the watch ended well: while discovery is down, an agent stays silent
+    /// and the shared service ends its watches.
+    async fn wait_for_change(&self, after: Option<u64>, wait: Duration) -> bool {
         let Some(after) = after else { return true };
-        let down = || self.shared.board.discovery_is_down();
-        let ends = || self.queue.is_some() && down();
+        let is_down = || self.context.state.discovery_is_down();
+        let watch_must_end = || self.queue.is_some() && is_down();
         let newer = async {
-            while !ends() && (self.revision.get() <= after || down()) {
+            while !watch_must_end() && (self.revision.get() <= after || is_down()) {
                 self.changed.notified().await;
             }
         };
         let _ = timeout(wait, newer).await;
-        !ends()
+        !watch_must_end()
     }
 
-    async fn tell(&self, stream: &mut TcpStream, after: Option<u64>) -> io::Result<()> {
-        let (mut members, mut told) = (Vec::new(), Vec::new());
-        for (at_box, entry) in self.entries.borrow().iter().enumerate() {
-            let listed = after.map_or(!entry.left, |after| entry.revision > after);
+    async fn send_changes(&self, stream: &mut TcpStream, after: Option<u64>) -> io::Result<()> {
+        let (mut members, mut notified) = (Vec::new(), Vec::new());
+        for (backend, entry) in self.entries.borrow().iter().enumerate() {
+            let listed = after.map_or(!entry.has_left, |after| entry.revision > after);
             if listed {
                 members.push(entry.member.clone());
             }
-            // A whole list tells of those that it leaves out, too.
+            // A snapshot also reports the backends that it omits.
             if listed || after.is_none() {
-                told.push((at_box, entry.ready));
+                notified.push((backend, entry.ready));
             }
         }
         let revision = self.revision.get();
         let list = json!({"revision": revision, "complete": after.is_none(), "members": members});
         http1::answer(stream, "200 OK", "", list.to_string().as_bytes()).await?;
-        for (at_box, ready) in told {
-            self.shared.saw(Observation::BackendNotified { proxy: self.proxy, backend: at_box, ready });
+        for (backend, ready) in notified {
+            self.context.record(Observation::BackendNotified { proxy: self.proxy, backend, ready });
         }
         Ok(())
     }
 }
 
-/// A number in a call's query.
+/// A number from the query string of a call.
 fn number(request: &Message, name: &str) -> Option<u64> {
     let query = request.target.1.split_once('?').map_or("", |(_, query)| query);
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/crates/testbed/src/sockets/shard.rs
+++ b/crates/testbed/src/sockets/shard.rs
@@ -1,10 +1,10 @@
-//! The stand-ins of one thread: some of the boxes, some of the clients, and on one thread discovery.
+//! The emulators of one thread: some of the backends, some of the clients, and on one shard discovery.
 
-use super::Live;
-use super::backends::StandIn;
+use super::ProgressCounts;
+use super::backends::EmulatedBackend;
 use super::clients::Clients;
-use super::discovery::{self, Agent};
-use super::shared_state::Board;
+use super::discovery::{self, DiscoveryAgent};
+use super::shared_state::SharedState;
 use crate::invariant_checker::{Observation, ObservationLog};
 use crate::script::{BackendFaultKind, micros};
 use balancer::api::Micros;
@@ -15,133 +15,148 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::JoinHandle;
 
-/// What the stand-ins of a thread share.
-pub(crate) struct Shared {
-    pub(crate) board: Arc<Board>,
+/// State shared by the emulators of one shard.
+pub(crate) struct ShardContext {
+    pub(crate) state: Arc<SharedState>,
     record: RefCell<ObservationLog>,
-    pub(crate) live: Cell<Live>,
-    /// How often a trouble of answers or connections hit.
-    pub(crate) hits: Cell<u64>,
-    /// How late each request was asked, microseconds.
-    late: RefCell<Vec<u32>>,
+    pub(crate) progress: Cell<ProgressCounts>,
+    /// How often a fault was injected into a response or connection.
+    pub(crate) fault_hits: Cell<u64>,
+    /// How late each request was sent after its planned time, microseconds.
+    start_delays_us: RefCell<Vec<u32>>,
 }
 
-impl Shared {
-    pub(crate) fn saw(&self, seen: Observation) {
-        self.saw_at(self.board.now(), seen);
+impl ShardContext {
+    pub(crate) fn record(&self, observation: Observation) {
+        self.record_at(self.state.now(), observation);
     }
 
-    pub(crate) fn saw_at(&self, at: Micros, seen: Observation) {
-        self.record.borrow_mut().add(at, seen);
+    pub(crate) fn record_at(&self, at: Micros, observation: Observation) {
+        self.record.borrow_mut().add(at, observation);
     }
 
-    pub(crate) fn asked_late(&self, by: Micros) {
-        self.late.borrow_mut().push(u32::try_from(by).unwrap_or(u32::MAX));
+    pub(crate) fn record_start_delay(&self, by: Micros) {
+        self.start_delays_us.borrow_mut().push(u32::try_from(by).unwrap_or(u32::MAX));
     }
 }
 
-/// The stand-ins of one thread.
+/// The emulators of one thread.
 pub(crate) struct Shard {
-    shared: Rc<Shared>,
-    number: usize,
-    of: usize,
-    boxes: Rc<[Rc<StandIn>]>,
-    agents: Vec<Rc<Agent>>,
+    context: Rc<ShardContext>,
+    shard_index: usize,
+    shard_count: usize,
+    backends: Rc<[Rc<EmulatedBackend>]>,
+    agents: Vec<Rc<DiscoveryAgent>>,
     clients: Rc<Clients>,
 }
 
 impl Shard {
-    /// Opens every box whose turn is this one's among so many.
-    pub(crate) fn open(board: &Arc<Board>, number: usize, of: usize) -> io::Result<Self> {
-        let shared = Rc::new(Shared {
-            board: Arc::clone(board),
+    /// Starts the backends that belong to this shard: every `shard_count`th, from `shard_index`.
+    ///
+    /// # Errors
+    /// Where a backend has no socket.
+    pub(crate) fn open(
+        shared_state: &Arc<SharedState>,
+        shard_index: usize,
+        shard_count: usize,
+    ) -> io::Result<Self> {
+        let context = Rc::new(ShardContext {
+            state: Arc::clone(shared_state),
             record: RefCell::default(),
-            live: Cell::default(),
-            hits: Cell::new(0),
-            late: RefCell::default(),
+            progress: Cell::default(),
+            fault_hits: Cell::new(0),
+            start_delays_us: RefCell::default(),
         });
-        let mine = (0..board.script.fleet.backends).filter(|b| b % of == number);
-        let boxes = mine.map(|index| StandIn::start(&shared, index)).collect::<io::Result<Vec<_>>>()?;
-        let clients = Clients::new(&shared, number as u64);
-        Ok(Self { shared, number, of, boxes: boxes.into(), agents: Vec::new(), clients })
+        let own_backends = (0..shared_state.script.fleet.backends).filter(|b| b % shard_count == shard_index);
+        let backends = own_backends
+            .map(|index| EmulatedBackend::start(&context, index))
+            .collect::<io::Result<Vec<_>>>()?;
+        let clients = Clients::new(&context, shard_index as u64);
+        Ok(Self { context, shard_index, shard_count, backends: backends.into(), agents: Vec::new(), clients })
     }
 
-    /// Opens discovery here, once the boxes of all threads are open.
-    pub(crate) async fn open_agents(&mut self, mut news: UnboundedReceiver<usize>) -> io::Result<()> {
-        self.agents = discovery::open(&self.shared).await?;
+    /// Starts discovery on this shard, once the backends of all shards listen.
+    ///
+    /// # Errors
+    /// Where discovery has no socket.
+    pub(crate) async fn start_discovery(
+        &mut self,
+        mut backend_changes: UnboundedReceiver<usize>,
+    ) -> io::Result<()> {
+        self.agents = discovery::open(&self.context).await?;
         let agents = self.agents.clone();
         tokio::task::spawn_local(async move {
-            while let Some(at_box) = news.recv().await {
+            while let Some(backend) = backend_changes.recv().await {
                 for agent in &agents {
-                    Rc::clone(agent).news(at_box);
+                    Rc::clone(agent).schedule_update(backend);
                 }
             }
         });
         Ok(())
     }
 
-    pub(crate) fn agents(&self) -> &[Rc<Agent>] {
+    pub(crate) fn agents(&self) -> &[Rc<DiscoveryAgent>] {
         &self.agents
     }
 
-    /// Begins to ask, and to do what the script says. What it gives ends when the last request was asked.
-    pub(crate) fn begin(&self, began: Micros) -> JoinHandle<()> {
-        for index in 0..self.shared.board.script.backend_faults.len() {
-            let (shared, boxes, agents) =
-                (Rc::clone(&self.shared), Rc::clone(&self.boxes), self.agents.clone());
-            tokio::task::spawn_local(trouble(shared, boxes, agents, began, index));
+    /// Starts the load and the script's faults. The returned task ends after the last request was sent.
+    pub(crate) fn start(&self, began: Micros) -> JoinHandle<()> {
+        for index in 0..self.context.state.script.backend_faults.len() {
+            let (context, backends, agents) =
+                (Rc::clone(&self.context), Rc::clone(&self.backends), self.agents.clone());
+            tokio::task::spawn_local(schedule_fault(context, backends, agents, began, index));
         }
-        tokio::task::spawn_local(Rc::clone(&self.clients).ask_all(began, self.number, self.of))
+        tokio::task::spawn_local(Rc::clone(&self.clients).send_all(began, self.shard_index, self.shard_count))
     }
 
-    /// Requests that wait for their answer.
+    /// Requests that wait for their response.
     pub(crate) fn open_requests(&self) -> usize {
-        self.clients.open()
+        self.clients.in_flight()
     }
 
-    pub(crate) fn live(&self) -> Live {
-        self.shared.live.get()
+    pub(crate) fn progress(&self) -> ProgressCounts {
+        self.context.progress.get()
     }
 
-    pub(crate) fn hits(&self) -> u64 {
-        self.shared.hits.get()
+    pub(crate) fn fault_hits(&self) -> u64 {
+        self.context.fault_hits.get()
     }
 
     pub(crate) fn record(&self) -> Ref<'_, ObservationLog> {
-        self.shared.record.borrow()
+        self.context.record.borrow()
     }
 
-    /// What was seen here, and how late requests were asked.
-    pub(crate) fn take(&self) -> (ObservationLog, Vec<u32>) {
-        (self.shared.record.take(), self.shared.late.take())
+    /// Takes the observations, and the start delay of each request in microseconds.
+    pub(crate) fn take_results(&self) -> (ObservationLog, Vec<u32>) {
+        (self.context.record.take(), self.context.start_delays_us.take())
     }
 }
 
-async fn trouble(
-    shared: Rc<Shared>,
-    boxes: Rc<[Rc<StandIn>]>,
-    agents: Vec<Rc<Agent>>,
+async fn schedule_fault(
+    context: Rc<ShardContext>,
+    backends: Rc<[Rc<EmulatedBackend>]>,
+    agents: Vec<Rc<DiscoveryAgent>>,
     began: Micros,
     index: usize,
 ) {
-    let script = &shared.board.script;
-    let trouble = &script.backend_faults[index];
-    let struck = script.faulty_backends(index);
-    for (at_s, begins) in [(trouble.at_s, true), (trouble.at_s + trouble.for_s, false)] {
-        shared.board.sleep_until(began + micros(at_s)).await;
-        if trouble.what == BackendFaultKind::DiscoveryDown {
+    let script = &context.state.script;
+    let fault = &script.backend_faults[index];
+    let affected = script.faulty_backends(index);
+    for (at_s, starts) in [(fault.at_s, true), (fault.at_s + fault.for_s, false)] {
+        context.state.sleep_until(began + micros(at_s)).await;
+        if fault.what == BackendFaultKind::DiscoveryDown {
             if !agents.is_empty() {
-                shared.board.set_discovery_down(begins);
+                context.state.set_discovery_down(starts);
             }
             for agent in &agents {
-                agent.look();
+                agent.wake_watches();
             }
             continue;
         }
-        for stand_in in boxes.iter().filter(|b| struck.contains(&b.index())) {
-            stand_in.strike(trouble, begins);
-            if matches!(trouble.what, BackendFaultKind::Crash | BackendFaultKind::Drain) {
-                shared.board.changed(stand_in.index());
+        for backend in backends.iter().filter(|b| affected.contains(&b.index())) {
+            backend.apply_fault(fault, starts);
+            if matches!(fault.what, BackendFaultKind::Crash | BackendFaultKind::Drain) {
+                context.state.notify_backend_changed(backend.index());
             }
         }
     }
--- a/crates/testbed/src/sockets/shared_state.rs
+++ b/crates/testbed/src/sockets/shared_state.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins of all threads share: the script, the day's clock, the boxes as discovery sees them, the proxies as
-//! the front sees them.
+//! State shared by the emulators of all shards: the script, the scenario's clock, the backends as discovery sees them,
+//! and the proxies as the clients' front end sees them.
 
 use crate::plan::Plan;
 use crate::script::Script;
@@ -10,20 +10,20 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// The clock of a day begins here, so that no time is 0.
+/// Start of the scenario's clock, microseconds; above 0, which stands for no time.
 const START: Micros = 1_000_000;
 
-/// A box as discovery sees it.
+/// The state of a backend as discovery sees it.
 #[derive(Default)]
-pub(crate) struct Face {
+pub(crate) struct BackendStatus {
     address: OnceLock<SocketAddr>,
     down: AtomicBool,
-    drains: AtomicBool,
-    /// When its process started; 0: long ago.
-    started: AtomicU64,
+    draining: AtomicBool,
+    /// When the process was last restarted, microseconds; 0 if never.
+    started_at: AtomicU64,
 }
 
-impl Face {
+impl BackendStatus {
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         self.address.get().copied()
     }
@@ -36,100 +36,109 @@
         !self.down.load(Ordering::Acquire)
     }
 
-    pub(crate) fn drains(&self) -> bool {
-        self.drains.load(Ordering::Acquire)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Acquire)
     }
 
-    pub(crate) fn started(&self) -> Option<Micros> {
-        Some(self.started.load(Ordering::Acquire)).filter(|&at| at > 0)
+    pub(crate) fn started_at(&self) -> Option<Micros> {
+        Some(self.started_at.load(Ordering::Acquire)).filter(|&at| at > 0)
     }
 
-    pub(crate) fn set_drains(&self, drains: bool) {
-        self.drains.store(drains, Ordering::Release);
+    pub(crate) fn set_draining(&self, draining: bool) {
+        self.draining.store(draining, Ordering::Release);
     }
 
-    pub(crate) fn dies(&self) {
+    pub(crate) fn mark_down(&self) {
         self.down.store(true, Ordering::Release);
     }
 
-    pub(crate) fn rises(&self, at: Micros) {
-        self.started.store(at, Ordering::Release);
+    pub(crate) fn mark_up(&self, at: Micros) {
+        self.started_at.store(at, Ordering::Release);
         self.down.store(false, Ordering::Release);
     }
 }
 
-/// A proxy as the front sees it.
+/// A proxy as the clients' front end sees it.
 #[derive(Default)]
-pub(crate) struct Entrance {
-    listens: Mutex<Option<SocketAddr>>,
+pub(crate) struct ProxyEndpoint {
+    listen_address: Mutex<Option<SocketAddr>>,
     open: AtomicBool,
-    openings: AtomicU32,
-    kills: AtomicU32,
+    open_count: AtomicU32,
+    kill_count: AtomicU32,
 }
 
-impl Entrance {
-    /// Where it listens.
-    pub(crate) fn listens(&self) -> Option<SocketAddr> {
-        *self.listens.lock().unwrap_or_else(PoisonError::into_inner)
+impl ProxyEndpoint {
+    /// The address it listens on, once known.
+    pub(crate) fn listen_address(&self) -> Option<SocketAddr> {
+        *self.listen_address.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn listens_at(&self, address: SocketAddr) {
-        *self.listens.lock().unwrap_or_else(PoisonError::into_inner) = Some(address);
+    pub(crate) fn set_listen_address(&self, address: SocketAddr) {
+        *self.listen_address.lock().unwrap_or_else(PoisonError::into_inner) = Some(address);
     }
 
-    /// Whether the front deals requests to it.
+    /// Whether the front end sends requests to it.
     pub(crate) fn is_open(&self) -> bool {
         self.open.load(Ordering::Acquire)
     }
 
     pub(crate) fn set_open(&self, open: bool) {
-        self.openings.fetch_add(u32::from(open), Ordering::AcqRel);
+        self.open_count.fetch_add(u32::from(open), Ordering::AcqRel);
         self.open.store(open, Ordering::Release);
     }
 
-    /// How often the front began to deal to it.
-    pub(crate) fn openings(&self) -> u32 {
-        self.openings.load(Ordering::Acquire)
+    /// How often the front end began to send to it.
+    pub(crate) fn open_count(&self) -> u32 {
+        self.open_count.load(Ordering::Acquire)
     }
 
-    /// Its process is about to be killed.
-    pub(crate) fn is_killed(&self) {
-        self.kills.fetch_add(1, Ordering::AcqRel);
+    /// Records that its process is about to be killed.
+    pub(crate) fn record_kill(&self) {
+        self.kill_count.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// How often that was so.
-    pub(crate) fn kills(&self) -> u32 {
-        self.kills.load(Ordering::Acquire)
+    /// How often its process was killed.
+    pub(crate) fn kill_count(&self) -> u32 {
+        self.kill_count.load(Ordering::Acquire)
     }
 }
 
-/// What all stand-ins share.
-pub(crate) struct Board {
+/// State shared by the emulators of all shards.
+pub(crate) struct SharedState {
     pub(crate) script: Script,
     pub(crate) plan: Plan,
     origin: Instant,
-    faces: Vec<Face>,
-    entrances: Vec<Entrance>,
+    backends: Vec<BackendStatus>,
+    proxy_endpoints: Vec<ProxyEndpoint>,
     discovery_down: AtomicU32,
-    /// Boxes that have changed, for discovery: at most two for each trouble of a box in the script.
-    news: UnboundedSender<usize>,
-    /// Where proxies reach boxes through a relay: its port for each box.
-    relays: OnceLock<Vec<u16>>,
-    /// Where clients reach proxies through a relay: its port.
-    client_relay: OnceLock<u16>,
+    /// Notifies discovery of changed backends: at most two messages for each backend fault in the script.
+    change_sender: UnboundedSender<usize>,
+    /// The relay's port for each backend, where proxies reach backends through a relay.
+    backend_relay_ports: OnceLock<Vec<u16>>,
+    /// The relay's port, where clients reach proxies through a relay.
+    client_relay_port: OnceLock<u16>,
 }
 
-impl Board {
-    /// A board, and the boxes that change, for discovery.
+impl SharedState {
+    /// Creates the state, and the receiver of changed backends for discovery.
     pub(crate) fn new(script: Script, plan: Plan) -> (Arc<Self>, UnboundedReceiver<usize>) {
-        let (news, changes) = unbounded_channel();
-        let faces = (0..script.fleet.backends).map(|_| Face::default()).collect();
-        let entrances = (0..script.fleet.proxies).map(|_| Entrance::default()).collect();
-        let (relays, client_relay) = (OnceLock::new(), OnceLock::new());
+        let (change_sender, changes) = unbounded_channel();
+        let backends = (0..script.fleet.backends).map(|_| BackendStatus::default()).collect();
+        let proxy_endpoints = (0..script.fleet.proxies).map(|_| ProxyEndpoint::default()).collect();
+        let (backend_relay_ports, client_relay_port) = (OnceLock::new(), OnceLock::new());
         let (origin, discovery_down) = (Instant::now(), AtomicU32::new(0));
-        let board =
-            Self { script, plan, origin, faces, entrances, discovery_down, news, relays, client_relay };
-        (Arc::new(board), changes)
+        let shared_state = Self {
+            script,
+            plan,
+            origin,
+            backends,
+            proxy_endpoints,
+            discovery_down,
+            change_sender,
+            backend_relay_ports,
+            client_relay_port,
+        };
+        (Arc::new(shared_state), changes)
     }
 
     pub(crate) fn now(&self) -> Micros {
@@ -144,24 +153,24 @@
         tokio::time::sleep_until(self.instant(at)).await;
     }
 
-    pub(crate) fn face(&self, at_box: usize) -> &Face {
-        &self.faces[at_box]
+    pub(crate) fn backend_status(&self, backend: usize) -> &BackendStatus {
+        &self.backends[backend]
     }
 
-    pub(crate) fn entrance(&self, proxy: usize) -> &Entrance {
-        &self.entrances[proxy]
+    pub(crate) fn proxy_endpoint(&self, proxy: usize) -> &ProxyEndpoint {
+        &self.proxy_endpoints[proxy]
     }
 
-    /// Boxes whose process runs, and boxes that drain.
+    /// The number of backends whose process runs, and of those that drain.
     pub(crate) fn in_service(&self) -> (usize, usize) {
-        let count = |of: fn(&Face) -> bool| self.faces.iter().filter(|face| of(face)).count();
-        (count(Face::is_up), count(Face::drains))
+        let count = |of: fn(&BackendStatus) -> bool| self.backends.iter().filter(|face| of(face)).count();
+        (count(BackendStatus::is_up), count(BackendStatus::is_draining))
     }
 
-    /// A box has changed.
-    pub(crate) fn changed(&self, at_box: usize) {
-        // Nobody listens any more where the day is over.
-        let _ = self.news.send(at_box);
+    /// Notifies discovery that a backend has changed.
+    pub(crate) fn notify_backend_changed(&self, backend: usize) {
+        // The receiver is gone once the scenario is over.
+        let _ = self.change_sender.send(backend);
     }
 
     pub(crate) fn discovery_is_down(&self) -> bool {
@@ -176,38 +185,38 @@
         }
     }
 
-    /// Proxies reach boxes through relays at these ports, each under an address that tells who it is.
-    pub(crate) fn relay_boxes(&self, ports: Vec<u16>) {
-        let _ = self.relays.set(ports);
+    /// Has proxies reach backends through relays at these ports, each proxy under its own address.
+    pub(crate) fn set_backend_relays(&self, ports: Vec<u16>) {
+        let _ = self.backend_relay_ports.set(ports);
     }
 
-    /// Clients reach proxies through a relay at this port.
-    pub(crate) fn relay_clients(&self, port: u16) {
-        let _ = self.client_relay.set(port);
+    /// Has clients reach proxies through a relay at this port.
+    pub(crate) fn set_client_relay(&self, port: u16) {
+        let _ = self.client_relay_port.set(port);
     }
 
-    /// Where clients reach a proxy.
-    pub(crate) fn way_to_proxy(&self, proxy: usize) -> Option<SocketAddr> {
-        match self.client_relay.get() {
+    /// The address at which clients reach a proxy.
+    pub(crate) fn proxy_address(&self, proxy: usize) -> Option<SocketAddr> {
+        match self.client_relay_port.get() {
             Some(&port) => Some(SocketAddr::from((crate::address::at_relay(proxy), port))),
-            None => self.entrance(proxy).listens(),
+            None => self.proxy_endpoint(proxy).listen_address(),
         }
     }
 
-    /// Where a proxy reaches a box.
-    pub(crate) fn way_to_box(&self, proxy: usize, at_box: usize) -> Option<SocketAddr> {
-        match self.relays.get() {
-            Some(ports) => Some(SocketAddr::from((crate::address::at_relay(proxy), ports[at_box]))),
-            None => self.face(at_box).address(),
+    /// The address at which a proxy reaches a backend.
+    pub(crate) fn backend_address(&self, proxy: usize, backend: usize) -> Option<SocketAddr> {
+        match self.backend_relay_ports.get() {
+            Some(ports) => Some(SocketAddr::from((crate::address::at_relay(proxy), ports[backend]))),
+            None => self.backend_status(backend).address(),
         }
     }
 
-    /// The proxy that gets a request meant for this one: itself while the front deals to it, else one of the same zone
-    /// by chance, if there is any.
-    pub(crate) fn front(&self, meant: usize, rng: &mut fastrand::Rng) -> Option<usize> {
-        if self.entrance(meant).is_open() {
+    /// Selects the proxy for a request: the planned one while it is open, else a random open one of the same zone, if
+    /// there is any.
+    pub(crate) fn select_proxy(&self, meant: usize, rng: &mut fastrand::Rng) -> Option<usize> {
+        if self.proxy_endpoint(meant).is_open() {
             return Some(meant);
         }
-        self.script.in_place_of(meant, |proxy| self.entrance(proxy).is_open(), rng)
+        self.script.in_place_of(meant, |proxy| self.proxy_endpoint(proxy).is_open(), rng)
     }
 }
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -1,6 +1,6 @@
-//! Proxies as threads of this process, which show their limits while they run.
+//! Proxies as threads of this process that publish their limits and counters while they run.
 
-use super::SocketsError;
+use super::SocketScenarioError;
 use crate::script::Script;
 use http_proxy::config::Config;
 use proxy_server::server::{self, BoundAddresses};
@@ -14,49 +14,59 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// How long a proxy may take to come up, and to end.
-pub(super) const PROXY_TIME: Duration = Duration::from_secs(10);
-/// How often a proxy's limits are looked at.
-pub(super) const LIMITS_INTERVAL: Duration = Duration::from_millis(250);
-/// What a proxy may use: plenty, the sockets are this machine's.
+/// Limit on the start and on the shutdown of a proxy.
+pub(super) const PROXY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often a proxy publishes its status.
+pub(super) const STATUS_INTERVAL: Duration = Duration::from_millis(250);
+/// Memory limit of a proxy, MB.
 const MEMORY_MB: usize = 192;
-const SOCKETS: usize = 4_096;
+/// Socket limit of a proxy.
+const MAX_SOCKETS: usize = 4_096;
 
-/// What a proxy shows of itself while it runs: limits and requests in flight, and its counts.
-type Shown = Arc<Mutex<(Vec<(f64, u32)>, Counts)>>;
+/// The limit and requests in flight for each ready backend, and the proxy's counters.
+type SharedStatus = Arc<Mutex<(Vec<(f64, u32)>, Counts)>>;
 
+/// A proxy that runs on its own thread.
 pub(super) struct Proxy {
     pub(super) address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: JoinHandle<Result<(), String>>,
-    pub(super) shown: Shown,
+    pub(super) status: SharedStatus,
 }
 
-pub(super) fn start(script: &Script, index: usize, discovery: SocketAddr) -> Result<Proxy, SocketsError> {
+/// Starts a proxy and waits until it listens.
+///
+/// # Errors
+/// Where the configuration is invalid or the proxy does not listen within [`PROXY_TIMEOUT`].
+pub(super) fn start(
+    script: &Script,
+    index: usize,
+    discovery: SocketAddr,
+) -> Result<Proxy, SocketScenarioError> {
     let config = json!({"name": format!("p{index}"), "listen": "127.0.0.1:0",
         "discovery": discovery.to_string(), "seed": format!("{:x}", script.seed.wrapping_add(index as u64)),
-        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": MAX_SOCKETS},
         "known": {"revision": 0, "complete": true, "members": []}, "settings": script.settings(index)});
-    // Checked here, so that a fault is told with its words.
+    // Parsed here first, so that the caller gets the typed error.
     Config::parse(config.to_string().as_bytes(), |_| None)?;
     let (stop, stopped) = oneshot::channel();
-    let (told, addresses) = mpsc::channel();
-    let shown = Shown::default();
-    let seen = Arc::clone(&shown);
+    let (address_sender, address_receiver) = mpsc::channel();
+    let status = SharedStatus::default();
+    let published = Arc::clone(&status);
     let thread = thread::spawn(move || {
         let config = Config::parse(config.to_string().as_bytes(), |_| None).map_err(|e| e.to_string())?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
         let started = move |handle: &http_proxy::transport::Handle, listening: BoundAddresses| {
-            let _ = told.send(listening.clients);
+            let _ = address_sender.send(listening.clients);
             let handle = handle.clone();
             tokio::task::spawn_local(async move {
                 loop {
                     let now = (handle.limits(), handle.counts());
-                    if let Ok(mut seen) = seen.lock() {
-                        *seen = now;
+                    if let Ok(mut published) = published.lock() {
+                        *published = now;
                     }
-                    sleep(LIMITS_INTERVAL).await;
+                    sleep(STATUS_INTERVAL).await;
                 }
             });
         };
@@ -66,26 +76,30 @@
         let served = LocalSet::new().block_on(&runtime, server::serve(config, stop, None, started));
         served.map_err(|e| e.to_string())
     });
-    let address = addresses.recv_timeout(PROXY_TIME);
-    let address = address.map_err(|_| SocketsError::Proxy(index, "did not listen in time".into()))?;
-    Ok(Proxy { address, stop: Some(stop), thread, shown })
+    let address = address_receiver.recv_timeout(PROXY_TIMEOUT);
+    let address = address.map_err(|_| SocketScenarioError::Proxy(index, "did not listen in time".into()))?;
+    Ok(Proxy { address, stop: Some(stop), thread, status })
 }
 
-pub(super) async fn stop_all(proxies: Vec<Proxy>) -> Result<(), SocketsError> {
+/// Stops all proxies and waits for their threads, each for at most [`PROXY_TIMEOUT`].
+///
+/// # Errors
+/// For the first proxy that did not end in time, or ended with an error.
+pub(super) async fn stop_all(proxies: Vec<Proxy>) -> Result<(), SocketScenarioError> {
     let stopping = proxies.into_iter().map(|mut proxy| {
         drop(proxy.stop.take());
         proxy.thread
     });
     for (index, thread) in stopping.collect::<Vec<_>>().into_iter().enumerate() {
         let began = Instant::now();
-        while !thread.is_finished() && began.elapsed() < PROXY_TIME {
+        while !thread.is_finished() && began.elapsed() < PROXY_TIMEOUT {
             sleep(Duration::from_millis(20)).await;
         }
         if !thread.is_finished() {
-            return Err(SocketsError::Proxy(index, "did not end in time".into()));
+            return Err(SocketScenarioError::Proxy(index, "did not end in time".into()));
         }
         let ended = thread.join().unwrap_or_else(|_| Err("panicked".into()));
-        ended.map_err(|why| SocketsError::Proxy(index, why))?;
+        ended.map_err(|why| SocketScenarioError::Proxy(index, why))?;
     }
     Ok(())
 }
--- a/crates/testbed/tests/connection_faults.rs
+++ b/crates/testbed/tests/connection_faults.rs
@@ -21,7 +21,7 @@
 
 /// Hits enough to judge by, few ejections, and nearly all that may be repeated served.
 fn is_borne(row: &Row) {
-    assert!(row.day.hits >= 20, "{row}");
+    assert!(row.day.fault_hits >= 20, "{row}");
     assert!(row.day.ejections <= 4, "{row}");
     let all = &row.day.judgement.total;
     assert!(all.rejected * 50 <= all.requests, "boxes with room were passed over: {row}");
@@ -54,7 +54,10 @@
     let row = play(BackendFaultKind::CloseAfter, Pattern::Steady(0.2));
     is_borne(&row);
     let lost = told(&row, Outcome::Reset) + told(&row, Outcome::ConnectFailed);
-    assert!(lost * 10 <= row.day.hits, "few requests were written to a connection that was closing: {row}");
+    assert!(
+        lost * 10 <= row.day.fault_hits,
+        "few requests were written to a connection that was closing: {row}"
+    );
 }
 
 #[test]
@@ -62,7 +65,7 @@
     let row = play(BackendFaultKind::ResetNew, Pattern::Steady(0.1));
     // A request that was written before the reset was seen may have run.
     let lost = told(&row, Outcome::Reset) + told(&row, Outcome::ConnectFailed);
-    assert!(row.day.hits >= 1 && lost >= 1, "{row}");
+    assert!(row.day.fault_hits >= 1 && lost >= 1, "{row}");
     assert!(row.day.ejections <= 2, "{row}");
 }
 
@@ -77,6 +80,6 @@
 fn new_connections_that_are_read_late_cost_time_and_nothing_else() {
     let row = play(BackendFaultKind::AcceptLate, Pattern::Steady(0.5));
     let all = &row.day.judgement.total;
-    assert!(row.day.hits >= 1, "{row}");
+    assert!(row.day.fault_hits >= 1, "{row}");
     assert_eq!((row.day.ejections, all.rejected, all.failed), (0, 0, 0), "{row}");
 }
