--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,6 +1,9 @@
-//! The process laboratory: a day with many processes of the program, faults of processes, boxes and links, and what plain
-//! choices make of the same arrivals.
+//! Scenarios with many proxy processes and with faults of processes, backends and links, compared with reference policies
+//! on the same arrivals.
 
+mod emulator_threads;
+mod link_relays;
+mod process_controller;
 pub mod process_guard;
 mod processes;
 pub mod relay;
--- a/crates/testbed/src/fleet/process_guard.rs
+++ b/crates/testbed/src/fleet/process_guard.rs
@@ -1,6 +1,6 @@
-//! Starts a program that ends with whoever started it, under the limits that it is told. A process of its own stands
-//! between: it asks the kernel for a signal at its parent's death and becomes the program (`exec`), so that the rule holds
-//! also after a panic, Ctrl-C or SIGKILL of the laboratory. The parent is the thread that starts it.
+//! Starts a program that ends with its parent, under given limits. An intermediate process sets the parent-death signal and
+//! then executes the program, so that it also ends after a panic, Ctrl-C or SIGKILL of the testbed. The parent is the thread
+//! that spawns it.
 
 use nix::sys::prctl::set_pdeathsig;
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
@@ -12,8 +12,8 @@
 use std::path::Path;
 use std::process::Command;
 
-/// The command that has `keeper`, this crate's program, become `program` under so many descriptors. Its parent is the
-/// thread that spawns it, which has to live as long as the program is to.
+/// The command that runs `program` through `keeper`, this crate's binary, with this limit of file descriptors. The thread
+/// that spawns it has to live as long as the program.
 #[must_use]
 pub fn command(keeper: &Path, descriptors: u64, program: &Path) -> Command {
     let mut command = Command::new(keeper);
@@ -21,7 +21,10 @@
     command
 }
 
-/// Becomes the program. Returns only where that fails.
+/// Replaces this process by the program; returns only the error.
+///
+/// # Errors
+/// Where no program is named, `parent` is gone, a limit can't be set or the program can't be executed.
 #[must_use]
 pub fn become_program(parent: i32, descriptors: u64, command: &[OsString]) -> io::Error {
     let Some((program, arguments)) = command.split_first() else {
@@ -30,7 +33,7 @@
     if let Err(error) = set_pdeathsig(Signal::SIGKILL) {
         return error.into();
     }
-    // The parent may have died before the kernel was asked.
+    // The parent may have died before the signal was set.
     if getppid() != Pid::from_raw(parent) {
         return io::Error::new(io::ErrorKind::NotFound, "whoever started this is gone");
     }
@@ -40,12 +43,13 @@
     Command::new(program).args(arguments).exec()
 }
 
-/// Lets this process have as many descriptors as it may: a day's stand-ins hold a connection for each link.
+/// Raises this process's limit of file descriptors to the hard limit and returns it: the emulators hold a connection for
+/// each link.
 ///
 /// # Errors
 /// Where the kernel refuses.
 pub fn all_descriptors() -> io::Result<u64> {
-    let (_, most) = getrlimit(Resource::RLIMIT_NOFILE)?;
-    setrlimit(Resource::RLIMIT_NOFILE, most, most)?;
-    Ok(most)
+    let (_, hard_limit) = getrlimit(Resource::RLIMIT_NOFILE)?;
+    setrlimit(Resource::RLIMIT_NOFILE, hard_limit, hard_limit)?;
+    Ok(hard_limit)
 }
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! Processes of the program: started on loopback addresses of their own, asked whether they are ready, signalled, and
-//! ended with the laboratory. They are known by what `spawn` gave, never by a name.
+//! Proxy processes: started on their own loopback addresses, polled for readiness, signalled, and ended with the testbed.
+//! Each is identified by its child handle, never by name.
 
 use super::{FleetError, process_guard};
 use crate::address::{self, Held};
@@ -18,41 +18,42 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a process may take to be ready; hundreds start at once on a few cores.
+/// Limit on the time until a process is ready; hundreds start at once on a few cores.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often one is asked, and how long an answer may take.
-const ASK_INTERVAL: Duration = Duration::from_millis(25);
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest answer of a console that is read, in bytes.
-const ANSWER_CAP: usize = 512;
-/// How long processes have to end at the day's end before they are killed.
+/// Interval between two readiness polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Limit on the time of one poll.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bytes read at most of a console's response.
+const MAX_RESPONSE_BYTES: usize = 512;
+/// Limit on the exit of processes at the end of a scenario, before they are killed.
 pub(super) const END_TIMEOUT: Duration = Duration::from_secs(5);
-/// What a process logs that goes on from the limits of the one whose place it takes.
-const WENT_ON: &str = "goes on from the limits that were learnt";
-/// Clock ticks a second in the kernel's accounts: what Linux shows to programs, whatever its own clock.
-const TICKS: f64 = 100.0;
+/// The log line of a process that restored learned limits.
+const RESTORED_LOG_TEXT: &str = "goes on from the limits that were learnt";
+/// Clock ticks a second in `/proc`: fixed in Linux's interface to programs.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The size of a page in the kernel's account, bytes: what Linux has on all machines that this runs on.
-const PAGE: u64 = 4_096;
+/// Size of a memory page, bytes.
+const PAGE_BYTES: u64 = 4_096;
 
-/// What the laboratory runs, and under which limits.
+/// The binaries that the testbed runs, and their limits.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// The program.
+    /// The proxy's binary.
     pub proxy: PathBuf,
-    /// This laboratory's own program, which starts the other one so that it ends with it.
+    /// The testbed's own binary, through which processes are started.
     pub keeper: PathBuf,
-    /// Memory that a process is told, MB.
+    /// Memory limit in the configuration of a process, MB.
     pub memory_mb: usize,
-    /// Descriptors that a process may have.
+    /// File descriptors that a process may open.
     pub descriptors: u64,
-    /// Threads for the stand-ins.
+    /// Threads for the emulators.
     pub threads: usize,
-    /// What the machine may be late by, microseconds.
+    /// Timing tolerance of the machine, microseconds.
     pub slack: u64,
 }
 
-/// The folder of a day: one folder for each process with its configuration, `TMPDIR` and log. Gone with the day.
+/// The temporary folder of a scenario, with a folder for each proxy's configuration, `TMPDIR` and logs. Removed on drop.
 pub(crate) struct Folder(PathBuf);
 
 impl Folder {
@@ -63,14 +64,14 @@
         Ok(Self(path))
     }
 
-    /// How many processes of the day say in their logs that they went on from what others had learnt. Nothing is judged
-    /// by it: it tells whether a day had what it was meant to have.
+    /// The number of processes that logged the restoration of learned limits. Shows whether a scenario exercised the
+    /// hand-over; no check depends on it.
     pub(super) fn handed_on(&self) -> u64 {
         let files =
             |path: &Path| fs::read_dir(path).into_iter().flatten().flatten().map(|entry| entry.path());
         let logs = files(&self.0).flat_map(|place| files(&place).collect::<Vec<_>>());
         let logs = logs.filter(|path| path.is_file()).filter_map(|path| fs::read_to_string(path).ok());
-        logs.filter(|text| text.contains(WENT_ON)).count() as u64
+        logs.filter(|text| text.contains(RESTORED_LOG_TEXT)).count() as u64
     }
 
     pub(crate) fn path(&self) -> &Path {
@@ -84,17 +85,17 @@
     }
 }
 
-/// One process.
+/// One proxy process.
 pub(crate) struct Process {
     child: Child,
     console: Held,
     log: PathBuf,
     stopped: bool,
-    told: bool,
+    terminated: bool,
     ready: bool,
 }
 
-/// A proxy's place: what stays the same over its processes.
+/// What the successive processes of one proxy share: addresses and folder.
 pub(crate) struct Place {
     proxy: usize,
     listen: Held,
@@ -111,12 +112,15 @@
         Ok(Self { proxy, listen, discovery, folder, starts: 0 })
     }
 
-    /// Where clients reach whichever process runs here.
+    /// The address at which clients reach the current process.
     pub(crate) fn listen(&self) -> SocketAddr {
         self.listen.address()
     }
 
-    /// Starts a process here. Has to be called on a thread that lives as long as the process is to.
+    /// Starts a process. The calling thread has to live as long as the process.
+    ///
+    /// # Errors
+    /// Where an address, a file or the process can't be created.
     pub(crate) fn start(&mut self, script: &Script, machine: &Machine, known: &Value) -> io::Result<Process> {
         self.starts += 1;
         let console = Held::new(address::of_process(self.proxy))?;
@@ -136,12 +140,12 @@
             .stdout(Stdio::null())
             .stderr(File::create(&log)?)
             .spawn()?;
-        Ok(Process { child, console, log, stopped: false, told: false, ready: false })
+        Ok(Process { child, console, log, stopped: false, terminated: false, ready: false })
     }
 }
 
 impl Process {
-    /// Asks until the process says that it is ready, or is seen to have ended.
+    /// Polls until the process is ready, has ended, or [`READY_TIMEOUT`] is over; whether it is ready.
     pub(crate) async fn is_ready(&mut self) -> bool {
         let console = self.console();
         let mut ready = std::pin::pin!(Self::wait_until_ready(console));
@@ -151,31 +155,31 @@
                     self.ready = ready;
                     return ready;
                 }
-                () = sleep(ASK_INTERVAL) => if self.ended().is_some() { return false },
+                () = sleep(POLL_INTERVAL) => if self.ended().is_some() { return false },
             }
         }
     }
 
-    /// Asks until the process says that it is ready.
+    /// Polls the console until it reports readiness, at most for [`READY_TIMEOUT`].
     pub(super) async fn wait_until_ready(console: SocketAddr) -> bool {
         let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
-            if let Ok(Ok(true)) = timeout(ANSWER_TIMEOUT, ask(console, "readyz")).await {
+            if let Ok(Ok(true)) = timeout(POLL_TIMEOUT, console_succeeds(console, "readyz")).await {
                 return true;
             }
-            sleep(ASK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
         false
     }
 
-    /// Asks whoever listens there until `/up` says that it serves, as a front does.
+    /// Polls `/up` until it returns 200, at most for [`READY_TIMEOUT`], as a front end does.
     pub(super) async fn wait_until_up(listen: SocketAddr) -> bool {
         let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
-            if let Ok(Ok(200)) = timeout(ANSWER_TIMEOUT, up(listen)).await {
+            if let Ok(Ok(200)) = timeout(POLL_TIMEOUT, up(listen)).await {
                 return true;
             }
-            sleep(ASK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
         false
     }
@@ -186,7 +190,7 @@
 
     fn signal(&self, signal: Signal) {
         if let Ok(pid) = i32::try_from(self.child.id()) {
-            // Gone already: whoever looks for its end will see that. The id is this child's until it is waited for.
+            // An error means that it has exited, which `ended` reports. The id stays reserved until it is waited for.
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
@@ -196,40 +200,40 @@
         self.signal(Signal::SIGSTOP);
     }
 
-    pub(super) fn go_on(&mut self) {
+    pub(super) fn resume(&mut self) {
         self.stopped = false;
         self.signal(Signal::SIGCONT);
     }
 
-    /// It has said that it is ready.
-    pub(super) fn got_ready(&mut self) {
+    /// Records that the process is ready.
+    pub(super) fn mark_ready(&mut self) {
         self.ready = true;
     }
 
-    /// Whether it has ended otherwise than well. One that was told to end before it was ready may not have heard yet how
-    /// to end well.
+    /// Whether it exited with a failure. One that received SIGTERM before it was ready may not have installed its signal
+    /// handler yet, and does not count.
     pub(super) fn ended_badly(&mut self) -> bool {
-        let unheard = self.told && !self.ready;
-        self.ended().is_some_and(|status| !status.success() && !unheard)
+        let may_lack_handler = self.terminated && !self.ready;
+        self.ended().is_some_and(|status| !status.success() && !may_lack_handler)
     }
 
-    /// Whether it was told to end.
-    pub(super) fn was_told(&self) -> bool {
-        self.told
+    /// Whether it received SIGTERM.
+    pub(super) fn was_terminated(&self) -> bool {
+        self.terminated
     }
 
     pub(super) fn terminate(&mut self) {
-        self.told = true;
+        self.terminated = true;
         self.signal(Signal::SIGTERM);
     }
 
-    /// Kills it; it is gone when this returns.
+    /// Kills the process and waits for it.
     pub(super) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// How it ended, if it has.
+    /// Its exit status, once it has exited.
     pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
@@ -245,7 +249,7 @@
     }
 
     /// The last lines of its log.
-    pub(crate) fn last_words(&self) -> String {
+    pub(crate) fn log_tail(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().rev().take(3).collect();
         lines.into_iter().rev().collect::<Vec<_>>().join(" | ")
@@ -255,7 +259,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if self.stopped {
-            self.go_on();
+            self.resume();
         }
         self.kill();
     }
@@ -264,29 +268,29 @@
 /// Processor time of a process, seconds.
 pub(crate) fn cpu_s(id: u32) -> Option<f64> {
     let text = fs::read_to_string(Path::new("/proc").join(id.to_string()).join("stat")).ok()?;
-    // The name in brackets may hold blanks; user and system time are the twelfth and thirteenth field behind it.
+    // The name in brackets may contain blanks; user and system time are the 12th and 13th fields after it.
     let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = |place: usize| fields.get(place).and_then(|field| field.parse::<f64>().ok());
-    Some((ticks(11)? + ticks(12)?) / TICKS)
+    Some((ticks(11)? + ticks(12)?) / TICKS_PER_SECOND)
 }
 
 /// Memory of a process, bytes; 0 where it is gone.
 pub(crate) fn memory(id: u32) -> u64 {
     let text = fs::read_to_string(Path::new("/proc").join(id.to_string()).join("statm")).unwrap_or_default();
-    text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE
+    text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
-/// Asks a console; whether it says yes.
-async fn ask(console: SocketAddr, call: &str) -> io::Result<bool> {
+/// Sends a command to a console; whether it succeeded.
+async fn console_succeeds(console: SocketAddr, call: &str) -> io::Result<bool> {
     let mut stream = TcpStream::connect(console).await?;
     stream.write_all(format!("{call}\n").as_bytes()).await?;
     let mut answer = Vec::new();
-    (&mut stream).take(ANSWER_CAP as u64).read_to_end(&mut answer).await?;
+    (&mut stream).take(MAX_RESPONSE_BYTES as u64).read_to_end(&mut answer).await?;
     Ok(answer.starts_with(b"SUCCESS"))
 }
 
 impl From<(usize, &Process)> for FleetError {
     fn from((proxy, process): (usize, &Process)) -> Self {
-        Self::NotReady(proxy, process.last_words())
+        Self::NotReady(proxy, process.log_tail())
     }
 }
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -1,6 +1,7 @@
-//! Relays between any two parties: they carry what comes as [`links`](crate::links) says. Whoever is at the other end is
-//! known by its address. TCP: a relay listens on all loopback addresses (bound to the loopback device), and the one that
-//! was called names the proxy. UDP: each process has a face, and what a face gets goes on from the sender's own face.
+//! Relays that apply the delays, losses and cuts of [`links`](crate::links) to TCP streams and UDP datagrams. Peers are
+//! identified by their addresses. TCP: a relay listens on all loopback addresses (bound to the loopback device), and the
+//! destination address names the proxy. UDP: each process has a relay socket, and a datagram that arrives at one is
+//! forwarded from the relay socket of its sender.
 
 use crate::address;
 use crate::links::{BandwidthQueue, Link, Links};
@@ -21,24 +22,26 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// The largest piece of a stream that is carried at a time, and how many may be on their way on one connection.
-const PIECE: usize = 16 * 1024;
-const PIECES: usize = 64;
-/// The largest datagram that is carried, and how many may be on their way in all; what comes beyond that is lost.
-const DATAGRAM: usize = 2_048;
-const DATAGRAMS: usize = 65_536;
+/// Size limit of one forwarded chunk of a stream, bytes.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
+/// Chunks in flight at most on one connection and direction.
+const MAX_CHUNKS: usize = 64;
+/// Size limit of a forwarded datagram, bytes.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Datagrams in flight at most in all; further ones are dropped.
+const MAX_DATAGRAMS: usize = 65_536;
 
-/// The day's clock for relays: links are judged by the time since its beginning. Before that all links are whole.
+/// The scenario's clock for relays: link faults apply by the time since its start. Before the start no fault applies.
 #[derive(Clone, Default)]
 pub struct Clock(Arc<Mutex<Option<Instant>>>);
 
 impl Clock {
-    /// The day has begun at this time.
+    /// Sets the start of the scenario.
     pub fn begin(&self, at: Instant) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(at);
     }
 
-    /// The time since its beginning.
+    /// The start, and the time since then in microseconds; `None` before the start.
     fn now(&self) -> Option<(Instant, Micros)> {
         let began = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let began = began.filter(|&began| began <= Instant::now())?;
@@ -46,14 +49,14 @@
     }
 }
 
-/// Where a relay leads to, for each proxy that calls it. None: nowhere yet.
+/// The target of a relay for each proxy; `None` while there is none yet.
 pub type Target = Rc<dyn Fn(usize) -> Option<SocketAddr>>;
 
-/// Starts a relay of streams on this thread; gives its port. Callers reach it under `address::at_relay(proxy)`, which
-/// tells which proxy's link it is, whichever of the two calls.
+/// Starts a relay of streams on this thread and returns its port. Callers connect to `address::at_relay(proxy)`, which
+/// identifies the proxy's link, whichever side connects.
 ///
 /// # Errors
-/// Where it has no socket.
+/// Where the listener can't be opened.
 pub fn streams(
     links: &Rc<Links>,
     clock: &Clock,
@@ -72,36 +75,43 @@
             });
             let Some(proxy) = called else { continue };
             let link = Link { between, proxy, peer };
-            let carried = carry(Rc::clone(&links), clock.clone(), link, stream, target(proxy));
-            tokio::task::spawn_local(carried);
+            let relayed = relay_connection(Rc::clone(&links), clock.clone(), link, stream, target(proxy));
+            tokio::task::spawn_local(relayed);
         }
     });
     Ok(port)
 }
 
-async fn carry(links: Rc<Links>, clock: Clock, link: Link, near: TcpStream, target: Option<SocketAddr>) {
-    // Where the link is cut a new connection comes up here and is silent: from inside a process no more can be done.
-    due(&links, &clock, link, Direction::Out, 0).await;
-    let far = match target {
+async fn relay_connection(
+    links: Rc<Links>,
+    clock: Clock,
+    link: Link,
+    caller: TcpStream,
+    target: Option<SocketAddr>,
+) {
+    // On a cut link a new connection is accepted here and stays silent: a user process can't suppress the handshake.
+    wait_until_due(&links, &clock, link, Direction::Out, 0).await;
+    let callee = match target {
         Some(target) => TcpStream::connect(target).await,
         None => Err(io::ErrorKind::ConnectionRefused.into()),
     };
-    let Ok(far) = far else { return reset(&near) };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let mut out = pin!(pump(Rc::clone(&links), clock.clone(), link, Direction::Out, near_in, far_out));
-    let mut back = pin!(pump(links, clock, link, Direction::Back, far_in, near_out));
-    // A side that breaks takes the other one with it, as it would without a relay; one that only ends does not.
+    let Ok(callee) = callee else { return reset(&caller) };
+    let _ = (caller.set_nodelay(true), callee.set_nodelay(true));
+    let (caller_in, caller_out) = caller.into_split();
+    let (target_in, target_out) = callee.into_split();
+    let mut out =
+        pin!(forward(Rc::clone(&links), clock.clone(), link, Direction::Out, caller_in, target_out));
+    let mut back = pin!(forward(links, clock, link, Direction::Back, target_in, caller_out));
+    // A side that breaks ends the other one, as without a relay; a half-close does not.
     tokio::select! {
-        whole = &mut out => if whole { back.await; },
-        whole = &mut back => if whole { out.await; },
+        ended_cleanly = &mut out => if ended_cleanly { back.await; },
+        ended_cleanly = &mut back => if ended_cleanly { out.await; },
     }
 }
 
-async fn due(links: &Links, clock: &Clock, link: Link, way: Direction, nth: u64) {
+async fn wait_until_due(links: &Links, clock: &Clock, link: Link, direction: Direction, sequence: u64) {
     if let Some((began, now)) = clock.now() {
-        let passage = links.piece(link, way, now, nth);
+        let passage = links.piece(link, direction, now, sequence);
         let at = (now + passage.delay).max(passage.not_before);
         if at > now {
             tokio::time::sleep_until(began + Duration::from_micros(at)).await;
@@ -109,40 +119,40 @@
     }
 }
 
-/// Carries one way of a connection, in order; gives whether it ended and did not break. What is read waits for its time
-/// without keeping the next from being read.
-async fn pump(
+/// Forwards one direction of a connection, in order; returns whether it ended without an error. Reading continues while
+/// earlier chunks wait for their time.
+async fn forward(
     links: Rc<Links>,
     clock: Clock,
     link: Link,
-    way: Direction,
+    direction: Direction,
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
 ) -> bool {
-    let (sender, mut pieces) = mpsc::channel::<(Option<Instant>, Vec<u8>)>(PIECES);
+    let (sender, mut chunks) = mpsc::channel::<(Option<Instant>, Vec<u8>)>(MAX_CHUNKS);
     let reading = async move {
-        let (mut line, mut nth) = (BandwidthQueue::default(), 0);
+        let (mut bandwidth_queue, mut sequence) = (BandwidthQueue::default(), 0);
         loop {
-            let mut piece = Vec::with_capacity(PIECE);
-            let read = from.read_buf(&mut piece).await;
+            let mut chunk = Vec::with_capacity(MAX_CHUNK_BYTES);
+            let read = from.read_buf(&mut chunk).await;
             if !matches!(read, Ok(read) if read > 0) {
                 return Ok(read.is_ok());
             }
-            nth += 1;
+            sequence += 1;
             let at = clock.now().map(|(began, now)| {
-                let passage = links.piece(link, way, now, nth);
-                let passed = line.pass(now, piece.len(), links.bandwidth(link, way, now));
+                let passage = links.piece(link, direction, now, sequence);
+                let passed = bandwidth_queue.pass(now, chunk.len(), links.bandwidth(link, direction, now));
                 began + Duration::from_micros((passed + passage.delay).max(passage.not_before))
             });
-            sender.send((at, piece)).await.map_err(|_| io::ErrorKind::BrokenPipe)?;
+            sender.send((at, chunk)).await.map_err(|_| io::ErrorKind::BrokenPipe)?;
         }
     };
     let writing = async move {
-        while let Some((at, piece)) = pieces.recv().await {
+        while let Some((at, chunk)) = chunks.recv().await {
             if let Some(at) = at {
                 tokio::time::sleep_until(at).await;
             }
-            to.write_all(&piece).await?;
+            to.write_all(&chunk).await?;
         }
         Ok::<_, io::Error>(to)
     };
@@ -156,83 +166,111 @@
     }
 }
 
-/// What a relay of datagrams counted.
+/// Counters of a datagram relay.
 #[derive(Debug, Default)]
-pub struct Carried {
-    /// Datagrams that went on, doubles too.
+pub struct DatagramCounts {
+    /// Forwarded datagrams, duplicates included.
     pub passed: AtomicU64,
-    /// Lost by the script.
+    /// Datagrams lost by link faults.
     pub lost: AtomicU64,
-    /// From nobody that is known, or too many at a time.
+    /// Datagrams from unknown senders, or beyond the limit in flight.
     pub refused: AtomicU64,
 }
 
-/// Starts a relay of datagrams among processes on this thread: `real` is where each one listens, at its own address.
-/// Gives the address under which each one is known to the others.
+/// Starts a relay of datagrams among processes on this thread; `real` has the address on which each one listens.
+/// Returns the relay address of each process.
 ///
 /// # Errors
-/// Where a face has no socket.
+/// Where a relay socket can't be opened.
 pub async fn datagrams(
     links: &Rc<Links>,
     clock: &Clock,
     real: &[SocketAddrV4],
-    counts: &Arc<Carried>,
+    counts: &Arc<DatagramCounts>,
 ) -> io::Result<Vec<SocketAddr>> {
-    let mut faces = Vec::new();
+    let mut relay_sockets = Vec::new();
     for process in 0..real.len() {
-        faces.push(Rc::new(UdpSocket::bind((address::at_relay(process), 0)).await?));
+        relay_sockets.push(Rc::new(UdpSocket::bind((address::at_relay(process), 0)).await?));
     }
-    let addresses = faces.iter().map(|face| face.local_addr()).collect::<io::Result<Vec<_>>>()?;
-    let (faces, real): (Rc<[_]>, Rc<[_]>) = (faces.into(), real.into());
-    let places = Arc::new(Semaphore::new(DATAGRAMS));
+    let addresses =
+        relay_sockets.iter().map(|relay_socket| relay_socket.local_addr()).collect::<io::Result<Vec<_>>>()?;
+    let relay = Rc::new(DatagramRelay {
+        links: Rc::clone(links),
+        clock: clock.clone(),
+        relay_sockets,
+        real: real.into(),
+        permits: Arc::new(Semaphore::new(MAX_DATAGRAMS)),
+        counts: Arc::clone(counts),
+    });
     for to in 0..real.len() {
-        let (links, clock, counts) = (Rc::clone(links), clock.clone(), Arc::clone(counts));
-        let (faces, real, places) = (Rc::clone(&faces), Rc::clone(&real), Arc::clone(&places));
+        tokio::task::spawn_local(Rc::clone(&relay).receive(to));
+    }
+    Ok(addresses)
+}
+
+/// The state shared by the receiving tasks of a datagram relay.
+struct DatagramRelay {
+    links: Rc<Links>,
+    clock: Clock,
+    /// The relay's socket for each process.
+    relay_sockets: Vec<Rc<UdpSocket>>,
+    /// The address on which each process listens.
+    real: Vec<SocketAddrV4>,
+    /// One permit for each datagram in flight.
+    permits: Arc<Semaphore>,
+    counts: Arc<DatagramCounts>,
+}
+
+impl DatagramRelay {
+    /// Forwards all datagrams for one process.
+    async fn receive(self: Rc<Self>, to: usize) {
+        let mut sequences: HashMap<usize, u64> = HashMap::new();
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
+        // An error reports an earlier destination that was unreachable; the socket stays usable.
+        loop {
+            let Ok((length, sender)) = self.relay_sockets[to].recv_from(&mut bytes).await else { continue };
+            let Some(from) = self.sender_index(sender) else {
+                self.counts.refused.fetch_add(1, Ordering::Relaxed);
+                continue;
+            };
+            let sequence = sequences.entry(from).or_default();
+            *sequence += 1;
+            let (link, direction) = Link::of_proxies(from, to);
+            let now = self.clock.now().map(|(_, now)| now);
+            let delivery = now.map(|now| self.links.datagram(link, direction, now, *sequence));
+            let copies = match delivery {
+                Some(delivery) => [delivery.first, delivery.second],
+                None => [Some(0), None],
+            };
+            if copies == [None, None] {
+                self.counts.lost.fetch_add(1, Ordering::Relaxed);
+            }
+            for delay_us in copies.into_iter().flatten() {
+                self.send_later(from, to, bytes[..length].to_vec(), delay_us);
+            }
+        }
+    }
+
+    /// The process that sends from this address.
+    fn sender_index(&self, sender: SocketAddr) -> Option<usize> {
+        let SocketAddr::V4(sender) = sender else { return None };
+        address::process_of(*sender.ip()).filter(|&process| self.real.get(process) == Some(&sender))
+    }
+
+    /// Sends a datagram after a delay in microseconds; drops it where too many are in flight.
+    fn send_later(&self, from: usize, to: usize, bytes: Vec<u8>, delay_us: Micros) {
+        let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else {
+            self.counts.refused.fetch_add(1, Ordering::Relaxed);
+            return;
+        };
+        let (relay_socket, target) = (Rc::clone(&self.relay_sockets[from]), self.real[to]);
+        let counts = Arc::clone(&self.counts);
         tokio::task::spawn_local(async move {
-            let mut numbers: HashMap<usize, u64> = HashMap::new();
-            let mut bytes = vec![0; DATAGRAM];
-            // An error is a destination that was gone a moment ago; the face itself stays.
-            loop {
-                let Ok((length, sender)) = faces[to].recv_from(&mut bytes).await else { continue };
-                let from = match sender {
-                    SocketAddr::V4(sender) => {
-                        address::process_of(*sender.ip()).filter(|&p| real.get(p) == Some(&sender))
-                    }
-                    SocketAddr::V6(_) => None,
-                };
-                let Some(from) = from else {
-                    counts.refused.fetch_add(1, Ordering::Relaxed);
-                    continue;
-                };
-                let nth = numbers.entry(from).or_default();
-                *nth += 1;
-                let (link, way) = Link::of_proxies(from, to);
-                let now = clock.now().map(|(_, now)| now);
-                let fate = now.map(|now| links.datagram(link, way, now, *nth));
-                let copies = match fate {
-                    Some(fate) => [fate.first, fate.second],
-                    None => [Some(0), None],
-                };
-                if copies == [None, None] {
-                    counts.lost.fetch_add(1, Ordering::Relaxed);
-                }
-                for late in copies.into_iter().flatten() {
-                    let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
-                        counts.refused.fetch_add(1, Ordering::Relaxed);
-                        continue;
-                    };
-                    let (face, target) = (Rc::clone(&faces[from]), real[to]);
-                    let (bytes, counts) = (bytes[..length].to_vec(), Arc::clone(&counts));
-                    tokio::task::spawn_local(async move {
-                        tokio::time::sleep(Duration::from_micros(late)).await;
-                        if face.send_to(&bytes, target).await.is_ok() {
-                            counts.passed.fetch_add(1, Ordering::Relaxed);
-                        }
-                        drop(place);
-                    });
-                }
+            tokio::time::sleep(Duration::from_micros(delay_us)).await;
+            if relay_socket.send_to(&bytes, target).await.is_ok() {
+                counts.passed.fetch_add(1, Ordering::Relaxed);
             }
+            drop(permit);
         });
     }
-    Ok(addresses)
 }
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! Results as rows: one JSON line each, a table for people, medians over seeds. Pure.
+//! Results as rows: one JSON line each, a text table, and medians over seeds. No I/O.
 
 use crate::invariant_checker::{CheckReport, check_ordered};
 use crate::plan::Plan;
@@ -12,78 +12,78 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 
-/// The longest line that [`parse`] takes, in bytes: a row has a few hundred.
-const LINE_CAP: usize = 64 * 1024;
+/// Length limit of a line in [`parse`], bytes.
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// What one way made of one day.
+/// The result of one run of a scenario.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// The script's title.
     pub script: String,
-    /// The version of the program.
+    /// The version of the proxy.
     pub build: String,
     /// `processes`, `virtual` or the name of a reference.
     pub way: String,
-    /// The day's seed.
+    /// The scenario's seed.
     pub seed: u64,
-    /// Requests a second over what keeps all boxes busy.
+    /// Request rate over the capacity of all backends.
     pub load: f64,
-    /// Requests that were asked.
+    /// Requests sent.
     pub asked: u64,
-    /// Worth earned over worth asked for.
+    /// Priority weight earned over priority weight requested.
     pub worth: f64,
-    /// Part served in time.
+    /// Fraction served within the deadline.
     pub in_time: f64,
-    /// Refused.
+    /// Requests rejected.
     pub refused: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Reached no proxy.
+    /// Requests that reached no proxy.
     pub missed: u64,
-    /// Went with a killed process, or ended while theirs stood still.
+    /// Requests lost with a killed process, or whose deadline passed while their process was stopped.
     pub excused: u64,
-    /// Median time of a served answer, milliseconds.
+    /// Median response time of served requests, milliseconds.
     pub p50_ms: f64,
-    /// Time under which 99 of 100 served answers stayed, milliseconds.
+    /// 99th percentile of the response time of served requests, milliseconds.
     pub p99_ms: f64,
-    /// Breaks of rules 1 to 4.
+    /// Violations of rules 1 to 4.
     pub broken: [u64; 4],
-    /// How evenly boxes were loaded.
+    /// How evenly backends were loaded.
     pub spread: Spread,
-    /// What cold boxes got of what they bear, where any started.
+    /// Load of warming backends relative to their capacity, where any started.
     #[serde(default)]
     pub cold: Option<SlowStartLoad>,
-    /// How soon processes that were started anew were ready, where there were any.
+    /// Time to readiness of restarted processes, where there were any.
     #[serde(default)]
     pub restarts: Option<Restarts>,
-    /// Processes that went on from what those had learnt whose place they took, as their logs say.
+    /// Processes that restored the learned limits of their predecessors, according to their logs.
     #[serde(default)]
     pub handed_on: u64,
-    /// What the processes and the laboratory itself cost, where there were processes.
+    /// Cost of the processes and of the testbed, where there were processes.
     pub cost: Option<Cost>,
 }
 
-/// What a day over processes cost, and how late the laboratory was itself.
+/// Cost of a scenario over processes, and the testbed's own delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Processor time of a process, seconds: the mean.
+    /// Mean processor time of a process, seconds.
     pub proxy_cpu_s: f64,
-    /// Processor time of the laboratory, seconds.
+    /// Processor time of the testbed, seconds.
     pub rig_cpu_s: f64,
-    /// How late the laboratory asked, milliseconds: 99 of 100 were asked within.
+    /// 99th percentile of the delay with which requests were sent, milliseconds.
     pub late_p99_ms: f64,
-    /// Whether the day took the machine beyond what its figures can bear.
+    /// Whether that delay makes the result invalid.
     pub spoilt: bool,
 }
 
-/// The program's version.
+/// The proxy's version.
 #[must_use]
 pub fn build() -> String {
     env!("CARGO_PKG_VERSION").into()
 }
 
 impl Row {
-    /// The row of a day that was judged.
+    /// Creates the row of a checked scenario.
     #[must_use]
     pub fn new(script: &Script, way: &str, judged: &CheckReport, spread: Spread) -> Self {
         let all = &judged.total;
@@ -112,14 +112,14 @@
         }
     }
 
-    /// Whether no rule broke.
+    /// Whether no rule was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.broken == [0; 4]
     }
 }
 
-/// What each reference makes of the script's arrivals.
+/// Runs each reference policy on the script's arrivals.
 #[must_use]
 pub fn references(script: &Script) -> Vec<Row> {
     let plan = Plan::draw(script);
@@ -133,10 +133,10 @@
     Policy::ALL.into_iter().map(row).collect()
 }
 
-/// The program's row in virtual time.
+/// Runs the proxy's logic in virtual time.
 ///
 /// # Errors
-/// Where the script's figures give settings that make no sense.
+/// Where the script's values give invalid settings.
 pub fn in_virtual_time(script: &Script) -> Result<Row, SettingsError> {
     let report = virtual_time::play(script)?;
     Ok(Row { cold: report.cold, ..Row::new(script, "virtual", &report.judgement, report.spread) })
@@ -168,7 +168,7 @@
     )
 }
 
-/// A row for people.
+/// A row of the text table.
 #[must_use]
 pub fn line(row: &Row) -> String {
     let s = &row.spread;
@@ -234,8 +234,8 @@
 pub fn parse(text: &str) -> Result<Vec<Row>, String> {
     let mut rows = Vec::new();
     for (number, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
-        if line.len() > LINE_CAP {
-            return Err(format!("line {}: {} bytes, {LINE_CAP} at most", number + 1, line.len()));
+        if line.len() > MAX_LINE_BYTES {
+            return Err(format!("line {}: {} bytes, {MAX_LINE_BYTES} at most", number + 1, line.len()));
         }
         rows.push(serde_json::from_str(line).map_err(|e| format!("line {}: {e}", number + 1))?);
     }
@@ -292,31 +292,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn row(way: &str, seed: u64, worth: f64) -> Row {
-        Row { script: "day".into(), way: way.into(), seed, worth, load: 0.6, asked: 100, ..Row::default() }
-    }
-
-    #[test]
-    fn rows_are_read_as_written_and_a_wrong_line_is_named() {
-        let mut spoilt = row("processes", 7, 0.9);
-        spoilt.spread.recovery_s = vec![None, Some(2.0)];
-        spoilt.cost = Some(Cost { spoilt: true, ..Cost::default() });
-        let rows = vec![row("virtual", 1, 0.5), spoilt];
-        let lines: Vec<String> = rows.iter().map(|r| serde_json::to_string(r).expect("a line")).collect();
-        assert_eq!(parse(&format!("{}\n\n{}\n", lines[0], lines[1])), Ok(rows));
-        let wrong = parse(&format!("{}\n{{\"script\":3}}", lines[0])).expect_err("a number is no title");
-        assert!(wrong.starts_with("line 2:"), "{wrong}");
-        assert!(parse(&"x".repeat(LINE_CAP + 1)).expect_err("too long").contains("at most"));
-    }
-
-    #[test]
-    fn medians_are_of_each_way_apart() {
-        let rows: Vec<Row> =
-            [0.1, 0.9, 0.5].into_iter().enumerate().map(|(i, w)| row("a", i as u64, w)).collect();
-        let text = compare(&[rows, vec![row("b", 1, 0.7)]].concat());
-        assert!(text.contains("0.500 (0.100..0.900)") && text.contains("0.700 (0.700..0.700)"), "{text}");
-    }
-}
+mod tests;
--- a/crates/testbed/src/scale/fleet/lists.rs
+++ b/crates/testbed/src/scale/fleet/lists.rs
@@ -73,7 +73,7 @@
     serving.abort();
     if !ready || told.get() < list.len() as u64 {
         let what = format!("did not take a whole list of {backends} backends");
-        return Err(ScaleError::Ended("the proxy".into(), what, process.last_words()));
+        return Err(ScaleError::Ended("the proxy".into(), what, process.log_tail()));
     }
     Ok(ListRow {
         backends,
--- a/crates/testbed/src/scale/fleet/real.rs
+++ b/crates/testbed/src/scale/fleet/real.rs
@@ -283,7 +283,7 @@
         }
         for (number, process) in real.processes.iter_mut().enumerate() {
             if !process.is_ready().await {
-                let last = process.last_words();
+                let last = process.log_tail();
                 return Err(ScaleError::Ended(format!("proxy {number}"), "is not ready".into(), last));
             }
         }
@@ -341,7 +341,7 @@
         }
         for (number, process) in self.processes.iter_mut().enumerate() {
             if let Some(status) = process.ended() {
-                let (what, last) = (format!("ended by itself ({status})"), process.last_words());
+                let (what, last) = (format!("ended by itself ({status})"), process.log_tail());
                 return Err(ScaleError::Ended(format!("proxy {number}"), what, last));
             }
         }
--- a/crates/testbed/tests/relays.rs
+++ b/crates/testbed/tests/relays.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use testbed::address;
-use testbed::fleet::relay::{Carried, Clock, datagrams, streams};
+use testbed::fleet::relay::{Clock, DatagramCounts, datagrams, streams};
 use testbed::links::Links;
 use testbed::script::{LinkEndpoints, Script};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -142,7 +142,7 @@
 fn datagrams_come_from_their_senders_face_and_are_lost_as_the_script_says() {
     run(async {
         let rules = "{ between = \"proxies\", at_s = 0.0, for_s = 9.0, drop = 0.4, way = \"out\" }";
-        let (links, clock, counts) = (links(rules), begun(), Arc::new(Carried::default()));
+        let (links, clock, counts) = (links(rules), begun(), Arc::new(DatagramCounts::default()));
         let (sockets, real) = processes(3).await;
         let faces = datagrams(&links, &clock, &real, &counts).await.expect("relays");
         let (mut there, mut back) = (Vec::new(), 0);
@@ -184,7 +184,7 @@
 #[test]
 fn a_stranger_is_refused_and_counted() {
     run(async {
-        let (links, clock, counts) = (links(""), begun(), Arc::new(Carried::default()));
+        let (links, clock, counts) = (links(""), begun(), Arc::new(DatagramCounts::default()));
         let (_sockets, real) = processes(2).await;
         let faces = datagrams(&links, &clock, &real, &counts).await.expect("relays");
         let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
