--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -29,7 +29,7 @@
 /// Limit on the exit of processes at the end of a scenario, before they are killed.
 pub(super) const END_TIMEOUT: Duration = Duration::from_secs(5);
 /// The log line of a process that restored learned limits.
-const RESTORED_LOG_TEXT: &str = "goes on from the limits that were learnt";
+const RESTORED_LOG_TEXT: &str = "restored learned limits from the snapshot";
 /// Clock ticks a second in `/proc`: fixed in Linux's interface to programs.
 const TICKS_PER_SECOND: f64 = 100.0;
 
