--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -11,5 +11,5 @@
 mod scenario;
 
 pub use processes::Machine;
-pub(crate) use processes::{Folder, Place, Process, cpu_s, memory};
+pub(crate) use processes::{Folder, Process, ProxyInstance, cpu_s, memory};
 pub use scenario::{FleetError, play};
--- a/crates/testbed/src/fleet/process_controller.rs
+++ b/crates/testbed/src/fleet/process_controller.rs
@@ -1,6 +1,6 @@
 //! Starts, signals, replaces and ends the proxy processes of a scenario.
 
-use super::processes::{END_TIMEOUT, Folder, Machine, Place, Process};
+use super::processes::{END_TIMEOUT, Folder, Machine, Process, ProxyInstance};
 use super::scenario::FleetError;
 use crate::invariant_checker::{Observation, ObservationLog};
 use crate::plan::ProcessAction;
@@ -22,7 +22,7 @@
 pub(super) struct ProcessController {
     shared_state: Arc<SharedState>,
     machine: Machine,
-    pub(super) instances: Vec<Place>,
+    pub(super) instances: Vec<ProxyInstance>,
     running: Vec<Option<Process>>,
     /// Replaced processes that received SIGTERM, and replacements that are not ready yet.
     leaving: Vec<(usize, Process)>,
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -96,7 +96,7 @@
 }
 
 /// What the successive processes of one proxy share: addresses and folder.
-pub(crate) struct Place {
+pub(crate) struct ProxyInstance {
     proxy: usize,
     listen: Held,
     discovery: SocketAddr,
@@ -104,7 +104,7 @@
     starts: u64,
 }
 
-impl Place {
+impl ProxyInstance {
     pub(crate) fn new(folder: &Folder, proxy: usize, discovery: SocketAddr) -> io::Result<Self> {
         let folder = folder.0.join(format!("p{proxy}"));
         fs::create_dir_all(folder.join("tmp"))?;
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -86,22 +86,22 @@
     links: Rc<Links>,
     clock: Clock,
     link: Link,
-    caller: TcpStream,
+    inbound: TcpStream,
     target: Option<SocketAddr>,
 ) {
     // On a cut link a new connection is accepted here and stays silent: a user process can't suppress the handshake.
     wait_until_due(&links, &clock, link, Direction::Out, 0).await;
-    let callee = match target {
+    let outbound = match target {
         Some(target) => TcpStream::connect(target).await,
         None => Err(io::ErrorKind::ConnectionRefused.into()),
     };
-    let Ok(callee) = callee else { return reset(&caller) };
-    let _ = (caller.set_nodelay(true), callee.set_nodelay(true));
-    let (caller_in, caller_out) = caller.into_split();
-    let (target_in, target_out) = callee.into_split();
+    let Ok(outbound) = outbound else { return reset(&inbound) };
+    let _ = (inbound.set_nodelay(true), outbound.set_nodelay(true));
+    let (inbound_read, inbound_write) = inbound.into_split();
+    let (outbound_read, outbound_write) = outbound.into_split();
     let mut out =
-        pin!(forward(Rc::clone(&links), clock.clone(), link, Direction::Out, caller_in, target_out));
-    let mut back = pin!(forward(links, clock, link, Direction::Back, target_in, caller_out));
+        pin!(forward(Rc::clone(&links), clock.clone(), link, Direction::Out, inbound_read, outbound_write));
+    let mut back = pin!(forward(links, clock, link, Direction::Back, outbound_read, inbound_write));
     // A side that breaks ends the other one, as without a relay; a half-close does not.
     tokio::select! {
         ended_cleanly = &mut out => if ended_cleanly { back.await; },
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -3,7 +3,7 @@
 use super::emulator_threads;
 use super::process_controller::{ProcessController, run_process_events, wait_for_exit};
 use super::process_guard;
-use super::processes::{Machine, Place, cpu_s};
+use super::processes::{Machine, ProxyInstance, cpu_s};
 use super::relay::Clock;
 use super::report::{Cost, Row};
 use crate::invariant_checker::{Observation, check_ordered};
@@ -71,7 +71,7 @@
     let emulators = emulator_threads::start(&shared_state, backend_changes, machine.threads.max(1), &clock)?;
     let mut controller = ProcessController::new(&shared_state, machine, emulators.lists.clone())?;
     for (proxy, &agent) in emulators.agents.iter().enumerate() {
-        controller.instances.push(Place::new(&controller.folder, proxy, agent)?);
+        controller.instances.push(ProxyInstance::new(&controller.folder, proxy, agent)?);
     }
     controller.start_all().await?;
     let began = shared_state.now() + HEAD_START;
--- a/crates/testbed/src/scale/fleet/lists.rs
+++ b/crates/testbed/src/scale/fleet/lists.rs
@@ -3,7 +3,7 @@
 use super::ScaleError;
 use super::population::Population;
 use super::report::ListRow;
-use crate::fleet::{Folder, Machine, Place};
+use crate::fleet::{Folder, Machine, ProxyInstance};
 use crate::http1;
 use crate::script::Script;
 use serde_json::{Value, json};
@@ -64,7 +64,7 @@
         traffic = { per_s = 100.0 }\n[[class]]\nname = \"read\"\neffect = \"safe\"\nshare = 1.0\n\
         work_ms = [1.0, 2.0]\naim_ms = 500\ndeadline_ms = 1000\nworth = 1.0\n";
     let script = Script::parse(text, Path::new("whole lists"))?;
-    let mut place = Place::new(folder, PROXY, discovery)?;
+    let mut place = ProxyInstance::new(folder, PROXY, discovery)?;
     let nothing = json!({"revision": 0, "complete": true, "members": []});
     let began = Instant::now();
     let mut process = place.start(&script, machine, &nothing)?;
--- a/crates/testbed/src/scale/fleet/real.rs
+++ b/crates/testbed/src/scale/fleet/real.rs
@@ -7,7 +7,7 @@
 use super::population::Population;
 use super::programs::{Party, Starter};
 use super::words;
-use crate::fleet::{Machine, Place, Process};
+use crate::fleet::{Machine, Process, ProxyInstance};
 use crate::http1;
 use crate::script::Script;
 use serde_json::{Value, json};
@@ -229,7 +229,7 @@
     agents: Vec<Party>,
     processes: Vec<Process>,
     // Their addresses are theirs while this lives.
-    places: Vec<Place>,
+    places: Vec<ProxyInstance>,
 }
 
 impl Real {
@@ -276,7 +276,7 @@
             real.agents.push(agent);
         }
         for (number, agent) in real.agents.iter().enumerate() {
-            let mut place = Place::new(starter.folder, number, agent.address())?;
+            let mut place = ProxyInstance::new(starter.folder, number, agent.address())?;
             let nothing = json!({"revision": 0, "complete": true, "members": []});
             real.processes.push(place.start(&script, machine, &nothing)?);
             real.places.push(place);
@@ -293,7 +293,7 @@
     /// Where clients reach the proxies.
     #[must_use]
     pub fn proxies(&self) -> Vec<SocketAddr> {
-        self.places.iter().map(Place::listen).collect()
+        self.places.iter().map(ProxyInstance::listen).collect()
     }
 
     /// What an agent serves to its proxy: the whole list, by id.
--- a/crates/testbed/src/sockets/shard.rs
+++ b/crates/testbed/src/sockets/shard.rs
@@ -43,8 +43,8 @@
 /// The emulators of one thread.
 pub(crate) struct Shard {
     context: Rc<ShardContext>,
-    shard_index: usize,
-    shard_count: usize,
+    index: usize,
+    count: usize,
     backends: Rc<[Rc<EmulatedBackend>]>,
     agents: Vec<Rc<DiscoveryAgent>>,
     clients: Rc<Clients>,
@@ -72,7 +72,7 @@
             .map(|index| EmulatedBackend::start(&context, index))
             .collect::<io::Result<Vec<_>>>()?;
         let clients = Clients::new(&context, shard_index as u64);
-        Ok(Self { context, shard_index, shard_count, backends: backends.into(), agents: Vec::new(), clients })
+        Ok(Self { context, index: shard_index, count: shard_count, backends: backends.into(), agents: Vec::new(), clients })
     }
 
     /// Starts discovery on this shard, once the backends of all shards listen.
@@ -106,7 +106,7 @@
                 (Rc::clone(&self.context), Rc::clone(&self.backends), self.agents.clone());
             tokio::task::spawn_local(schedule_fault(context, backends, agents, began, index));
         }
-        tokio::task::spawn_local(Rc::clone(&self.clients).send_all(began, self.shard_index, self.shard_count))
+        tokio::task::spawn_local(Rc::clone(&self.clients).send_all(began, self.index, self.count))
     }
 
     /// Requests that wait for their response.
