--- a/crates/testbed/src/callers/envoy.rs
+++ b/crates/testbed/src/callers/envoy.rs
@@ -1,15 +1,18 @@
 //! Callers as Envoy's `ext_proc` filter: a stream for each request over one connection, headers as `raw_value`, the
 //! response's headers as the report, local replies named by `response.code_details`. `failure_mode_allow` is off: without
-//! the processor's word nothing is sent, and the client hears an error.
+//! the processor's decision nothing is sent, and the client receives an error.
 //!
-//! A client whose Envoy is killed under its request sends it again, as clients do: with a new id and the same key, and
-//! not at all where the class must not run twice.
+//! A client whose Envoy is killed during its request retries it with a new id and the same idempotency key, and not at all
+//! where the class is not idempotent.
 
-use super::{CLASSES, CallersError, PACE, Played, SILENCE, Shared, Wanted, add, nothing_played, part};
+use super::{
+    CLASSES, CallersError, CampaignContext, CampaignRequest, CampaignResult, PACING_INTERVAL,
+    RESPONSE_TIMEOUT, assign_requests,
+};
 use envoy_types::pb::envoy::config::core::v3::{HeaderMap, HeaderValue};
 use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_client::ExternalProcessorClient;
 use envoy_types::pb::envoy::service::ext_proc::v3::processing_request::Request as Message;
-use envoy_types::pb::envoy::service::ext_proc::v3::processing_response::Response as Said;
+use envoy_types::pb::envoy::service::ext_proc::v3::processing_response::Response as ProcessingAnswer;
 use envoy_types::pb::envoy::service::ext_proc::v3::{
     HeadersResponse, HttpHeaders, ProcessingRequest, ProcessingResponse,
 };
@@ -25,21 +28,21 @@
 use tonic::Streaming;
 use tonic::transport::Channel;
 
-/// What the clients of one Envoy want, and its connection.
+/// One emulated Envoy: the requests of its clients, and its connection.
 struct Envoy {
-    shared: Arc<Shared>,
+    context: Arc<CampaignContext>,
     number: usize,
-    todo: Mutex<VecDeque<(Wanted, u32)>>,
-    asked: AtomicU64,
-    /// Its present life: it is killed by being replaced.
-    life: watch::Sender<Channel>,
+    queued: Mutex<VecDeque<(CampaignRequest, u32)>>,
+    sent: AtomicU64,
+    /// Its current connection; replacing it emulates a kill.
+    connection: watch::Sender<Channel>,
 }
 
-/// How one request went.
-enum Went {
-    /// The client has its answer: which [`pb::End`] it comes to.
+/// How an exchange ended.
+enum ExchangeOutcome {
+    /// The client has its final answer.
     Ended(pb::End),
-    /// Envoy is killed here, together with all its other requests.
+    /// Envoy was killed, and all its open requests with it.
     Killed,
 }
 
@@ -47,48 +50,58 @@
     Ok(tonic::transport::Endpoint::from_shared(format!("http://{address}"))?.connect().await?)
 }
 
-/// Plays one Envoy's part of a campaign.
-pub(super) async fn live(shared: Arc<Shared>, number: usize) -> Result<Played, CallersError> {
-    let (mut rng, todo) = part(&shared.campaign, number);
-    let open = shared.campaign.open;
-    let todo = Mutex::new(todo.into_iter().map(|wanted| (wanted, 0)).collect());
-    let life = watch::channel(connect(shared.address).await?).0;
-    let envoy = Arc::new(Envoy { shared, number, todo, asked: AtomicU64::new(0), life });
+/// Runs the requests assigned to one Envoy.
+///
+/// # Errors
+/// Where an answer is missing or unexpected, or a connection fails.
+pub(super) async fn run(
+    context: Arc<CampaignContext>,
+    number: usize,
+) -> Result<CampaignResult, CallersError> {
+    let (mut rng, queued) = assign_requests(&context.campaign, number);
+    let open = context.campaign.open;
+    let queued = Mutex::new(queued.into_iter().map(|request| (request, 0)).collect());
+    let connection = watch::channel(connect(context.address).await?).0;
+    let envoy = Arc::new(Envoy { context, number, queued, sent: AtomicU64::new(0), connection });
     let clients: Vec<_> = (0..open)
         .map(|_| tokio::spawn(client(Arc::clone(&envoy), fastrand::Rng::with_seed(rng.u64(..)))))
         .collect();
-    let mut all = nothing_played();
+    let mut all = CampaignResult::empty();
     for client in clients {
-        let one = client.await.map_err(|e| CallersError::Senseless(number, e.to_string()))??;
-        add(&mut all, &one);
+        let one = client.await.map_err(|e| CallersError::UnexpectedAnswer(number, e.to_string()))??;
+        all.add(&one);
     }
     Ok(all)
 }
 
-/// One client after the other, each with one request at a time.
-async fn client(envoy: Arc<Envoy>, mut rng: fastrand::Rng) -> Result<Played, CallersError> {
-    let mut played = nothing_played();
-    let mut life = envoy.life.subscribe();
+/// A client: one request at a time, until none is queued.
+async fn client(envoy: Arc<Envoy>, mut rng: fastrand::Rng) -> Result<CampaignResult, CallersError> {
+    let mut result = CampaignResult::empty();
+    let mut connection = envoy.connection.subscribe();
     loop {
-        while !envoy.shared.is_due(envoy.asked.load(Ordering::Relaxed)) {
-            sleep(PACE).await;
+        while !envoy.context.is_due(envoy.sent.load(Ordering::Relaxed)) {
+            sleep(PACING_INTERVAL).await;
         }
-        envoy.asked.fetch_add(1, Ordering::Relaxed);
-        let next = envoy.todo.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
-        let Some((wanted, tries)) = next else { return Ok(played) };
-        let channel = life.borrow_and_update().clone();
-        let went = tokio::select! {
+        envoy.sent.fetch_add(1, Ordering::Relaxed);
+        let next = envoy.queued.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
+        let Some((request, retries)) = next else { return Ok(result) };
+        let channel = connection.borrow_and_update().clone();
+        let exchange_outcome = tokio::select! {
             biased;
-            _ = life.changed() => Went::Killed,
-            went = envoy.exchange(channel, &wanted, tries, &mut rng, &mut played) => went?,
+            _ = connection.changed() => ExchangeOutcome::Killed,
+            exchange_outcome = envoy.exchange(channel, &request, retries, &mut rng, &mut result) => exchange_outcome?,
         };
-        match went {
-            Went::Ended(end) => played.ends[end as usize] += 1,
-            Went::Killed if CLASSES[wanted.class] == "charge" => {
-                played.ends[pb::End::Unknown as usize] += 1;
+        match exchange_outcome {
+            ExchangeOutcome::Ended(end) => result.ends[end as usize] += 1,
+            ExchangeOutcome::Killed if CLASSES[request.class] == "charge" => {
+                result.ends[pb::End::Unknown as usize] += 1;
             }
-            Went::Killed => {
-                envoy.todo.lock().unwrap_or_else(PoisonError::into_inner).push_front((wanted, tries + 1));
+            ExchangeOutcome::Killed => {
+                envoy
+                    .queued
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push_front((request, retries + 1));
             }
         }
     }
@@ -102,15 +115,15 @@
     HttpHeaders { headers: Some(HeaderMap { headers }), ..HttpHeaders::default() }
 }
 
-fn request(wanted: &Wanted, tries: u32) -> ProcessingRequest {
-    let class = CLASSES[wanted.class];
+fn request_headers(request: &CampaignRequest, retries: u32) -> ProcessingRequest {
+    let class = CLASSES[request.class];
     let mut headers = vec![
         header(":method", if class == "read" { "GET" } else { "POST" }),
         header(":path", format!("/{class}")),
-        header("x-correlation-id", format!("{:x}-{tries}", wanted.number)),
+        header("x-correlation-id", format!("{:x}-{retries}", request.number)),
     ];
     if class == "submit" {
-        headers.push(header("idempotency-key", format!("{:x}", wanted.number)));
+        headers.push(header("idempotency-key", format!("{:x}", request.number)));
     }
     ProcessingRequest {
         request: Some(Message::RequestHeaders(head(headers))),
@@ -118,9 +131,9 @@
     }
 }
 
-/// The response that Envoy gets from a box, or words itself.
+/// The response of a backend, or Envoy's local reply.
 fn response(outcome: pb::Outcome) -> ProcessingRequest {
-    let (status, more, details) = match outcome {
+    let (status, extra_header, details) = match outcome {
         pb::Outcome::Served => ("200", None, "via_upstream"),
         pb::Outcome::TurnedAway => ("503", Some(header("x-unprocessed", "1")), "via_upstream"),
         pb::Outcome::CouldNotConnect => {
@@ -129,7 +142,7 @@
         _ => ("503", None, "upstream_reset_before_response_started{connection_termination}"),
     };
     let mut headers = vec![header(":status", status)];
-    headers.extend(more);
+    headers.extend(extra_header);
     let details = Value { kind: Some(value::Kind::StringValue(details.into())) };
     let attributes = Struct { fields: [("response.code_details".to_owned(), details)].into() };
     ProcessingRequest {
@@ -139,8 +152,8 @@
     }
 }
 
-/// What a client makes of an immediate response.
-fn heard(code: i32) -> pb::End {
+/// The final outcome for the client of an immediate response.
+fn outcome_of_status(code: i32) -> pb::End {
     match code {
         503 => pb::End::Refused,
         409 => pb::End::Booked,
@@ -148,62 +161,72 @@
     }
 }
 
-/// The box that the headers' response names.
-fn destination(said: &HeadersResponse) -> Option<String> {
-    let mutation = said.response.as_ref()?.header_mutation.as_ref()?;
+/// The backend that the response to the request headers selects.
+fn destination(answer: &HeadersResponse) -> Option<String> {
+    let mutation = answer.response.as_ref()?.header_mutation.as_ref()?;
     let mut set = mutation.set_headers.iter().filter_map(|option| option.header.as_ref());
     let named = set.find(|h| h.key == "x-gateway-destination-endpoint")?;
     String::from_utf8(named.raw_value.clone()).ok()
 }
 
 impl Envoy {
-    fn senseless(&self, what: impl Into<String>) -> CallersError {
-        CallersError::Senseless(self.number, what.into())
+    fn unexpected(&self, what: impl Into<String>) -> CallersError {
+        CallersError::UnexpectedAnswer(self.number, what.into())
     }
 
-    async fn hear(&self, from: &mut Streaming<ProcessingResponse>) -> Result<Said, CallersError> {
-        let heard = timeout(SILENCE, from.message()).await;
-        let heard = heard.map_err(|_| CallersError::Silence(self.number, 1))??;
-        heard.and_then(|r| r.response).ok_or_else(|| self.senseless("no response"))
+    async fn receive(
+        &self,
+        from: &mut Streaming<ProcessingResponse>,
+    ) -> Result<ProcessingAnswer, CallersError> {
+        let message = timeout(RESPONSE_TIMEOUT, from.message()).await;
+        let message = message.map_err(|_| CallersError::NoAnswer(self.number, 1))??;
+        message.and_then(|r| r.response).ok_or_else(|| self.unexpected("no response"))
     }
 
     async fn exchange(
         &self,
         channel: Channel,
-        wanted: &Wanted,
-        tries: u32,
+        request: &CampaignRequest,
+        retries: u32,
         rng: &mut fastrand::Rng,
-        played: &mut Played,
-    ) -> Result<Went, CallersError> {
+        result: &mut CampaignResult,
+    ) -> Result<ExchangeOutcome, CallersError> {
         let (messages, outgoing) = mpsc::channel(2);
         let began = Instant::now();
-        let _ = messages.send(request(wanted, tries)).await;
+        let _ = messages.send(request_headers(request, retries)).await;
         let mut client = ExternalProcessorClient::new(channel);
-        let mut said = client.process(ReceiverStream::new(outgoing)).await?.into_inner();
-        let first = self.hear(&mut said).await?;
-        played.decisions += 1;
-        played.times.saturating_record(u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX));
+        let mut answer = client.process(ReceiverStream::new(outgoing)).await?.into_inner();
+        let first = self.receive(&mut answer).await?;
+        result.decisions += 1;
+        result.times.saturating_record(u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX));
         let to = match first {
-            Said::ImmediateResponse(said) => {
-                return Ok(Went::Ended(heard(said.status.map_or(0, |status| status.code))));
+            ProcessingAnswer::ImmediateResponse(answer) => {
+                return Ok(ExchangeOutcome::Ended(outcome_of_status(
+                    answer.status.map_or(0, |status| status.code),
+                )));
             }
-            Said::RequestHeaders(said) => destination(&said).ok_or_else(|| self.senseless("no box"))?,
-            other => return Err(self.senseless(format!("{other:?}"))),
+            ProcessingAnswer::RequestHeaders(answer) => {
+                destination(&answer).ok_or_else(|| self.unexpected("no box"))?
+            }
+            other => return Err(self.unexpected(format!("{other:?}"))),
         };
-        played.sends += 1;
-        let outcome = self.shared.send(&to, wanted).ok_or_else(|| self.senseless(format!("no box {to}")))?;
-        let kill_every = self.shared.campaign.kill_every;
+        result.sends += 1;
+        let outcome =
+            self.context.send(&to, request).ok_or_else(|| self.unexpected(format!("no box {to}")))?;
+        let kill_every = self.context.campaign.kill_every;
         if kill_every > 0 && rng.usize(..kill_every) == 0 {
-            played.kills += 1;
-            self.life.send_replace(connect(self.shared.address).await?);
-            return Ok(Went::Killed);
+            result.kills += 1;
+            self.connection.send_replace(connect(self.context.address).await?);
+            return Ok(ExchangeOutcome::Killed);
         }
         let _ = messages.send(response(outcome)).await;
-        Ok(Went::Ended(match self.hear(&mut said).await? {
-            Said::ImmediateResponse(said) => heard(said.status.map_or(0, |status| status.code)),
-            Said::ResponseHeaders(_) if outcome == pb::Outcome::Served => pb::End::Served,
-            Said::ResponseHeaders(_) => pb::End::Failed,
-            other => return Err(self.senseless(format!("{other:?}"))),
+        Ok(ExchangeOutcome::Ended(match self.receive(&mut answer).await? {
+            ProcessingAnswer::ImmediateResponse(answer) => {
+                outcome_of_status(answer.status.map_or(0, |status| status.code))
+            }
+            ProcessingAnswer::ResponseHeaders(_) if outcome == pb::Outcome::Served => pb::End::Served,
+            ProcessingAnswer::ResponseHeaders(_) => pb::End::Failed,
+            other => return Err(self.unexpected(format!("{other:?}"))),
         }))
     }
 }
--- a/crates/testbed/src/callers/ledger.rs
+++ b/crates/testbed/src/callers/ledger.rs
@@ -1,68 +1,71 @@
-//! The boxes of a campaign, and what ran there.
+//! The emulated backends of a campaign, and the effects of requests there.
 
-use super::{CLASSES, Campaign, Wanted};
+use super::{CLASSES, Campaign, CampaignRequest};
 use external_processor::generated as pb;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Boxes of a cell, which drop each other's repeats.
-pub(super) const CELL: usize = 3;
-/// How long they remember.
+/// Backends of a cell, which share idempotency keys.
+pub(super) const BACKENDS_PER_CELL: usize = 3;
+/// Retention of an idempotency key.
 const KEY_TTL: Duration = Duration::from_secs(3);
 
-/// The boxes, and what ran there.
+/// Records which requests took effect, independently of what callers report.
 pub(super) struct Ledger {
     rng: fastrand::Rng,
     trouble_every: usize,
-    /// Attempts until a crashed box is back.
+    /// For each backend: attempts until it is back after a crash.
     down: Vec<u32>,
     by_address: FxHashMap<String, usize>,
-    /// For each request: where it ran first in its present memory, and when.
-    ran: FxHashMap<u64, (usize, Instant)>,
+    /// For each request: the backend and time of its last recorded effect.
+    executed: FxHashMap<u64, (usize, Instant)>,
+    /// Effects of requests that are not retryable.
     pub(super) effects: u64,
+    /// Those of them that a request had taken before.
     pub(super) doubled: u64,
 }
 
-pub(super) fn box_address(index: usize) -> SocketAddr {
+/// The address of a backend; nothing listens there.
+pub(super) fn backend_address(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (index / 200) as u8, 1 + (index % 200) as u8], 9))
 }
 
 impl Ledger {
     pub(super) fn new(campaign: &Campaign) -> Self {
-        let addresses = (0..campaign.boxes).map(|i| (box_address(i).to_string(), i));
+        let addresses = (0..campaign.boxes).map(|i| (backend_address(i).to_string(), i));
         Self {
             rng: fastrand::Rng::with_seed(campaign.seed),
             trouble_every: campaign.trouble_every,
             down: vec![0; campaign.boxes],
             by_address: addresses.collect(),
-            ran: FxHashMap::default(),
+            executed: FxHashMap::default(),
             effects: 0,
             doubled: 0,
         }
     }
 
-    /// An attempt reaches a box, or does not.
-    pub(super) fn send(&mut self, to: &str, wanted: &Wanted) -> Option<pb::Outcome> {
-        let at = *self.by_address.get(to)?;
-        if self.down[at] > 0 {
-            self.down[at] -= 1;
+    /// Emulates an attempt at a backend; `None` where no backend has this address.
+    pub(super) fn send(&mut self, address: &str, request: &CampaignRequest) -> Option<pb::Outcome> {
+        let backend = *self.by_address.get(address)?;
+        if self.down[backend] > 0 {
+            self.down[backend] -= 1;
             return Some(pb::Outcome::CouldNotConnect);
         }
-        let trouble = self.trouble_every > 0 && self.rng.usize(..self.trouble_every) == 0;
-        Some(match trouble.then(|| self.rng.u32(..10)) {
+        let fault = self.trouble_every > 0 && self.rng.usize(..self.trouble_every) == 0;
+        Some(match fault.then(|| self.rng.u32(..10)) {
             None => {
-                self.run(at, wanted);
+                self.execute(backend, request);
                 pb::Outcome::Served
             }
             Some(0) => {
-                self.down[at] = self.rng.u32(5..60);
-                self.run(at, wanted);
+                self.down[backend] = self.rng.u32(5..60);
+                self.execute(backend, request);
                 pb::Outcome::Reset
             }
             Some(1..4) => {
-                self.run(at, wanted);
+                self.execute(backend, request);
                 pb::Outcome::Reset
             }
             Some(4..7) => pb::Outcome::TurnedAway,
@@ -70,19 +73,21 @@
         })
     }
 
-    fn run(&mut self, at: usize, wanted: &Wanted) {
-        if CLASSES[wanted.class] == "read" {
+    fn execute(&mut self, backend: usize, request: &CampaignRequest) {
+        if CLASSES[request.class] == "read" {
             return;
         }
-        let before = self.ran.get(&wanted.number).copied();
-        let dropped = before.is_some_and(|(first, when)| {
-            CLASSES[wanted.class] == "submit" && first / CELL == at / CELL && when.elapsed() < KEY_TTL
+        let earlier = self.executed.get(&request.number).copied();
+        let is_duplicate = earlier.is_some_and(|(first, when)| {
+            CLASSES[request.class] == "submit"
+                && first / BACKENDS_PER_CELL == backend / BACKENDS_PER_CELL
+                && when.elapsed() < KEY_TTL
         });
-        if dropped {
+        if is_duplicate {
             return;
         }
         self.effects += 1;
-        self.doubled += u64::from(before.is_some());
-        self.ran.insert(wanted.number, (at, Instant::now()));
+        self.doubled += u64::from(earlier.is_some());
+        self.executed.insert(request.number, (backend, Instant::now()));
     }
 }
--- a/crates/testbed/src/callers/processor.rs
+++ b/crates/testbed/src/callers/processor.rs
@@ -1,7 +1,7 @@
-//! The processor of a campaign, and its configuration.
+//! The external processor of a campaign, and its configuration.
 
 use super::CallersError;
-use super::ledger::{CELL, box_address};
+use super::ledger::{BACKENDS_PER_CELL, backend_address};
 use crate::cost::{CostError, Middle, discovery, wait_until_up};
 use external_processor::settings::Settings;
 use http_proxy::config::Config;
@@ -16,13 +16,13 @@
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
-fn config(boxes: usize, discovery: SocketAddr) -> String {
+fn config(backends: usize, discovery: SocketAddr) -> String {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "cell", "keyTtlUs": 3_000_000, "aimUs": 2_000_000,
             "deadlineUs": 5_000_000, "worth": 1.0, "lateWorth": 0.5})
     };
     json!({"name": "callers", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "7",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024 + 4 * boxes},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024 + 4 * backends},
         "known": {"revision": 0, "complete": true, "members": []},
         "settings": {"me": 0, "balancers": 1, "zone": 0, "failureDomains": ["z0"], "kinds": ["box"],
             "membershipMode": "pushed",
@@ -33,10 +33,11 @@
     .to_string()
 }
 
-const EXTPROC: &str = "listen = \"127.0.0.1:0\"\n";
+/// Configuration of the gRPC front end.
+const EXTERNAL_PROCESSOR_CONFIG: &str = "listen = \"127.0.0.1:0\"\n";
 
-/// The processor: a process of its own, whose CPU time and memory are the operating system's account, or a thread of this
-/// one, without an account.
+/// The processor: a process of its own, whose CPU time and memory the operating system reports, or a thread of this one,
+/// without these figures.
 pub(super) enum Processor {
     Process { middle: Middle, files: [PathBuf; 2] },
     Thread { listening: BoundAddresses, stop: Option<oneshot::Sender<()>>, thread: Option<JoinHandle<()>> },
@@ -55,10 +56,13 @@
 }
 
 impl Processor {
-    /// Starts it and waits until it has heard of boxes.
-    pub(super) async fn start(program: Option<&Path>, boxes: usize) -> Result<Self, CallersError> {
-        let addresses: Vec<SocketAddr> = (0..boxes).map(box_address).collect();
-        let config = config(boxes, discovery(&addresses, CELL).await?);
+    /// Starts the processor and waits until it has received the backends.
+    ///
+    /// # Errors
+    /// Where it can't be started or is not ready in time.
+    pub(super) async fn start(program: Option<&Path>, backends: usize) -> Result<Self, CallersError> {
+        let addresses: Vec<SocketAddr> = (0..backends).map(backend_address).collect();
+        let config = config(backends, discovery(&addresses, BACKENDS_PER_CELL).await?);
         let processor = match program {
             Some(program) => Self::process(program, &config)?,
             None => Self::thread(&config)?,
@@ -76,7 +80,7 @@
             |name: &str| env::temp_dir().join(format!("testbed-callers-{}.{name}", std::process::id()));
         let files = [file("json"), file("toml")];
         fs::write(&files[0], config)?;
-        fs::write(&files[1], EXTPROC)?;
+        fs::write(&files[1], EXTERNAL_PROCESSOR_CONFIG)?;
         let mut command = Command::new(program);
         command.env("EDGE_CONFIG", &files[0]).arg("--extproc").arg(&files[1]);
         let middle = Middle::start(command, Some("answers callers on "))?;
@@ -84,29 +88,34 @@
     }
 
     fn thread(config: &str) -> Result<Self, CallersError> {
-        let wrong = |e: &dyn fmt::Display| CallersError::Process(CostError::Middle(e.to_string()));
-        let http = Config::parse(config.as_bytes(), |_| None).map_err(|e| wrong(&e))?;
-        let extproc = Settings::parse(EXTPROC, Path::new("extproc.toml")).map_err(|e| wrong(&e))?;
-        let fronts = FrontEnds { http, external_processor: Some(extproc) };
+        let start_error = |e: &dyn fmt::Display| CallersError::Process(CostError::Middle(e.to_string()));
+        let http = Config::parse(config.as_bytes(), |_| None).map_err(|e| start_error(&e))?;
+        let extproc = Settings::parse(EXTERNAL_PROCESSOR_CONFIG, Path::new("extproc.toml"))
+            .map_err(|e| start_error(&e))?;
+        let front_ends = FrontEnds { http, external_processor: Some(extproc) };
         let (stop, stopped) = oneshot::channel::<()>();
-        let (told, heard) = std::sync::mpsc::channel();
+        let (address_sender, address_receiver) = std::sync::mpsc::channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let thread = std::thread::spawn(move || {
             let stop = async {
                 let _ = stopped.await;
             };
             let started = move |_: &Handle, listening| {
-                let _ = told.send(listening);
+                let _ = address_sender.send(listening);
             };
-            let served = LocalSet::new().block_on(&runtime, server::serve(fronts, stop, None, started));
+            let served = LocalSet::new().block_on(&runtime, server::serve(front_ends, stop, None, started));
             if let Err(error) = served {
                 eprintln!("the processor: {error}");
             }
         });
-        let listening = heard.recv().map_err(|_| wrong(&"it ended before it listened"))?;
+        let listening = address_receiver.recv().map_err(|_| start_error(&"it ended before it listened"))?;
         Ok(Self::Thread { listening, stop: Some(stop), thread: Some(thread) })
     }
 
+    /// The address that accepts callers.
+    ///
+    /// # Errors
+    /// Where the processor has reported none.
     pub(super) fn callers(&self) -> Result<SocketAddr, CallersError> {
         let callers = match self {
             Self::Process { middle, .. } => middle.second,
@@ -117,7 +126,10 @@
         })
     }
 
-    /// CPU seconds so far, and resident memory in MB.
+    /// CPU seconds so far, and resident memory in MB; zeros for a thread.
+    ///
+    /// # Errors
+    /// Where the process is gone.
     pub(super) fn used(&self) -> Result<(f64, f64), CallersError> {
         match self {
             Self::Process { middle, .. } => Ok(middle.used()?),
--- a/crates/testbed/src/sockets/shard.rs
+++ b/crates/testbed/src/sockets/shard.rs
@@ -72,7 +72,14 @@
             .map(|index| EmulatedBackend::start(&context, index))
             .collect::<io::Result<Vec<_>>>()?;
         let clients = Clients::new(&context, shard_index as u64);
-        Ok(Self { context, index: shard_index, count: shard_count, backends: backends.into(), agents: Vec::new(), clients })
+        Ok(Self {
+            context,
+            index: shard_index,
+            count: shard_count,
+            backends: backends.into(),
+            agents: Vec::new(),
+            clients,
+        })
     }
 
     /// Starts discovery on this shard, once the backends of all shards listen.
