--- a/crates/testbed/src/callers/processor.rs
+++ b/crates/testbed/src/callers/processor.rs
@@ -2,7 +2,7 @@
 
 use super::CallersError;
 use super::ledger::{BACKENDS_PER_CELL, backend_address};
-use crate::cost::{CostError, Middle, discovery, wait_until_up};
+use crate::cost::{CostError, Intermediary, discovery, wait_until_up};
 use external_processor::settings::Settings;
 use http_proxy::config::Config;
 use http_proxy::transport::Handle;
@@ -39,7 +39,7 @@
 /// The processor: a process of its own, whose CPU time and memory the operating system reports, or a thread of this one,
 /// without these figures.
 pub(super) enum Processor {
-    Process { middle: Middle, files: [PathBuf; 2] },
+    Process { intermediary: Intermediary, files: [PathBuf; 2] },
     Thread { listening: BoundAddresses, stop: Option<oneshot::Sender<()>>, thread: Option<JoinHandle<()>> },
 }
 
@@ -68,7 +68,7 @@
             None => Self::thread(&config)?,
         };
         let clients = match &processor {
-            Self::Process { middle, .. } => middle.address,
+            Self::Process { intermediary, .. } => intermediary.address,
             Self::Thread { listening, .. } => listening.clients,
         };
         wait_until_up(clients).await?;
@@ -83,12 +83,13 @@
         fs::write(&files[1], EXTERNAL_PROCESSOR_CONFIG)?;
         let mut command = Command::new(program);
         command.env("EDGE_CONFIG", &files[0]).arg("--extproc").arg(&files[1]);
-        let middle = Middle::start(command, Some("answers callers on "))?;
-        Ok(Self::Process { middle, files })
+        let intermediary = Intermediary::start(command, Some("answers callers on "))?;
+        Ok(Self::Process { intermediary, files })
     }
 
     fn thread(config: &str) -> Result<Self, CallersError> {
-        let start_error = |e: &dyn fmt::Display| CallersError::Process(CostError::Middle(e.to_string()));
+        let start_error =
+            |e: &dyn fmt::Display| CallersError::Process(CostError::Intermediary(e.to_string()));
         let http = Config::parse(config.as_bytes(), |_| None).map_err(|e| start_error(&e))?;
         let extproc = Settings::parse(EXTERNAL_PROCESSOR_CONFIG, Path::new("extproc.toml"))
             .map_err(|e| start_error(&e))?;
@@ -118,11 +119,11 @@
     /// Where the processor has reported none.
     pub(super) fn callers(&self) -> Result<SocketAddr, CallersError> {
         let callers = match self {
-            Self::Process { middle, .. } => middle.second,
+            Self::Process { intermediary, .. } => intermediary.second,
             Self::Thread { listening, .. } => listening.external_processor,
         };
         callers.ok_or_else(|| {
-            CallersError::Process(CostError::Middle("the program tells no address for callers".into()))
+            CallersError::Process(CostError::Intermediary("the program tells no address for callers".into()))
         })
     }
 
@@ -132,7 +133,7 @@
     /// Where the process is gone.
     pub(super) fn used(&self) -> Result<(f64, f64), CallersError> {
         match self {
-            Self::Process { middle, .. } => Ok(middle.used()?),
+            Self::Process { intermediary, .. } => Ok(intermediary.used()?),
             Self::Thread { .. } => Ok((0.0, 0.0)),
         }
     }
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -1,6 +1,6 @@
-//! What a request costs: the same load three ways in turn, direct to the boxes, through a minimal pass-through on the
-//! same HTTP library, and through the proxy. The middle is a process of its own, so that its CPU time and memory are
-//! the operating system's own account.
+//! Measures the cost of a request: the same load in turn direct to the backends, through a minimal pass-through on the same
+//! HTTP library, and through the proxy. The measured intermediary is a process of its own, so that the operating system
+//! reports its CPU time and memory.
 
 use crate::fleet::{cpu_s, memory};
 use crate::http1;
@@ -27,57 +27,58 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// The most boxes and requests of one measurement.
+/// Upper bound on the backends of one measurement.
 const MAX_BOXES: usize = 5_000;
+/// Upper bound on the requests of one measurement.
 const MAX_REQUESTS: usize = 5_000_000;
-/// Requests before the count begins.
+/// Requests sent before the measurement.
 const WARM_UP: usize = 5_000;
 
-/// Why nothing was measured.
+/// Why a measurement failed.
 #[derive(Debug, Error)]
 pub enum CostError {
-    /// A socket or process.
+    /// A socket or process failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// What was asked for is too much.
+    /// The load is out of range.
     #[error("at most {MAX_BOXES} boxes and {MAX_REQUESTS} requests")]
-    TooMuch,
-    /// The middle did not begin to listen, or an answer was not the box's.
+    OutOfRange,
+    /// The intermediary did not start, or a client failed.
     #[error("{0}")]
-    Middle(String),
+    Intermediary(String),
 }
 
-/// What is measured.
+/// The load of a measurement.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Boxes, each answering at once.
+    /// Backends, each of which responds at once.
     pub boxes: usize,
     /// Connections of clients, each with one request at a time.
     pub clients: usize,
-    /// Requests that count.
+    /// Measured requests.
     pub requests: usize,
-    /// Turns of all three ways.
+    /// Rounds over all three paths.
     pub turns: usize,
-    /// The proxy's program.
+    /// The proxy's binary.
     pub proxy: PathBuf,
 }
 
-/// One way's figures in one turn.
+/// The figures of one path in one round.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// CPU time of the middle for a request, microseconds; 0: there is no middle.
+    /// CPU time of the intermediary for each request, microseconds; 0 without one.
     pub cpu_us: f64,
     /// Requests a second.
     pub per_s: f64,
-    /// Median time of a request, microseconds.
+    /// Median response time, microseconds.
     pub p50_us: f64,
-    /// 99th percentile, microseconds.
+    /// 99th percentile of the response time, microseconds.
     pub p99_us: f64,
-    /// Memory of the middle at its end, MB.
+    /// Memory of the intermediary at the end, MB.
     pub memory_mb: f64,
 }
 
-/// Boxes that answer at once: the cheapest that there can be.
+/// Starts backends that respond at once.
 async fn boxes(count: usize) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for _ in 0..count {
@@ -100,7 +101,10 @@
     Ok(addresses)
 }
 
-/// Serves lists of these boxes, so many to a cell, to a proxy.
+/// Serves the list of these backends, `cell` of them to a cell, to a proxy.
+///
+/// # Errors
+/// Where the listener can't be opened.
 pub(crate) async fn discovery(boxes: &[SocketAddr], cell: usize) -> io::Result<SocketAddr> {
     let members = boxes.iter().enumerate().map(|(i, address)| {
         json!({"id": format!("b{i}"), "host_port": address.to_string(), "locality": "z0", "flavor": "box",
@@ -131,56 +135,63 @@
     Ok(address)
 }
 
-pub(crate) struct Middle {
+/// The process between clients and backends: the proxy or the pass-through. Killed on drop.
+pub(crate) struct Intermediary {
     child: Child,
     pub(crate) address: SocketAddr,
-    /// Where it listens beside that, if it was waited for.
+    /// The second address it listens on, if one was requested at the start.
     pub(crate) second: Option<SocketAddr>,
 }
 
-/// The address that stands behind these words in a line of the log.
-fn told(log: &mut impl BufRead, words: &str) -> Result<SocketAddr, CostError> {
+/// Reads the log until a line contains `prefix`, and returns the address that follows it.
+fn read_address(log: &mut impl BufRead, prefix: &str) -> Result<SocketAddr, CostError> {
     let mut line = String::new();
     loop {
         line.clear();
         if log.read_line(&mut line)? == 0 {
-            return Err(CostError::Middle(format!("the middle ended before it told what it {words}")));
+            return Err(CostError::Intermediary(format!("the middle ended before it told what it {prefix}")));
         }
-        if let Some((_, address)) = line.trim().rsplit_once(words) {
-            return address.parse().map_err(|_| CostError::Middle(line.clone()));
+        if let Some((_, address)) = line.trim().rsplit_once(prefix) {
+            return address.parse().map_err(|_| CostError::Intermediary(line.clone()));
         }
     }
 }
 
-impl Drop for Middle {
+impl Drop for Intermediary {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Middle {
-    /// Starts it and waits until it tells where it listens, and where `also` if these words are given.
-    pub(crate) fn start(mut command: Command, also: Option<&str>) -> Result<Self, CostError> {
+impl Intermediary {
+    /// Starts the process and waits until it has logged its address, and the address after `second_prefix` if given.
+    ///
+    /// # Errors
+    /// Where it can't be started or ends before it has logged an address.
+    pub(crate) fn start(mut command: Command, second_prefix: Option<&str>) -> Result<Self, CostError> {
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
-        let log = child.stderr.take().ok_or_else(|| CostError::Middle("no log".into()))?;
+        let log = child.stderr.take().ok_or_else(|| CostError::Intermediary("no log".into()))?;
         let mut log = BufReader::new(log);
-        let address = told(&mut log, "listens on ")?;
-        let second = also.map(|words| told(&mut log, words)).transpose()?;
+        let address = read_address(&mut log, "listens on ")?;
+        let second = second_prefix.map(|prefix| read_address(&mut log, prefix)).transpose()?;
         std::thread::spawn(move || io::copy(&mut log, &mut io::sink()));
         Ok(Self { child, address, second })
     }
 
     /// CPU seconds so far, and resident memory in MB.
+    ///
+    /// # Errors
+    /// Where the process is gone.
     pub(crate) fn used(&self) -> Result<(f64, f64), CostError> {
         let id = self.child.id();
-        let spent = cpu_s(id).ok_or_else(|| CostError::Middle("the middle has no account".into()))?;
+        let spent = cpu_s(id).ok_or_else(|| CostError::Intermediary("the middle has no account".into()))?;
         Ok((spent, memory(id) as f64 / f64::from(1 << 20)))
     }
 }
 
-/// Sends the load to these addresses in turn; gives the times of the requests in microseconds, ascending, and the
-/// whole span.
+/// Sends the load to these addresses in round-robin order; returns the response times in microseconds, ascending, and the
+/// total duration.
 async fn drive(to: &[SocketAddr], load: &Load, requests: usize) -> Result<(Vec<f64>, Duration), CostError> {
     let (left, times) = (Rc::new(Cell::new(requests)), Rc::new(RefCell::new(Vec::with_capacity(requests))));
     let to: Rc<[SocketAddr]> = to.into();
@@ -188,16 +199,16 @@
     let clients = (0..load.clients).map(|client| {
         let (left, times, to) = (Rc::clone(&left), Rc::clone(&times), Rc::clone(&to));
         tokio::task::spawn_local(async move {
-            let mut conns: Vec<Option<(TcpStream, Vec<u8>)>> = (0..to.len()).map(|_| None).collect();
-            let mut turn = client;
+            let mut connections: Vec<Option<(TcpStream, Vec<u8>)>> = (0..to.len()).map(|_| None).collect();
+            let mut next_backend = client;
             while left.get() > 0 {
                 let number = left.get();
                 left.set(number - 1);
-                turn = (turn + 1) % to.len();
-                let (mut stream, mut buffer) = if let Some(conn) = conns[turn].take() {
-                    conn
+                next_backend = (next_backend + 1) % to.len();
+                let (mut stream, mut buffer) = if let Some(connection) = connections[next_backend].take() {
+                    connection
                 } else {
-                    let stream = TcpStream::connect(to[turn]).await?;
+                    let stream = TcpStream::connect(to[next_backend]).await?;
                     stream.set_nodelay(true)?;
                     (stream, Vec::new())
                 };
@@ -214,14 +225,14 @@
                 };
                 times.borrow_mut().push(sent.elapsed().as_nanos() as f64 / 1e3);
                 if !answer.closes() {
-                    conns[turn] = Some((stream, buffer));
+                    connections[next_backend] = Some((stream, buffer));
                 }
             }
             Ok(())
         })
     });
     for client in clients.collect::<Vec<_>>() {
-        client.await.map_err(|e| CostError::Middle(e.to_string()))??;
+        client.await.map_err(|e| CostError::Intermediary(e.to_string()))??;
     }
     let span = began.elapsed();
     let mut times = times.take();
@@ -229,17 +240,22 @@
     Ok((times, span))
 }
 
-async fn way(to: &[SocketAddr], load: &Load, middle: Option<&Middle>) -> Result<Figures, CostError> {
+/// Measures one path, after a warm-up.
+async fn measure_path(
+    to: &[SocketAddr],
+    load: &Load,
+    intermediary: Option<&Intermediary>,
+) -> Result<Figures, CostError> {
     drive(to, load, WARM_UP).await?;
-    let before = middle.map_or(Ok((0.0, 0.0)), Middle::used)?;
+    let before = intermediary.map_or(Ok((0.0, 0.0)), Intermediary::used)?;
     let (times, span) = drive(to, load, load.requests).await?;
-    let after = middle.map_or(Ok((0.0, 0.0)), Middle::used)?;
-    let part = |p: f64| times[((times.len() - 1) as f64 * p) as usize];
+    let after = intermediary.map_or(Ok((0.0, 0.0)), Intermediary::used)?;
+    let quantile = |p: f64| times[((times.len() - 1) as f64 * p) as usize];
     Ok(Figures {
         cpu_us: (after.0 - before.0) * 1e6 / load.requests as f64,
         per_s: load.requests as f64 / span.as_secs_f64(),
-        p50_us: part(0.5),
-        p99_us: part(0.99),
+        p50_us: quantile(0.5),
+        p99_us: quantile(0.99),
         memory_mb: after.1,
     })
 }
@@ -258,13 +274,13 @@
     .to_string()
 }
 
-/// The three ways' figures: direct, pass-through, proxy; one row a turn.
+/// Measures the three paths: direct, pass-through, proxy; one row for each round.
 ///
 /// # Errors
-/// Where a socket or process fails, or an answer is not a box's.
+/// Where a socket or process fails, or a response is not a backend's.
 pub fn measure(load: &Load) -> Result<Vec<[Figures; 3]>, CostError> {
     if load.boxes > MAX_BOXES || load.requests * load.turns > MAX_REQUESTS || load.boxes * load.clients == 0 {
-        return Err(CostError::TooMuch);
+        return Err(CostError::OutOfRange);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -273,25 +289,29 @@
         let path = env::temp_dir().join(format!("testbed-cost-{}.json", std::process::id()));
         let mut rows = Vec::new();
         for _ in 0..load.turns {
-            let direct = way(&boxes, load, None).await?;
+            let direct = measure_path(&boxes, load, None).await?;
             let mut command = Command::new(env::current_exe()?);
             command.arg("pass").args(boxes.iter().map(SocketAddr::to_string));
-            let pass = Middle::start(command, None)?;
-            let passed = way(&[pass.address], load, Some(&pass)).await?;
+            let pass = Intermediary::start(command, None)?;
+            let pass_through_figures = measure_path(&[pass.address], load, Some(&pass)).await?;
             drop(pass);
             fs::write(&path, config(load.boxes, discovery))?;
             let mut command = Command::new(&load.proxy);
             command.env("EDGE_CONFIG", &path);
-            let proxy = Middle::start(command, None)?;
+            let proxy = Intermediary::start(command, None)?;
             wait_until_up(proxy.address).await?;
-            let proxied = way(&[proxy.address], load, Some(&proxy)).await?;
-            rows.push([direct, passed, proxied]);
+            let proxied = measure_path(&[proxy.address], load, Some(&proxy)).await?;
+            rows.push([direct, pass_through_figures, proxied]);
         }
         let _ = fs::remove_file(path);
         Ok(rows)
     })
 }
 
+/// Polls `/up` until it returns 200, for about ten seconds.
+///
+/// # Errors
+/// Where the proxy can't be reached or is not up in time.
 pub(crate) async fn wait_until_up(address: SocketAddr) -> Result<(), CostError> {
     for _ in 0..500 {
         let mut stream = TcpStream::connect(address).await?;
@@ -301,32 +321,33 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    Err(CostError::Middle("the proxy is not up in ten seconds".into()))
+    Err(CostError::Intermediary("the proxy is not up in ten seconds".into()))
 }
 
-type Idle = Rc<RefCell<Vec<Vec<SendRequest<Full<Bytes>>>>>>;
+/// Idle connections of the pass-through, by backend.
+type IdleConnections = Rc<RefCell<Vec<Vec<SendRequest<Full<Bytes>>>>>>;
 
-/// The minimal pass-through: reads a request whole, sends it to the next box in turn over a kept connection, passes
-/// the answer on. It chooses nothing, bounds nothing and counts nothing.
+/// Runs the minimal pass-through: buffers a request, forwards it to the next backend in round-robin order over a persistent
+/// connection, and returns the response. It has no limits and no counters.
 ///
 /// # Errors
-/// Where it has no socket.
+/// Where the listener can't be opened or fails.
 pub fn pass_through(boxes: &[SocketAddr]) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         eprintln!("listens on {}", listener.local_addr()?);
         let boxes: Rc<[SocketAddr]> = boxes.into();
-        let idle: Idle = Rc::new(RefCell::new(boxes.iter().map(|_| Vec::new()).collect()));
-        let turn = Rc::new(Cell::new(0));
+        let idle: IdleConnections = Rc::new(RefCell::new(boxes.iter().map(|_| Vec::new()).collect()));
+        let next_backend = Rc::new(Cell::new(0));
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
-            let (boxes, idle, turn) = (Rc::clone(&boxes), Rc::clone(&idle), Rc::clone(&turn));
+            let (boxes, idle, next_backend) = (Rc::clone(&boxes), Rc::clone(&idle), Rc::clone(&next_backend));
             let service = service_fn(move |request| {
                 let (boxes, idle) = (Rc::clone(&boxes), Rc::clone(&idle));
-                turn.set((turn.get() + 1) % boxes.len());
-                let to = turn.get();
+                next_backend.set((next_backend.get() + 1) % boxes.len());
+                let to = next_backend.get();
                 async move { Ok::<_, Infallible>(pass(request, boxes[to], &idle, to).await) }
             });
             tokio::task::spawn_local(async move {
@@ -338,10 +359,22 @@
     })
 }
 
+/// Why the pass-through could not forward a request.
+#[derive(Debug, Error)]
+enum PassThroughError {
+    /// The connection to the backend failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The exchange with the client or the backend failed.
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+}
+
+/// Forwards a request; a failure becomes status 502.
 async fn pass(
     request: Request<Incoming>,
     to: SocketAddr,
-    idle: &Idle,
+    idle: &IdleConnections,
     index: usize,
 ) -> Response<Full<Bytes>> {
     exchange(request, to, idle, index).await.unwrap_or_else(|_| {
@@ -354,19 +387,19 @@
 async fn exchange(
     request: Request<Incoming>,
     to: SocketAddr,
-    idle: &Idle,
+    idle: &IdleConnections,
     index: usize,
-) -> Result<Response<Full<Bytes>>, Box<dyn std::error::Error>> {
+) -> Result<Response<Full<Bytes>>, PassThroughError> {
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
-    let kept = idle.borrow_mut()[index].pop().filter(SendRequest::is_ready);
-    let mut sender = if let Some(sender) = kept {
+    let idle_connection = idle.borrow_mut()[index].pop().filter(SendRequest::is_ready);
+    let mut sender = if let Some(sender) = idle_connection {
         sender
     } else {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
-        let (sender, conn) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        tokio::task::spawn_local(conn);
+        let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+        tokio::task::spawn_local(connection);
         sender
     };
     let response = sender.send_request(Request::from_parts(head, Full::new(body))).await?;
--- a/crates/testbed/tests/callers.rs
+++ b/crates/testbed/tests/callers.rs
@@ -3,7 +3,7 @@
 use testbed::callers::{Campaign, play};
 
 #[test]
-fn every_request_has_its_decision_and_no_effect_is_doubled() {
+fn decides_every_request_without_duplicate_effects() {
     for (seed, envoy) in [(1, false), (2, false), (3, true)] {
         let campaign = Campaign {
             requests: 6_000,
--- a/crates/testbed/tests/laboratory.rs
+++ b/crates/testbed/tests/laboratory.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_calm_day_serves_nearly_all_and_every_box() {
+fn serves_nearly_all_requests_without_faults() {
     let row = played(&script());
     assert!((row.failed, row.missed, row.excused) == (0, 0, 0), "{row:?}");
     assert!(row.refused * 10 <= row.asked, "{row:?}");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn seven_in_ten_killed_at_once_come_back_with_an_old_list_while_a_box_drains() {
+fn recovers_from_mass_kill_with_stale_list_during_drain() {
     let mut script = script();
     script.process_faults = vec![process(ProcessFaultKind::Kill, 0.7, 0.5)];
     let drain = BackendFault {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_third_that_stands_still_for_two_seconds_answers_when_it_goes_on() {
+fn answers_after_a_two_second_stop() {
     let mut script = script();
     script.process_faults = vec![process(ProcessFaultKind::Stall, 0.33, 2.0)];
     let row = played(&script);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn processes_told_to_end_and_processes_replaced_lose_nothing() {
+fn loses_no_request_on_sigterm_or_replacement() {
     let mut script = script();
     let ended = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::End, 0.25, 0.5) };
     let replaced = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::Replace, 0.25, 0.0) };
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn links_that_are_slow_lossy_or_cut_break_no_rule() {
+fn holds_rules_with_slow_lossy_and_cut_links() {
     let mut script = script();
     let slow = LinkFault { part: 0.3, delay_ms: 200.0, spread_ms: 50.0, ..link(LinkEndpoints::Boxes) };
     let lossy = LinkFault { at_s: 2.0, part: 0.3, drop: 0.2, ..link(LinkEndpoints::Boxes) };
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_program_that_never_gets_ready_is_named_with_its_last_words() {
+fn reports_log_tail_of_a_process_that_never_becomes_ready() {
     let machine = Machine { proxy: "/bin/false".into(), ..machine() };
     match play(&script(), &machine) {
         Err(FleetError::NotReady(0, _)) => {}
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn more_processes_than_a_machine_bears_are_refused_by_key() {
+fn rejects_too_many_processes_by_key() {
     let mut script = script();
     script.fleet.proxies = 1_000;
     match play(&script, &machine()) {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn no_process_outlives_a_laboratory_that_is_killed() {
+fn ends_all_processes_when_the_testbed_is_killed() {
     let mut command = Command::new(KEEPER);
     // What a killed laboratory leaves behind goes with the test.
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("killed-laboratory");
--- a/crates/testbed/tests/relays.rs
+++ b/crates/testbed/tests/relays.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn streams_are_carried_whole_late_or_held_as_the_link_of_their_proxy_is() {
+fn relays_streams_with_the_faults_of_their_link() {
     run(async {
         let delay = "{ between = \"boxes\", at_s = 0.0, for_s = 9.0, delay_ms = 60.0, zone = 1 }, \
             { between = \"boxes\", at_s = 0.0, for_s = 0.5, cut = true, zone = 0 }";
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_box_that_is_gone_resets_and_a_side_that_ends_takes_the_other_along() {
+fn propagates_resets_and_closes() {
     run(async {
         let (links, clock) = (links(""), begun());
         let gone = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("its address");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_relay_is_reached_over_loopback_alone() {
+fn accepts_connections_only_over_loopback() {
     run(async {
         let (links, clock, server) = (links(""), begun(), echo().await);
         let port = streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(server)))
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn datagrams_come_from_their_senders_face_and_are_lost_as_the_script_says() {
+fn relays_datagrams_from_the_senders_address_with_scripted_loss() {
     run(async {
         let rules = "{ between = \"proxies\", at_s = 0.0, for_s = 9.0, drop = 0.4, way = \"out\" }";
         let (links, clock, counts) = (links(rules), begun(), Arc::new(DatagramCounts::default()));
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_stranger_is_refused_and_counted() {
+fn drops_and_counts_datagrams_from_unknown_senders() {
     run(async {
         let (links, clock, counts) = (links(""), begun(), Arc::new(DatagramCounts::default()));
         let (_sockets, real) = processes(2).await;
--- a/crates/testbed/tests/restarts.rs
+++ b/crates/testbed/tests/restarts.rs
@@ -39,7 +39,7 @@
 
 /// Both days at a time: processes that stand nine tenths of it leave a machine idle.
 #[test]
-fn nine_in_ten_are_ready_with_an_old_list_and_with_none_at_all() {
+fn restarts_nine_in_ten_in_time_with_stale_or_empty_list() {
     let played = |list| move || (list, played(&starting_with(list)));
     let days = [InitialList::Old, InitialList::Nothing].map(|list| std::thread::spawn(played(list)));
     for day in days {
@@ -50,7 +50,7 @@
 
 /// A service that takes two seconds a call gives six of seven no list in time: that is seen.
 #[test]
-fn a_service_that_answers_too_few_is_seen() {
+fn detects_a_discovery_service_below_demand() {
     let mut script = starting_with(InitialList::Nothing);
     (script.fleet.proxies, script.seconds) = (10, 3.0);
     script.discovery.call_ms = [2_000.0, 2_000.0];
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn those_that_never_say_so_are_not_ready() {
+fn counts_unreported_processes_as_not_ready() {
     let restarted = |at, proxy| (at, Observation::ProxyRestarted { proxy });
     let up = |at, proxy| (at, Observation::ProxyReady { proxy });
     let mut seen: Vec<_> = (0..10).map(|proxy| restarted(5, proxy)).collect();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn calls_come_in_turn_and_those_that_waited_too_long_fail() {
+fn serves_calls_in_order_and_fails_overdue_calls() {
     let mut calls = CallQueue::new((60_000, 160_000), 2_000_000, 1);
     let fates: Vec<_> = (0..60).map(|_| calls.come(1_000_000)).collect();
     let done = fates.iter().filter_map(|fate| match fate {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_stall_that_comes_again_leaves_each_process_its_part_and_not_all_at_once() {
+fn repeated_stalls_affect_their_fraction_of_processes() {
     let script = script();
     let plan = Plan::draw(&script);
     let of = |proxy: usize| plan.processes.iter().filter(move |event| event.proxy == proxy);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_refused_by_key() {
+fn rejects_invalid_values_by_key() {
     let refused = |change: fn(&mut Script)| {
         let mut script = script();
         change(&mut script);
--- a/crates/testbed/tests/socket_days.rs
+++ b/crates/testbed/tests/socket_days.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn boxes_that_crash_and_drain_break_no_rule() {
+fn holds_rules_with_crashing_and_draining_backends() {
     let mut seconds = Vec::new();
     let script = short(10, 60.0);
     let day =
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn boxes_that_hang_break_connections_and_answer_nonsense_break_no_rule() {
+fn holds_rules_with_hanging_and_malformed_backends() {
     let mut script = short(10, 60.0);
     let mut more = script.backend_faults.clone();
     script.backend_faults.append(&mut more);
