--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The rig's program.
+//! The command line of the testbed.
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
--- a/crates/testbed/tests/relays.rs
+++ b/crates/testbed/tests/relays.rs
@@ -117,8 +117,8 @@
         let port = streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(server)))
             .expect("a relay");
         // Whoever calls under no proxy's address is let go without a byte.
-        let mut stranger = TcpStream::connect(("127.0.0.1", port)).await.expect("loopback");
-        assert!(round(&mut stranger).await.is_err());
+        let mut unknown_sender = TcpStream::connect(("127.0.0.1", port)).await.expect("loopback");
+        assert!(round(&mut unknown_sender).await.is_err());
         // The listener is bound to the loopback device: the same port is free on all others.
         let other = TcpSocket::new_v4().expect("a socket");
         assert!(other.bind(SocketAddr::from(([127, 0, 0, 1], port))).is_err());
@@ -144,14 +144,14 @@
         let rules = "{ between = \"proxies\", at_s = 0.0, for_s = 9.0, drop = 0.4, way = \"out\" }";
         let (links, clock, counts) = (links(rules), begun(), Arc::new(DatagramCounts::default()));
         let (sockets, real) = processes(3).await;
-        let faces = datagrams(&links, &clock, &real, &counts).await.expect("relays");
+        let relay_addresses = datagrams(&links, &clock, &real, &counts).await.expect("relays");
         let (mut there, mut back) = (Vec::new(), 0);
         let (mut bytes, mut others) = ([0; 8], [0; 8]);
         // Few at a time: what overflows the sockets' buffers is no part of the script.
         for batch in 0..40_u32 {
             for number in batch * 25..batch * 25 + 25 {
-                sockets[0].send_to(&number.to_be_bytes(), faces[1]).await.expect("sent");
-                sockets[1].send_to(&number.to_be_bytes(), faces[0]).await.expect("sent");
+                sockets[0].send_to(&number.to_be_bytes(), relay_addresses[1]).await.expect("sent");
+                sockets[1].send_to(&number.to_be_bytes(), relay_addresses[0]).await.expect("sent");
             }
             let sent = u64::from(batch + 1) * 50;
             let carried = || counts.passed.load(Ordering::Relaxed) + counts.lost.load(Ordering::Relaxed);
@@ -159,11 +159,11 @@
                 tokio::select! {
                     got = sockets[1].recv_from(&mut bytes) => {
                         let (_, from) = got.expect("received");
-                        assert_eq!(from, faces[0], "who sent is known by the address");
+                        assert_eq!(from, relay_addresses[0], "who sent is known by the address");
                         there.push(u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]));
                     }
                     got = sockets[0].recv_from(&mut others) => {
-                        assert_eq!(got.expect("received").1, faces[1]);
+                        assert_eq!(got.expect("received").1, relay_addresses[1]);
                         back += 1;
                     }
                     // To look again: nothing may come any more.
@@ -186,9 +186,9 @@
     run(async {
         let (links, clock, counts) = (links(""), begun(), Arc::new(DatagramCounts::default()));
         let (_sockets, real) = processes(2).await;
-        let faces = datagrams(&links, &clock, &real, &counts).await.expect("relays");
-        let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-        stranger.send_to(b"who", faces[0]).await.expect("sent");
+        let relay_addresses = datagrams(&links, &clock, &real, &counts).await.expect("relays");
+        let unknown_sender = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
+        unknown_sender.send_to(b"who", relay_addresses[0]).await.expect("sent");
         while counts.refused.load(Ordering::Relaxed) == 0 {
             tokio::task::yield_now().await;
         }
