--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,6 +1,9 @@
-//! The process laboratory: a day with many processes of the program, faults of processes, boxes and links, and what plain
-//! choices make of the same arrivals.
+//! Scenarios with many proxy processes and with faults of processes, backends and links, compared with reference policies
+//! on the same arrivals.
 
+mod emulator_threads;
+mod link_relays;
+mod process_controller;
 pub mod process_guard;
 mod processes;
 pub mod relay;
@@ -8,5 +11,5 @@
 mod scenario;
 
 pub use processes::Machine;
-pub(crate) use processes::{Folder, Place, Process, cpu_s, memory};
+pub(crate) use processes::{Folder, Process, ProxyInstance, cpu_s, memory};
 pub use scenario::{FleetError, play};
--- a/crates/testbed/tests/relays.rs
+++ b/crates/testbed/tests/relays.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use testbed::address;
-use testbed::fleet::relay::{Carried, Clock, datagrams, streams};
+use testbed::fleet::relay::{Clock, DatagramCounts, datagrams, streams};
 use testbed::links::Links;
 use testbed::script::{LinkEndpoints, Script};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn streams_are_carried_whole_late_or_held_as_the_link_of_their_proxy_is() {
+fn relays_streams_with_the_faults_of_their_link() {
     run(async {
         let delay = "{ between = \"boxes\", at_s = 0.0, for_s = 9.0, delay_ms = 60.0, zone = 1 }, \
             { between = \"boxes\", at_s = 0.0, for_s = 0.5, cut = true, zone = 0 }";
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_box_that_is_gone_resets_and_a_side_that_ends_takes_the_other_along() {
+fn propagates_resets_and_closes() {
     run(async {
         let (links, clock) = (links(""), begun());
         let gone = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("its address");
@@ -111,14 +111,14 @@
 }
 
 #[test]
-fn a_relay_is_reached_over_loopback_alone() {
+fn accepts_connections_only_over_loopback() {
     run(async {
         let (links, clock, server) = (links(""), begun(), echo().await);
         let port = streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(server)))
             .expect("a relay");
         // Whoever calls under no proxy's address is let go without a byte.
-        let mut stranger = TcpStream::connect(("127.0.0.1", port)).await.expect("loopback");
-        assert!(round(&mut stranger).await.is_err());
+        let mut unknown_sender = TcpStream::connect(("127.0.0.1", port)).await.expect("loopback");
+        assert!(round(&mut unknown_sender).await.is_err());
         // The listener is bound to the loopback device: the same port is free on all others.
         let other = TcpSocket::new_v4().expect("a socket");
         assert!(other.bind(SocketAddr::from(([127, 0, 0, 1], port))).is_err());
@@ -139,19 +139,19 @@
 }
 
 #[test]
-fn datagrams_come_from_their_senders_face_and_are_lost_as_the_script_says() {
+fn relays_datagrams_from_the_senders_address_with_scripted_loss() {
     run(async {
         let rules = "{ between = \"proxies\", at_s = 0.0, for_s = 9.0, drop = 0.4, way = \"out\" }";
-        let (links, clock, counts) = (links(rules), begun(), Arc::new(Carried::default()));
+        let (links, clock, counts) = (links(rules), begun(), Arc::new(DatagramCounts::default()));
         let (sockets, real) = processes(3).await;
-        let faces = datagrams(&links, &clock, &real, &counts).await.expect("relays");
+        let relay_addresses = datagrams(&links, &clock, &real, &counts).await.expect("relays");
         let (mut there, mut back) = (Vec::new(), 0);
         let (mut bytes, mut others) = ([0; 8], [0; 8]);
         // Few at a time: what overflows the sockets' buffers is no part of the script.
         for batch in 0..40_u32 {
             for number in batch * 25..batch * 25 + 25 {
-                sockets[0].send_to(&number.to_be_bytes(), faces[1]).await.expect("sent");
-                sockets[1].send_to(&number.to_be_bytes(), faces[0]).await.expect("sent");
+                sockets[0].send_to(&number.to_be_bytes(), relay_addresses[1]).await.expect("sent");
+                sockets[1].send_to(&number.to_be_bytes(), relay_addresses[0]).await.expect("sent");
             }
             let sent = u64::from(batch + 1) * 50;
             let carried = || counts.passed.load(Ordering::Relaxed) + counts.lost.load(Ordering::Relaxed);
@@ -159,11 +159,11 @@
                 tokio::select! {
                     got = sockets[1].recv_from(&mut bytes) => {
                         let (_, from) = got.expect("received");
-                        assert_eq!(from, faces[0], "who sent is known by the address");
+                        assert_eq!(from, relay_addresses[0], "who sent is known by the address");
                         there.push(u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]));
                     }
                     got = sockets[0].recv_from(&mut others) => {
-                        assert_eq!(got.expect("received").1, faces[1]);
+                        assert_eq!(got.expect("received").1, relay_addresses[1]);
                         back += 1;
                     }
                     // To look again: nothing may come any more.
@@ -182,13 +182,13 @@
 }
 
 #[test]
-fn a_stranger_is_refused_and_counted() {
+fn drops_and_counts_datagrams_from_unknown_senders() {
     run(async {
-        let (links, clock, counts) = (links(""), begun(), Arc::new(Carried::default()));
+        let (links, clock, counts) = (links(""), begun(), Arc::new(DatagramCounts::default()));
         let (_sockets, real) = processes(2).await;
-        let faces = datagrams(&links, &clock, &real, &counts).await.expect("relays");
-        let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-        stranger.send_to(b"who", faces[0]).await.expect("sent");
+        let relay_addresses = datagrams(&links, &clock, &real, &counts).await.expect("relays");
+        let unknown_sender = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
+        unknown_sender.send_to(b"who", relay_addresses[0]).await.expect("sent");
         while counts.refused.load(Ordering::Relaxed) == 0 {
             tokio::task::yield_now().await;
         }
