--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -12,7 +12,7 @@
 use testbed::callers::{self, Campaign};
 use testbed::cost::{self, Figures, Load};
 use testbed::fleet::{self, Machine, process_guard, report};
-use testbed::scale::fleet::Setting;
+use testbed::scale::fleet::RunOptions;
 use testbed::scale::fleet::script::ScaleScript;
 use testbed::scale::slopes;
 use testbed::script::Script;
@@ -179,7 +179,7 @@
     let keeper = std::env::current_exe()?;
     let machine =
         Machine { proxy: order.proxy, keeper, memory_mb: 32, descriptors: 256, threads: 1, slack: 0 };
-    let setting = Setting { control: order.control, machine, lists: order.lists };
+    let setting = RunOptions { control: order.control, machine, lists: order.lists };
     let report = scale::fleet::play(&script, &setting)?;
     println!("{report}");
     let file = order.script.display();
@@ -411,7 +411,7 @@
         }
         Command::Scale { scale: Scale::Fleet(order) } => play_scale(order),
         Command::Scale { scale: Scale::Hollow { rig } } => {
-            scale::fleet::hollow::serve(rig)?;
+            scale::fleet::simulated_proxy::serve(rig)?;
             Ok(true)
         }
         Command::Scale { scale: Scale::Slopes { order } } => measure_slopes(order),
--- a/crates/testbed/src/scale/fleet/checker.rs
+++ b/crates/testbed/src/scale/fleet/checker.rs
@@ -1,15 +1,15 @@
 //! Whether what a subscriber holds is what its sources say, record by record. Compares versions, states and bodies; digests
 //! have no part in it. Pure.
 
+use super::messages::ReplicaRecord;
 use super::model::Model;
-use super::words::Held;
 use control_plane::record::{Kind, ServiceId, SourceId, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// What is wrong with one record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wrong {
+pub enum Mismatch {
     /// It is not there.
     Missing,
     /// It is there, and its source does not have it (any more).
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
     /// What.
-    pub wrong: Wrong,
+    pub wrong: Mismatch,
     /// Of which source.
     pub source: SourceId,
     /// Of which service.
@@ -54,12 +54,12 @@
     model: &Model,
     scope: &BTreeSet<ServiceId>,
     source_of: impl Fn(ServiceId) -> SourceId,
-    held: &[Held],
+    held: &[ReplicaRecord],
 ) -> Vec<Difference> {
     let mut differences = Vec::new();
-    let mut by_place: Vec<&Held> = held.iter().collect();
+    let mut by_place: Vec<&ReplicaRecord> = held.iter().collect();
     by_place.sort_unstable_by(|a, b| (a.service, a.kind, &a.name).cmp(&(b.service, b.kind, &b.name)));
-    let difference = |wrong, h: &Held| Difference {
+    let difference = |wrong, h: &ReplicaRecord| Difference {
         wrong,
         source: h.source,
         service: h.service,
@@ -68,7 +68,7 @@
     };
     for pair in by_place.windows(2) {
         if (pair[0].service, pair[0].kind, &pair[0].name) == (pair[1].service, pair[1].kind, &pair[1].name) {
-            differences.push(difference(Wrong::Twice, pair[1]));
+            differences.push(difference(Mismatch::Twice, pair[1]));
         }
     }
     // Both sides by service, kind and name: walked together, each record is met once.
@@ -76,12 +76,12 @@
     for &service in scope {
         let source = source_of(service);
         let from = upto + by_place[upto..].partition_point(|h| h.service < service);
-        differences.extend(by_place[upto..from].iter().map(|h| difference(Wrong::OutOfScope, h)));
+        differences.extend(by_place[upto..from].iter().map(|h| difference(Mismatch::OutOfScope, h)));
         upto = from + by_place[from..].partition_point(|h| h.service == service);
         let records = model.get(&source).and_then(|model| model.services.get(&service));
         let mut said = records.into_iter().flatten().filter(|(_, s)| s.state != State::Gone).peekable();
         let missing = |(kind, name): &(Kind, String)| Difference {
-            wrong: Wrong::Missing,
+            wrong: Mismatch::Missing,
             source,
             service,
             kind: *kind,
@@ -94,18 +94,18 @@
             }
             let stands = said.next_if(|((kind, name), _)| (*kind, name.as_str()) == place);
             let wrong = match stands {
-                None => Wrong::NotThere,
-                Some(_) if record.source != source => Wrong::NotThere,
-                Some((_, stands)) if stands.version != record.version => Wrong::Version,
-                Some((_, stands)) if stands.state != record.state => Wrong::State,
-                Some((_, stands)) if stands.body != record.body => Wrong::Body,
+                None => Mismatch::NotThere,
+                Some(_) if record.source != source => Mismatch::NotThere,
+                Some((_, stands)) if stands.version != record.version => Mismatch::Version,
+                Some((_, stands)) if stands.state != record.state => Mismatch::State,
+                Some((_, stands)) if stands.body != record.body => Mismatch::Body,
                 Some(_) => continue,
             };
             differences.push(difference(wrong, record));
         }
         differences.extend(said.map(|(key, _)| missing(key)));
     }
-    differences.extend(by_place[upto..].iter().map(|h| difference(Wrong::OutOfScope, h)));
+    differences.extend(by_place[upto..].iter().map(|h| difference(Mismatch::OutOfScope, h)));
     differences
 }
 
--- a/crates/testbed/src/scale/fleet/plant.rs
+++ b/crates/testbed/src/scale/fleet/fault_injection.rs
@@ -1,6 +1,6 @@
 //! Faults that are planted between a link and its subscriber, so that a checker which finds none is known to look. Pure.
 
-use super::words::Plant;
+use super::messages::InjectedFault;
 use control_plane::message::Message;
 use control_plane::record::{Epoch, Key, Scope, SourceId, State};
 use rustc_hash::FxHashMap;
@@ -8,19 +8,19 @@
 
 /// The shim of one subscriber.
 #[derive(Debug)]
-pub struct Shim {
-    plant: Plant,
+pub struct FaultInjector {
+    injected_fault: InjectedFault,
     armed: bool,
     /// The record that was hit. What is said of it later is hit as well, else a newer word would mend it.
     hit: Option<Key>,
     lives: FxHashMap<SourceId, Epoch>,
 }
 
-impl Shim {
+impl FaultInjector {
     /// One that plants this.
     #[must_use]
-    pub fn new(plant: Plant) -> Self {
-        Self { plant, armed: false, hit: None, lives: FxHashMap::default() }
+    pub fn new(plant: InjectedFault) -> Self {
+        Self { injected_fault: plant, armed: false, hit: None, lives: FxHashMap::default() }
     }
 
     /// From now on a record may be hit.
@@ -31,8 +31,8 @@
     /// What the subscriber has to say, as the link carries it.
     #[must_use]
     pub fn out(&self, mut message: Message) -> Message {
-        if let (Plant::Scope, Message::Hello { scope: Scope::Services(services), .. }) =
-            (self.plant, &mut message)
+        if let (InjectedFault::Scope, Message::Hello { scope: Scope::Services(services), .. }) =
+            (self.injected_fault, &mut message)
         {
             services.pop_last();
         }
@@ -41,11 +41,11 @@
 
     /// What the link brought, as the subscriber gets it; `None`: not at all.
     pub fn pass(&mut self, mut message: Message) -> Option<Message> {
-        match self.plant {
-            Plant::None => {}
-            Plant::Scope => strip(&mut message),
-            Plant::Drop | Plant::Digest => self.strike(&mut message),
-            Plant::Epoch => return self.old_life(message),
+        match self.injected_fault {
+            InjectedFault::None => {}
+            InjectedFault::Scope => strip(&mut message),
+            InjectedFault::Drop | InjectedFault::Digest => self.strike(&mut message),
+            InjectedFault::Epoch => return self.old_life(message),
         }
         Some(message)
     }
@@ -59,7 +59,7 @@
             self.hit = first.map(|record| record.key.clone());
         }
         let Some(hit) = &self.hit else { return };
-        if self.plant == Plant::Drop {
+        if self.injected_fault == InjectedFault::Drop {
             records.retain(|record| record.key != *hit);
             return;
         }
--- a/crates/testbed/src/scale/fleet/middle.rs
+++ b/crates/testbed/src/scale/fleet/link_proxy.rs
@@ -30,27 +30,27 @@
 
 /// One link.
 #[derive(Clone, Debug)]
-pub struct Middle {
+pub struct LinkProxy {
     /// Where the relay finds the source.
     pub address: SocketAddr,
     gate: Rc<Gate>,
 }
 
-impl Middle {
+impl LinkProxy {
     /// Leads to a source. Runs on this thread until its tasks end.
     ///
     /// # Errors
     /// Where there is no socket for it.
     pub async fn start(source: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        let middle = Self { address: listener.local_addr()?, gate: Rc::default() };
-        let gate = Rc::clone(&middle.gate);
+        let link_proxy = Self { address: listener.local_addr()?, gate: Rc::default() };
+        let gate = Rc::clone(&link_proxy.gate);
         tokio::task::spawn_local(async move {
             while let Ok((near, _)) = listener.accept().await {
                 tokio::task::spawn_local(carry(Rc::clone(&gate), near, source));
             }
         });
-        Ok(middle)
+        Ok(link_proxy)
     }
 
     /// Cuts it, or makes it whole.
--- a/crates/testbed/src/scale/fleet/words.rs
+++ b/crates/testbed/src/scale/fleet/messages.rs
@@ -12,7 +12,7 @@
 
 /// The longest frame between the rig and a hollow process, bytes: the scopes of hundreds of subscribers, or a part of
 /// what they counted.
-pub const MAX_WORDS: usize = 64 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 /// The machine's clock, microseconds of Unix time: the same one in all processes of a run.
 #[must_use]
@@ -63,7 +63,7 @@
 
 /// A hollow proxy, as its process is told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hollow {
+pub struct SimulatedProxySpec {
     /// Its number in the population.
     pub number: u32,
     /// Its name.
@@ -79,7 +79,7 @@
 /// What is wrong, on purpose, between the link and the subscriber of one hollow proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Plant {
+pub enum InjectedFault {
     /// Nothing.
     #[default]
     None,
@@ -95,13 +95,13 @@
 
 /// The rig, to a hollow process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Order {
+pub enum Command {
     /// Begin with these.
     Start {
         /// The hollow proxies.
-        hollows: Vec<Hollow>,
+        proxies: Vec<SimulatedProxySpec>,
         /// For the one with the least number here.
-        plant: Plant,
+        fault: InjectedFault,
     },
     /// Forget what was counted so far; the planted fault may show from now on.
     Begin,
@@ -135,7 +135,7 @@
 
 /// One record as a hollow proxy holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct ReplicaRecord {
     /// Whose ledger it lies in.
     pub source: SourceId,
     /// The service.
@@ -152,7 +152,7 @@
     pub body: u64,
 }
 
-impl Held {
+impl ReplicaRecord {
     /// A record of a source's ledger.
     #[must_use]
     pub fn of(source: SourceId, record: &Record) -> Self {
@@ -195,7 +195,7 @@
 
 /// What one hollow proxy cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct HollowCost {
+pub struct SimulatedProxyCost {
     /// Its number.
     pub number: u32,
     /// Bytes that came.
@@ -212,34 +212,34 @@
 
 /// A hollow process, to the rig.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// Done.
     Done,
-    /// In answer to [`Order::Behind`]: how many, and the first of them.
+    /// In answer to [`Command::Behind`]: how many, and the first of them.
     Behind {
         /// How many are not as far.
         count: u32,
         /// One of them, and what it lacks.
         example: Option<String>,
     },
-    /// In answer to [`Order::Dump`], one for each; [`Answer::Done`] comes last.
-    Held {
+    /// In answer to [`Command::Dump`], one for each; [`Response::Done`] comes last.
+    Records {
         /// Who.
         number: u32,
         /// What it holds.
-        records: Vec<Held>,
+        records: Vec<ReplicaRecord>,
     },
-    /// In answer to [`Order::Tallies`].
+    /// In answer to [`Command::Tallies`].
     Tallies {
         /// What came into force.
         tallies: Vec<Tally>,
         /// Had no place: must be 0 for figures to hold.
         forgotten: u64,
     },
-    /// In answer to [`Order::Costs`].
+    /// In answer to [`Command::Costs`].
     Costs {
         /// By hollow proxy.
-        each: Vec<HollowCost>,
+        each: Vec<SimulatedProxyCost>,
         /// What the watchers hold, bytes: no part of what a subscriber costs.
         watchers: u64,
         /// What the watchers saw broken.
--- a/crates/testbed/src/scale/fleet/mod.rs
+++ b/crates/testbed/src/scale/fleet/mod.rs
@@ -2,31 +2,31 @@
 //! script of ordinary and bad moments. What is in force how soon, whether all hold exactly what their sources say, and
 //! what it costs.
 //!
-//! Pure: [`script`], [`population`], [`plan`], [`model`], [`checker`], [`in_force`], [`watch`], [`plant`], [`reach`], [`strays`],
-//! [`report`]. With I/O: [`hollow`] and its words, `programs`, `hollows`, `middle`, `real`, `network`, `run`.
+//! Pure: [`script`], [`population`], [`plan`], [`model`], [`checker`], [`propagation`], [`version_monitor`], [`injected_fault`], [`reachability`], [`stale_sends`],
+//! [`report`]. With I/O: [`simulated_proxy`] and its words, `programs`, `simulated_proxies`, `link_proxy`, `real_proxies`, `network`, `run`.
 
 pub mod checker;
-pub mod hollow;
-mod hollows;
-pub mod in_force;
+pub mod fault_injection;
+mod link_proxy;
 mod lists;
-mod middle;
+pub mod messages;
 pub mod model;
 mod network;
 pub mod plan;
-pub mod plant;
 pub mod population;
 mod programs;
-pub mod reach;
-mod real;
+pub mod propagation;
+pub mod reachability;
+mod real_proxies;
 pub mod report;
 mod run;
 pub mod script;
-pub mod strays;
-pub mod watch;
-pub mod words;
+mod simulated_proxies;
+pub mod simulated_proxy;
+pub mod stale_sends;
+pub mod version_monitor;
 
-pub use run::{Setting, play};
+pub use run::{RunOptions, play};
 
 use std::io;
 use thiserror::Error;
--- a/crates/testbed/src/scale/fleet/model.rs
+++ b/crates/testbed/src/scale/fleet/model.rs
@@ -1,7 +1,7 @@
 //! What the rig wrote and its sources acknowledged: the truth against which all is held. It knows nothing of control's own
 //! ledgers and digests. Pure.
 
-use super::words::{Held, key_hash};
+use super::messages::{ReplicaRecord, key_hash};
 use control_plane::record::{Change, Kind, ServiceId, SourceId, State, Version};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 /// A change that was acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said {
+pub struct AcknowledgedChange {
     /// Its version.
     pub version: Version,
     /// Its service.
@@ -20,7 +20,7 @@
     pub state: State,
     /// The body's hash.
     pub body: u64,
-    /// When it was written, by [`super::words::now`].
+    /// When it was written, by [`super::messages::now`].
     pub at: u64,
     /// In which step; `None` before the first one.
     pub step: Option<usize>,
@@ -30,7 +30,7 @@
 
 /// What is known of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stands {
+pub struct CurrentRecord {
     /// Since which change.
     pub version: Version,
     /// Its state.
@@ -40,7 +40,7 @@
 }
 
 /// The records of a service, by kind and name.
-pub type Service = BTreeMap<(Kind, String), Stands>;
+pub type Service = BTreeMap<(Kind, String), CurrentRecord>;
 
 /// One source.
 #[derive(Clone, Debug, Default)]
@@ -50,7 +50,7 @@
     /// Its services.
     pub services: FxHashMap<ServiceId, Service>,
     /// All its changes.
-    pub said: Vec<Said>,
+    pub acknowledged: Vec<AcknowledgedChange>,
     by_key: FxHashMap<u64, Vec<usize>>,
 }
 
@@ -60,35 +60,44 @@
 
 impl SourceModel {
     /// A write was acknowledged: `last` is the version of the last of these changes.
-    pub fn wrote(&mut self, changes: &[Change], last: Version, at: u64, step: Option<usize>) {
+    pub fn record_write(&mut self, changes: &[Change], last: Version, at: u64, step: Option<usize>) {
         for (place, change) in changes.iter().enumerate() {
             let back = (changes.len() - 1 - place) as u64;
             let version = Version { epoch: last.epoch, revision: last.revision.saturating_sub(back) };
             let body = XxHash3_64::oneshot(&change.body);
             let key = key_hash(change.key.service, change.key.kind, &change.key.name);
-            let stands = Stands { version, state: change.state, body };
+            let stands = CurrentRecord { version, state: change.state, body };
             let service = self.services.entry(change.key.service).or_default();
             service.insert((change.key.kind, change.key.name.to_string()), stands);
-            self.by_key.entry(key).or_default().push(self.said.len());
+            self.by_key.entry(key).or_default().push(self.acknowledged.len());
             let (service, state) = (change.key.service, change.state);
-            self.said.push(Said { version, service, key, state, body, at, step, lost: false });
+            self.acknowledged.push(AcknowledgedChange {
+                version,
+                service,
+                key,
+                state,
+                body,
+                at,
+                step,
+                lost: false,
+            });
         }
         self.head = self.head.max(last);
     }
 
-    /// The changes of a key that lie behind one version and up to another, by their places in `said`.
+    /// The changes of a key that lie behind one version and up to another, by their places in `acknowledged`.
     pub fn changes(&self, key: u64, from: Version, to: Version) -> impl Iterator<Item = usize> + '_ {
         let all = self.by_key.get(&key).into_iter().flatten().copied();
         all.filter(move |&place| {
-            let said = &self.said[place];
+            let said = &self.acknowledged[place];
             !said.lost && said.version > from && said.version <= to
         })
     }
 
     /// What was said of a key, in order, without what the source lost.
-    pub fn history(&self, key: u64) -> impl Iterator<Item = &Said> {
+    pub fn history(&self, key: u64) -> impl Iterator<Item = &AcknowledgedChange> {
         let all = self.by_key.get(&key).into_iter().flatten();
-        all.map(|&place| &self.said[place]).filter(|said| !said.lost)
+        all.map(|&place| &self.acknowledged[place]).filter(|said| !said.lost)
     }
 
     /// The source began anew and has only this: everything up to a change of its old life, and nothing later. It becomes
@@ -96,13 +105,15 @@
     ///
     /// # Errors
     /// Where it is no such cut.
-    pub fn restarted(&mut self, held: &[Held], head: Version) -> Result<usize, Disagreement> {
+    pub fn restarted(&mut self, held: &[ReplicaRecord], head: Version) -> Result<usize, Disagreement> {
         let wrong = |text: String| Err(Disagreement(text));
         if head.epoch <= self.head.epoch {
             return wrong(format!("it is at {head:?}, which is no new life after {:?}", self.head));
         }
-        let mut then: FxHashMap<u64, &Said> = FxHashMap::default();
-        for said in self.said.iter().filter(|said| !said.lost && said.version.revision <= head.revision) {
+        let mut then: FxHashMap<u64, &AcknowledgedChange> = FxHashMap::default();
+        for said in
+            self.acknowledged.iter().filter(|said| !said.lost && said.version.revision <= head.revision)
+        {
             then.insert(said.key, said);
         }
         let live = then.values().filter(|said| said.state != State::Gone).count();
@@ -112,7 +123,7 @@
         let mut services: FxHashMap<ServiceId, Service> = FxHashMap::default();
         for record in held {
             let key = key_hash(record.service, record.kind, &record.name);
-            let stands = Stands { version: record.version, state: record.state, body: record.body };
+            let stands = CurrentRecord { version: record.version, state: record.state, body: record.body };
             match then.get(&key) {
                 Some(said)
                     if (said.version, said.state, said.body)
@@ -123,7 +134,9 @@
             service.insert((record.kind, record.name.clone()), stands);
         }
         let mut lost = 0;
-        for said in self.said.iter_mut().filter(|said| said.version.revision > head.revision && !said.lost) {
+        for said in
+            self.acknowledged.iter_mut().filter(|said| said.version.revision > head.revision && !said.lost)
+        {
             said.lost = true;
             lost += 1;
         }
--- a/crates/testbed/src/scale/fleet/network.rs
+++ b/crates/testbed/src/scale/fleet/network.rs
@@ -1,12 +1,12 @@
 //! Sources, relays and the links between them, and the truth that the rig keeps of what it wrote.
 
 use super::ScaleError;
-use super::middle::Middle;
+use super::link_proxy::LinkProxy;
+use super::messages::{self, ReplicaRecord};
 use super::model::{Model, SourceModel};
 use super::population::Population;
-use super::programs::{Party, Starter};
+use super::programs::{ControlNode, ProcessStarter};
 use super::script::ScaleScript;
-use super::words::{self, Held};
 use control_plane::codec::{CodecError, FrameReader, FrameWriter};
 use control_plane::message::{Message, PROTOCOL_VERSION};
 use control_plane::record::{Change, Record, Scope, ServiceId, SourceId, State, Version};
@@ -25,7 +25,7 @@
 const PART: usize = 500;
 
 struct Source {
-    party: Party,
+    node: ControlNode,
     writer: Option<Writer>,
     snapshot: PathBuf,
     kept: Option<Vec<u8>>,
@@ -35,9 +35,9 @@
 pub struct Network {
     sources: Vec<Source>,
     /// By number.
-    pub relays: Vec<Party>,
+    pub relays: Vec<ControlNode>,
     // By relay, then source.
-    links: Vec<Vec<Middle>>,
+    links: Vec<Vec<LinkProxy>>,
     /// What was written.
     pub model: Model,
 }
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// Where one does not come up.
-    pub async fn start(script: &ScaleScript, starter: &Starter<'_>) -> Result<Self, ScaleError> {
+    pub async fn start(script: &ScaleScript, starter: &ProcessStarter<'_>) -> Result<Self, ScaleError> {
         let size = &script.size;
         let mut network =
             Self { sources: Vec::new(), relays: Vec::new(), links: Vec::new(), model: Model::new() };
@@ -60,15 +60,15 @@
                     snapshot.display()
                 )
             };
-            let mut party = Party::new(starter, "source", &name, config)?;
-            party.start(starter).await?;
-            network.sources.push(Source { party, writer: None, snapshot, kept: None });
+            let mut node = ControlNode::new(starter, "source", &name, config)?;
+            node.start(starter).await?;
+            network.sources.push(Source { node, writer: None, snapshot, kept: None });
             network.model.insert(number as SourceId, SourceModel::default());
         }
         for number in 0..size.relays {
             let mut links = Vec::new();
             for source in &network.sources {
-                links.push(Middle::start(source.party.address()).await?);
+                links.push(LinkProxy::start(source.node.address()).await?);
             }
             let name = format!("relay-{number}");
             let addresses: Vec<String> = links
@@ -80,9 +80,9 @@
                 let sources = addresses.join(", ");
                 format!("[relay]\nname = \"{name}\"\nlisten = \"{listen}\"\nsources = [{sources}]\n")
             };
-            let mut party = Party::new(starter, "relay", &name, config)?;
-            party.start(starter).await?;
-            network.relays.push(party);
+            let mut node = ControlNode::new(starter, "relay", &name, config)?;
+            node.start(starter).await?;
+            network.relays.push(node);
             network.links.push(links);
         }
         Ok(network)
@@ -121,13 +121,13 @@
         let failed = |e: &dyn std::error::Error| ScaleError::Write(source, e.to_string());
         let place = &mut self.sources[source];
         if place.writer.is_none() {
-            place.writer = Some(Writer::connect(place.party.address()).await.map_err(|e| failed(&e))?);
+            place.writer = Some(Writer::connect(place.node.address()).await.map_err(|e| failed(&e))?);
         }
         let Some(writer) = &mut place.writer else { return Ok(()) };
-        let at = words::now();
+        let at = messages::now();
         let last = writer.write_parts(changes.clone()).await.map_err(|e| failed(&e))?;
         if let (Some(last), Some(model)) = (last, self.model.get_mut(&(source as SourceId))) {
-            model.wrote(&changes, last, at, step);
+            model.record_write(&changes, last, at, step);
         }
         Ok(())
     }
@@ -148,7 +148,7 @@
     /// Where the file can't be written.
     pub fn kill_source(&mut self, source: usize) -> Result<(), ScaleError> {
         let place = &mut self.sources[source];
-        place.party.kill();
+        place.node.kill();
         place.writer = None;
         if let Some(kept) = place.kept.take() {
             fs::write(&place.snapshot, kept)?;
@@ -164,25 +164,24 @@
     pub async fn restart_source(
         &mut self,
         source: usize,
-        starter: &Starter<'_>,
+        starter: &ProcessStarter<'_>,
     ) -> Result<Result<usize, String>, ScaleError> {
-        self.sources[source].party.start(starter).await?;
+        self.sources[source].node.start(starter).await?;
         let (held, head) = self.read(source).await?;
         let Some(model) = self.model.get_mut(&(source as SourceId)) else { return Ok(Ok(0)) };
         Ok(model.restarted(&held, head).map_err(|disagreement| disagreement.0))
     }
 
     /// All records of a source, as it says them itself to somebody who knows nothing; and how far it is.
-    async fn read(&self, number: usize) -> Result<(Vec<Held>, Version), ScaleError> {
+    async fn read(&self, number: usize) -> Result<(Vec<ReplicaRecord>, Version), ScaleError> {
         let failed = |why: String| ScaleError::Read(number, why);
-        let read =
-            timeout(READ_TIMEOUT, read_whole(number as SourceId, self.sources[number].party.address()));
+        let read = timeout(READ_TIMEOUT, read_whole(number as SourceId, self.sources[number].node.address()));
         let (records, head) = read
             .await
             .map_err(|_| failed(format!("not whole within {} s", READ_TIMEOUT.as_secs())))?
             .map_err(|e| failed(e.to_string()))?;
         let live = records.iter().filter(|record| record.state != State::Gone);
-        Ok((live.map(|record| Held::of(number as SourceId, record)).collect(), head))
+        Ok((live.map(|record| ReplicaRecord::of(number as SourceId, record)).collect(), head))
     }
 
     /// How far each source is.
@@ -204,8 +203,8 @@
     /// Processor time so far (seconds), memory and bytes that came, of each relay.
     #[must_use]
     pub fn relay_usage(&self) -> Vec<(f64, u64, u64)> {
-        let usage = |(relay, links): (&Party, &Vec<Middle>)| {
-            let carried = links.iter().map(Middle::carried).sum();
+        let usage = |(relay, links): (&ControlNode, &Vec<LinkProxy>)| {
+            let carried = links.iter().map(LinkProxy::carried).sum();
             let (cpu, memory) = relay.program.as_ref().map_or((0.0, 0), |p| (p.cpu_s(), p.memory()));
             (cpu, memory, carried)
         };
@@ -215,7 +214,7 @@
     /// Processor time so far (seconds) and memory of each source.
     #[must_use]
     pub fn source_usage(&self) -> Vec<(f64, u64)> {
-        let programs = self.sources.iter().map(|source| source.party.program.as_ref());
+        let programs = self.sources.iter().map(|source| source.node.program.as_ref());
         programs.map(|p| p.map_or((0.0, 0), |p| (p.cpu_s(), p.memory()))).collect()
     }
 
@@ -224,8 +223,8 @@
     /// # Errors
     /// The first that has ended by itself.
     pub fn run(&mut self) -> Result<(), ScaleError> {
-        let sources = self.sources.iter_mut().map(|source| &mut source.party);
-        let programs = sources.chain(&mut self.relays).filter_map(|party| party.program.as_mut());
+        let sources = self.sources.iter_mut().map(|source| &mut source.node);
+        let programs = sources.chain(&mut self.relays).filter_map(|node| node.program.as_mut());
         for program in programs {
             program.runs()?;
         }
--- a/crates/testbed/src/scale/fleet/plan.rs
+++ b/crates/testbed/src/scale/fleet/plan.rs
@@ -12,7 +12,7 @@
 
 /// One change that is to be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum PlannedChange {
     /// A backend's state changes.
     Backend {
         /// Which.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ScalePlan {
     /// When and what.
-    pub deeds: Vec<(u64, Deed)>,
+    pub changes: Vec<(u64, PlannedChange)>,
 }
 
 impl ScalePlan {
@@ -51,9 +51,9 @@
                 if busy_until[number] <= at {
                     let left = at + between(&mut rng, LEAVING_S);
                     busy_until[number] = left + between(&mut rng, LEFT_S);
-                    plan.add(at, Deed::Backend { number, state: State::Draining });
-                    plan.add(left, Deed::Backend { number, state: State::Gone });
-                    plan.add(busy_until[number], Deed::Backend { number, state: State::Active });
+                    plan.add(at, PlannedChange::Backend { number, state: State::Draining });
+                    plan.add(left, PlannedChange::Backend { number, state: State::Gone });
+                    plan.add(busy_until[number], PlannedChange::Backend { number, state: State::Active });
                 }
             }
             for (at, number) in
@@ -61,26 +61,26 @@
             {
                 if busy_until[number] <= at {
                     busy_until[number] = at + between(&mut rng, LEFT_S);
-                    plan.add(at, Deed::Backend { number, state: State::Gone });
-                    plan.add(busy_until[number], Deed::Backend { number, state: State::Active });
+                    plan.add(at, PlannedChange::Backend { number, state: State::Gone });
+                    plan.add(busy_until[number], PlannedChange::Backend { number, state: State::Active });
                 }
             }
             let services = vec![(); population.services()];
             for (at, number) in
                 events(&mut rng, begins, ends, step, script.changes.configurations_a_day, &services)
             {
-                plan.add(at, Deed::Configuration { service: number as ServiceId });
+                plan.add(at, PlannedChange::Configuration { service: number as ServiceId });
             }
             begins = ends;
         }
         let end = (begins * 1e6) as u64;
-        plan.deeds.retain(|&(at, _)| at < end);
-        plan.deeds.sort_by_key(|&(at, _)| at);
+        plan.changes.retain(|&(at, _)| at < end);
+        plan.changes.sort_by_key(|&(at, _)| at);
         plan
     }
 
-    fn add(&mut self, at_s: f64, deed: Deed) {
-        self.deeds.push(((at_s * 1e6) as u64, deed));
+    fn add(&mut self, at_s: f64, change: PlannedChange) {
+        self.changes.push(((at_s * 1e6) as u64, change));
     }
 }
 
--- a/crates/testbed/src/scale/fleet/population.rs
+++ b/crates/testbed/src/scale/fleet/population.rs
@@ -1,8 +1,8 @@
 //! Who there is: services with their zones, backends, and which proxy has which services in scope. Drawn from the seed
 //! alone. Pure.
 
+use super::messages::key_hash;
 use super::script::ScaleScript;
-use super::words::key_hash;
 use control_plane::record::{Backend, Kind, ServiceId};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
--- a/crates/testbed/src/scale/fleet/programs.rs
+++ b/crates/testbed/src/scale/fleet/programs.rs
@@ -133,7 +133,7 @@
 
 /// A program of control with its configuration and address, which stay the same over its lives.
 #[derive(Debug)]
-pub struct Party {
+pub struct ControlNode {
     /// Its name.
     pub name: String,
     address: Held,
@@ -144,7 +144,7 @@
 }
 
 /// What is needed to start one.
-pub struct Starter<'a> {
+pub struct ProcessStarter<'a> {
     /// The rig's own program.
     pub keeper: &'a Path,
     /// Control's program.
@@ -153,13 +153,13 @@
     pub folder: &'a Folder,
 }
 
-impl Party {
+impl ControlNode {
     /// One that does not run yet. `config` makes its configuration from its address.
     ///
     /// # Errors
     /// Where it has no address, or its configuration can't be written.
     pub fn new(
-        starter: &Starter<'_>,
+        starter: &ProcessStarter<'_>,
         role: &'static str,
         name: &str,
         config: impl FnOnce(SocketAddr) -> String,
@@ -181,7 +181,7 @@
     ///
     /// # Errors
     /// Where it does not.
-    pub async fn start(&mut self, starter: &Starter<'_>) -> Result<(), ScaleError> {
+    pub async fn start(&mut self, starter: &ProcessStarter<'_>) -> Result<(), ScaleError> {
         let arguments = [self.role.into(), "--config".into(), self.file.clone().into_os_string()];
         let mut program =
             Program::start(starter.keeper, starter.control, &arguments, starter.folder, &self.name)?;
--- a/crates/testbed/src/scale/fleet/in_force.rs
+++ b/crates/testbed/src/scale/fleet/propagation.rs
@@ -1,7 +1,7 @@
 //! How long changes took from their source's word to the last subscriber in whose scope they are. Pure.
 
+use super::messages::Tally;
 use super::model::Model;
-use super::words::Tally;
 use control_plane::record::{ServiceId, SourceId};
 use rustc_hash::FxHashMap;
 
@@ -25,7 +25,7 @@
 
 /// What became of one change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reached {
+pub struct ChangePropagation {
     /// In which step it was written.
     pub step: usize,
     /// Until the last one had it, microseconds; `None`: somebody never got it, nor a newer one.
@@ -36,14 +36,14 @@
 
 /// What came into force, as the processes counted it.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct Propagation {
     // By source and place among its changes, and group.
     reached: FxHashMap<(SourceId, usize, Group), (u32, u64)>,
     /// Tallies that belong to no change of a step.
     pub strangers: u64,
 }
 
-impl InForce {
+impl Propagation {
     /// Takes what a process counted.
     pub fn take(&mut self, model: &Model, process: u16, tallies: &[Tally]) {
         for tally in tallies {
@@ -53,7 +53,7 @@
             };
             let group = Group { process, zone: tally.group };
             for place in source.changes(tally.key, tally.from, tally.to) {
-                if source.said[place].step.is_some() {
+                if source.acknowledged[place].step.is_some() {
                     let (count, last) = self.reached.entry((tally.source, place, group)).or_insert((0, 0));
                     (*count, *last) = (*count + tally.count, tally.last.max(*last));
                 }
@@ -63,12 +63,12 @@
 
     /// What became of each change of the steps that a source still knows of, where anybody has it in scope.
     #[must_use]
-    pub fn changes(&self, model: &Model, audience: &impl Audience) -> Vec<Reached> {
+    pub fn changes(&self, model: &Model, audience: &impl Audience) -> Vec<ChangePropagation> {
         let mut all = Vec::new();
         for (&number, source) in model {
-            for (place, said) in source.said.iter().enumerate() {
+            for (place, said) in source.acknowledged.iter().enumerate() {
                 let Some(step) = said.step.filter(|_| !said.lost) else { continue };
-                let mut reached = Reached { step, after: Some(0), after_written: Some(0) };
+                let mut reached = ChangePropagation { step, after: Some(0), after_written: Some(0) };
                 let mut anybody = false;
                 for &(group, must) in audience.of(said.service) {
                     let Some(from) = audience.reachable(number, group, said.at) else { continue };
@@ -113,7 +113,11 @@
 
 /// The figures of one step; `of` picks the time that counts.
 #[must_use]
-pub fn summary(all: &[Reached], step: usize, of: impl Fn(&Reached) -> Option<u64>) -> Summary {
+pub fn summary(
+    all: &[ChangePropagation],
+    step: usize,
+    of: impl Fn(&ChangePropagation) -> Option<u64>,
+) -> Summary {
     let times: Vec<Option<u64>> = all.iter().filter(|r| r.step == step).map(of).collect();
     let mut known: Vec<u64> = times.iter().copied().flatten().collect();
     known.sort_unstable();
--- a/crates/testbed/src/scale/fleet/reach.rs
+++ b/crates/testbed/src/scale/fleet/reachability.rs
@@ -1,7 +1,7 @@
 //! Who could be reached when: what a script did to links, processes and zones, as it happened. Pure.
 
-use super::in_force::{Audience, Group};
 use super::population::Population;
+use super::propagation::{Audience, Group};
 use control_plane::record::{ServiceId, SourceId};
 
 /// What was written so shortly before something went wrong may have been on its way still, microseconds: two hops, and a
@@ -10,9 +10,9 @@
 
 /// Something that kept somebody from being reached, from one moment to another by the machine's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Window {
-    /// Who.
-    pub who: Who,
+pub struct Outage {
+    /// The unreachable part of the fleet.
+    pub target: OutageTarget,
     /// From when on.
     pub from: u64,
     /// Until when.
@@ -21,7 +21,7 @@
 
 /// Who could not be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum OutageTarget {
     /// A region and all others, by one another.
     Region(usize),
     /// The hollow proxies of a process.
@@ -32,14 +32,14 @@
 
 /// Who has what in scope, and could be reached when.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     regions: Vec<usize>,
     by_service: Vec<Vec<(Group, u32)>>,
     /// What went wrong.
-    pub windows: Vec<Window>,
+    pub outages: Vec<Outage>,
 }
 
-impl Reach {
+impl Reachability {
     /// Everybody of a population, dealt out to so many processes by number, can be reached.
     #[must_use]
     pub fn new(population: &Population, processes: usize) -> Self {
@@ -56,7 +56,7 @@
                 }
             }
         }
-        Self { regions, by_service, windows: Vec::new() }
+        Self { regions, by_service, outages: Vec::new() }
     }
 
     /// The moment from which anybody at all could be reached with a change of a source that was written then: the latest of
@@ -68,7 +68,7 @@
     }
 }
 
-impl Audience for Reach {
+impl Audience for Reachability {
     fn of(&self, service: ServiceId) -> &[(Group, u32)] {
         self.by_service.get(service as usize).map_or(&[], Vec::as_slice)
     }
@@ -77,16 +77,18 @@
         let (source, zone) = (usize::from(source), usize::from(group.zone));
         let region = self.regions.get(zone).copied().unwrap_or(0);
         let mut from = written;
-        for window in &self.windows {
-            if !(window.from.saturating_sub(ON_ITS_WAY)..window.to).contains(&written) {
+        for outage in &self.outages {
+            if !(outage.from.saturating_sub(ON_ITS_WAY)..outage.to).contains(&written) {
                 continue;
             }
-            match window.who {
-                Who::Region(cut) if region != source && (region == cut || source == cut) => {
-                    from = from.max(window.to);
+            match outage.target {
+                OutageTarget::Region(cut) if region != source && (region == cut || source == cut) => {
+                    from = from.max(outage.to);
                 }
-                Who::Process(process) if process == usize::from(group.process) => from = from.max(window.to),
-                Who::Zone(lost) if lost == zone => return None,
+                OutageTarget::Process(process) if process == usize::from(group.process) => {
+                    from = from.max(outage.to)
+                }
+                OutageTarget::Zone(lost) if lost == zone => return None,
                 _ => {}
             }
         }
--- a/crates/testbed/src/scale/fleet/real.rs
+++ b/crates/testbed/src/scale/fleet/real_proxies.rs
@@ -3,10 +3,10 @@
 
 use super::ScaleError;
 use super::checker::Entry;
+use super::messages;
 use super::network::Network;
 use super::population::Population;
-use super::programs::{Party, Starter};
-use super::words;
+use super::programs::{ControlNode, ProcessStarter};
 use crate::fleet::{Machine, Place, Process};
 use crate::http1;
 use crate::script::Script;
@@ -62,7 +62,7 @@
 }
 
 /// The stand-in backends and clients, on a thread of their own.
-pub struct Stand {
+pub struct TestBackends {
     /// Where all backends listen.
     pub port: u16,
     seen: Arc<Seen>,
@@ -70,7 +70,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
-impl Stand {
+impl TestBackends {
     /// Starts the backends.
     ///
     /// # Errors
@@ -128,7 +128,7 @@
     }
 }
 
-impl Drop for Stand {
+impl Drop for TestBackends {
     fn drop(&mut self) {
         let (closed, _) = unbounded_channel();
         self.load = closed;
@@ -174,7 +174,7 @@
         if let Some(number) = number {
             let mut arrivals = seen.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
             if arrivals.len() < MAX_ARRIVALS {
-                arrivals.push((words::now(), number as u32));
+                arrivals.push((messages::now(), number as u32));
             }
         }
         if http1::answer(&mut stream, "200 OK", "", b"served").await.is_err() {
@@ -225,14 +225,14 @@
 }
 
 /// The proxies and their agents.
-pub struct Real {
-    agents: Vec<Party>,
+pub struct RealProxies {
+    agents: Vec<ControlNode>,
     processes: Vec<Process>,
     // Their addresses are theirs while this lives.
     places: Vec<Place>,
 }
 
-impl Real {
+impl RealProxies {
     /// Starts agents, then proxies, and waits until these are ready.
     ///
     /// # Errors
@@ -240,7 +240,7 @@
     pub async fn start(
         population: &Population,
         network: &Network,
-        starter: &Starter<'_>,
+        starter: &ProcessStarter<'_>,
         machine: &Machine,
         seed: u64,
     ) -> Result<Self, ScaleError> {
@@ -271,7 +271,7 @@
                     relays.join(", ")
                 )
             };
-            let mut agent = Party::new(starter, "agent", &name, config)?;
+            let mut agent = ControlNode::new(starter, "agent", &name, config)?;
             agent.start(starter).await?;
             real.agents.push(agent);
         }
--- a/crates/testbed/src/scale/fleet/report.rs
+++ b/crates/testbed/src/scale/fleet/report.rs
@@ -1,8 +1,8 @@
 //! What a run came to, for people and as JSON lines. Pure.
 
-use super::in_force::Summary;
-use super::real::Requests;
-use super::words::HollowCost;
+use super::messages::SimulatedProxyCost;
+use super::propagation::Summary;
+use super::real_proxies::Requests;
 use serde::Serialize;
 use std::fmt;
 
@@ -24,7 +24,7 @@
 
 /// What hollow proxies took from their connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Taken {
+pub struct ReceiveRate {
     /// Bytes a second: the mean of all.
     pub mean: f64,
     /// Bytes a second: of the one that took most.
@@ -35,10 +35,10 @@
     pub records: f64,
 }
 
-impl Taken {
+impl ReceiveRate {
     /// Over so many seconds.
     #[must_use]
-    pub fn new(each: &[HollowCost], seconds: f64) -> Self {
+    pub fn new(each: &[SimulatedProxyCost], seconds: f64) -> Self {
         let count = each.len().max(1) as f64;
         let most = each.iter().map(|cost| cost.bytes).max().unwrap_or(0);
         let worst = each.iter().map(|cost| cost.worst_ten).max().unwrap_or(0);
@@ -106,7 +106,7 @@
     /// Changes that a source lost.
     pub lost: usize,
     /// What hollow proxies took.
-    pub taken: Taken,
+    pub taken: ReceiveRate,
     /// What a hollow proxy cost: its process's cost, divided.
     pub hollow: Cost,
     /// What the real agents cost.
@@ -154,7 +154,7 @@
     /// From the start of all at once until the slowest held 99 of 100 records, seconds.
     pub full_s: f64,
     /// What they took meanwhile.
-    pub filling: Taken,
+    pub filling: ReceiveRate,
     /// By step.
     pub steps: Vec<StepRow>,
     /// What became of the real proxies' requests.
--- a/crates/testbed/src/scale/fleet/script.rs
+++ b/crates/testbed/src/scale/fleet/script.rs
@@ -1,6 +1,6 @@
 //! What a scale run plays, as a script says it: how large, how much changes, what goes wrong and when.
 
-use super::words::Plant;
+use super::messages::InjectedFault;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use std::{fs, io};
@@ -76,7 +76,7 @@
 /// What goes wrong in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum StepKind {
     /// Nothing.
     Ordinary,
     /// A relay is killed, and started anew after `for_s`.
@@ -95,7 +95,7 @@
     ZoneRestarted,
 }
 
-impl What {
+impl StepKind {
     /// Its name in scripts and results.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -117,7 +117,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Step {
     /// What goes wrong, [`Step::LEAD_S`] after its beginning.
-    pub what: What,
+    pub what: StepKind,
     /// How long changes go on, seconds.
     pub seconds: f64,
     /// How long what goes wrong lasts, seconds.
@@ -156,8 +156,8 @@
     #[serde(default = "patience")]
     pub patience_s: f64,
     /// What is wrong on purpose.
-    #[serde(default)]
-    pub plant: Plant,
+    #[serde(default, rename = "plant")]
+    pub injected_fault: InjectedFault,
     /// How large the fleet is.
     pub size: Size,
     /// How much changes.
@@ -253,16 +253,16 @@
                 return wrong(&key("times"), format!("{}, must be from 0 to 1000", step.times));
             }
             let most = match step.what {
-                What::RelayKilled | What::RelayStalled => s.relays,
-                What::RegionCut | What::SourceRestarted => s.sources,
-                What::ZoneLost | What::ZoneRestarted => s.zones,
-                What::SubscribersStopped => s.processes,
-                What::Ordinary => 1,
+                StepKind::RelayKilled | StepKind::RelayStalled => s.relays,
+                StepKind::RegionCut | StepKind::SourceRestarted => s.sources,
+                StepKind::ZoneLost | StepKind::ZoneRestarted => s.zones,
+                StepKind::SubscribersStopped => s.processes,
+                StepKind::Ordinary => 1,
             };
             if step.which >= most {
                 return wrong(&key("which"), format!("{}, must be below {most}", step.which));
             }
-            if step.what == What::RegionCut && s.sources < 2 {
+            if step.what == StepKind::RegionCut && s.sources < 2 {
                 return wrong(&key("what"), "a cut needs two regions; set size.sources to 2 or more".into());
             }
         }
--- a/crates/testbed/src/scale/fleet/hollows.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxies.rs
@@ -1,8 +1,11 @@
 //! The hollow processes as the rig holds them: what it tells them, what it asks.
 
 use super::ScaleError;
+use super::messages::{
+    self, Command, InjectedFault, MAX_MESSAGE_BYTES, ReplicaRecord, Response, SimulatedProxyCost,
+    SimulatedProxySpec, Tally,
+};
 use super::programs::Program;
-use super::words::{self, Answer, Held, Hollow, HollowCost, MAX_WORDS, Order, Plant, Tally};
 use crate::fleet::Folder;
 use control_plane::record::{SourceId, Version};
 use std::collections::BTreeMap;
@@ -15,26 +18,26 @@
 /// How long a hollow process may take for an answer: all records of a thousand proxies, on a busy machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 /// Hollow proxies of one order to start: their scopes stay far below the longest frame.
-const PART: usize = 500;
+const MAX_PROXIES_PER_COMMAND: usize = 500;
 
-struct House {
+struct HostProcess {
     program: Program,
     stream: TcpStream,
 }
 
-impl House {
-    async fn say(&mut self, order: &Order) -> Result<(), ScaleError> {
+impl HostProcess {
+    async fn send(&mut self, command: &Command) -> Result<(), ScaleError> {
         let failed = |e| ScaleError::Words(self.program.name.clone(), e);
-        words::write(&mut self.stream, order).await.map_err(failed)?;
+        messages::write(&mut self.stream, command).await.map_err(failed)?;
         Ok(())
     }
 
-    async fn hear(&mut self) -> Result<Answer, ScaleError> {
+    async fn receive(&mut self) -> Result<Response, ScaleError> {
         let name = self.program.name.clone();
         let failed = move |e| ScaleError::Words(name.clone(), e);
-        let read = timeout(ANSWER_TIMEOUT, words::read(&mut self.stream, MAX_WORDS)).await;
-        if let Some((_, answer)) = read.map_err(|e| failed(e.into()))?.map_err(&failed)? {
-            Ok(answer)
+        let read = timeout(ANSWER_TIMEOUT, messages::read(&mut self.stream, MAX_MESSAGE_BYTES)).await;
+        if let Some((_, response)) = read.map_err(|e| failed(e.into()))?.map_err(&failed)? {
+            Ok(response)
         } else {
             self.program.runs()?;
             Err(failed(std::io::ErrorKind::UnexpectedEof.into()))
@@ -43,29 +46,29 @@
 }
 
 /// All of them.
-pub struct Hollows {
-    houses: Vec<House>,
+pub struct SimulatedProxies {
+    processes: Vec<HostProcess>,
 }
 
 /// What all hollow proxies cost, since it was asked last.
 #[derive(Default)]
 pub struct Costs {
     /// By hollow proxy.
-    pub each: Vec<HollowCost>,
+    pub each: Vec<SimulatedProxyCost>,
     /// What the watchers hold, bytes.
     pub watchers: u64,
     /// What was broken: who and what.
     pub breaks: Vec<(u32, String)>,
 }
 
-impl Hollows {
+impl SimulatedProxies {
     /// Starts so many processes.
     ///
     /// # Errors
     /// Where one does not come up.
-    pub async fn start(keeper: &Path, folder: &Folder, processes: usize) -> Result<Self, ScaleError> {
-        let mut houses = Vec::new();
-        for number in 0..processes {
+    pub async fn start(keeper: &Path, folder: &Folder, process_count: usize) -> Result<Self, ScaleError> {
+        let mut processes = Vec::new();
+        for number in 0..process_count {
             let name = format!("hollow-{number}");
             let failed = |e| ScaleError::Start(name.clone(), e);
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(failed)?;
@@ -79,54 +82,62 @@
             };
             let (stream, _) = accepted.map_err(failed)?;
             stream.set_nodelay(true).map_err(failed)?;
-            houses.push(House { program, stream });
+            processes.push(HostProcess { program, stream });
         }
-        Ok(Self { houses })
+        Ok(Self { processes })
     }
 
     /// The process in which a hollow proxy lives.
     #[must_use]
-    pub fn house(&self, number: u32) -> usize {
-        number as usize % self.houses.len()
+    pub fn process(&self, number: u32) -> usize {
+        number as usize % self.processes.len()
     }
 
-    async fn all(&mut self, order: &Order) -> Result<Vec<Answer>, ScaleError> {
-        for house in &mut self.houses {
-            house.say(order).await?;
+    async fn request_all(&mut self, command: &Command) -> Result<Vec<Response>, ScaleError> {
+        for process in &mut self.processes {
+            process.send(command).await?;
         }
-        let mut answers = Vec::new();
-        for house in &mut self.houses {
-            answers.push(house.hear().await?);
+        let mut responses = Vec::new();
+        for process in &mut self.processes {
+            responses.push(process.receive().await?);
         }
-        Ok(answers)
+        Ok(responses)
     }
 
     /// Tells each process who lives in it; nobody begins yet. The first one has the fault that is planted.
     ///
     /// # Errors
     /// Where a process is gone.
-    pub async fn settle(&mut self, hollows: Vec<Hollow>, plant: Plant) -> Result<(), ScaleError> {
-        let mut by_house: Vec<Vec<Hollow>> = self.houses.iter().map(|_| Vec::new()).collect();
+    pub async fn assign(
+        &mut self,
+        hollows: Vec<SimulatedProxySpec>,
+        fault: InjectedFault,
+    ) -> Result<(), ScaleError> {
+        let mut by_house: Vec<Vec<SimulatedProxySpec>> = self.processes.iter().map(|_| Vec::new()).collect();
         for hollow in hollows {
-            let house = self.house(hollow.number);
-            by_house[house].push(hollow);
+            let process = self.process(hollow.number);
+            by_house[process].push(hollow);
         }
-        for (number, (house, hollows)) in self.houses.iter_mut().zip(by_house).enumerate() {
-            let plant = if number == 0 { plant } else { Plant::None };
-            for part in hollows.chunks(PART) {
-                house.say(&Order::Start { hollows: part.to_vec(), plant }).await?;
-                house.hear().await?;
+        for (number, (process, hollows)) in self.processes.iter_mut().zip(by_house).enumerate() {
+            let fault = if number == 0 { fault } else { InjectedFault::None };
+            for part in hollows.chunks(MAX_PROXIES_PER_COMMAND) {
+                process.send(&Command::Start { proxies: part.to_vec(), fault }).await?;
+                process.receive().await?;
             }
         }
         Ok(())
     }
 
-    fn dealt<T>(&self, numbers: impl Iterator<Item = T>, number: impl Fn(&T) -> u32) -> Vec<Vec<T>> {
-        let mut dealt: Vec<Vec<T>> = self.houses.iter().map(|_| Vec::new()).collect();
+    fn partition_by_process<T>(
+        &self,
+        numbers: impl Iterator<Item = T>,
+        number: impl Fn(&T) -> u32,
+    ) -> Vec<Vec<T>> {
+        let mut partition_by_process: Vec<Vec<T>> = self.processes.iter().map(|_| Vec::new()).collect();
         for one in numbers {
-            dealt[self.house(number(&one))].push(one);
+            partition_by_process[self.process(number(&one))].push(one);
         }
-        dealt
+        partition_by_process
     }
 
     /// Starts these anew, each with the number of records that it will hold.
@@ -134,12 +145,12 @@
     /// # Errors
     /// Where a process is gone.
     pub async fn restart(&mut self, numbers: impl Iterator<Item = (u32, u32)>) -> Result<(), ScaleError> {
-        let dealt = self.dealt(numbers, |one| one.0);
-        for (house, numbers) in self.houses.iter_mut().zip(dealt) {
-            house.say(&Order::Restart { numbers }).await?;
+        let partition_by_process = self.partition_by_process(numbers, |one| one.0);
+        for (process, numbers) in self.processes.iter_mut().zip(partition_by_process) {
+            process.send(&Command::Restart { numbers }).await?;
         }
-        for house in &mut self.houses {
-            house.hear().await?;
+        for process in &mut self.processes {
+            process.receive().await?;
         }
         Ok(())
     }
@@ -149,12 +160,12 @@
     /// # Errors
     /// Where a process is gone.
     pub async fn end(&mut self, numbers: impl Iterator<Item = u32>) -> Result<(), ScaleError> {
-        let dealt = self.dealt(numbers, |&one| one);
-        for (house, numbers) in self.houses.iter_mut().zip(dealt) {
-            house.say(&Order::End { numbers }).await?;
+        let partition_by_process = self.partition_by_process(numbers, |&one| one);
+        for (process, numbers) in self.processes.iter_mut().zip(partition_by_process) {
+            process.send(&Command::End { numbers }).await?;
         }
-        for house in &mut self.houses {
-            house.hear().await?;
+        for process in &mut self.processes {
+            process.receive().await?;
         }
         Ok(())
     }
@@ -164,7 +175,7 @@
     /// # Errors
     /// Where a process is gone.
     pub async fn begin(&mut self) -> Result<(), ScaleError> {
-        self.all(&Order::Begin).await.map(drop)
+        self.request_all(&Command::Begin).await.map(drop)
     }
 
     /// How many are not as far as their sources, and what one of them lacks.
@@ -177,8 +188,8 @@
     ) -> Result<(u32, Option<String>), ScaleError> {
         let heads = heads.iter().map(|(&source, &head)| (source, head)).collect();
         let (mut sum, mut first) = (0, None);
-        for answer in self.all(&Order::Behind { heads }).await? {
-            if let Answer::Behind { count, example } = answer {
+        for response in self.request_all(&Command::Behind { heads }).await? {
+            if let Response::Behind { count, example } = response {
                 sum += count;
                 first = first.or(example);
             }
@@ -193,12 +204,12 @@
     pub async fn dump(
         &mut self,
         numbers: Option<Vec<u32>>,
-        mut take: impl FnMut(u32, &[Held]),
+        mut take: impl FnMut(u32, &[ReplicaRecord]),
     ) -> Result<(), ScaleError> {
-        let order = Order::Dump { numbers };
-        for house in &mut self.houses {
-            house.say(&order).await?;
-            while let Answer::Held { number, records } = house.hear().await? {
+        let command = Command::Dump { numbers };
+        for process in &mut self.processes {
+            process.send(&command).await?;
+            while let Response::Records { number, records } = process.receive().await? {
                 take(number, &records);
             }
         }
@@ -210,14 +221,14 @@
     /// # Errors
     /// Where a process is gone.
     pub async fn tallies(&mut self) -> Result<(Vec<Vec<Tally>>, u64), ScaleError> {
-        let (mut all, mut lost) = (Vec::new(), 0);
-        for answer in self.all(&Order::Tallies).await? {
-            if let Answer::Tallies { tallies, forgotten } = answer {
-                all.push(tallies);
+        let (mut request_all, mut lost) = (Vec::new(), 0);
+        for response in self.request_all(&Command::Tallies).await? {
+            if let Response::Tallies { tallies, forgotten } = response {
+                request_all.push(tallies);
                 lost += forgotten;
             }
         }
-        Ok((all, lost))
+        Ok((request_all, lost))
     }
 
     /// What they cost since it was asked last.
@@ -226,8 +237,8 @@
     /// Where a process is gone.
     pub async fn costs(&mut self) -> Result<Costs, ScaleError> {
         let mut sum = Costs::default();
-        for answer in self.all(&Order::Costs).await? {
-            if let Answer::Costs { each, watchers, breaks } = answer {
+        for response in self.request_all(&Command::Costs).await? {
+            if let Response::Costs { each, watchers, breaks } = response {
                 sum.each.extend(each);
                 sum.watchers += watchers;
                 sum.breaks.extend(breaks);
@@ -238,15 +249,15 @@
 
     /// A process stands still, or goes on.
     pub fn stall(&mut self, process: usize, stalled: bool) {
-        if let Some(house) = self.houses.get_mut(process) {
-            house.program.stall(stalled);
+        if let Some(process) = self.processes.get_mut(process) {
+            process.program.stall(stalled);
         }
     }
 
     /// Processor time of all so far, seconds, and their memory, bytes.
     #[must_use]
     pub fn usage(&self) -> (f64, u64) {
-        let programs = self.houses.iter().map(|house| &house.program);
+        let programs = self.processes.iter().map(|process| &process.program);
         programs.fold((0.0, 0), |(cpu, memory), p| (cpu + p.cpu_s(), memory + p.memory()))
     }
 
@@ -255,6 +266,6 @@
     /// # Errors
     /// The first that has ended.
     pub fn run(&mut self) -> Result<(), ScaleError> {
-        self.houses.iter_mut().try_for_each(|house| house.program.runs())
+        self.processes.iter_mut().try_for_each(|process| process.program.runs())
     }
 }
--- a/crates/testbed/src/scale/fleet/hollow.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxy.rs
@@ -1,9 +1,12 @@
 //! A process of hollow proxies: each is the real subscriber with its own connection and the real choice of a relay, and
 //! nothing behind it. They share one thread. The rig says over one connection what they do, and reads what they hold.
 
-use super::plant::Shim;
-use super::watch::{Tallies, Watch};
-use super::words::{self, Answer, Held, Hollow, HollowCost, MAX_WORDS, Order, Plant};
+use super::fault_injection::FaultInjector;
+use super::messages::{
+    self, Command, InjectedFault, MAX_MESSAGE_BYTES, ReplicaRecord, Response, SimulatedProxyCost,
+    SimulatedProxySpec,
+};
+use super::version_monitor::{Tallies, VersionMonitor};
 use control_plane::Millis;
 use control_plane::message::Message;
 use control_plane::record::{Scope, SourceId, Version};
@@ -46,11 +49,11 @@
 }
 
 /// One hollow proxy while it lives.
-struct Life {
+struct SimulatedProxy {
     shared: Rc<Shared>,
     subscriber: Subscriber,
-    shim: Shim,
-    watch: Watch,
+    fault_injector: FaultInjector,
+    version_monitor: VersionMonitor,
     bytes: Bytes,
     group: u16,
     /// Whether what comes into force counts: not while it learns what was said before it began.
@@ -60,9 +63,9 @@
     full: (u64, u64),
 }
 
-struct Place {
-    spec: Hollow,
-    life: Rc<RefCell<Life>>,
+struct ProxySlot {
+    spec: SimulatedProxySpec,
+    proxy: Rc<RefCell<SimulatedProxy>>,
     task: Option<JoinHandle<()>>,
 }
 
@@ -72,20 +75,20 @@
     tallies: RefCell<Tallies>,
 }
 
-impl Life {
-    fn new(spec: &Hollow, plant: Plant, expected: u32, shared: &Rc<Shared>) -> Self {
+impl SimulatedProxy {
+    fn new(spec: &SimulatedProxySpec, fault: InjectedFault, expected: u32, shared: &Rc<Shared>) -> Self {
         let scope = Scope::Services(spec.scope.iter().copied().collect());
         Self {
             shared: Rc::clone(shared),
             subscriber: Subscriber::new(&spec.name, scope),
-            shim: Shim::new(plant),
-            watch: Watch::default(),
+            fault_injector: FaultInjector::new(fault),
+            version_monitor: VersionMonitor::default(),
             bytes: Bytes::default(),
             group: spec.group,
             counts: false,
             welcomes: 0,
             expected,
-            full: (words::now(), 0),
+            full: (messages::now(), 0),
         }
     }
 
@@ -93,39 +96,40 @@
         self.subscriber.stores().map(|(source, store)| (source, store.head())).collect()
     }
 
-    fn records(&self) -> Vec<Held> {
+    fn records(&self) -> Vec<ReplicaRecord> {
         let all = self.subscriber.stores();
-        all.flat_map(|(source, store)| store.live_records().map(move |r| Held::of(source, r))).collect()
+        all.flat_map(|(source, store)| store.live_records().map(move |r| ReplicaRecord::of(source, r)))
+            .collect()
     }
 }
 
-impl DownstreamNode for Life {
+impl DownstreamNode for SimulatedProxy {
     fn hello(&mut self) -> Message {
-        self.shim.out(self.subscriber.hello())
+        self.fault_injector.out(self.subscriber.hello())
     }
 
     fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError> {
-        self.watch.heard(&message);
-        let Some(message) = self.shim.pass(message) else { return Ok(Vec::new()) };
+        self.version_monitor.heard(&message);
+        let Some(message) = self.fault_injector.pass(message) else { return Ok(Vec::new()) };
         let source = match &message {
             Message::Batch { source, .. } | Message::ServiceSnapshot { source, .. } => Some(*source),
             _ => None,
         };
-        let heard = self.subscriber.on_message(message, now)?;
+        let update = self.subscriber.on_message(message, now)?;
         if let Some(source) = source {
-            let at = words::now();
-            for applied in &heard.applied {
-                let from = self.watch.applied(source, &applied.record);
+            let at = messages::now();
+            for applied in &update.applied {
+                let from = self.version_monitor.applied(source, &applied.record);
                 if self.counts {
                     self.shared.tallies.borrow_mut().add(source, &applied.record, from, self.group, at);
                 }
             }
-            let (live, expected) = (u64::from(self.watch.live()), u64::from(self.expected));
+            let (live, expected) = (u64::from(self.version_monitor.live()), u64::from(self.expected));
             if self.full.1 == 0 && live * 100 >= expected * 99 {
                 self.full.1 = at;
             }
         }
-        Ok(heard.replies)
+        Ok(update.replies)
     }
 
     fn tick(&mut self, now: Millis) -> Vec<Message> {
@@ -142,135 +146,138 @@
 }
 
 /// All hollow proxies of a process.
-struct House {
+struct ProxyHost {
     shared: Rc<Shared>,
-    places: BTreeMap<u32, Place>,
-    planted: Option<(u32, Plant)>,
+    slots: BTreeMap<u32, ProxySlot>,
+    injected_fault: Option<(u32, InjectedFault)>,
 }
 
-impl House {
+impl ProxyHost {
     fn start(&mut self, number: u32, expected: u32) {
-        let Some(place) = self.places.get_mut(&number) else { return };
-        if let Some(task) = place.task.take() {
+        let Some(slot) = self.slots.get_mut(&number) else { return };
+        if let Some(task) = slot.task.take() {
             task.abort();
         }
-        let plant = self.planted.filter(|p| p.0 == number).map_or(Plant::None, |p| p.1);
-        place.life = Rc::new(RefCell::new(Life::new(&place.spec, plant, expected, &self.shared)));
-        let (party, spec, clock) = (Rc::clone(&place.life), place.spec.clone(), self.shared.clock);
-        place.task = Some(tokio::task::spawn_local(async move {
+        let fault = self.injected_fault.filter(|p| p.0 == number).map_or(InjectedFault::None, |p| p.1);
+        slot.proxy = Rc::new(RefCell::new(SimulatedProxy::new(&slot.spec, fault, expected, &self.shared)));
+        let (node, spec, clock) = (Rc::clone(&slot.proxy), slot.spec.clone(), self.shared.clock);
+        slot.task = Some(tokio::task::spawn_local(async move {
             let relays =
                 spec.relays.into_iter().map(|(name, address)| UpstreamAddress { name, address }).collect();
-            follow(party, relays, &spec.name, u64::from(number), clock).await;
+            follow(node, relays, &spec.name, u64::from(number), clock).await;
         }));
     }
 
-    fn alive(&self) -> impl Iterator<Item = (u32, &Place)> {
-        self.places.iter().filter(|(_, place)| place.task.is_some()).map(|(&number, place)| (number, place))
+    fn running(&self) -> impl Iterator<Item = (u32, &ProxySlot)> {
+        self.slots.iter().filter(|(_, slot)| slot.task.is_some()).map(|(&number, slot)| (number, slot))
     }
 
-    fn behind(&self, heads: &[(SourceId, Version)]) -> Answer {
-        let lacks = |place: &Place| {
-            let life = place.life.borrow();
-            let has = life.heads();
+    fn behind(&self, heads: &[(SourceId, Version)]) -> Response {
+        let describe_lag = |slot: &ProxySlot| {
+            let proxy = slot.proxy.borrow();
+            let has = proxy.heads();
             let lacking = |&&(source, head): &&(SourceId, Version)| has.get(&source) != Some(&head);
             heads.iter().find(lacking).map(|(source, head)| {
-                format!("{} has {:?} of source {source}, not {head:?}", place.spec.name, has.get(source))
+                format!("{} has {:?} of source {source}, not {head:?}", slot.spec.name, has.get(source))
             })
         };
         let mut count = 0;
         let mut example = None;
-        for text in self.alive().filter_map(|(_, place)| lacks(place)) {
+        for text in self.running().filter_map(|(_, slot)| describe_lag(slot)) {
             count += 1;
             example.get_or_insert(text);
         }
-        Answer::Behind { count, example }
+        Response::Behind { count, example }
     }
 
-    fn costs(&self) -> Answer {
+    fn costs(&self) -> Response {
         let (mut each, mut breaks, mut watchers) = (Vec::new(), Vec::new(), 0);
-        for (number, place) in self.alive() {
-            let mut life = place.life.borrow_mut();
-            let bytes = std::mem::take(&mut life.bytes);
-            each.push(HollowCost {
+        for (number, slot) in self.running() {
+            let mut proxy = slot.proxy.borrow_mut();
+            let bytes = std::mem::take(&mut proxy.bytes);
+            each.push(SimulatedProxyCost {
                 number,
                 bytes: bytes.all,
                 worst_ten: bytes.worst,
-                records: life.watch.live(),
-                welcomes: life.welcomes,
-                full: life.full,
+                records: proxy.version_monitor.live(),
+                welcomes: proxy.welcomes,
+                full: proxy.full,
             });
-            watchers += life.watch.bytes();
-            breaks.extend(life.watch.breaks().iter().map(|text| (number, text.clone())));
+            watchers += proxy.version_monitor.bytes();
+            breaks.extend(proxy.version_monitor.breaks().iter().map(|text| (number, text.clone())));
         }
-        Answer::Costs { each, watchers, breaks }
+        Response::Costs { each, watchers, breaks }
     }
 
     /// Does what it is told, and answers; whether it goes on.
-    async fn obey(&mut self, order: Order, to: &mut OwnedWriteHalf) -> io::Result<bool> {
-        let answer = match order {
-            Order::Start { hollows, plant } => {
-                self.planted = hollows.iter().map(|h| h.number).min().map(|least| (least, plant));
-                for spec in hollows {
-                    let (number, life) = (spec.number, Life::new(&spec, Plant::None, u32::MAX, &self.shared));
-                    let life = Rc::new(RefCell::new(life));
-                    self.places.insert(number, Place { spec, life, task: None });
+    async fn execute(&mut self, command: Command, to: &mut OwnedWriteHalf) -> io::Result<bool> {
+        let response = match command {
+            Command::Start { proxies, fault } => {
+                self.injected_fault = proxies.iter().map(|h| h.number).min().map(|least| (least, fault));
+                for spec in proxies {
+                    let (number, proxy) = (
+                        spec.number,
+                        SimulatedProxy::new(&spec, InjectedFault::None, u32::MAX, &self.shared),
+                    );
+                    let proxy = Rc::new(RefCell::new(proxy));
+                    self.slots.insert(number, ProxySlot { spec, proxy, task: None });
                 }
-                Answer::Done
+                Response::Done
             }
-            Order::Begin => {
+            Command::Begin => {
                 let _ = self.shared.tallies.borrow_mut().take();
-                for (_, place) in self.alive() {
-                    let mut life = place.life.borrow_mut();
-                    life.counts = true;
-                    life.shim.arm();
+                for (_, slot) in self.running() {
+                    let mut proxy = slot.proxy.borrow_mut();
+                    proxy.counts = true;
+                    proxy.fault_injector.arm();
                 }
-                Answer::Done
+                Response::Done
             }
-            Order::Behind { heads } => self.behind(&heads),
-            Order::Dump { numbers } => {
+            Command::Behind { heads } => self.behind(&heads),
+            Command::Dump { numbers } => {
                 let asked: Option<HashSet<u32>> = numbers.map(|numbers| numbers.into_iter().collect());
-                for (number, place) in self.alive() {
+                for (number, slot) in self.running() {
                     if asked.as_ref().is_none_or(|asked| asked.contains(&number)) {
-                        let records = place.life.borrow().records();
-                        words::write(to, &Answer::Held { number, records }).await?;
+                        let records = slot.proxy.borrow().records();
+                        messages::write(to, &Response::Records { number, records }).await?;
                     }
                 }
-                Answer::Done
+                Response::Done
             }
-            Order::End { numbers } => {
-                for place in numbers.iter().filter_map(|number| self.places.get(number)) {
-                    if let Some(task) = &place.task {
+            Command::End { numbers } => {
+                for slot in numbers.iter().filter_map(|number| self.slots.get(number)) {
+                    if let Some(task) = &slot.task {
                         task.abort();
                     }
                 }
                 for number in numbers {
-                    if let Some(place) = self.places.get_mut(&number) {
-                        place.task = None;
-                        place.life = Rc::new(RefCell::new(Life::new(
-                            &place.spec,
-                            Plant::None,
+                    if let Some(slot) = self.slots.get_mut(&number) {
+                        slot.task = None;
+                        slot.proxy = Rc::new(RefCell::new(SimulatedProxy::new(
+                            &slot.spec,
+                            InjectedFault::None,
                             u32::MAX,
                             &self.shared,
                         )));
                     }
                 }
-                Answer::Done
+                Response::Done
             }
-            Order::Restart { numbers } => {
+            Command::Restart { numbers } => {
                 for (number, expected) in numbers {
                     self.start(number, expected);
                 }
-                Answer::Done
+                Response::Done
             }
-            Order::Tallies => {
+            Command::Tallies => {
                 let (tallies, forgotten) = self.shared.tallies.borrow_mut().take();
-                self.alive().for_each(|(_, place)| place.life.borrow_mut().counts = true);
-                Answer::Tallies { tallies, forgotten }
+                self.running().for_each(|(_, slot)| slot.proxy.borrow_mut().counts = true);
+                Response::Tallies { tallies, forgotten }
             }
-            Order::Costs => self.costs(),
-            Order::Quit => return Ok(false),
+            Command::Costs => self.costs(),
+            Command::Quit => return Ok(false),
         };
-        words::write(to, &answer).await?;
+        messages::write(to, &response).await?;
         Ok(true)
     }
 }
@@ -287,9 +294,9 @@
         stream.set_nodelay(true)?;
         let (mut from, mut to) = stream.into_split();
         let shared = Rc::new(Shared { clock: Clock::start(), tallies: RefCell::default() });
-        let mut house = House { shared, places: BTreeMap::new(), planted: None };
-        while let Some((_, order)) = words::read(&mut from, MAX_WORDS).await? {
-            if !house.obey(order, &mut to).await? {
+        let mut host = ProxyHost { shared, slots: BTreeMap::new(), injected_fault: None };
+        while let Some((_, command)) = messages::read(&mut from, MAX_MESSAGE_BYTES).await? {
+            if !host.execute(command, &mut to).await? {
                 break;
             }
         }
--- a/crates/testbed/src/scale/fleet/strays.rs
+++ b/crates/testbed/src/scale/fleet/stale_sends.rs
@@ -1,9 +1,9 @@
 //! Whether real proxies went on sending to backends that their sources had drained or taken away. Pure.
 
+use super::messages::key_hash;
 use super::model::Model;
 use super::population::Population;
-use super::reach::Reach;
-use super::words::key_hash;
+use super::reachability::Reachability;
 use control_plane::record::{Kind, SourceId, State};
 
 /// What a change may take until no proxy sends to a backend that drains, microseconds: 4 s until it is in force at the
@@ -12,7 +12,12 @@
 
 /// Requests (when, to which backend) that came to a backend long after it was drained or gone, one sentence each.
 #[must_use]
-pub fn strays(arrivals: &[(u64, u32)], model: &Model, population: &Population, reach: &Reach) -> Vec<String> {
+pub fn find_stale_sends(
+    arrivals: &[(u64, u32)],
+    model: &Model,
+    population: &Population,
+    reach: &Reachability,
+) -> Vec<String> {
     let stray = |&(at, number): &(u64, u32)| {
         let instance = population.backends.get(number as usize)?;
         let source = population.region_of_service(instance.service) as SourceId;
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -1,17 +1,17 @@
 //! The pure parts by themselves: each checker must find what it is there for, and find nothing where nothing is wrong.
 
-use super::checker::{Wrong, compare, compare_list};
-use super::in_force::{Audience, Group, InForce, percentile, summary};
+use super::checker::{Mismatch, compare, compare_list};
+use super::fault_injection::FaultInjector;
+use super::messages::{InjectedFault, ReplicaRecord, Tally, key_hash};
 use super::model::{Model, SourceModel};
-use super::plan::{Deed, ScalePlan};
-use super::plant::Shim;
+use super::plan::{PlannedChange, ScalePlan};
 use super::population::Population;
-use super::reach::{Reach, Who, Window};
+use super::propagation::{Audience, Group, Propagation, percentile, summary};
+use super::reachability::{Outage, OutageTarget, Reachability};
 use super::report::{ListRow, Report, StepRow};
 use super::script::{ScaleScript, ScaleScriptError};
-use super::strays::{DRAINED_TIMEOUT, strays};
-use super::watch::Watch;
-use super::words::{Held, Plant, Tally, key_hash};
+use super::stale_sends::{DRAINED_TIMEOUT, find_stale_sends};
+use super::version_monitor::VersionMonitor;
 use control_plane::message::{Message, ServiceRange};
 use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
 use proptest::prelude::*;
@@ -126,20 +126,21 @@
     (script.step[0].seconds, script.step[1].seconds) = (300.0, 300.0);
     let population = Population::draw(&script);
     let plan = ScalePlan::draw(&script, &population);
-    assert!(plan.deeds.windows(2).all(|pair| pair[0].0 <= pair[1].0), "in order");
+    assert!(plan.changes.windows(2).all(|pair| pair[0].0 <= pair[1].0), "in order");
     let half = 300_000_000;
-    let begun = |deed: &Deed| matches!(deed, Deed::Backend { state: State::Draining, .. });
-    let count = |from: u64, to: u64, of: &dyn Fn(&Deed) -> bool| {
-        plan.deeds.iter().filter(|(at, deed)| (from..to).contains(at) && of(deed)).count() as f64
+    let begun =
+        |change: &PlannedChange| matches!(change, PlannedChange::Backend { state: State::Draining, .. });
+    let count = |from: u64, to: u64, of: &dyn Fn(&PlannedChange) -> bool| {
+        plan.changes.iter().filter(|(at, change)| (from..to).contains(at) && of(change)).count() as f64
     };
     // 56,000 a day are 194 in five minutes; four deviations of chance.
     assert!((count(0, half, &begun) - 194.4).abs() < 56.0, "{}", count(0, half, &begun));
     assert!((count(half, 2 * half, &begun) - 1_944.0).abs() < 177.0, "{}", count(half, 2 * half, &begun));
-    let configured = |deed: &Deed| matches!(deed, Deed::Configuration { .. });
+    let configured = |change: &PlannedChange| matches!(change, PlannedChange::Configuration { .. });
     assert!((count(half, 2 * half, &configured) - 451.4).abs() < 85.0);
     let mut states = BTreeMap::<usize, State>::new();
-    for (_, deed) in &plan.deeds {
-        if let Deed::Backend { number, state } = *deed {
+    for (_, change) in &plan.changes {
+        if let PlannedChange::Backend { number, state } = *change {
             let before = states.insert(number, state).unwrap_or(State::Active);
             let follows = matches!(
                 (before, state),
@@ -190,17 +191,17 @@
     for (source, changes) in said().into_iter().enumerate() {
         let one = model.entry(source as u16).or_default();
         let last = version(5, changes.len() as u64);
-        one.wrote(&changes, last, 1_000, Some(0));
+        one.record_write(&changes, last, 1_000, Some(0));
     }
     model
 }
 
-fn held(source: u16, revision: u64, change: Change) -> Held {
-    Held::of(source, &record(5, revision, change))
+fn held(source: u16, revision: u64, change: Change) -> ReplicaRecord {
+    ReplicaRecord::of(source, &record(5, revision, change))
 }
 
 /// What somebody with services 0, 1 and 2 holds.
-fn right() -> Vec<Held> {
+fn right() -> Vec<ReplicaRecord> {
     vec![
         held(0, 1, change(0, "a", State::Active, "a")),
         held(0, 4, change(0, "b", State::Draining, "b")),
@@ -209,7 +210,7 @@
     ]
 }
 
-fn wrong(held: &[Held]) -> Vec<Wrong> {
+fn wrong(held: &[ReplicaRecord]) -> Vec<Mismatch> {
     let scope = BTreeSet::from([0, 1, 2]);
     compare(&model(), &scope, source_of, held).into_iter().map(|difference| difference.wrong).collect()
 }
@@ -217,8 +218,8 @@
 #[test]
 fn the_checker_finds_each_kind_of_difference_and_none_where_there_is_none() {
     assert_eq!(wrong(&right()), []);
-    let with = |held: Held| [right(), vec![held]].concat();
-    let but = |place: usize, held: Held| {
+    let with = |held: ReplicaRecord| [right(), vec![held]].concat();
+    let but = |place: usize, held: ReplicaRecord| {
         let mut all = right();
         all[place] = held;
         all
@@ -226,22 +227,22 @@
     for place in 0..4 {
         let mut fewer = right();
         fewer.remove(place);
-        assert_eq!(wrong(&fewer), [Wrong::Missing], "{place}");
+        assert_eq!(wrong(&fewer), [Mismatch::Missing], "{place}");
     }
     let stale = held(0, 3, change(2, "c", State::Active, "c"));
-    assert_eq!(wrong(&with(stale)), [Wrong::NotThere], "a drain that was never heard of");
+    assert_eq!(wrong(&with(stale)), [Mismatch::NotThere], "a drain that was never heard of");
     let stray = held(1, 2, change(3, "f", State::Active, "f"));
-    assert_eq!(wrong(&with(stray)), [Wrong::OutOfScope]);
-    assert_eq!(wrong(&with(right()[0].clone())), [Wrong::Twice, Wrong::NotThere]);
+    assert_eq!(wrong(&with(stray)), [Mismatch::OutOfScope]);
+    assert_eq!(wrong(&with(right()[0].clone())), [Mismatch::Twice, Mismatch::NotThere]);
     let old = held(0, 2, change(0, "b", State::Active, "b"));
-    assert_eq!(wrong(&but(1, old)), [Wrong::Version]);
+    assert_eq!(wrong(&but(1, old)), [Mismatch::Version]);
     let undone = held(0, 4, change(0, "b", State::Active, "b"));
-    assert_eq!(wrong(&but(1, undone)), [Wrong::State]);
+    assert_eq!(wrong(&but(1, undone)), [Mismatch::State]);
     let spoilt = held(0, 1, change(0, "a", State::Active, "A"));
-    assert_eq!(wrong(&but(0, spoilt)), [Wrong::Body]);
+    assert_eq!(wrong(&but(0, spoilt)), [Mismatch::Body]);
     let foreign = held(1, 1, change(0, "a", State::Active, "a"));
-    assert_eq!(wrong(&but(0, foreign)), [Wrong::NotThere], "another source's");
-    assert_eq!(wrong(&[]), [Wrong::Missing; 4]);
+    assert_eq!(wrong(&but(0, foreign)), [Mismatch::NotThere], "another source's");
+    assert_eq!(wrong(&[]), [Mismatch::Missing; 4]);
 }
 
 #[test]
@@ -286,12 +287,12 @@
 
 #[test]
 fn a_source_that_lost_its_last_changes_is_believed_only_where_it_has_a_cut_of_what_was_said() {
-    let of = |revisions: &[(u64, Change)]| -> Vec<Held> {
+    let of = |revisions: &[(u64, Change)]| -> Vec<ReplicaRecord> {
         revisions.iter().map(|(revision, change)| held(0, *revision, change.clone())).collect()
     };
     let active = |service, name: &str| change(service, name, State::Active, name);
     let cut = of(&[(1, active(0, "a")), (2, active(0, "b")), (3, active(2, "c"))]);
-    let restarted = |held: &[Held], head| {
+    let restarted = |held: &[ReplicaRecord], head| {
         let mut source = model().remove(&0).expect("it is there");
         source.restarted(held, head).map(|lost| (lost, source.head, source.live(0), source.live(2)))
     };
@@ -309,10 +310,10 @@
 fn after_a_loss_what_was_lost_counts_no_more_and_revisions_go_on() {
     let mut source = SourceModel::default();
     let active = |name: &str| change(0, name, State::Active, name);
-    source.wrote(&[active("a"), change(0, "a", State::Draining, "a")], version(1, 2), 10, Some(0));
-    let kept = [Held::of(0, &record(1, 1, active("a")))];
+    source.record_write(&[active("a"), change(0, "a", State::Draining, "a")], version(1, 2), 10, Some(0));
+    let kept = [ReplicaRecord::of(0, &record(1, 1, active("a")))];
     assert_eq!(source.restarted(&kept, version(2, 1)), Ok(1));
-    source.wrote(&[change(0, "a", State::Gone, "")], version(2, 2), 20, Some(0));
+    source.record_write(&[change(0, "a", State::Gone, "")], version(2, 2), 20, Some(0));
     let key = key_hash(0, Kind::Backend, "a");
     let states: Vec<State> = source.history(key).map(|said| said.state).collect();
     assert_eq!(states, [State::Active, State::Gone]);
@@ -343,10 +344,10 @@
     let audience = Everybody(vec![(group(3), 2), (group(7), 1), (group(9), 5)]);
     let mut model = Model::new();
     let source = model.entry(0).or_default();
-    source.wrote(&[change(0, "a", State::Active, "1")], version(1, 1), 1_000, None);
-    source.wrote(&[change(0, "a", State::Draining, "1")], version(1, 2), 2_000, Some(0));
-    source.wrote(&[change(0, "a", State::Gone, "")], version(1, 3), 3_000, Some(1));
-    source.wrote(&[change(5, "b", State::Active, "1")], version(1, 4), 3_000, Some(1));
+    source.record_write(&[change(0, "a", State::Active, "1")], version(1, 1), 1_000, None);
+    source.record_write(&[change(0, "a", State::Draining, "1")], version(1, 2), 2_000, Some(0));
+    source.record_write(&[change(0, "a", State::Gone, "")], version(1, 3), 3_000, Some(1));
+    source.record_write(&[change(5, "b", State::Active, "1")], version(1, 4), 3_000, Some(1));
     let key = key_hash(0, Kind::Backend, "a");
     let tally = |zone, from, to, count, last| Tally {
         source: 0,
@@ -357,7 +358,7 @@
         count,
         last,
     };
-    let mut in_force = InForce::default();
+    let mut in_force = Propagation::default();
     // One takes both; the other one of zone 3 hears of the second alone; zone 7 likewise.
     in_force.take(&model, 0, &[tally(3, 1, 2, 1, 2_100), tally(3, 2, 3, 1, 3_100)]);
     in_force.take(&model, 0, &[tally(3, 1, 3, 1, 4_000)]);
@@ -384,11 +385,11 @@
 #[test]
 fn whoever_was_cut_off_stopped_or_gone_is_counted_from_when_it_could_be_reached() {
     let population = Population::draw(&script(SMALL));
-    let mut reach = Reach::new(&population, 2);
-    let window = |who| Window { who, from: 1_000_000, to: 2_000_000 };
+    let mut reach = Reachability::new(&population, 2);
+    let window = |who| Outage { target: who, from: 1_000_000, to: 2_000_000 };
     let group = |process, zone| Group { process, zone };
-    let at = |reach: &Reach, source, group| reach.reachable(source, group, 1_500_000);
-    reach.windows = vec![window(Who::Region(0))];
+    let at = |reach: &Reachability, source, group| reach.reachable(source, group, 1_500_000);
+    reach.outages = vec![window(OutageTarget::Region(0))];
     // Zones 0 and 2 are region 0's.
     assert_eq!(at(&reach, 0, group(0, 0)), Some(1_500_000), "its own source");
     assert_eq!(at(&reach, 1, group(0, 2)), Some(2_000_000), "the others' source");
@@ -397,9 +398,9 @@
     assert_eq!(reach.reachable(1, group(0, 0), 2_000_000), Some(2_000_000), "it is over");
     assert_eq!(reach.reachable(1, group(0, 0), 100), Some(100), "long before");
     assert_eq!(reach.latest(1, 1_500_000), 2_000_000);
-    reach.windows = vec![window(Who::Process(1))];
+    reach.outages = vec![window(OutageTarget::Process(1))];
     assert_eq!((at(&reach, 0, group(0, 0)), at(&reach, 0, group(1, 0))), (Some(1_500_000), Some(2_000_000)));
-    reach.windows = vec![window(Who::Zone(2))];
+    reach.outages = vec![window(OutageTarget::Zone(2))];
     assert_eq!((at(&reach, 0, group(0, 0)), at(&reach, 0, group(0, 2))), (Some(1_500_000), None));
     let must: u32 = (0..500).flat_map(|service| reach.of(service)).map(|(_, count)| count).sum();
     assert_eq!(must, 500 * 16, "each proxy and service of its scope once");
@@ -408,22 +409,23 @@
 #[test]
 fn a_request_to_a_backend_that_was_drained_long_before_is_found() {
     let population = Population::draw(&script(SMALL));
-    let mut reach = Reach::new(&population, 2);
+    let mut reach = Reachability::new(&population, 2);
     let service = population.backends[7].service;
     let source = population.region_of_service(service) as u16;
     let said = |state, body: &str| [change(service, "b7", state, body)];
     let mut model = Model::new();
     let one = model.entry(source).or_default();
-    one.wrote(&said(State::Active, "1"), version(1, 1), 100, None);
-    one.wrote(&said(State::Draining, "1"), version(1, 2), 1_000_000, Some(0));
-    one.wrote(&said(State::Gone, ""), version(1, 3), 5_000_000, Some(0));
-    one.wrote(&said(State::Active, "2"), version(1, 4), 30_000_000, Some(0));
+    one.record_write(&said(State::Active, "1"), version(1, 1), 100, None);
+    one.record_write(&said(State::Draining, "1"), version(1, 2), 1_000_000, Some(0));
+    one.record_write(&said(State::Gone, ""), version(1, 3), 5_000_000, Some(0));
+    one.record_write(&said(State::Active, "2"), version(1, 4), 30_000_000, Some(0));
     let told = 1_000_000 + DRAINED_TIMEOUT;
-    let found = |reach: &Reach, at| strays(&[(at, 7), (at, 8)], &model, &population, reach).len();
+    let found =
+        |reach: &Reachability, at| find_stale_sends(&[(at, 7), (at, 8)], &model, &population, reach).len();
     let times = [500_000, told, told + 1, 29_999_999, 30_000_001];
     assert_eq!(times.map(|at| found(&reach, at)), [0, 0, 1, 1, 0]);
     // Where its source and somebody were cut off from one another, from the end of that on.
-    reach.windows = vec![Window { who: Who::Region(0), from: 900_000, to: 8_000_000 }];
+    reach.outages = vec![Outage { target: OutageTarget::Region(0), from: 900_000, to: 8_000_000 }];
     assert_eq!((found(&reach, told + 1), found(&reach, 8_000_001 + DRAINED_TIMEOUT)), (0, 1));
 }
 
@@ -436,7 +438,7 @@
 fn the_watcher_sees_older_words_and_undone_drains_but_for_a_new_life_of_the_source() {
     let active = |revision| record(1, revision, change(0, "a", State::Active, "a"));
     let drained = record(1, 5, change(0, "a", State::Draining, "a"));
-    let mut watch = Watch::default();
+    let mut watch = VersionMonitor::default();
     watch.heard(&batch(1, Vec::new()));
     assert_eq!(watch.applied(0, &active(3)), Version::default());
     assert_eq!(watch.applied(0, &drained), version(1, 3));
@@ -445,7 +447,7 @@
     assert!(watch.breaks()[0].starts_with("a drain undone"), "{:?}", watch.breaks());
     watch.applied(0, &active(4));
     assert!(watch.breaks()[1].starts_with("an older version"), "the same once more: {:?}", watch.breaks());
-    let mut watch = Watch::default();
+    let mut watch = VersionMonitor::default();
     watch.applied(0, &drained);
     watch.heard(&batch(2, Vec::new()));
     watch.applied(0, &active(3));
@@ -459,7 +461,7 @@
     let one = || record(1, 3, change(0, "a", State::Active, "a"));
     let two = || record(1, 4, change(0, "b", State::Active, "b"));
     let whole = batch(1, vec![one(), two()]);
-    let mut none = Shim::new(Plant::None);
+    let mut none = FaultInjector::new(InjectedFault::None);
     none.arm();
     assert_eq!(none.pass(whole.clone()), Some(whole.clone()));
 
@@ -467,23 +469,23 @@
         Some(Message::Batch { records, scope_digest: None, .. }) => records,
         other => panic!("{other:?}"),
     };
-    let mut drop = Shim::new(Plant::Drop);
+    let mut drop = FaultInjector::new(InjectedFault::Drop);
     assert_eq!(records(drop.pass(whole.clone())), [one(), two()], "not before it is armed");
     drop.arm();
     assert_eq!(records(drop.pass(whole.clone())), [two()]);
     assert_eq!(records(drop.pass(batch(1, vec![two(), one()]))), [two()], "the same record again, no other");
 
-    let mut digest = Shim::new(Plant::Digest);
+    let mut digest = FaultInjector::new(InjectedFault::Digest);
     digest.arm();
     let spoilt = records(digest.pass(whole.clone()));
     assert_eq!((spoilt[0].version, &*spoilt[0].body, &spoilt[1]), (one().version, &b"`"[..], &two()));
 
     let services = |count| Scope::Services((0..count).collect());
     let hello = |scope| Message::Hello { protocol: 1, name: "n".into(), scope, positions: Vec::new() };
-    assert_eq!(Shim::new(Plant::Scope).out(hello(services(4))), hello(services(3)));
-    assert_eq!(Shim::new(Plant::Drop).out(hello(services(4))), hello(services(4)));
+    assert_eq!(FaultInjector::new(InjectedFault::Scope).out(hello(services(4))), hello(services(3)));
+    assert_eq!(FaultInjector::new(InjectedFault::Drop).out(hello(services(4))), hello(services(4)));
 
-    let mut epoch = Shim::new(Plant::Epoch);
+    let mut epoch = FaultInjector::new(InjectedFault::Epoch);
     assert_eq!(records(epoch.pass(whole)).len(), 2);
     match epoch.pass(batch(2, vec![one()])) {
         Some(Message::Batch { epoch: 1, records, .. }) => assert_eq!(records, [one()]),
--- a/crates/testbed/src/scale/fleet/watch.rs
+++ b/crates/testbed/src/scale/fleet/version_monitor.rs
@@ -1,7 +1,7 @@
 //! Looks over a subscriber's shoulder: every record that came into force must be newer than what was in force, unless its
 //! source has begun a new life since. Keeps its own table and asks the subscriber nothing. Pure.
 
-use super::words::{Tally, key_hash};
+use super::messages::{Tally, key_hash};
 use control_plane::message::Message;
 use control_plane::record::{Epoch, Record, SourceId, State, Version};
 use rustc_hash::FxHashMap;
@@ -13,14 +13,14 @@
 
 /// The watcher of one subscriber.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct VersionMonitor {
     held: FxHashMap<(SourceId, u64), (Version, State)>,
     heard: FxHashMap<SourceId, Epoch>,
     live: u32,
     breaks: Vec<String>,
 }
 
-impl Watch {
+impl VersionMonitor {
     /// What the link brought, before the subscriber has it: tells which life of a source was heard of.
     pub fn heard(&mut self, message: &Message) {
         let (Message::Batch { source, epoch, .. }
--- a/crates/testbed/tests/scale_fleet.rs
+++ b/crates/testbed/tests/scale_fleet.rs
@@ -8,10 +8,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
 use testbed::fleet::Machine;
+use testbed::scale::fleet::messages::InjectedFault;
 use testbed::scale::fleet::report::Report;
-use testbed::scale::fleet::script::{ScaleScript, Step, What};
-use testbed::scale::fleet::words::Plant;
-use testbed::scale::fleet::{ScaleError, Setting, play};
+use testbed::scale::fleet::script::{ScaleScript, Step, StepKind};
+use testbed::scale::fleet::{RunOptions, ScaleError, play};
 
 /// Control's program.
 fn control() -> PathBuf {
@@ -19,11 +19,11 @@
     BUILT.get_or_init(|| built("control-plane", "control-plane")).clone()
 }
 
-fn setting() -> Setting {
+fn setting() -> RunOptions {
     let (control, proxy) = (control(), program());
     let machine =
         Machine { proxy, keeper: KEEPER.into(), memory_mb: 32, descriptors: 256, threads: 1, slack: 0 };
-    Setting { control, machine, lists: Vec::new() }
+    RunOptions { control, machine, lists: Vec::new() }
 }
 
 fn small() -> ScaleScript {
@@ -58,9 +58,9 @@
 }
 
 /// Sixty hollow proxies, of which the first has a fault planted; one step.
-fn planted(plant: Plant, what: What) -> Report {
+fn planted(plant: InjectedFault, what: StepKind) -> Report {
     let mut script = small();
-    script.plant = plant;
+    script.injected_fault = plant;
     script.patience_s = 12.0;
     let size = &mut script.size;
     (size.subscribers, size.processes, size.relays, size.zones, size.real) = (60, 2, 2, 2, 0);
@@ -79,14 +79,14 @@
 
 #[test]
 fn without_a_planted_fault_nothing_is_found() {
-    let report = planted(Plant::None, What::SourceRestarted);
+    let report = planted(InjectedFault::None, StepKind::SourceRestarted);
     assert_eq!(report.breaks, [] as [String; 0]);
     assert!(report.steps[0].lost > 0);
 }
 
 #[test]
 fn a_change_that_is_dropped_silently_is_found() {
-    let report = planted(Plant::Drop, What::Ordinary);
+    let report = planted(InjectedFault::Drop, StepKind::Ordinary);
     let missed = |how| report.breaks.iter().any(|text| text.contains(how));
     found(&report, "proxy 0");
     assert!(missed("Missing") || missed("Version") || missed("NotThere"), "{:?}", report.breaks);
@@ -94,24 +94,24 @@
 
 #[test]
 fn a_scope_that_is_off_by_one_service_is_found() {
-    found(&planted(Plant::Scope, What::Ordinary), "Missing");
+    found(&planted(InjectedFault::Scope, StepKind::Ordinary), "Missing");
 }
 
 #[test]
 fn an_epoch_that_is_ignored_is_found() {
-    let report = planted(Plant::Epoch, What::SourceRestarted);
+    let report = planted(InjectedFault::Epoch, StepKind::SourceRestarted);
     assert!(report.steps[0].lost > 0);
     found(&report, "Version");
 }
 
 #[test]
 fn a_digest_that_is_never_compared_is_found() {
-    found(&planted(Plant::Digest, What::Ordinary), "Body");
+    found(&planted(InjectedFault::Digest, StepKind::Ordinary), "Body");
 }
 
 #[test]
 fn a_program_that_does_not_come_up_is_named() {
-    let setting = Setting { control: "/bin/false".into(), ..setting() };
+    let setting = RunOptions { control: "/bin/false".into(), ..setting() };
     match play(&small(), &setting) {
         Err(ScaleError::Ended(name, ..)) => assert_eq!(name, "source-0"),
         other => panic!("{other:?}"),
