--- a/crates/testbed/src/scale/fleet/checker.rs
+++ b/crates/testbed/src/scale/fleet/checker.rs
@@ -1,5 +1,5 @@
-//! Whether what a subscriber holds is what its sources say, record by record. Compares versions, states and bodies; digests
-//! have no part in it. Pure.
+//! Compares a replica with the changes that its sources acknowledged, record by record: versions, states and bodies. Does
+//! not rely on digests, and does no I/O.
 
 use super::messages::ReplicaRecord;
 use super::model::Model;
@@ -7,48 +7,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What is wrong with one record.
+/// Kind of a difference between a replica and the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mismatch {
-    /// It is not there.
+    /// The replica lacks the record.
     Missing,
-    /// It is there, and its source does not have it (any more).
+    /// The replica has a record that its source does not have (any more).
     NotThere,
-    /// It is there twice.
+    /// The replica has the record twice.
     Twice,
-    /// It is of a service that is not in scope.
+    /// The record's service is not in scope.
     OutOfScope,
-    /// It has another version.
+    /// The version differs.
     Version,
-    /// The version is right, the state is not.
+    /// The versions are equal, the states differ.
     State,
-    /// Version and state are right, the body is not.
+    /// Versions and states are equal, the bodies differ.
     Body,
 }
 
-/// One record of one subscriber that is not as it should be.
+/// One record of a replica that differs from the model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// What.
-    pub wrong: Mismatch,
-    /// Of which source.
+    /// The kind of difference.
+    pub mismatch: Mismatch,
+    /// The source.
     pub source: SourceId,
-    /// Of which service.
+    /// The service.
     pub service: ServiceId,
-    /// Of which kind.
+    /// The record's kind.
     pub kind: Kind,
-    /// The record.
+    /// The record's name.
     pub name: String,
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { wrong, source, service, kind, name } = self;
-        write!(f, "{wrong:?}: {kind:?} {name} of service {service}, source {source}")
+        let Self { mismatch, source, service, kind, name } = self;
+        write!(f, "{mismatch:?}: {kind:?} {name} of service {service}, source {source}")
     }
 }
 
-/// All that is wrong with what a subscriber of this scope holds, by record. `source_of` says whose a service is.
+/// All differences between the model and the replica of a subscriber with this scope. `source_of` gives a service's source.
 #[must_use]
 pub fn compare(
     model: &Model,
@@ -59,8 +59,8 @@
     let mut differences = Vec::new();
     let mut by_place: Vec<&ReplicaRecord> = held.iter().collect();
     by_place.sort_unstable_by(|a, b| (a.service, a.kind, &a.name).cmp(&(b.service, b.kind, &b.name)));
-    let difference = |wrong, h: &ReplicaRecord| Difference {
-        wrong,
+    let difference = |mismatch, h: &ReplicaRecord| Difference {
+        mismatch,
         source: h.source,
         service: h.service,
         kind: h.kind,
@@ -71,7 +71,7 @@
             differences.push(difference(Mismatch::Twice, pair[1]));
         }
     }
-    // Both sides by service, kind and name: walked together, each record is met once.
+    // Both sides are sorted by service, kind and name, so one merge pass visits each record once.
     let mut upto = 0;
     for &service in scope {
         let source = source_of(service);
@@ -79,9 +79,9 @@
         differences.extend(by_place[upto..from].iter().map(|h| difference(Mismatch::OutOfScope, h)));
         upto = from + by_place[from..].partition_point(|h| h.service == service);
         let records = model.get(&source).and_then(|model| model.services.get(&service));
-        let mut said = records.into_iter().flatten().filter(|(_, s)| s.state != State::Gone).peekable();
+        let mut expected = records.into_iter().flatten().filter(|(_, s)| s.state != State::Gone).peekable();
         let missing = |(kind, name): &(Kind, String)| Difference {
-            wrong: Mismatch::Missing,
+            mismatch: Mismatch::Missing,
             source,
             service,
             kind: *kind,
@@ -89,31 +89,31 @@
         };
         for record in &by_place[from..upto] {
             let place = (record.kind, record.name.as_str());
-            while let Some((key, _)) = said.next_if(|((kind, name), _)| (*kind, name.as_str()) < place) {
+            while let Some((key, _)) = expected.next_if(|((kind, name), _)| (*kind, name.as_str()) < place) {
                 differences.push(missing(key));
             }
-            let stands = said.next_if(|((kind, name), _)| (*kind, name.as_str()) == place);
-            let wrong = match stands {
+            let current = expected.next_if(|((kind, name), _)| (*kind, name.as_str()) == place);
+            let mismatch = match current {
                 None => Mismatch::NotThere,
                 Some(_) if record.source != source => Mismatch::NotThere,
-                Some((_, stands)) if stands.version != record.version => Mismatch::Version,
-                Some((_, stands)) if stands.state != record.state => Mismatch::State,
-                Some((_, stands)) if stands.body != record.body => Mismatch::Body,
+                Some((_, current)) if current.version != record.version => Mismatch::Version,
+                Some((_, current)) if current.state != record.state => Mismatch::State,
+                Some((_, current)) if current.body != record.body => Mismatch::Body,
                 Some(_) => continue,
             };
-            differences.push(difference(wrong, record));
+            differences.push(difference(mismatch, record));
         }
-        differences.extend(said.map(|(key, _)| missing(key)));
+        differences.extend(expected.map(|(key, _)| missing(key)));
     }
     differences.extend(by_place[upto..].iter().map(|h| difference(Mismatch::OutOfScope, h)));
     differences
 }
 
-/// An entry of an agent's list: where it listens, and its phase.
+/// An entry of an agent's list: the backend's address, and its phase.
 pub type Entry = (String, String);
 
-/// What is wrong with the list that an agent of this scope serves by the discovery protocol, by entry. `address_of` gives
-/// where a backend of this name listens.
+/// Describes each entry that differs in the list that an agent of this scope serves by the discovery protocol. `address_of`
+/// gives the address of the backend with this name.
 #[must_use]
 pub fn compare_list(
     model: &Model,
@@ -122,22 +122,22 @@
     address_of: impl Fn(&str) -> String,
     list: &BTreeMap<String, Entry>,
 ) -> Vec<String> {
-    let mut right: BTreeMap<String, Entry> = BTreeMap::new();
+    let mut expected: BTreeMap<String, Entry> = BTreeMap::new();
     for &service in scope {
         let records = model.get(&source_of(service)).and_then(|model| model.services.get(&service));
-        for ((kind, name), stands) in records.into_iter().flatten() {
-            let phase = match stands.state {
+        for ((kind, name), current) in records.into_iter().flatten() {
+            let phase = match current.state {
                 State::Active => "active",
                 State::Draining => "leaving",
                 State::Gone => continue,
             };
             if *kind == Kind::Backend {
                 let id = if scope.len() == 1 { name.clone() } else { format!("{service}/{name}") };
-                right.insert(id, (address_of(name), phase.to_owned()));
+                expected.insert(id, (address_of(name), phase.to_owned()));
             }
         }
     }
-    let ids: BTreeSet<&String> = right.keys().chain(list.keys()).collect();
-    let differ = ids.into_iter().filter(|&id| right.get(id) != list.get(id));
-    differ.map(|id| format!("{id} is {:?}, not {:?}", list.get(id), right.get(id))).collect()
+    let ids: BTreeSet<&String> = expected.keys().chain(list.keys()).collect();
+    let differ = ids.into_iter().filter(|&id| expected.get(id) != list.get(id));
+    differ.map(|id| format!("{id} is {:?}, not {:?}", list.get(id), expected.get(id))).collect()
 }
--- a/crates/testbed/src/scale/fleet/fault_injection.rs
+++ b/crates/testbed/src/scale/fleet/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults that are planted between a link and its subscriber, so that a checker which finds none is known to look. Pure.
+//! Injects faults between a link and its subscriber, to prove that the checks find them. Does no I/O.
 
 use super::messages::InjectedFault;
 use control_plane::message::Message;
@@ -6,29 +6,29 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// The shim of one subscriber.
+/// The fault injector of one subscriber.
 #[derive(Debug)]
 pub struct FaultInjector {
     injected_fault: InjectedFault,
     armed: bool,
-    /// The record that was hit. What is said of it later is hit as well, else a newer word would mend it.
-    hit: Option<Key>,
-    lives: FxHashMap<SourceId, Epoch>,
+    /// The affected record. Its later versions are affected as well, else they would repair it.
+    target: Option<Key>,
+    first_epochs: FxHashMap<SourceId, Epoch>,
 }
 
 impl FaultInjector {
-    /// One that plants this.
+    /// An injector of this fault.
     #[must_use]
     pub fn new(plant: InjectedFault) -> Self {
-        Self { injected_fault: plant, armed: false, hit: None, lives: FxHashMap::default() }
+        Self { injected_fault: plant, armed: false, target: None, first_epochs: FxHashMap::default() }
     }
 
-    /// From now on a record may be hit.
+    /// Allows records to be affected from now on.
     pub fn arm(&mut self) {
         self.armed = true;
     }
 
-    /// What the subscriber has to say, as the link carries it.
+    /// The message as the link sends it.
     #[must_use]
     pub fn out(&self, mut message: Message) -> Message {
         if let (InjectedFault::Scope, Message::Hello { scope: Scope::Services(services), .. }) =
@@ -39,31 +39,31 @@
         message
     }
 
-    /// What the link brought, as the subscriber gets it; `None`: not at all.
+    /// The message as the subscriber receives it; `None`: dropped.
     pub fn pass(&mut self, mut message: Message) -> Option<Message> {
         match self.injected_fault {
             InjectedFault::None => {}
-            InjectedFault::Scope => strip(&mut message),
-            InjectedFault::Drop | InjectedFault::Digest => self.strike(&mut message),
-            InjectedFault::Epoch => return self.old_life(message),
+            InjectedFault::Scope => remove_digest(&mut message),
+            InjectedFault::Drop | InjectedFault::Digest => self.affect_record(&mut message),
+            InjectedFault::Epoch => return self.hide_epoch(message),
         }
         Some(message)
     }
 
-    /// Drops or corrupts one record, from the first batch on that brings one in force with a body.
-    fn strike(&mut self, message: &mut Message) {
-        strip(message);
+    /// Drops or corrupts one record: the first active one with a body.
+    fn affect_record(&mut self, message: &mut Message) {
+        remove_digest(message);
         let Message::Batch { records, .. } = message else { return };
-        if self.armed && self.hit.is_none() {
+        if self.armed && self.target.is_none() {
             let first = records.iter().find(|r| r.state == State::Active && !r.body.is_empty());
-            self.hit = first.map(|record| record.key.clone());
+            self.target = first.map(|record| record.key.clone());
         }
-        let Some(hit) = &self.hit else { return };
+        let Some(target) = &self.target else { return };
         if self.injected_fault == InjectedFault::Drop {
-            records.retain(|record| record.key != *hit);
+            records.retain(|record| record.key != *target);
             return;
         }
-        for record in records.iter_mut().filter(|record| record.key == *hit) {
+        for record in records.iter_mut().filter(|record| record.key == *target) {
             let mut body = record.body.to_vec();
             if let Some(byte) = body.last_mut() {
                 *byte ^= 1;
@@ -72,16 +72,16 @@
         }
     }
 
-    /// Everything is of the first life that was heard of, and what would repair the difference does not come.
-    fn old_life(&mut self, mut message: Message) -> Option<Message> {
-        strip(&mut message);
+    /// Replaces each epoch with the source's first one, and drops messages that would repair the difference.
+    fn hide_epoch(&mut self, mut message: Message) -> Option<Message> {
+        remove_digest(&mut message);
         let (Message::Batch { source, epoch, .. }
         | Message::DigestSummary { source, epoch, .. }
         | Message::ServiceSnapshot { source, epoch, .. }) = &mut message
         else {
             return Some(message);
         };
-        let first = *self.lives.entry(*source).or_insert(*epoch);
+        let first = *self.first_epochs.entry(*source).or_insert(*epoch);
         let renewed = *epoch > first;
         *epoch = first;
         let repairs = matches!(message, Message::DigestSummary { .. } | Message::ServiceSnapshot { .. });
@@ -89,8 +89,8 @@
     }
 }
 
-/// Takes the sum of digests out of a message.
-fn strip(message: &mut Message) {
+/// Removes the digest of the scope from a message.
+fn remove_digest(message: &mut Message) {
     if let Message::Batch { scope_digest, .. } = message {
         *scope_digest = None;
     }
--- a/crates/testbed/src/scale/fleet/messages.rs
+++ b/crates/testbed/src/scale/fleet/messages.rs
@@ -1,5 +1,5 @@
-//! What the rig and its hollow processes say to one another, and the frames of every connection here: a length (u32,
-//! big-endian) and the bytes of one value (postcard). The same frames carry control's own messages.
+//! Messages between the testbed and its processes of simulated proxies. A frame is a length (u32, big-endian) and one value
+//! encoded by postcard.
 
 use control_plane::record::{Kind, Record, ServiceId, SourceId, State, Version};
 use serde::de::DeserializeOwned;
@@ -10,20 +10,19 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use twox_hash::XxHash3_64;
 
-/// The longest frame between the rig and a hollow process, bytes: the scopes of hundreds of subscribers, or a part of
-/// what they counted.
+/// Upper bound of a frame between the testbed and a process of simulated proxies, bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// The machine's clock, microseconds of Unix time: the same one in all processes of a run.
+/// The machine's clock, microseconds of Unix time: all processes of a run share it.
 #[must_use]
 pub fn now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// Reads one value, and says how many bytes it had. `None`: the connection ended between two frames.
+/// Reads one value and its size in bytes. `None`: the connection ended between two frames.
 ///
 /// # Errors
-/// Where the connection breaks, a frame is longer than `most`, or it holds something else.
+/// If the connection breaks, a frame is longer than `most`, or its value can't be decoded.
 pub async fn read<T: DeserializeOwned>(
     from: &mut (impl AsyncRead + Unpin),
     most: usize,
@@ -44,10 +43,10 @@
     Ok(Some((length + 4, value)))
 }
 
-/// Writes one value; gives how many bytes it had.
+/// Writes one value and returns its size in bytes.
 ///
 /// # Errors
-/// Where the connection breaks.
+/// If the connection breaks, or the value is too large for a frame.
 pub async fn write<T: Serialize + ?Sized>(
     to: &mut (impl AsyncWrite + Unpin),
     value: &T,
@@ -61,82 +60,82 @@
     Ok(bytes.len())
 }
 
-/// A hollow proxy, as its process is told.
+/// Configuration of one simulated proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SimulatedProxySpec {
     /// Its number in the population.
     pub number: u32,
     /// Its name.
     pub name: String,
-    /// The group under which it counts: whoever can be reached from the same moment on.
+    /// The group in which its updates are counted: its zone.
     pub group: u16,
-    /// What it wants to hear of, ascending.
+    /// Services that it subscribes to, ascending.
     pub scope: Vec<ServiceId>,
-    /// The relays that it may call: name and address.
+    /// Relays that it may connect to: name and address.
     pub relays: Vec<(String, SocketAddr)>,
 }
 
-/// What is wrong, on purpose, between the link and the subscriber of one hollow proxy.
+/// A fault injected between the link and the subscriber of one simulated proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// One record is dropped from all batches, and all checks with it.
+    /// One record, and all digests, are dropped from all batches.
     Drop,
-    /// Its scope is off by one service.
+    /// Its scope lacks one service.
     Scope,
-    /// It takes no notice of a source's new life.
+    /// A new epoch of a source is ignored.
     Epoch,
     /// A record's body is corrupted, and digests are never compared.
     Digest,
 }
 
-/// The rig, to a hollow process.
+/// A command from the testbed to a process of simulated proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Begin with these.
+    /// Adds proxies; none of them starts yet.
     Start {
-        /// The hollow proxies.
+        /// The simulated proxies.
         proxies: Vec<SimulatedProxySpec>,
-        /// For the one with the least number here.
+        /// Fault of the proxy with the smallest number here.
         fault: InjectedFault,
     },
-    /// Forget what was counted so far; the planted fault may show from now on.
+    /// Discards the counts so far, and arms the injected fault.
     Begin,
-    /// How many are not as far as this, by source?
+    /// Requests the number of proxies that lag behind these positions.
     Behind {
-        /// How far the sources are.
+        /// Position of each source.
         heads: Vec<(SourceId, Version)>,
     },
-    /// All records, please; of these hollow proxies, or of all that live.
+    /// Requests all records of these simulated proxies, or of all that run.
     Dump {
-        /// Of whom.
+        /// Numbers of the proxies; `None`: all.
         numbers: Option<Vec<u32>>,
     },
-    /// These are gone, with all that they hold.
+    /// Stops proxies and discards their replicas.
     End {
-        /// Who.
+        /// Number of the proxy, or numbers of the proxies.
         numbers: Vec<u32>,
     },
-    /// These start anew and know nothing; those that run end first.
+    /// Restarts proxies with an empty replica.
     Restart {
-        /// Who, and how many records each will hold when it holds all.
+        /// Number of each proxy, and the number of records of its complete replica.
         numbers: Vec<(u32, u32)>,
     },
-    /// What came into force since it was last asked. Whoever started anew since then counts from now on.
+    /// Requests the updates since the last request. Proxies restarted since then are counted from now on.
     Tallies,
-    /// What each one cost since it was last asked, and what was broken.
+    /// Requests the costs since the last request, and the violations found.
     Costs,
-    /// End.
+    /// Ends the process.
     Quit,
 }
 
-/// One record as a hollow proxy holds it.
+/// One record in a simulated proxy's replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaRecord {
-    /// Whose ledger it lies in.
+    /// The source that owns it.
     pub source: SourceId,
     /// The service.
     pub service: ServiceId,
@@ -153,7 +152,7 @@
 }
 
 impl ReplicaRecord {
-    /// A record of a source's ledger.
+    /// The replica's form of a record of this source.
     #[must_use]
     pub fn of(source: SourceId, record: &Record) -> Self {
         Self {
@@ -168,86 +167,86 @@
     }
 }
 
-/// A key as one number; two keys of a run don't meet but by a chance of one in many millions.
+/// Hash of a record's key; collisions within a run are improbable enough to be ignored.
 #[must_use]
 pub fn key_hash(service: ServiceId, kind: Kind, name: &str) -> u64 {
     XxHash3_64::oneshot_with_seed(u64::from(service) << 8 | kind as u64, name.as_bytes())
 }
 
-/// So many subscribers of a group went from one version of a record to another; the last one when.
+/// How many subscribers of a group replaced one version of a record with another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Of which source.
+    /// The source.
     pub source: SourceId,
-    /// Of which record ([`key_hash`]).
+    /// The record's key ([`key_hash`]).
     pub key: u64,
-    /// What they held; zero: nothing.
+    /// The version before; zero: none.
     pub from: Version,
-    /// What they hold now.
+    /// The version after.
     pub to: Version,
     /// The group.
     pub group: u16,
-    /// How many.
+    /// Number of subscribers.
     pub count: u32,
-    /// When the last one did ([`now`]).
+    /// Time of the last replacement ([`now`]).
     pub last: u64,
 }
 
-/// What one hollow proxy cost.
+/// Costs of one simulated proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SimulatedProxyCost {
     /// Its number.
     pub number: u32,
-    /// Bytes that came.
+    /// Bytes received.
     pub bytes: u64,
-    /// Bytes that came in the worst ten seconds.
+    /// Bytes received in the worst ten seconds.
     pub worst_ten: u64,
-    /// Records that it holds.
+    /// Records in force.
     pub records: u32,
-    /// Connections that were welcomed.
+    /// Connections that a relay accepted.
     pub welcomes: u32,
-    /// When it was started last, and when it held 99 of 100 of what it was to hold, by [`now`]; 0: not yet.
+    /// Times of its last start and of holding 99% of its expected records, by [`now`]; 0: not yet.
     pub full: (u64, u64),
 }
 
-/// A hollow process, to the rig.
+/// A response of a process of simulated proxies to the testbed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
     /// Done.
     Done,
-    /// In answer to [`Command::Behind`]: how many, and the first of them.
+    /// Response to [`Command::Behind`]: how many, and the first of them.
     Behind {
-        /// How many are not as far.
+        /// Number of lagging proxies.
         count: u32,
-        /// One of them, and what it lacks.
+        /// One of them, with what it lacks.
         example: Option<String>,
     },
-    /// In answer to [`Command::Dump`], one for each; [`Response::Done`] comes last.
+    /// Response to [`Command::Dump`], one for each; [`Response::Done`] comes last.
     Records {
-        /// Who.
+        /// Number of the proxy, or numbers of the proxies.
         number: u32,
-        /// What it holds.
+        /// Its replica.
         records: Vec<ReplicaRecord>,
     },
-    /// In answer to [`Command::Tallies`].
+    /// Response to [`Command::Tallies`].
     Tallies {
-        /// What came into force.
+        /// Updates since the last request.
         tallies: Vec<Tally>,
-        /// Had no place: must be 0 for figures to hold.
+        /// Updates that exceeded the table's bound; must be 0 for the results to be valid.
         forgotten: u64,
     },
-    /// In answer to [`Command::Costs`].
+    /// Response to [`Command::Costs`].
     Costs {
-        /// By hollow proxy.
+        /// One entry for each simulated proxy.
         each: Vec<SimulatedProxyCost>,
-        /// What the watchers hold, bytes: no part of what a subscriber costs.
+        /// Memory of the version monitors, bytes: not a cost of the subscribers.
         watchers: u64,
-        /// What the watchers saw broken.
+        /// Violations that the version monitors found, by proxy number.
         breaks: Vec<(u32, String)>,
     },
-    /// It can't go on.
+    /// The process can't continue.
     Failed {
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
--- a/crates/testbed/src/scale/fleet/mod.rs
+++ b/crates/testbed/src/scale/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! The scale run: thousands of hollow proxies, real relays and sources, and some real proxies with their agents, through a
-//! script of ordinary and bad moments. What is in force how soon, whether all hold exactly what their sources say, and
-//! what it costs.
+//! The scale run: thousands of simulated proxies, real relays and sources, and some real proxies with their agents, play a
+//! script of ordinary load and faults. It measures the propagation time of changes and the cost of the control plane, and
+//! checks that every replica equals the changes that its sources acknowledged.
 //!
-//! Pure: [`script`], [`population`], [`plan`], [`model`], [`checker`], [`propagation`], [`version_monitor`], [`injected_fault`], [`reachability`], [`stale_sends`],
-//! [`report`]. With I/O: [`simulated_proxy`] and its words, `programs`, `simulated_proxies`, `link_proxy`, `real_proxies`, `network`, `run`.
+//! Without I/O: [`script`], [`population`], [`plan`], [`model`], [`checker`], [`propagation`], [`version_monitor`],
+//! [`fault_injection`], [`reachability`], [`stale_sends`], [`report`]. All other modules do I/O.
 
 pub mod checker;
 pub mod fault_injection;
@@ -31,37 +31,37 @@
 use std::io;
 use thiserror::Error;
 
-/// Why nothing was played, or not to its end.
+/// Why a script could not be played to its end.
 #[derive(Debug, Error)]
 pub enum ScaleError {
-    /// The script.
+    /// The script is invalid.
     #[error(transparent)]
     Script(#[from] script::ScaleScriptError),
-    /// The fleet's script of the real proxies.
+    /// The script of the real proxies is invalid.
     #[error(transparent)]
     Fleet(#[from] crate::script::ScriptError),
     /// A program could not be started.
     #[error("{0} could not be started: {1}")]
     Start(String, io::Error),
-    /// A program ended, or does not do what it is there for.
+    /// A program exited or does not work: its name, what happened, and the end of its log.
     #[error("{0} {1}; its last words: {2}")]
     Ended(String, String, String),
-    /// What a hollow process says.
+    /// The connection to a process of simulated proxies failed.
     #[error("{0} can't be spoken with: {1}")]
     Words(String, io::Error),
-    /// A source did not take a change.
+    /// A source did not acknowledge a change.
     #[error("source {0} took no change: {1}")]
     Write(usize, String),
-    /// What a source says of itself could not be read.
+    /// The records of a source could not be read.
     #[error("source {0} could not be read: {1}")]
     Read(usize, String),
-    /// Not all were equal at the beginning.
+    /// The fleet did not converge before the first step: seconds allowed, and an example.
     #[error("the fleet did not get whole before its first step within {0} s: {1}")]
     NotWhole(f64, String),
-    /// Memory beyond what a run may take.
+    /// The run exceeds its memory bound: megabytes used, and the bound.
     #[error("{0} MB are taken, {1} MB at most; make the script's size smaller, or play a --part of it")]
     Memory(u64, u64),
-    /// Sockets, files or the runtime.
+    /// An error of sockets, files or the runtime.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
--- a/crates/testbed/src/scale/fleet/model.rs
+++ b/crates/testbed/src/scale/fleet/model.rs
@@ -1,5 +1,5 @@
-//! What the rig wrote and its sources acknowledged: the truth against which all is held. It knows nothing of control's own
-//! ledgers and digests. Pure.
+//! Model of the records that the testbed wrote and its sources acknowledged: the reference of all checks. Independent of the
+//! control plane's own stores and digests. Does no I/O.
 
 use super::messages::{ReplicaRecord, key_hash};
 use control_plane::record::{Change, Kind, ServiceId, SourceId, State, Version};
@@ -22,16 +22,16 @@
     pub body: u64,
     /// When it was written, by [`super::messages::now`].
     pub at: u64,
-    /// In which step; `None` before the first one.
+    /// The step in which it was written; `None` before the first one.
     pub step: Option<usize>,
-    /// The source lost it in a restart.
+    /// Whether the source lost it in a restart.
     pub lost: bool,
 }
 
-/// What is known of a record.
+/// The current version of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CurrentRecord {
-    /// Since which change.
+    /// The version of its last change.
     pub version: Version,
     /// Its state.
     pub state: State,
@@ -42,33 +42,33 @@
 /// The records of a service, by kind and name.
 pub type Service = BTreeMap<(Kind, String), CurrentRecord>;
 
-/// One source.
+/// The acknowledged records and changes of one source.
 #[derive(Clone, Debug, Default)]
 pub struct SourceModel {
-    /// Its last change.
+    /// The version of its last change.
     pub head: Version,
-    /// Its services.
+    /// Records by service.
     pub services: FxHashMap<ServiceId, Service>,
-    /// All its changes.
+    /// All changes in the order of their writes.
     pub acknowledged: Vec<AcknowledgedChange>,
     by_key: FxHashMap<u64, Vec<usize>>,
 }
 
-/// Where a source's own word and the model don't agree.
+/// A difference between a restarted source and the model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disagreement(pub String);
 
 impl SourceModel {
-    /// A write was acknowledged: `last` is the version of the last of these changes.
+    /// Records an acknowledged write: `last` is the version of the last of these changes.
     pub fn record_write(&mut self, changes: &[Change], last: Version, at: u64, step: Option<usize>) {
         for (place, change) in changes.iter().enumerate() {
             let back = (changes.len() - 1 - place) as u64;
             let version = Version { epoch: last.epoch, revision: last.revision.saturating_sub(back) };
             let body = XxHash3_64::oneshot(&change.body);
             let key = key_hash(change.key.service, change.key.kind, &change.key.name);
-            let stands = CurrentRecord { version, state: change.state, body };
+            let current = CurrentRecord { version, state: change.state, body };
             let service = self.services.entry(change.key.service).or_default();
-            service.insert((change.key.kind, change.key.name.to_string()), stands);
+            service.insert((change.key.kind, change.key.name.to_string()), current);
             self.by_key.entry(key).or_default().push(self.acknowledged.len());
             let (service, state) = (change.key.service, change.state);
             self.acknowledged.push(AcknowledgedChange {
@@ -94,17 +94,17 @@
         })
     }
 
-    /// What was said of a key, in order, without what the source lost.
+    /// The changes of a key, in order, without those that the source lost.
     pub fn history(&self, key: u64) -> impl Iterator<Item = &AcknowledgedChange> {
         let all = self.by_key.get(&key).into_iter().flatten();
         all.map(|&place| &self.acknowledged[place]).filter(|said| !said.lost)
     }
 
-    /// The source began anew and has only this: everything up to a change of its old life, and nothing later. It becomes
-    /// the truth, if it is what had been said up to there. `head` is of the new life and has the old one's revision.
+    /// Resets the model to a restarted source: `held` must be the state at a prefix of the acknowledged changes. `head` has
+    /// the new epoch and the revision of the prefix. Returns the number of lost changes.
     ///
     /// # Errors
-    /// Where it is no such cut.
+    /// If `held` is no such prefix, or the epoch is not newer.
     pub fn restarted(&mut self, held: &[ReplicaRecord], head: Version) -> Result<usize, Disagreement> {
         let wrong = |text: String| Err(Disagreement(text));
         if head.epoch <= self.head.epoch {
@@ -123,7 +123,7 @@
         let mut services: FxHashMap<ServiceId, Service> = FxHashMap::default();
         for record in held {
             let key = key_hash(record.service, record.kind, &record.name);
-            let stands = CurrentRecord { version: record.version, state: record.state, body: record.body };
+            let current = CurrentRecord { version: record.version, state: record.state, body: record.body };
             match then.get(&key) {
                 Some(said)
                     if (said.version, said.state, said.body)
@@ -131,7 +131,7 @@
                 said => return wrong(format!("{record:?} stands at {head:?}, where {said:?} was said")),
             }
             let service = services.entry(record.service).or_default();
-            service.insert((record.kind, record.name.clone()), stands);
+            service.insert((record.kind, record.name.clone()), current);
         }
         let mut lost = 0;
         for said in
@@ -144,13 +144,13 @@
         Ok(lost)
     }
 
-    /// How many records of a service are not gone.
+    /// Number of records of a service that are not gone.
     #[must_use]
     pub fn live(&self, service: ServiceId) -> usize {
         let records = self.services.get(&service).into_iter().flat_map(BTreeMap::values);
-        records.filter(|stands| stands.state != State::Gone).count()
+        records.filter(|record| record.state != State::Gone).count()
     }
 }
 
-/// All sources by number.
+/// All sources, by number.
 pub type Model = BTreeMap<SourceId, SourceModel>;
--- a/crates/testbed/src/scale/fleet/plan.rs
+++ b/crates/testbed/src/scale/fleet/plan.rs
@@ -1,28 +1,28 @@
-//! What changes when, over all steps of a run: drawn from the seed alone, before anything is started. Pure.
+//! The changes of a run with their times, drawn from the seed alone before any process starts. Does no I/O.
 
 use super::population::Population;
 use super::script::{ScaleScript, Step};
 use control_plane::record::{ServiceId, State};
 
-/// Seconds of a day, over which a script's rates are meant.
+/// Seconds of a day: the unit of a script's rates.
 const DAY_S: f64 = 86_400.0;
-/// A restarted backend is leaving so long, and has left so long, seconds: drawn between the two.
-const LEAVING_S: (f64, f64) = (1.0, 3.0);
-const LEFT_S: (f64, f64) = (0.5, 3.0);
+/// Bounds between which the draining time, and the time away, of a restarted backend are drawn, seconds.
+const DRAINING_S: (f64, f64) = (1.0, 3.0);
+const AWAY_S: (f64, f64) = (0.5, 3.0);
 
-/// One change that is to be made.
+/// One change to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlannedChange {
     /// A backend's state changes.
     Backend {
-        /// Which.
+        /// Its number.
         number: usize,
-        /// To what.
+        /// Its new state.
         state: State,
     },
     /// A service's configuration changes.
     Configuration {
-        /// Whose.
+        /// The service.
         service: ServiceId,
     },
 }
@@ -30,13 +30,13 @@
 /// All changes, by time: microseconds since the run's first step, without the pauses between steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ScalePlan {
-    /// When and what.
+    /// Time and change, ascending by time.
     pub changes: Vec<(u64, PlannedChange)>,
 }
 
 impl ScalePlan {
-    /// Draws it. Events come one by one at random (Poisson); what follows of one may fall into a later step, and what
-    /// would fall behind the last one does not come.
+    /// Draws a plan. Events are a Poisson process; a later state of a backend may fall into a later step, and is dropped
+    /// behind the last one.
     #[must_use]
     pub fn draw(script: &ScaleScript, population: &Population) -> Self {
         let mut rng = fastrand::Rng::with_seed(script.seed ^ 0x0070_6c61_6e00);
@@ -49,8 +49,8 @@
                 events(&mut rng, begins, ends, step, script.changes.restarts_a_day, &population.backends)
             {
                 if busy_until[number] <= at {
-                    let left = at + between(&mut rng, LEAVING_S);
-                    busy_until[number] = left + between(&mut rng, LEFT_S);
+                    let left = at + between(&mut rng, DRAINING_S);
+                    busy_until[number] = left + between(&mut rng, AWAY_S);
                     plan.add(at, PlannedChange::Backend { number, state: State::Draining });
                     plan.add(left, PlannedChange::Backend { number, state: State::Gone });
                     plan.add(busy_until[number], PlannedChange::Backend { number, state: State::Active });
@@ -60,7 +60,7 @@
                 events(&mut rng, begins, ends, step, script.changes.failures_a_day, &population.backends)
             {
                 if busy_until[number] <= at {
-                    busy_until[number] = at + between(&mut rng, LEFT_S);
+                    busy_until[number] = at + between(&mut rng, AWAY_S);
                     plan.add(at, PlannedChange::Backend { number, state: State::Gone });
                     plan.add(busy_until[number], PlannedChange::Backend { number, state: State::Active });
                 }
@@ -88,7 +88,7 @@
     least + rng.f64() * (most - least)
 }
 
-/// When something happens to which of many, by a rate of a day.
+/// Times (seconds) and indices of random events, from a rate per day.
 fn events<T>(
     rng: &mut fastrand::Rng,
     begins: f64,
--- a/crates/testbed/src/scale/fleet/propagation.rs
+++ b/crates/testbed/src/scale/fleet/propagation.rs
@@ -1,11 +1,11 @@
-//! How long changes took from their source's word to the last subscriber in whose scope they are. Pure.
+//! Propagation time of changes, from the write at their source to the last subscriber in scope. Does no I/O.
 
 use super::messages::Tally;
 use super::model::Model;
 use control_plane::record::{ServiceId, SourceId};
 use rustc_hash::FxHashMap;
 
-/// Who hears of something from the same moment on: the hollow proxies of a zone that share a process.
+/// Simulated proxies that become reachable at the same time: those of one zone and one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Group {
     /// The process.
@@ -14,41 +14,42 @@
     pub zone: u16,
 }
 
-/// Who must hear of what, as far as that changes in a run.
+/// The groups that must receive a change, and when they can.
 pub trait Audience {
-    /// The groups that have a service in scope, with how many proxies of each.
+    /// The groups that have a service in scope, with the number of proxies of each.
     fn of(&self, service: ServiceId) -> &[(Group, u32)];
-    /// The moment from which a group can be reached with a change of a source that was written then: that moment, or a
-    /// later one. `None`: the change does not count for this group (its proxies were gone or starting).
+    /// The time from which a group can receive a change that its source wrote at `written`: that time or a later one.
+    /// `None`: the change does not count for this group (its proxies were stopped or starting).
     fn reachable(&self, source: SourceId, group: Group, written: u64) -> Option<u64>;
 }
 
-/// What became of one change.
+/// Propagation of one change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangePropagation {
-    /// In which step it was written.
+    /// The step in which it was written.
     pub step: usize,
-    /// Until the last one had it, microseconds; `None`: somebody never got it, nor a newer one.
+    /// Time until the last subscriber had it, from when that was reachable, microseconds; `None`: a subscriber received
+    /// neither it nor a newer one.
     pub after: Option<u64>,
-    /// Until the last one had it, from the moment it was written, whoever could be reached then.
+    /// As `after`, from the write itself.
     pub after_written: Option<u64>,
 }
 
-/// What came into force, as the processes counted it.
+/// Updates that the processes counted, by change.
 #[derive(Debug, Default)]
 pub struct Propagation {
-    // By source and place among its changes, and group.
+    // By source, index among its changes, and group: the number of subscribers, and the time of the last.
     reached: FxHashMap<(SourceId, usize, Group), (u32, u64)>,
-    /// Tallies that belong to no change of a step.
-    pub strangers: u64,
+    /// Tallies of unknown sources.
+    pub unknown_tallies: u64,
 }
 
 impl Propagation {
-    /// Takes what a process counted.
+    /// Adds the tallies of a process.
     pub fn take(&mut self, model: &Model, process: u16, tallies: &[Tally]) {
         for tally in tallies {
             let Some(source) = model.get(&tally.source) else {
-                self.strangers += 1;
+                self.unknown_tallies += 1;
                 continue;
             };
             let group = Group { process, zone: tally.group };
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What became of each change of the steps that a source still knows of, where anybody has it in scope.
+    /// Propagation of each change that was written in a step, is not lost, and has subscribers.
     #[must_use]
     pub fn changes(&self, model: &Model, audience: &impl Audience) -> Vec<ChangePropagation> {
         let mut all = Vec::new();
@@ -69,10 +70,10 @@
             for (place, said) in source.acknowledged.iter().enumerate() {
                 let Some(step) = said.step.filter(|_| !said.lost) else { continue };
                 let mut reached = ChangePropagation { step, after: Some(0), after_written: Some(0) };
-                let mut anybody = false;
+                let mut has_subscribers = false;
                 for &(group, must) in audience.of(said.service) {
                     let Some(from) = audience.reachable(number, group, said.at) else { continue };
-                    anybody = true;
+                    has_subscribers = true;
                     let got = self.reached.get(&(number, place, group));
                     let last = got.filter(|(count, _)| *count >= must).map(|(_, last)| *last);
                     let since = |from: u64| last.map(|last| last.saturating_sub(from));
@@ -80,7 +81,7 @@
                     reached.after = later(reached.after, since(from));
                     reached.after_written = later(reached.after_written, since(said.at));
                 }
-                if anybody {
+                if has_subscribers {
                     all.push(reached);
                 }
             }
@@ -89,29 +90,29 @@
     }
 }
 
-/// What became of the changes of a step, seconds.
+/// Propagation times of the changes of a step, seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Summary {
-    /// How many.
+    /// Number of changes.
     pub changes: usize,
-    /// How many never reached somebody.
+    /// Changes that a subscriber never received.
     pub never: usize,
-    /// Half of them were in force within.
+    /// Median.
     pub median_s: f64,
-    /// 99 of 100 were.
+    /// 99th percentile.
     pub p99_s: f64,
-    /// All were, but those that never were.
+    /// Maximum, without changes that were never received.
     pub worst_s: f64,
 }
 
-/// The least of all values that so large a part is not above; 0 without values. The values ascend.
+/// The smallest value that is at least as large as this part (0 to 1) of the ascending values; 0 without values.
 #[must_use]
 pub fn percentile(values: &[u64], part: f64) -> u64 {
     let place = (values.len() as f64 * part).ceil() as usize;
     values.get(place.clamp(1, values.len().max(1)) - 1).copied().unwrap_or(0)
 }
 
-/// The figures of one step; `of` picks the time that counts.
+/// Summarizes one step; `of` selects the time.
 #[must_use]
 pub fn summary(
     all: &[ChangePropagation],
--- a/crates/testbed/src/scale/fleet/reachability.rs
+++ b/crates/testbed/src/scale/fleet/reachability.rs
@@ -1,46 +1,45 @@
-//! Who could be reached when: what a script did to links, processes and zones, as it happened. Pure.
+//! Outages of links, processes and zones during a run, and which proxies were reachable when. Does no I/O.
 
 use super::population::Population;
 use super::propagation::{Audience, Group};
 use control_plane::record::{ServiceId, SourceId};
 
-/// What was written so shortly before something went wrong may have been on its way still, microseconds: two hops, and a
-/// relay that is asked once a second by a busy machine.
-const ON_ITS_WAY: u64 = 500_000;
+/// A change written this shortly before an outage may still be in flight when it begins, microseconds.
+const MAX_IN_FLIGHT: u64 = 500_000;
 
-/// Something that kept somebody from being reached, from one moment to another by the machine's clock.
+/// A part of the fleet was unreachable for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// The unreachable part of the fleet.
     pub target: OutageTarget,
-    /// From when on.
+    /// Start, microseconds of Unix time.
     pub from: u64,
-    /// Until when.
+    /// End, microseconds of Unix time.
     pub to: u64,
 }
 
-/// Who could not be reached.
+/// The unreachable part of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageTarget {
-    /// A region and all others, by one another.
+    /// A region: its links to all other regions are interrupted.
     Region(usize),
-    /// The hollow proxies of a process.
+    /// The simulated proxies of a process.
     Process(usize),
-    /// The proxies of a zone, which were gone, or started anew and held all when it was over.
+    /// The proxies of a zone: stopped or restarted, with a complete replica at the end.
     Zone(usize),
 }
 
-/// Who has what in scope, and could be reached when.
+/// Subscribers of each service, and the outages of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
     regions: Vec<usize>,
     by_service: Vec<Vec<(Group, u32)>>,
-    /// What went wrong.
+    /// All outages so far.
     pub outages: Vec<Outage>,
 }
 
 impl Reachability {
-    /// Everybody of a population, dealt out to so many processes by number, can be reached.
+    /// A population without outages, its simulated proxies distributed over this many processes by number.
     #[must_use]
     pub fn new(population: &Population, processes: usize) -> Self {
         let zones = population.proxies.iter().map(|proxy| proxy.zone).max().unwrap_or(0);
@@ -59,8 +58,7 @@
         Self { regions, by_service, outages: Vec::new() }
     }
 
-    /// The moment from which anybody at all could be reached with a change of a source that was written then: the latest of
-    /// all groups.
+    /// The time from which a change of a source that was written at `written` could reach every group, microseconds.
     #[must_use]
     pub fn latest(&self, source: SourceId, written: u64) -> u64 {
         let zones = (0..self.regions.len()).map(|zone| Group { process: 0, zone: zone as u16 });
@@ -78,7 +76,7 @@
         let region = self.regions.get(zone).copied().unwrap_or(0);
         let mut from = written;
         for outage in &self.outages {
-            if !(outage.from.saturating_sub(ON_ITS_WAY)..outage.to).contains(&written) {
+            if !(outage.from.saturating_sub(MAX_IN_FLIGHT)..outage.to).contains(&written) {
                 continue;
             }
             match outage.target {
--- a/crates/testbed/src/scale/fleet/script.rs
+++ b/crates/testbed/src/scale/fleet/script.rs
@@ -1,4 +1,4 @@
-//! What a scale run plays, as a script says it: how large, how much changes, what goes wrong and when.
+//! Scripts of scale runs: the size of the fleet, the rates of changes, and the steps with their faults.
 
 use super::messages::InjectedFault;
 use serde::{Deserialize, Serialize};
@@ -6,36 +6,36 @@
 use std::{fs, io};
 use thiserror::Error;
 
-/// The most of a run, whatever its script says: processes, hollow proxies, seconds of its steps.
+/// Upper bounds of any script: processes, simulated proxies, backends, and seconds of all steps.
 const MAX_PROCESSES: usize = 200;
 const MAX_SUBSCRIBERS: usize = 20_000;
 const MAX_BACKENDS: usize = 500_000;
 const MAX_SECONDS: f64 = 600.0;
 
-/// Why a script can't be played.
+/// Why a script was rejected.
 #[derive(Debug, Error)]
 pub enum ScaleScriptError {
-    /// The file.
+    /// The file can't be read.
     #[error("cannot read {0}: {1}")]
     Read(PathBuf, io::Error),
-    /// Not a script's form.
+    /// The file is no valid TOML, or has unknown or missing keys.
     #[error("{0}: {1}")]
     Form(PathBuf, Box<toml::de::Error>),
-    /// A value that makes no sense.
+    /// A value out of bounds.
     #[error("`{key}`: {what}")]
     Value {
-        /// Where.
+        /// The path of the key.
         key: String,
-        /// What is wrong, and what would be right.
+        /// The value found, and its bounds.
         what: String,
     },
 }
 
-/// How large the fleet is.
+/// Size of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Hollow proxies.
+    /// Simulated proxies.
     pub subscribers: usize,
     /// Processes that they share.
     pub processes: usize,
@@ -61,37 +61,37 @@
     pub requests_per_s: f64,
 }
 
-/// How much changes on an ordinary day, in the whole fleet.
+/// Rates of changes on an ordinary day, in the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rates {
-    /// Backends restarted or replaced: each is leaving, then left, then active anew.
+    /// Backends restarted or replaced: each is draining, then gone, then active again.
     pub restarts_a_day: f64,
-    /// Backends that fail: each has left, and is active anew later.
+    /// Backends that fail: each is gone, and active again later.
     pub failures_a_day: f64,
     /// Changes of a service's configuration.
     pub configurations_a_day: f64,
 }
 
-/// What goes wrong in a step.
+/// The fault that is injected in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StepKind {
-    /// Nothing.
+    /// No fault.
     Ordinary,
-    /// A relay is killed, and started anew after `for_s`.
+    /// A relay is killed, and restarted after `for_s`.
     RelayKilled,
-    /// A relay stands still for `for_s`.
+    /// A relay is suspended (SIGSTOP) for `for_s`.
     RelayStalled,
     /// A region and all others can't reach one another for `for_s`; all sides go on.
     RegionCut,
-    /// A source is killed, and after `for_s` started without what it said in the last moments.
+    /// A source is killed, and restarted after `for_s` from a snapshot that lacks its last changes.
     SourceRestarted,
-    /// A zone's backends and proxies are gone in one moment, and come back after `for_s`.
+    /// All backends and proxies of a zone disappear at once, and return after `for_s`.
     ZoneLost,
-    /// The hollow proxies of one process stand still for `for_s`, and take nothing from their connections.
+    /// One process of simulated proxies is suspended for `for_s`: they read nothing from their connections.
     SubscribersStopped,
-    /// All proxies of a zone restart in one moment.
+    /// All proxies of a zone restart at once.
     ZoneRestarted,
 }
 
@@ -132,7 +132,7 @@
 }
 
 impl Step {
-    /// What goes wrong does so this long after the step's beginning, seconds.
+    /// Time from the step's start until its fault begins, seconds.
     pub const LEAD_S: f64 = 1.0;
 }
 
@@ -148,21 +148,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScaleScript {
-    /// What it is.
+    /// Title of the run.
     pub title: String,
-    /// For all random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How long all may take to be equal after a step, seconds.
+    /// Time allowed for all replicas to converge after a step, seconds.
     #[serde(default = "patience")]
     pub patience_s: f64,
-    /// What is wrong on purpose.
+    /// Fault injected into one simulated proxy, to prove that the checks find it.
     #[serde(default, rename = "plant")]
     pub injected_fault: InjectedFault,
-    /// How large the fleet is.
+    /// Size of the fleet.
     pub size: Size,
-    /// How much changes.
+    /// Rates of changes.
     pub changes: Rates,
-    /// What happens, in this order.
+    /// Steps, in the order in which they are played.
     pub step: Vec<Step>,
 }
 
@@ -170,7 +170,7 @@
     /// Reads a script and checks it.
     ///
     /// # Errors
-    /// Where it can't be read or makes no sense.
+    /// If the file can't be read or a value is out of bounds.
     pub fn read(path: &Path) -> Result<Self, ScaleScriptError> {
         let text = fs::read_to_string(path).map_err(|e| ScaleScriptError::Read(path.into(), e))?;
         Self::parse(&text, path)
@@ -179,7 +179,7 @@
     /// As [`ScaleScript::read`], from its text.
     ///
     /// # Errors
-    /// Where it makes no sense.
+    /// If it can't be parsed or a value is out of bounds.
     pub fn parse(text: &str, path: &Path) -> Result<Self, ScaleScriptError> {
         let script: Self =
             toml::from_str(text).map_err(|e| ScaleScriptError::Form(path.into(), Box::new(e)))?;
@@ -203,73 +203,92 @@
     /// Checks all values.
     ///
     /// # Errors
-    /// The first key whose value makes no sense.
+    /// The first key whose value is out of bounds.
     pub fn check(&self) -> Result<(), ScaleScriptError> {
-        let wrong = |key: &str, what: String| Err(ScaleScriptError::Value { key: key.into(), what });
-        let s = &self.size;
+        self.check_sizes()?;
+        self.check_rates()?;
+        for (number, step) in self.step.iter().enumerate() {
+            self.check_step(number, step)?;
+        }
+        let seconds: f64 = self.step.iter().map(|step| step.seconds).sum();
+        if self.step.is_empty() || seconds > MAX_SECONDS {
+            return invalid("step", format!("{seconds} s in all, must be from 2 to {MAX_SECONDS}"));
+        }
+        Ok(())
+    }
+
+    fn check_sizes(&self) -> Result<(), ScaleScriptError> {
+        let size = &self.size;
         let counts = [
-            ("size.subscribers", s.subscribers, 1, MAX_SUBSCRIBERS),
-            ("size.processes", s.processes, 1, 64),
-            ("size.sources", s.sources, 1, 64),
-            ("size.relays", s.relays, s.sources, 64),
-            ("size.zones", s.zones, s.sources, 256),
-            ("size.services", s.services, s.zones, 100_000),
-            ("size.backends", s.backends, s.services, MAX_BACKENDS),
-            ("size.services_per_proxy", s.services_per_proxy, 1, s.services / 2),
-            ("size.real", s.real, 0, 64),
+            ("size.subscribers", size.subscribers, 1, MAX_SUBSCRIBERS),
+            ("size.processes", size.processes, 1, 64),
+            ("size.sources", size.sources, 1, 64),
+            ("size.relays", size.relays, size.sources, 64),
+            ("size.zones", size.zones, size.sources, 256),
+            ("size.services", size.services, size.zones, 100_000),
+            ("size.backends", size.backends, size.services, MAX_BACKENDS),
+            ("size.services_per_proxy", size.services_per_proxy, 1, size.services / 2),
+            ("size.real", size.real, 0, 64),
         ];
-        for (key, value, least, most) in counts {
-            if value < least || value > most {
-                return wrong(key, format!("{value}, must be from {least} to {most}"));
+        for (key, value, min, max) in counts {
+            if value < min || value > max {
+                return invalid(key, format!("{value}, must be from {min} to {max}"));
             }
         }
-        let processes = s.processes + s.sources + s.relays + 2 * s.real;
+        let processes = size.processes + size.sources + size.relays + 2 * size.real;
         if processes > MAX_PROCESSES {
-            return wrong("size", format!("{processes} processes, {MAX_PROCESSES} at most"));
+            return invalid("size", format!("{processes} processes, {MAX_PROCESSES} at most"));
         }
+        Ok(())
+    }
+
+    fn check_rates(&self) -> Result<(), ScaleScriptError> {
         let numbers = [
-            ("size.local", s.local, 0.0, 1.0),
-            ("size.requests_per_s", s.requests_per_s, 0.0, 1_000.0),
+            ("size.local", self.size.local, 0.0, 1.0),
+            ("size.requests_per_s", self.size.requests_per_s, 0.0, 1_000.0),
             ("patience_s", self.patience_s, 1.0, 120.0),
             ("changes.restarts_a_day", self.changes.restarts_a_day, 0.0, 1e8),
             ("changes.failures_a_day", self.changes.failures_a_day, 0.0, 1e8),
             ("changes.configurations_a_day", self.changes.configurations_a_day, 0.0, 1e8),
         ];
-        for (key, value, least, most) in numbers {
-            if !(least..=most).contains(&value) {
-                return wrong(key, format!("{value}, must be from {least} to {most}"));
+        for (key, value, min, max) in numbers {
+            if !(min..=max).contains(&value) {
+                return invalid(key, format!("{value}, must be from {min} to {max}"));
             }
         }
-        for (number, step) in self.step.iter().enumerate() {
-            let key = |name: &str| format!("step[{number}].{name}");
-            if !(2.0..=MAX_SECONDS).contains(&step.seconds) {
-                return wrong(&key("seconds"), format!("{}, must be from 2 to {MAX_SECONDS}", step.seconds));
-            }
-            if !(0.0..=step.seconds - Step::LEAD_S).contains(&step.for_s) {
-                let most = step.seconds - Step::LEAD_S;
-                return wrong(&key("for_s"), format!("{}, must be from 0 to {most}", step.for_s));
-            }
-            if !(0.0..=1_000.0).contains(&step.times) {
-                return wrong(&key("times"), format!("{}, must be from 0 to 1000", step.times));
-            }
-            let most = match step.what {
-                StepKind::RelayKilled | StepKind::RelayStalled => s.relays,
-                StepKind::RegionCut | StepKind::SourceRestarted => s.sources,
-                StepKind::ZoneLost | StepKind::ZoneRestarted => s.zones,
-                StepKind::SubscribersStopped => s.processes,
-                StepKind::Ordinary => 1,
-            };
-            if step.which >= most {
-                return wrong(&key("which"), format!("{}, must be below {most}", step.which));
-            }
-            if step.what == StepKind::RegionCut && s.sources < 2 {
-                return wrong(&key("what"), "a cut needs two regions; set size.sources to 2 or more".into());
-            }
+        Ok(())
+    }
+
+    fn check_step(&self, number: usize, step: &Step) -> Result<(), ScaleScriptError> {
+        let size = &self.size;
+        let key = |name: &str| format!("step[{number}].{name}");
+        if !(2.0..=MAX_SECONDS).contains(&step.seconds) {
+            return invalid(&key("seconds"), format!("{}, must be from 2 to {MAX_SECONDS}", step.seconds));
         }
-        let seconds: f64 = self.step.iter().map(|step| step.seconds).sum();
-        if self.step.is_empty() || seconds > MAX_SECONDS {
-            return wrong("step", format!("{seconds} s in all, must be from 2 to {MAX_SECONDS}"));
+        if !(0.0..=step.seconds - Step::LEAD_S).contains(&step.for_s) {
+            let most = step.seconds - Step::LEAD_S;
+            return invalid(&key("for_s"), format!("{}, must be from 0 to {most}", step.for_s));
+        }
+        if !(0.0..=1_000.0).contains(&step.times) {
+            return invalid(&key("times"), format!("{}, must be from 0 to 1000", step.times));
+        }
+        let most = match step.what {
+            StepKind::RelayKilled | StepKind::RelayStalled => size.relays,
+            StepKind::RegionCut | StepKind::SourceRestarted => size.sources,
+            StepKind::ZoneLost | StepKind::ZoneRestarted => size.zones,
+            StepKind::SubscribersStopped => size.processes,
+            StepKind::Ordinary => 1,
+        };
+        if step.which >= most {
+            return invalid(&key("which"), format!("{}, must be below {most}", step.which));
+        }
+        if step.what == StepKind::RegionCut && size.sources < 2 {
+            return invalid(&key("what"), "a cut needs two regions; set size.sources to 2 or more".into());
         }
         Ok(())
     }
 }
+
+fn invalid(key: &str, what: String) -> Result<(), ScaleScriptError> {
+    Err(ScaleScriptError::Value { key: key.into(), what })
+}
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_in_a_script_is_named_by_its_key() {
+fn names_the_key_of_an_invalid_script_value() {
     let cases = [
         ("subscribers = 500", "subscribers = 0", "size.subscribers"),
         ("relays = 4", "relays = 1", "size.relays"),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_population_and_plan_and_another_one_others() {
+fn population_and_plan_depend_on_the_seed_alone() {
     let one = script(SMALL);
     let other = ScaleScript { seed: one.seed + 1, ..one.clone() };
     let drawn = |script: &ScaleScript| {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_population_has_the_sizes_that_its_script_says() {
+fn population_has_the_sizes_of_its_script() {
     let script = script(SMALL);
     let population = Population::draw(&script);
     assert_eq!(population.backends.len(), 10_000);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn the_plan_of_two_years_is_a_good_script_and_every_part_of_it() {
+fn full_scale_script_is_valid_at_every_part_size() {
     let whole = script(WHOLE);
     for (part, size) in [(1.0, (5_200, 7_400, 160_000)), (0.25, (1_300, 1_850, 40_000))] {
         let script = whole.clone().part(part);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_plan_has_the_rates_of_its_script_and_every_backend_leaves_before_it_has_left() {
+fn plan_has_the_rates_of_its_script_and_valid_state_transitions() {
     let mut script = script(WHOLE);
     script.step.truncate(2);
     script.size.subscribers = 50;
@@ -171,7 +171,7 @@
     (service % 2) as u16
 }
 
-fn said() -> [Vec<Change>; 2] {
+fn written_changes() -> [Vec<Change>; 2] {
     let active = |service, name| change(service, name, State::Active, name);
     [
         vec![
@@ -188,7 +188,7 @@
 
 fn model() -> Model {
     let mut model = Model::new();
-    for (source, changes) in said().into_iter().enumerate() {
+    for (source, changes) in written_changes().into_iter().enumerate() {
         let one = model.entry(source as u16).or_default();
         let last = version(5, changes.len() as u64);
         one.record_write(&changes, last, 1_000, Some(0));
@@ -196,57 +196,57 @@
     model
 }
 
-fn held(source: u16, revision: u64, change: Change) -> ReplicaRecord {
+fn replica_record(source: u16, revision: u64, change: Change) -> ReplicaRecord {
     ReplicaRecord::of(source, &record(5, revision, change))
 }
 
 /// What somebody with services 0, 1 and 2 holds.
-fn right() -> Vec<ReplicaRecord> {
+fn expected_replica() -> Vec<ReplicaRecord> {
     vec![
-        held(0, 1, change(0, "a", State::Active, "a")),
-        held(0, 4, change(0, "b", State::Draining, "b")),
-        held(0, 6, change(2, "d", State::Active, "d")),
-        held(1, 3, change(1, "e", State::Active, "anew")),
+        replica_record(0, 1, change(0, "a", State::Active, "a")),
+        replica_record(0, 4, change(0, "b", State::Draining, "b")),
+        replica_record(0, 6, change(2, "d", State::Active, "d")),
+        replica_record(1, 3, change(1, "e", State::Active, "anew")),
     ]
 }
 
-fn wrong(held: &[ReplicaRecord]) -> Vec<Mismatch> {
+fn mismatches(held: &[ReplicaRecord]) -> Vec<Mismatch> {
     let scope = BTreeSet::from([0, 1, 2]);
-    compare(&model(), &scope, source_of, held).into_iter().map(|difference| difference.wrong).collect()
+    compare(&model(), &scope, source_of, held).into_iter().map(|difference| difference.mismatch).collect()
 }
 
 #[test]
-fn the_checker_finds_each_kind_of_difference_and_none_where_there_is_none() {
-    assert_eq!(wrong(&right()), []);
-    let with = |held: ReplicaRecord| [right(), vec![held]].concat();
+fn checker_finds_each_kind_of_mismatch_and_none_in_an_equal_replica() {
+    assert_eq!(mismatches(&expected_replica()), []);
+    let with = |held: ReplicaRecord| [expected_replica(), vec![held]].concat();
     let but = |place: usize, held: ReplicaRecord| {
-        let mut all = right();
+        let mut all = expected_replica();
         all[place] = held;
         all
     };
     for place in 0..4 {
-        let mut fewer = right();
+        let mut fewer = expected_replica();
         fewer.remove(place);
-        assert_eq!(wrong(&fewer), [Mismatch::Missing], "{place}");
+        assert_eq!(mismatches(&fewer), [Mismatch::Missing], "{place}");
     }
-    let stale = held(0, 3, change(2, "c", State::Active, "c"));
-    assert_eq!(wrong(&with(stale)), [Mismatch::NotThere], "a drain that was never heard of");
-    let stray = held(1, 2, change(3, "f", State::Active, "f"));
-    assert_eq!(wrong(&with(stray)), [Mismatch::OutOfScope]);
-    assert_eq!(wrong(&with(right()[0].clone())), [Mismatch::Twice, Mismatch::NotThere]);
-    let old = held(0, 2, change(0, "b", State::Active, "b"));
-    assert_eq!(wrong(&but(1, old)), [Mismatch::Version]);
-    let undone = held(0, 4, change(0, "b", State::Active, "b"));
-    assert_eq!(wrong(&but(1, undone)), [Mismatch::State]);
-    let spoilt = held(0, 1, change(0, "a", State::Active, "A"));
-    assert_eq!(wrong(&but(0, spoilt)), [Mismatch::Body]);
-    let foreign = held(1, 1, change(0, "a", State::Active, "a"));
-    assert_eq!(wrong(&but(0, foreign)), [Mismatch::NotThere], "another source's");
-    assert_eq!(wrong(&[]), [Mismatch::Missing; 4]);
+    let stale = replica_record(0, 3, change(2, "c", State::Active, "c"));
+    assert_eq!(mismatches(&with(stale)), [Mismatch::NotThere], "a drain that was never heard of");
+    let stray = replica_record(1, 2, change(3, "f", State::Active, "f"));
+    assert_eq!(mismatches(&with(stray)), [Mismatch::OutOfScope]);
+    assert_eq!(mismatches(&with(expected_replica()[0].clone())), [Mismatch::Twice, Mismatch::NotThere]);
+    let old = replica_record(0, 2, change(0, "b", State::Active, "b"));
+    assert_eq!(mismatches(&but(1, old)), [Mismatch::Version]);
+    let undone = replica_record(0, 4, change(0, "b", State::Active, "b"));
+    assert_eq!(mismatches(&but(1, undone)), [Mismatch::State]);
+    let spoilt = replica_record(0, 1, change(0, "a", State::Active, "A"));
+    assert_eq!(mismatches(&but(0, spoilt)), [Mismatch::Body]);
+    let foreign = replica_record(1, 1, change(0, "a", State::Active, "a"));
+    assert_eq!(mismatches(&but(0, foreign)), [Mismatch::NotThere], "another source's");
+    assert_eq!(mismatches(&[]), [Mismatch::Missing; 4]);
 }
 
 #[test]
-fn an_agents_list_is_right_only_with_every_entry_address_and_phase() {
+fn agent_list_must_match_every_entry_address_and_phase() {
     let entry = |id: &str, phase: &str| {
         let name = id.rsplit('/').next().unwrap_or_default();
         (id.to_owned(), (format!("at {name}"), phase.to_owned()))
@@ -271,8 +271,8 @@
 
 proptest! {
     #[test]
-    fn whatever_one_thing_is_changed_in_what_is_held_it_is_found(place in 0_usize..4, what in 0_usize..6) {
-        let mut all = right();
+    fn checker_finds_any_single_change_of_a_replica(place in 0_usize..4, what in 0_usize..6) {
+        let mut all = expected_replica();
         match what {
             0 => { all.remove(place); }
             1 => all[place].version.revision += 1,
@@ -281,14 +281,14 @@
             4 => all[place].name.push('x'),
             _ => all[place].state = if all[place].state == State::Active { State::Draining } else { State::Active },
         }
-        prop_assert!(!wrong(&all).is_empty());
+        prop_assert!(!mismatches(&all).is_empty());
     }
 }
 
 #[test]
-fn a_source_that_lost_its_last_changes_is_believed_only_where_it_has_a_cut_of_what_was_said() {
+fn restarted_source_must_hold_a_prefix_of_its_acknowledged_changes() {
     let of = |revisions: &[(u64, Change)]| -> Vec<ReplicaRecord> {
-        revisions.iter().map(|(revision, change)| held(0, *revision, change.clone())).collect()
+        revisions.iter().map(|(revision, change)| replica_record(0, *revision, change.clone())).collect()
     };
     let active = |service, name: &str| change(service, name, State::Active, name);
     let cut = of(&[(1, active(0, "a")), (2, active(0, "b")), (3, active(2, "c"))]);
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn after_a_loss_what_was_lost_counts_no_more_and_revisions_go_on() {
+fn lost_changes_are_not_expected_after_a_source_restart() {
     let mut source = SourceModel::default();
     let active = |name: &str| change(0, name, State::Active, name);
     source.record_write(&[active("a"), change(0, "a", State::Draining, "a")], version(1, 2), 10, Some(0));
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_when_the_last_one_has_it_or_a_newer_one() {
+fn change_is_in_force_when_the_last_subscriber_has_it_or_a_newer_one() {
     let group = |zone| Group { process: 0, zone };
     let audience = Everybody(vec![(group(3), 2), (group(7), 1), (group(9), 5)]);
     let mut model = Model::new();
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn percentiles_are_the_least_values_that_so_large_a_part_is_not_above() {
+fn percentile_is_the_smallest_value_at_or_above_its_rank() {
     let values: Vec<u64> = (1..=200).collect();
     let at = |part| percentile(&values, part);
     assert_eq!((at(0.5), at(0.99), at(1.0), at(0.0)), (100, 198, 200, 1));
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn whoever_was_cut_off_stopped_or_gone_is_counted_from_when_it_could_be_reached() {
+fn propagation_to_unreachable_groups_counts_from_the_end_of_the_outage() {
     let population = Population::draw(&script(SMALL));
     let mut reach = Reachability::new(&population, 2);
     let window = |who| Outage { target: who, from: 1_000_000, to: 2_000_000 };
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn a_request_to_a_backend_that_was_drained_long_before_is_found() {
+fn finds_requests_sent_after_the_drain_timeout() {
     let population = Population::draw(&script(SMALL));
     let mut reach = Reachability::new(&population, 2);
     let service = population.backends[7].service;
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn the_watcher_sees_older_words_and_undone_drains_but_for_a_new_life_of_the_source() {
+fn version_monitor_finds_regressions_except_after_a_new_epoch() {
     let active = |revision| record(1, revision, change(0, "a", State::Active, "a"));
     let drained = record(1, 5, change(0, "a", State::Draining, "a"));
     let mut watch = VersionMonitor::default();
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn each_planted_fault_does_what_it_says_and_nothing_else() {
+fn each_injected_fault_changes_only_its_own_messages() {
     let one = || record(1, 3, change(0, "a", State::Active, "a"));
     let two = || record(1, 4, change(0, "b", State::Active, "b"));
     let whole = batch(1, vec![one(), two()]);
@@ -503,7 +503,7 @@
 }
 
 #[test]
-fn a_page_can_take_every_figure_of_a_report_by_its_name_and_size() {
+fn every_report_figure_has_a_unique_name_and_size() {
     let step = |name: &str, times| StepRow { name: name.into(), times, ..StepRow::default() };
     let mut report = Report { size: (5_200, 160_000), real: 16, relays: 20, ..Report::default() };
     report.steps = vec![step("0 ordinary", 1.0), step("1 ordinary", 10.0), step("2 ordinary", 10.0)];
--- a/crates/testbed/src/scale/fleet/version_monitor.rs
+++ b/crates/testbed/src/scale/fleet/version_monitor.rs
@@ -1,17 +1,17 @@
-//! Looks over a subscriber's shoulder: every record that came into force must be newer than what was in force, unless its
-//! source has begun a new life since. Keeps its own table and asks the subscriber nothing. Pure.
+//! Checks that every record that comes into force is newer than the one it replaces, unless its source has a new epoch
+//! since. Keeps a table of its own, independent of the subscriber's. Does no I/O.
 
 use super::messages::{Tally, key_hash};
 use control_plane::message::Message;
 use control_plane::record::{Epoch, Record, SourceId, State, Version};
 use rustc_hash::FxHashMap;
 
-/// Tallies that a process keeps between two questions.
+/// Upper bound of the tallies that a process keeps between two requests.
 const MAX_TALLIES: usize = 4_000_000;
-/// Breaks that are worded for one subscriber.
-const WORDED: usize = 5;
+/// Violations that are described for one subscriber.
+const MAX_DESCRIBED_VIOLATIONS: usize = 5;
 
-/// The watcher of one subscriber.
+/// The monitor of one subscriber.
 #[derive(Debug, Default)]
 pub struct VersionMonitor {
     held: FxHashMap<(SourceId, u64), (Version, State)>,
@@ -21,7 +21,7 @@
 }
 
 impl VersionMonitor {
-    /// What the link brought, before the subscriber has it: tells which life of a source was heard of.
+    /// Notes the epoch of a message before the subscriber receives it.
     pub fn heard(&mut self, message: &Message) {
         let (Message::Batch { source, epoch, .. }
         | Message::DigestSummary { source, epoch, .. }
@@ -33,7 +33,7 @@
         *heard = (*heard).max(*epoch);
     }
 
-    /// A record came into force. Gives the version that was in force before; zero: none.
+    /// Checks a record that came into force. Returns the version in force before; zero: none.
     pub fn applied(&mut self, source: SourceId, record: &Record) -> Version {
         let key = &record.key;
         let held = self
@@ -47,7 +47,7 @@
             _ => {}
         }
         let renewed = self.heard.get(&source).is_some_and(|&heard| heard > before.0.epoch);
-        if record.version <= before.0 && !renewed && self.breaks.len() < WORDED {
+        if record.version <= before.0 && !renewed && self.breaks.len() < MAX_DESCRIBED_VIOLATIONS {
             let undone = before.1 != State::Active && record.state == State::Active;
             let what = if undone { "a drain undone" } else { "an older version over a newer one" };
             self.breaks.push(format!(
@@ -58,39 +58,39 @@
         before.0
     }
 
-    /// How many records are in force.
+    /// Number of records in force.
     #[must_use]
     pub fn live(&self) -> u32 {
         self.live
     }
 
-    /// What was broken so far, the first few.
+    /// Descriptions of the first few violations.
     #[must_use]
     pub fn breaks(&self) -> &[String] {
         &self.breaks
     }
 
-    /// About how much memory it takes, bytes.
+    /// Approximate memory of the monitor, bytes.
     #[must_use]
     pub fn bytes(&self) -> u64 {
-        // A slot and its mark; a table of this kind has room for an eighth more than it may hold.
+        // A slot and its control byte; the table's load factor is 7/8.
         let slot = size_of::<((SourceId, u64), (Version, State))>() + 1;
         (self.held.capacity() * 8 / 7 * slot) as u64
     }
 }
 
-/// Source, record, the version before, the version since, group.
-type Way = (SourceId, u64, Version, Version, u16);
+/// Source, key hash, version before, version after, group.
+type TallyKey = (SourceId, u64, Version, Version, u16);
 
-/// What came into force in a process, summed over subscribers that went the same way.
+/// Updates in a process, summed over subscribers with equal versions before and after.
 #[derive(Debug, Default)]
 pub struct Tallies {
-    counts: FxHashMap<Way, (u32, u64)>,
+    counts: FxHashMap<TallyKey, (u32, u64)>,
     forgotten: u64,
 }
 
 impl Tallies {
-    /// One subscriber of a group went from one version to another.
+    /// Counts one subscriber's update from one version to another.
     pub fn add(&mut self, source: SourceId, record: &Record, from: Version, group: u16, at: u64) {
         let key = key_hash(record.key.service, record.key.kind, &record.key.name);
         let place = (source, key, from, record.version, group);
@@ -102,7 +102,7 @@
         (*count, *last) = (*count + 1, at.max(*last));
     }
 
-    /// All of them; it is empty afterwards.
+    /// Returns all tallies and the number of updates that exceeded the bound, and clears both.
     pub fn take(&mut self) -> (Vec<Tally>, u64) {
         let tallies = self.counts.drain().map(|((source, key, from, to, group), (count, last))| Tally {
             source,
--- a/crates/testbed/tests/scale_fleet.rs
+++ b/crates/testbed/tests/scale_fleet.rs
@@ -1,5 +1,5 @@
-//! A small scale run: hollow proxies, sources, relays and a real proxy as processes. Verdicts come from events and counts:
-//! what the rig wrote and was acknowledged, against what each subscriber holds.
+//! A small scale run: simulated proxies, sources, relays and a real proxy as processes. Results follow from events and counts:
+//! the changes that the sources acknowledged, compared with the replica of each subscriber.
 
 #[path = "shared/program.rs"]
 mod program;
@@ -13,33 +13,33 @@
 use testbed::scale::fleet::script::{ScaleScript, Step, StepKind};
 use testbed::scale::fleet::{RunOptions, ScaleError, play};
 
-/// Control's program.
-fn control() -> PathBuf {
+/// The control plane's executable, built once.
+fn control_plane_program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| built("control-plane", "control-plane")).clone()
 }
 
-fn setting() -> RunOptions {
-    let (control, proxy) = (control(), program());
+fn run_options() -> RunOptions {
+    let (control, proxy) = (control_plane_program(), program());
     let machine =
         Machine { proxy, keeper: KEEPER.into(), memory_mb: 32, descriptors: 256, threads: 1, slack: 0 };
     RunOptions { control, machine, lists: Vec::new() }
 }
 
-fn small() -> ScaleScript {
+fn small_script() -> ScaleScript {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts/scale-small.toml");
     ScaleScript::read(&path).expect("a good script")
 }
 
-fn played(script: &ScaleScript) -> Report {
-    let report = play(script, &setting()).expect("it plays to its end");
+fn play_script(script: &ScaleScript) -> Report {
+    let report = play(script, &run_options()).expect("it plays to its end");
     println!("{report}");
     report
 }
 
 #[test]
-fn all_hold_exactly_what_their_sources_say_after_each_fault() {
-    let report = played(&small());
+fn all_replicas_match_their_sources_after_each_fault() {
+    let report = play_script(&small_script());
     assert_eq!(report.breaks, [] as [String; 0]);
     assert_eq!(report.steps.len(), 3);
     for step in &report.steps {
@@ -57,20 +57,20 @@
     assert_eq!(requests.failed, 0, "{requests:?}");
 }
 
-/// Sixty hollow proxies, of which the first has a fault planted; one step.
-fn planted(plant: InjectedFault, what: StepKind) -> Report {
-    let mut script = small();
-    script.injected_fault = plant;
+/// Plays one step with sixty simulated proxies; the fault is injected into the first one.
+fn play_with_fault(fault: InjectedFault, what: StepKind) -> Report {
+    let mut script = small_script();
+    script.injected_fault = fault;
     script.patience_s = 12.0;
     let size = &mut script.size;
     (size.subscribers, size.processes, size.relays, size.zones, size.real) = (60, 2, 2, 2, 0);
     (size.services, size.backends, size.services_per_proxy) = (40, 600, 12);
     script.step = vec![Step { what, seconds: 5.0, for_s: 2.0, times: 20.0, which: 0 }];
-    played(&script)
+    play_script(&script)
 }
 
-/// The first proxy differs, nobody else does.
-fn found(report: &Report, how: &str) {
+/// Asserts that the first proxy is reported as different, and no other.
+fn assert_only_first_proxy_differs(report: &Report, how: &str) {
     let differ: Vec<&String> = report.breaks.iter().filter(|text| text.contains("is not equal")).collect();
     assert!(!differ.is_empty(), "it was found: {:?}", report.breaks);
     assert!(differ.iter().all(|text| text.contains("proxy 0 is not equal")), "{differ:?}");
@@ -78,41 +78,41 @@
 }
 
 #[test]
-fn without_a_planted_fault_nothing_is_found() {
-    let report = planted(InjectedFault::None, StepKind::SourceRestarted);
+fn finds_no_violation_without_an_injected_fault() {
+    let report = play_with_fault(InjectedFault::None, StepKind::SourceRestarted);
     assert_eq!(report.breaks, [] as [String; 0]);
     assert!(report.steps[0].lost > 0);
 }
 
 #[test]
-fn a_change_that_is_dropped_silently_is_found() {
-    let report = planted(InjectedFault::Drop, StepKind::Ordinary);
+fn finds_a_silently_dropped_change() {
+    let report = play_with_fault(InjectedFault::Drop, StepKind::Ordinary);
     let missed = |how| report.breaks.iter().any(|text| text.contains(how));
-    found(&report, "proxy 0");
+    assert_only_first_proxy_differs(&report, "proxy 0");
     assert!(missed("Missing") || missed("Version") || missed("NotThere"), "{:?}", report.breaks);
 }
 
 #[test]
-fn a_scope_that_is_off_by_one_service_is_found() {
-    found(&planted(InjectedFault::Scope, StepKind::Ordinary), "Missing");
+fn finds_a_scope_that_lacks_one_service() {
+    assert_only_first_proxy_differs(&play_with_fault(InjectedFault::Scope, StepKind::Ordinary), "Missing");
 }
 
 #[test]
-fn an_epoch_that_is_ignored_is_found() {
-    let report = planted(InjectedFault::Epoch, StepKind::SourceRestarted);
+fn finds_an_ignored_epoch() {
+    let report = play_with_fault(InjectedFault::Epoch, StepKind::SourceRestarted);
     assert!(report.steps[0].lost > 0);
-    found(&report, "Version");
+    assert_only_first_proxy_differs(&report, "Version");
 }
 
 #[test]
-fn a_digest_that_is_never_compared_is_found() {
-    found(&planted(InjectedFault::Digest, StepKind::Ordinary), "Body");
+fn finds_a_digest_that_is_never_compared() {
+    assert_only_first_proxy_differs(&play_with_fault(InjectedFault::Digest, StepKind::Ordinary), "Body");
 }
 
 #[test]
-fn a_program_that_does_not_come_up_is_named() {
-    let setting = RunOptions { control: "/bin/false".into(), ..setting() };
-    match play(&small(), &setting) {
+fn names_a_program_that_does_not_start() {
+    let options = RunOptions { control: "/bin/false".into(), ..run_options() };
+    match play(&small_script(), &options) {
         Err(ScaleError::Ended(name, ..)) => assert_eq!(name, "source-0"),
         other => panic!("{other:?}"),
     }
