--- a/crates/testbed/src/scale/fleet/network.rs
+++ b/crates/testbed/src/scale/fleet/network.rs
@@ -1,4 +1,4 @@
-//! Sources, relays and the links between them, and the truth that the rig keeps of what it wrote.
+//! Sources, relays and the links between them, with the model of the acknowledged changes.
 
 use super::ScaleError;
 use super::link_proxy::LinkProxy;
@@ -19,26 +19,26 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long reading a whole source may take.
+/// Upper bound of reading all records of a source.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// Services asked for at a time.
-const PART: usize = 500;
+/// Services in one snapshot request.
+const MAX_SERVICES_PER_REQUEST: usize = 500;
 
 struct Source {
     node: ControlNode,
     writer: Option<Writer>,
     snapshot: PathBuf,
-    kept: Option<Vec<u8>>,
+    saved_snapshot: Option<Vec<u8>>,
 }
 
-/// Sources, relays, links.
+/// All sources, relays and links of a run.
 pub struct Network {
     sources: Vec<Source>,
     /// By number.
     pub relays: Vec<ControlNode>,
     // By relay, then source.
     links: Vec<Vec<LinkProxy>>,
-    /// What was written.
+    /// The acknowledged changes.
     pub model: Model,
 }
 
@@ -46,7 +46,7 @@
     /// Starts sources, links and relays.
     ///
     /// # Errors
-    /// Where one does not come up.
+    /// If one does not start.
     pub async fn start(script: &ScaleScript, starter: &ProcessStarter<'_>) -> Result<Self, ScaleError> {
         let size = &script.size;
         let mut network =
@@ -62,7 +62,7 @@
             };
             let mut node = ControlNode::new(starter, "source", &name, config)?;
             node.start(starter).await?;
-            network.sources.push(Source { node, writer: None, snapshot, kept: None });
+            network.sources.push(Source { node, writer: None, snapshot, saved_snapshot: None });
             network.model.insert(number as SourceId, SourceModel::default());
         }
         for number in 0..size.relays {
@@ -96,7 +96,7 @@
         of_region.map(|relay| (relay.name.clone(), relay.address())).collect()
     }
 
-    /// Cuts a region off from all others, or ends that: links between it and them, both ways. Links within it stay.
+    /// Interrupts or restores all links between a region and the others, in both directions.
     pub fn cut(&self, region: usize, cut: bool) {
         for (relay, links) in self.links.iter().enumerate() {
             for (source, link) in links.iter().enumerate() {
@@ -108,10 +108,10 @@
         }
     }
 
-    /// Writes changes to a source, in parts; the model has them once they are acknowledged.
+    /// Writes changes to a source, and adds them to the model once they are acknowledged.
     ///
     /// # Errors
-    /// Where the source does not take them.
+    /// If the source does not acknowledge them.
     pub async fn write(
         &mut self,
         source: usize,
@@ -132,26 +132,26 @@
         Ok(())
     }
 
-    /// Keeps what a source would have after losing everything from now on.
+    /// Saves a source's snapshot file: [`Network::kill_source`] restores it, so that later changes are lost.
     ///
     /// # Errors
-    /// Where it keeps nothing.
+    /// If the file can't be read.
     pub fn keep(&mut self, source: usize) -> Result<(), ScaleError> {
         let place = &mut self.sources[source];
-        place.kept = Some(fs::read(&place.snapshot)?);
+        place.saved_snapshot = Some(fs::read(&place.snapshot)?);
         Ok(())
     }
 
-    /// Kills a source, and puts what was kept in the place of what it has.
+    /// Kills a source, and restores its saved snapshot file.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be written.
     pub fn kill_source(&mut self, source: usize) -> Result<(), ScaleError> {
         let place = &mut self.sources[source];
         place.node.kill();
         place.writer = None;
-        if let Some(kept) = place.kept.take() {
-            fs::write(&place.snapshot, kept)?;
+        if let Some(saved) = place.saved_snapshot.take() {
+            fs::write(&place.snapshot, saved)?;
         }
         Ok(())
     }
@@ -175,7 +175,8 @@
     /// All records of a source, as it says them itself to somebody who knows nothing; and how far it is.
     async fn read(&self, number: usize) -> Result<(Vec<ReplicaRecord>, Version), ScaleError> {
         let failed = |why: String| ScaleError::Read(number, why);
-        let read = timeout(READ_TIMEOUT, read_whole(number as SourceId, self.sources[number].node.address()));
+        let read =
+            timeout(READ_TIMEOUT, read_all_records(number as SourceId, self.sources[number].node.address()));
         let (records, head) = read
             .await
             .map_err(|_| failed(format!("not whole within {} s", READ_TIMEOUT.as_secs())))?
@@ -184,13 +185,13 @@
         Ok((live.map(|record| ReplicaRecord::of(number as SourceId, record)).collect(), head))
     }
 
-    /// How far each source is.
+    /// Position of each source.
     #[must_use]
     pub fn heads(&self) -> BTreeMap<SourceId, Version> {
         self.model.iter().map(|(&source, model)| (source, model.head)).collect()
     }
 
-    /// How many records somebody with this scope holds.
+    /// Number of records of a complete replica with this scope.
     #[must_use]
     pub fn records(&self, population: &Population, scope: &[u32]) -> u32 {
         let live = |service: u32| {
@@ -200,7 +201,7 @@
         scope.iter().map(|&service| live(service) as u32).sum()
     }
 
-    /// Processor time so far (seconds), memory and bytes that came, of each relay.
+    /// Processor time so far (seconds), memory (bytes) and bytes received, of each relay.
     #[must_use]
     pub fn relay_usage(&self) -> Vec<(f64, u64, u64)> {
         let usage = |(relay, links): (&ControlNode, &Vec<LinkProxy>)| {
@@ -218,10 +219,10 @@
         programs.map(|p| p.map_or((0.0, 0), |p| (p.cpu_s(), p.memory()))).collect()
     }
 
-    /// Whether all run that are meant to.
+    /// Checks that all started programs run.
     ///
     /// # Errors
-    /// The first that has ended by itself.
+    /// The first that has exited by itself.
     pub fn run(&mut self) -> Result<(), ScaleError> {
         let sources = self.sources.iter_mut().map(|source| &mut source.node);
         let programs = sources.chain(&mut self.relays).filter_map(|node| node.program.as_mut());
@@ -232,8 +233,8 @@
     }
 }
 
-/// Asks a source for all of its services, one after another, as they are while nobody writes.
-async fn read_whole(source: SourceId, address: SocketAddr) -> io::Result<(Vec<Record>, Version)> {
+/// Requests snapshots of all services of a source, which must not change meanwhile.
+async fn read_all_records(source: SourceId, address: SocketAddr) -> io::Result<(Vec<Record>, Version)> {
     let other = |e: CodecError| io::Error::other(e.to_string());
     let (from, to) = TcpStream::connect(address).await?.into_split();
     let (mut from, mut to) = (FrameReader::new(from), FrameWriter::new(to));
@@ -266,8 +267,8 @@
             if missing.is_empty() {
                 return Ok((records, head));
             }
-            // What is wanted takes the place of what was.
-            wanted = missing.iter().copied().take(PART).collect();
+            // A new request replaces the previous one.
+            wanted = missing.iter().copied().take(MAX_SERVICES_PER_REQUEST).collect();
             missing.retain(|service| !wanted.contains(service));
             let services = wanted.iter().copied().collect();
             to.write(&Message::SnapshotRequest { source, services }).await.map_err(other)?;
--- a/crates/testbed/src/scale/fleet/report.rs
+++ b/crates/testbed/src/scale/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to, for people and as JSON lines. Pure.
+//! Results of a run, as text and as JSON lines. Does no I/O.
 
 use super::messages::SimulatedProxyCost;
 use super::propagation::Summary;
@@ -6,37 +6,37 @@
 use serde::Serialize;
 use std::fmt;
 
-/// How long the worst change may take until it is in force, seconds.
+/// Upper bound of a change's propagation time, seconds.
 pub const GOAL_S: f64 = 4.0;
-/// What control may cost beside a proxy: bytes a second, part of a core, bytes of memory.
+/// Upper bounds of the control plane's cost beside a proxy: bytes per second, cores, bytes of memory.
 pub const BYTES_PER_S: f64 = 24_000.0;
 /// As [`BYTES_PER_S`].
 pub const CORES: f64 = 0.025;
 /// As [`BYTES_PER_S`].
 pub const MEMORY: f64 = 64e6;
-/// Memory that all processes of a run together may take, bytes.
+/// Upper bound of the memory of all processes of a run together, bytes.
 pub const MAX_MEMORY: u64 = 12_000_000_000;
-/// Breaks that are printed; all are counted.
-const PRINTED: usize = 20;
+/// Violations that are printed; all are counted.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 /// A figure: what, how much, of what, how much it may be.
 type Figure = (&'static str, f64, &'static str, Option<f64>);
 
-/// What hollow proxies took from their connections.
+/// Receive rates of the simulated proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReceiveRate {
-    /// Bytes a second: the mean of all.
+    /// Mean of all, bytes per second.
     pub mean: f64,
-    /// Bytes a second: of the one that took most.
+    /// Maximum of all, bytes per second.
     pub most: f64,
-    /// Bytes a second in the worst ten seconds of all of them.
+    /// Maximum over any ten seconds of one proxy, bytes per second.
     pub worst_ten: f64,
-    /// Records that one holds, in the mean.
+    /// Mean number of records of a replica.
     pub records: f64,
 }
 
 impl ReceiveRate {
-    /// Over so many seconds.
+    /// The rates over this many seconds.
     #[must_use]
     pub fn new(each: &[SimulatedProxyCost], seconds: f64) -> Self {
         let count = each.len().max(1) as f64;
@@ -51,22 +51,22 @@
     }
 }
 
-/// What a kind of process cost: the mean of all and the worst of them.
+/// Cost of one kind of process: the mean and the maximum.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Part of a core.
+    /// Mean processor use, cores.
     pub cores: f64,
     /// Of the one with most.
     pub most_cores: f64,
-    /// Memory, bytes.
+    /// Mean memory, bytes.
     pub memory: f64,
     /// Of the one with most.
     pub most_memory: f64,
 }
 
 impl Cost {
-    /// From processor times before and after so many seconds, with memory after; a process that began anew in between
-    /// counts from its beginning.
+    /// From processor times before and after this many seconds, and memory after. A process that was restarted in between
+    /// counts from its start.
     #[must_use]
     pub fn new(before: &[f64], after: &[(f64, u64)], seconds: f64) -> Self {
         let count = after.len().max(1) as f64;
@@ -85,14 +85,14 @@
     }
 }
 
-/// What a step came to.
+/// Results of a step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StepRow {
     /// Its number and name.
     pub name: String,
     /// Changes as a multiple of the ordinary day's.
     pub times: f64,
-    /// How long it was played, seconds.
+    /// Duration, seconds.
     pub seconds: f64,
     /// From the moment of the change, or from which somebody could be reached.
     pub in_force: Summary,
@@ -123,7 +123,7 @@
     pub lists_compared: usize,
 }
 
-/// Today's way, at a size that it can carry.
+/// Cost of a complete discovery list, for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ListRow {
     /// Backends in the list.
@@ -140,7 +140,7 @@
     pub change_bytes: u64,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// The script's title.
@@ -161,15 +161,15 @@
     pub requests: Requests,
     /// How many real proxies there were.
     pub real: usize,
-    /// Today's way.
+    /// Costs of complete discovery lists.
     pub lists: Vec<ListRow>,
-    /// Whatever was not as it must be.
+    /// Violated invariants.
     pub breaks: Vec<String>,
     /// The most memory that all processes took together, bytes.
     pub memory: u64,
 }
 
-/// One measured figure.
+/// One measured value.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Line {
     /// What.
@@ -191,7 +191,7 @@
 }
 
 impl Report {
-    /// Whether nothing broke.
+    /// Whether no invariant was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.breaks.is_empty()
@@ -301,61 +301,10 @@
             self.filling.records,
             self.filling.worst_ten / 1e3
         )?;
-        writeln!(
-            f,
-            "{:<24} {:>5} {:>7} {:>5}  {:>6} {:>6} {:>6} {:>7}  {:>6}  {:>6} {:>6} {:>6}  {:>7} {:>7}  {:>6} {:>6}  {:>6} {:>6}",
-            "step",
-            "times",
-            "changes",
-            "never",
-            "p50 s",
-            "p99 s",
-            "worst",
-            "written",
-            "quiet",
-            "B/s",
-            "most",
-            "ten s",
-            "core %",
-            "KB",
-            "r core",
-            "r MB",
-            "a %",
-            "a MB"
-        )?;
+        write_step_header(f)?;
         for row in &self.steps {
-            writeln!(
-                f,
-                "{:<24} {:>5} {:>7} {:>5}  {:>6.2} {:>6.2} {:>6.2} {:>7.2}  {:>6.2}  {:>6.0} {:>6.0} {:>6.0}  {:>7.3} {:>7.0}  {:>6.3} {:>6.1}  {:>6.3} {:>6.1}",
-                row.name,
-                row.times,
-                row.in_force.changes,
-                row.in_force.never,
-                row.in_force.median_s,
-                row.in_force.p99_s,
-                row.in_force.worst_s,
-                row.written.worst_s,
-                row.quiet_s,
-                row.taken.mean,
-                row.taken.most,
-                row.taken.worst_ten,
-                row.hollow.cores * 100.0,
-                row.hollow.memory / 1e3,
-                row.relays.most_cores,
-                row.relays.most_memory / 1e6,
-                row.agents.cores * 100.0,
-                row.agents.most_memory / 1e6,
-            )?;
-            let (proxies, records) = row.compared;
-            let lists = row.lists_compared;
-            write!(f, "    {proxies} proxies compared, {records} records, and the lists of {lists} agents")?;
-            if let Some((count, slowest)) = row.anew {
-                write!(f, "; {count} began anew, the slowest was full after {slowest:.1} s")?;
-            }
-            if row.lost > 0 {
-                write!(f, "; the source lost {} changes", row.lost)?;
-            }
-            writeln!(f)?;
+            write_step_figures(row, f)?;
+            write_step_notes(row, f)?;
         }
         if self.real > 0 {
             writeln!(f, "real proxies: {:?}", self.requests)?;
@@ -364,9 +313,72 @@
             writeln!(f, "today's way: {list:?}")?;
         }
         writeln!(f, "memory of all processes {:.0} MB", self.memory as f64 / 1e6)?;
-        for text in self.breaks.iter().take(PRINTED) {
+        for text in self.breaks.iter().take(MAX_PRINTED_VIOLATIONS) {
             writeln!(f, "BROKEN: {text}")?;
         }
         write!(f, "{} breaks", self.breaks.len())
     }
 }
+
+fn write_step_header(f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    writeln!(
+        f,
+        "{:<24} {:>5} {:>7} {:>5}  {:>6} {:>6} {:>6} {:>7}  {:>6}  {:>6} {:>6} {:>6}  {:>7} {:>7}  {:>6} {:>6}  {:>6} {:>6}",
+        "step",
+        "times",
+        "changes",
+        "never",
+        "p50 s",
+        "p99 s",
+        "worst",
+        "written",
+        "quiet",
+        "B/s",
+        "most",
+        "ten s",
+        "core %",
+        "KB",
+        "r core",
+        "r MB",
+        "a %",
+        "a MB"
+    )
+}
+
+fn write_step_figures(row: &StepRow, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    writeln!(
+        f,
+        "{:<24} {:>5} {:>7} {:>5}  {:>6.2} {:>6.2} {:>6.2} {:>7.2}  {:>6.2}  {:>6.0} {:>6.0} {:>6.0}  {:>7.3} {:>7.0}  {:>6.3} {:>6.1}  {:>6.3} {:>6.1}",
+        row.name,
+        row.times,
+        row.in_force.changes,
+        row.in_force.never,
+        row.in_force.median_s,
+        row.in_force.p99_s,
+        row.in_force.worst_s,
+        row.written.worst_s,
+        row.quiet_s,
+        row.taken.mean,
+        row.taken.most,
+        row.taken.worst_ten,
+        row.hollow.cores * 100.0,
+        row.hollow.memory / 1e3,
+        row.relays.most_cores,
+        row.relays.most_memory / 1e6,
+        row.agents.cores * 100.0,
+        row.agents.most_memory / 1e6,
+    )
+}
+
+fn write_step_notes(row: &StepRow, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    let (proxies, records) = row.compared;
+    let lists = row.lists_compared;
+    write!(f, "    {proxies} proxies compared, {records} records, and the lists of {lists} agents")?;
+    if let Some((count, slowest)) = row.anew {
+        write!(f, "; {count} began anew, the slowest was full after {slowest:.1} s")?;
+    }
+    if row.lost > 0 {
+        write!(f, "; the source lost {} changes", row.lost)?;
+    }
+    writeln!(f)
+}
--- a/crates/testbed/src/scale/fleet/simulated_proxies.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxies.rs
@@ -1,4 +1,4 @@
-//! The hollow processes as the rig holds them: what it tells them, what it asks.
+//! The testbed's side of the processes of simulated proxies: starts them, sends commands and receives responses.
 
 use super::ScaleError;
 use super::messages::{
@@ -15,9 +15,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// How long a hollow process may take for an answer: all records of a thousand proxies, on a busy machine.
+/// Upper bound of one response: all records of a thousand proxies, on a busy machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
-/// Hollow proxies of one order to start: their scopes stay far below the longest frame.
+/// Simulated proxies in one command: their scopes stay far below the longest frame.
 const MAX_PROXIES_PER_COMMAND: usize = 500;
 
 struct HostProcess {
@@ -45,27 +45,27 @@
     }
 }
 
-/// All of them.
+/// All processes of simulated proxies.
 pub struct SimulatedProxies {
     processes: Vec<HostProcess>,
 }
 
-/// What all hollow proxies cost, since it was asked last.
+/// Costs of all simulated proxies since the last request.
 #[derive(Default)]
 pub struct Costs {
-    /// By hollow proxy.
+    /// One entry for each simulated proxy.
     pub each: Vec<SimulatedProxyCost>,
-    /// What the watchers hold, bytes.
+    /// Memory of the version monitors, bytes.
     pub watchers: u64,
-    /// What was broken: who and what.
+    /// Violations found, with the proxy's number.
     pub breaks: Vec<(u32, String)>,
 }
 
 impl SimulatedProxies {
-    /// Starts so many processes.
+    /// Starts this many processes.
     ///
     /// # Errors
-    /// Where one does not come up.
+    /// If one does not start.
     pub async fn start(keeper: &Path, folder: &Folder, process_count: usize) -> Result<Self, ScaleError> {
         let mut processes = Vec::new();
         for number in 0..process_count {
@@ -87,7 +87,7 @@
         Ok(Self { processes })
     }
 
-    /// The process in which a hollow proxy lives.
+    /// The index of the process that hosts this simulated proxy.
     #[must_use]
     pub fn process(&self, number: u32) -> usize {
         number as usize % self.processes.len()
@@ -104,10 +104,10 @@
         Ok(responses)
     }
 
-    /// Tells each process who lives in it; nobody begins yet. The first one has the fault that is planted.
+    /// Assigns proxies to processes without starting them. The first proxy has the injected fault.
     ///
     /// # Errors
-    /// Where a process is gone.
+    /// If a process has exited.
     pub async fn assign(
         &mut self,
         hollows: Vec<SimulatedProxySpec>,
@@ -140,10 +140,10 @@
         partition_by_process
     }
 
-    /// Starts these anew, each with the number of records that it will hold.
+    /// Restarts these, each with the number of records of its complete replica.
     ///
     /// # Errors
-    /// Where a process is gone.
+    /// If a process has exited.
     pub async fn restart(&mut self, numbers: impl Iterator<Item = (u32, u32)>) -> Result<(), ScaleError> {
         let partition_by_process = self.partition_by_process(numbers, |one| one.0);
         for (process, numbers) in self.processes.iter_mut().zip(partition_by_process) {
@@ -155,10 +155,10 @@
         Ok(())
     }
 
-    /// Ends these.
+    /// Stops these.
     ///
     /// # Errors
-    /// Where a process is gone.
+    /// If a process has exited.
     pub async fn end(&mut self, numbers: impl Iterator<Item = u32>) -> Result<(), ScaleError> {
         let partition_by_process = self.partition_by_process(numbers, |&one| one);
         for (process, numbers) in self.processes.iter_mut().zip(partition_by_process) {
@@ -170,18 +170,18 @@
         Ok(())
     }
 
-    /// From now on what comes into force counts, and a planted fault may show.
+    /// Starts to count updates, and arms the injected fault.
     ///
     /// # Errors
-    /// Where a process is gone.
+    /// If a process has exited.
     pub async fn begin(&mut self) -> Result<(), ScaleError> {
         self.request_all(&Command::Begin).await.map(drop)
     }
 
-    /// How many are not as far as their sources, and what one of them lacks.
+    /// The number of proxies that lag behind these positions, and an example.
     ///
     /// # Errors
-    /// Where a process is gone.
+    /// If a process has exited.
     pub async fn behind(
         &mut self,
         heads: &BTreeMap<SourceId, Version>,
@@ -197,10 +197,10 @@
         Ok((sum, first))
     }
 
-    /// Reads what they hold, of these or of all that live, one after another.
+    /// Reads the replicas of these, or of all that run, one after another.
     ///
     /// # Errors
-    /// Where a process is gone.
+    /// If a process has exited.
     pub async fn dump(
         &mut self,
         numbers: Option<Vec<u32>>,
@@ -216,10 +216,10 @@
         Ok(())
     }
 
-    /// What came into force since it was asked last, by process; and how much found no place.
+    /// Updates since the last request, by process, and the number of updates that exceeded the tallies' bound.
     ///
     /// # Errors
-    /// Where a process is gone.
+    /// If a process has exited.
     pub async fn tallies(&mut self) -> Result<(Vec<Vec<Tally>>, u64), ScaleError> {
         let (mut request_all, mut lost) = (Vec::new(), 0);
         for response in self.request_all(&Command::Tallies).await? {
@@ -231,10 +231,10 @@
         Ok((request_all, lost))
     }
 
-    /// What they cost since it was asked last.
+    /// Costs since the last request.
     ///
     /// # Errors
-    /// Where a process is gone.
+    /// If a process has exited.
     pub async fn costs(&mut self) -> Result<Costs, ScaleError> {
         let mut sum = Costs::default();
         for response in self.request_all(&Command::Costs).await? {
@@ -247,24 +247,24 @@
         Ok(sum)
     }
 
-    /// A process stands still, or goes on.
+    /// Suspends a process, or resumes it.
     pub fn stall(&mut self, process: usize, stalled: bool) {
         if let Some(process) = self.processes.get_mut(process) {
             process.program.stall(stalled);
         }
     }
 
-    /// Processor time of all so far, seconds, and their memory, bytes.
+    /// Total processor time so far, seconds, and memory, bytes.
     #[must_use]
     pub fn usage(&self) -> (f64, u64) {
         let programs = self.processes.iter().map(|process| &process.program);
         programs.fold((0.0, 0), |(cpu, memory), p| (cpu + p.cpu_s(), memory + p.memory()))
     }
 
-    /// Whether all of them run.
+    /// Checks that all processes run.
     ///
     /// # Errors
-    /// The first that has ended.
+    /// The first that has exited.
     pub fn run(&mut self) -> Result<(), ScaleError> {
         self.processes.iter_mut().try_for_each(|process| process.program.runs())
     }
--- a/crates/testbed/src/scale/fleet/simulated_proxy.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxy.rs
@@ -1,5 +1,5 @@
-//! A process of hollow proxies: each is the real subscriber with its own connection and the real choice of a relay, and
-//! nothing behind it. They share one thread. The rig says over one connection what they do, and reads what they hold.
+//! A process of simulated proxies: each is the real subscriber with its own connection and the real choice of a relay, but
+//! no traffic. They share one thread. The testbed sends commands over one connection, and reads their replicas.
 
 use super::fault_injection::FaultInjector;
 use super::messages::{
@@ -26,7 +26,7 @@
 /// Seconds of which the worst sum of bytes is kept.
 const WINDOW: usize = 10;
 
-/// Bytes that came, and the worst ten seconds of them.
+/// Bytes received, and the maximum over any ten seconds.
 #[derive(Debug, Default)]
 struct Bytes {
     all: u64,
@@ -48,7 +48,7 @@
     }
 }
 
-/// One hollow proxy while it lives.
+/// One simulated proxy, from a start to the next.
 struct SimulatedProxy {
     shared: Rc<Shared>,
     subscriber: Subscriber,
@@ -56,7 +56,7 @@
     version_monitor: VersionMonitor,
     bytes: Bytes,
     group: u16,
-    /// Whether what comes into force counts: not while it learns what was said before it began.
+    /// Whether updates are counted: not while the replica is filled after a start.
     counts: bool,
     welcomes: u32,
     expected: u32,
@@ -69,7 +69,7 @@
     task: Option<JoinHandle<()>>,
 }
 
-/// What all hollow proxies of a process share.
+/// State that all simulated proxies of a process share.
 struct Shared {
     clock: Clock,
     tallies: RefCell<Tallies>,
@@ -145,7 +145,7 @@
     }
 }
 
-/// All hollow proxies of a process.
+/// All simulated proxies of a process.
 struct ProxyHost {
     shared: Rc<Shared>,
     slots: BTreeMap<u32, ProxySlot>,
@@ -209,7 +209,7 @@
         Response::Costs { each, watchers, breaks }
     }
 
-    /// Does what it is told, and answers; whether it goes on.
+    /// Executes a command and sends the response. Returns whether the process continues.
     async fn execute(&mut self, command: Command, to: &mut OwnedWriteHalf) -> io::Result<bool> {
         let response = match command {
             Command::Start { proxies, fault } => {
@@ -282,10 +282,10 @@
     }
 }
 
-/// Serves the rig that listens there until it says so or is gone.
+/// Serves the testbed that listens at this address, until it sends [`Command::Quit`] or closes the connection.
 ///
 /// # Errors
-/// Where it can't be reached, or says what makes no sense.
+/// If it can't be reached, or sends an invalid command.
 pub fn serve(rig: SocketAddr) -> io::Result<()> {
     crate::fleet::process_guard::all_descriptors()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
