--- a/crates/testbed/src/scale/fleet/population.rs
+++ b/crates/testbed/src/scale/fleet/population.rs
@@ -1,5 +1,5 @@
-//! Who there is: services with their zones, backends, and which proxy has which services in scope. Drawn from the seed
-//! alone. Pure.
+//! The fleet of a run: services with their zones, backends, and the services in each proxy's scope. Drawn from the seed
+//! alone. Does no I/O.
 
 use super::messages::key_hash;
 use super::script::ScaleScript;
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 
 /// Second octet of the first backend's address.
-const BACKENDS: u32 = 64;
+const FIRST_BACKEND_OCTET: u32 = 64;
 
-/// A backend's place.
+/// Service and zone of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Instance {
     /// Its service.
@@ -19,7 +19,7 @@
     pub zone: usize,
 }
 
-/// A proxy's place.
+/// Zone and scope of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proxy {
     /// Its zone.
@@ -28,7 +28,7 @@
     pub scope: Vec<ServiceId>,
 }
 
-/// All of them.
+/// All services, backends and proxies of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Population {
     regions: usize,
@@ -36,14 +36,14 @@
     services: usize,
     /// Backends by number.
     pub backends: Vec<Instance>,
-    /// Hollow proxies by number, then the real ones.
+    /// Simulated proxies by number, then the real ones.
     pub proxies: Vec<Proxy>,
-    /// How many of them are hollow.
-    pub hollow: usize,
+    /// Number of simulated proxies.
+    pub simulated: usize,
 }
 
 impl Population {
-    /// Draws it.
+    /// Draws a population.
     #[must_use]
     pub fn draw(script: &ScaleScript) -> Self {
         let size = &script.size;
@@ -54,9 +54,9 @@
             services: size.services,
             backends: Vec::with_capacity(size.backends),
             proxies: Vec::new(),
-            hollow: size.subscribers,
+            simulated: size.subscribers,
         };
-        // One each; the rest by weights that differ as much as services do: a few are large.
+        // One backend each; the rest by exponentially distributed weights, so that a few services are large.
         let weights: Vec<f64> = (0..size.services).map(|_| -rng.f64().max(1e-9).ln()).collect();
         let total: f64 = weights.iter().sum();
         let rest = (size.backends - size.services) as f64;
@@ -121,13 +121,13 @@
         (0..self.zones).filter(|zone| zone % self.regions == region).collect()
     }
 
-    /// How many services there are.
+    /// Number of services.
     #[must_use]
     pub fn services(&self) -> usize {
         self.services
     }
 
-    /// How many zones there are.
+    /// Number of zones.
     #[must_use]
     pub fn zones(&self) -> usize {
         self.zones
@@ -139,20 +139,20 @@
         format!("b{number}").into()
     }
 
-    /// Where a backend listens: a loopback address of its own, and the port that all have.
+    /// A backend's address: a loopback address of its own, and the port of all backends.
     #[must_use]
     pub fn address(number: usize, port: u16) -> SocketAddrV4 {
-        SocketAddrV4::new(Ipv4Addr::from(127 << 24 | ((BACKENDS << 16) + number as u32)), port)
+        SocketAddrV4::new(Ipv4Addr::from(127 << 24 | ((FIRST_BACKEND_OCTET << 16) + number as u32)), port)
     }
 
     /// The backend with this address.
     #[must_use]
     pub fn number(address: Ipv4Addr) -> Option<usize> {
-        let place = u32::from(address).checked_sub(127 << 24 | BACKENDS << 16)?;
-        (place < (128 - BACKENDS) << 16).then_some(place as usize)
+        let place = u32::from(address).checked_sub(127 << 24 | FIRST_BACKEND_OCTET << 16)?;
+        (place < (128 - FIRST_BACKEND_OCTET) << 16).then_some(place as usize)
     }
 
-    /// What is said of a backend.
+    /// The body of a backend's record.
     #[must_use]
     pub fn body(&self, number: usize, port: u16, up_since_ms: u64) -> Arc<[u8]> {
         let backend = Backend {
--- a/crates/testbed/src/scale/fleet/reachability.rs
+++ b/crates/testbed/src/scale/fleet/reachability.rs
@@ -45,7 +45,7 @@
         let zones = population.proxies.iter().map(|proxy| proxy.zone).max().unwrap_or(0);
         let regions = (0..=zones).map(|zone| population.region_of_zone(zone)).collect();
         let mut by_service: Vec<Vec<(Group, u32)>> = vec![Vec::new(); population.services()];
-        for (number, proxy) in population.proxies[..population.hollow].iter().enumerate() {
+        for (number, proxy) in population.proxies[..population.simulated].iter().enumerate() {
             let group = Group { process: (number % processes) as u16, zone: proxy.zone as u16 };
             for &service in &proxy.scope {
                 let groups = &mut by_service[service as usize];
--- a/crates/testbed/src/scale/fleet/real_proxies.rs
+++ b/crates/testbed/src/scale/fleet/real_proxies.rs
@@ -1,5 +1,5 @@
-//! Real proxies beside the hollow ones: each with its agent, before stand-in backends under load. All backends are one
-//! listener on all loopback addresses; which one was called tells which backend it was.
+//! Real proxies beside the simulated ones: each with its agent, before test backends under load. All backends share one
+//! listener on all loopback addresses; the destination address identifies the backend.
 
 use super::ScaleError;
 use super::checker::Entry;
@@ -25,16 +25,16 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-/// Arrivals that are kept.
+/// Upper bound of the recorded arrivals.
 const MAX_ARRIVALS: usize = 2_000_000;
-/// Connections of clients to each proxy.
+/// Client connections to each proxy.
 const CLIENTS: usize = 4;
 /// How long a client waits beyond a request's deadline, and the deadline.
 const DEADLINE_MS: u64 = 1_000;
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
 const BACKLOG: u32 = 1_024;
 
-/// What clients and backends saw.
+/// Counters and arrivals of clients and backends.
 #[derive(Debug, Default)]
 struct Seen {
     arrivals: Mutex<Vec<(u64, u32)>>,
@@ -46,7 +46,7 @@
     quiet: AtomicBool,
 }
 
-/// What became of all requests.
+/// Outcomes of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Requests {
     /// Asked.
@@ -61,9 +61,9 @@
     pub unanswered: u64,
 }
 
-/// The stand-in backends and clients, on a thread of their own.
+/// Test backends and clients, on a thread of their own.
 pub struct TestBackends {
-    /// Where all backends listen.
+    /// The port of all backends.
     pub port: u16,
     seen: Arc<Seen>,
     load: UnboundedSender<(Vec<SocketAddr>, f64)>,
@@ -74,7 +74,7 @@
     /// Starts the backends.
     ///
     /// # Errors
-    /// Where there is no socket for them.
+    /// If no listening socket can be opened.
     pub fn start() -> io::Result<Self> {
         let (load, loads) = unbounded_channel();
         let (said, port) = mpsc::channel();
@@ -98,12 +98,12 @@
         Ok(Self { port, seen, load, thread: Some(thread) })
     }
 
-    /// Clients ask these proxies, each so often a second.
+    /// Starts clients that send this many requests per second to each proxy.
     pub fn ask(&self, proxies: Vec<SocketAddr>, per_s: f64) {
         let _ = self.load.send((proxies, per_s));
     }
 
-    /// What clients got so far.
+    /// Outcomes of the requests so far.
     #[must_use]
     pub fn requests(&self) -> Requests {
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Clients ask nothing more.
+    /// Stops sending requests.
     pub fn rest(&self) {
         self.seen.quiet.store(true, Ordering::Relaxed);
     }
 
-    /// When a request came to which backend.
+    /// Time (microseconds of Unix time) and backend of each arrival.
     #[must_use]
     pub fn arrivals(&self) -> Vec<(u64, u32)> {
         self.seen.arrivals.lock().unwrap_or_else(PoisonError::into_inner).clone()
@@ -183,7 +183,7 @@
     }
 }
 
-/// One client: one request at a time on one connection, anew after an error.
+/// One client: one request at a time on one connection, which is reopened after an error.
 async fn ask(proxy: SocketAddr, per_s: f64, place: u64, seen: Arc<Seen>) {
     let add = |counter: &AtomicU64| counter.fetch_add(1, Ordering::Relaxed);
     let pause = Duration::from_secs_f64(1.0 / per_s.max(0.01));
@@ -244,7 +244,7 @@
         machine: &Machine,
         seed: u64,
     ) -> Result<Self, ScaleError> {
-        let count = population.proxies.len() - population.hollow;
+        let count = population.proxies.len() - population.simulated;
         let text = format!(
             "seed = {seed}\nseconds = 60.0\n\
              fleet = {{ boxes = 1000, proxies = {}, zones = {}, cells = 1, cores = 1.0, holds = 8.0 }}\n\
@@ -255,7 +255,7 @@
         );
         let script = Script::parse(&text, Path::new("real proxies"))?;
         let mut real = Self { agents: Vec::new(), processes: Vec::new(), places: Vec::new() };
-        for (number, proxy) in population.proxies[population.hollow..].iter().enumerate() {
+        for (number, proxy) in population.proxies[population.simulated..].iter().enumerate() {
             let name = format!("agent-{number}");
             let relays = network.relays_of(population.region_of_zone(proxy.zone));
             let relays: Vec<String> = relays
--- a/crates/testbed/src/scale/fleet/run.rs
+++ b/crates/testbed/src/scale/fleet/run.rs
@@ -115,12 +115,12 @@
             scope: proxy.scope.clone(),
             relays: network.relays_of(population.region_of_zone(proxy.zone)),
         };
-        let specs = population.proxies[..population.hollow].iter().enumerate().map(spec).collect();
+        let specs = population.proxies[..population.simulated].iter().enumerate().map(spec).collect();
         simulated_proxies.assign(specs, script.injected_fault).await?;
         let report = Report {
             title: script.title.clone(),
             seed: script.seed,
-            size: (population.hollow, population.backends.len()),
+            size: (population.simulated, population.backends.len()),
             real: script.size.real,
             relays: script.size.relays,
             ..Report::default()
@@ -188,7 +188,7 @@
         let all = all.collect();
         self.write(all, None).await?;
         let began = now();
-        let numbers: Vec<u32> = (0..self.population.hollow as u32).collect();
+        let numbers: Vec<u32> = (0..self.population.simulated as u32).collect();
         self.restart_proxies(&numbers).await?;
         let behind = self.wait_until_converged().await?.1;
         if let Some(example) = behind {
--- a/crates/testbed/src/scale/fleet/run/convergence.rs
+++ b/crates/testbed/src/scale/fleet/run/convergence.rs
@@ -82,7 +82,7 @@
             let number = name.strip_prefix('b').and_then(|number| number.parse().ok());
             number.map_or(String::new(), |number| Population::address(number, port).to_string())
         };
-        let proxies = &population.proxies[population.hollow..];
+        let proxies = &population.proxies[population.simulated..];
         for (number, proxy) in proxies.iter().enumerate() {
             let scope: BTreeSet<ServiceId> = proxy.scope.iter().copied().collect();
             loop {
--- a/crates/testbed/src/scale/fleet/run/faults.rs
+++ b/crates/testbed/src/scale/fleet/run/faults.rs
@@ -186,7 +186,7 @@
     }
 
     fn proxies_of(&self, zone: usize) -> Vec<u32> {
-        let hollow = self.population.proxies[..self.population.hollow].iter().enumerate();
+        let hollow = self.population.proxies[..self.population.simulated].iter().enumerate();
         hollow.filter(|(_, proxy)| proxy.zone == zone).map(|(number, _)| number as u32).collect()
     }
 
--- a/crates/testbed/src/scale/fleet/simulated_proxy.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxy.rs
@@ -209,19 +209,38 @@
         Response::Costs { each, watchers, breaks }
     }
 
+    fn assign(&mut self, specs: Vec<SimulatedProxySpec>, fault: InjectedFault) {
+        self.injected_fault = specs.iter().map(|spec| spec.number).min().map(|first| (first, fault));
+        for spec in specs {
+            let proxy = self.stopped_proxy(&spec);
+            self.slots.insert(spec.number, ProxySlot { spec, proxy, task: None });
+        }
+    }
+
+    /// Aborts all tasks before the first replica is discarded.
+    fn stop(&mut self, numbers: &[u32]) {
+        for slot in numbers.iter().filter_map(|number| self.slots.get(number)) {
+            if let Some(task) = &slot.task {
+                task.abort();
+            }
+        }
+        for number in numbers {
+            let Some(spec) = self.slots.get(number).map(|slot| slot.spec.clone()) else { continue };
+            let proxy = self.stopped_proxy(&spec);
+            self.slots.insert(*number, ProxySlot { spec, proxy, task: None });
+        }
+    }
+
+    fn stopped_proxy(&self, spec: &SimulatedProxySpec) -> Rc<RefCell<SimulatedProxy>> {
+        let proxy = SimulatedProxy::new(spec, InjectedFault::None, u32::MAX, &self.shared);
+        Rc::new(RefCell::new(proxy))
+    }
+
     /// Executes a command and sends the response. Returns whether the process continues.
     async fn execute(&mut self, command: Command, to: &mut OwnedWriteHalf) -> io::Result<bool> {
         let response = match command {
             Command::Start { proxies, fault } => {
-                self.injected_fault = proxies.iter().map(|h| h.number).min().map(|least| (least, fault));
-                for spec in proxies {
-                    let (number, proxy) = (
-                        spec.number,
-                        SimulatedProxy::new(&spec, InjectedFault::None, u32::MAX, &self.shared),
-                    );
-                    let proxy = Rc::new(RefCell::new(proxy));
-                    self.slots.insert(number, ProxySlot { spec, proxy, task: None });
-                }
+                self.assign(proxies, fault);
                 Response::Done
             }
             Command::Begin => {
@@ -245,22 +264,7 @@
                 Response::Done
             }
             Command::End { numbers } => {
-                for slot in numbers.iter().filter_map(|number| self.slots.get(number)) {
-                    if let Some(task) = &slot.task {
-                        task.abort();
-                    }
-                }
-                for number in numbers {
-                    if let Some(slot) = self.slots.get_mut(&number) {
-                        slot.task = None;
-                        slot.proxy = Rc::new(RefCell::new(SimulatedProxy::new(
-                            &slot.spec,
-                            InjectedFault::None,
-                            u32::MAX,
-                            &self.shared,
-                        )));
-                    }
-                }
+                self.stop(&numbers);
                 Response::Done
             }
             Command::Restart { numbers } => {
