--- a/crates/testbed/src/scale/fleet/reachability.rs
+++ b/crates/testbed/src/scale/fleet/reachability.rs
@@ -84,7 +84,7 @@
                     from = from.max(outage.to);
                 }
                 OutageTarget::Process(process) if process == usize::from(group.process) => {
-                    from = from.max(outage.to)
+                    from = from.max(outage.to);
                 }
                 OutageTarget::Zone(lost) if lost == zone => return None,
                 _ => {}
--- a/crates/testbed/src/scale/fleet/simulated_proxy.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxy.rs
@@ -109,7 +109,7 @@
     }
 
     fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError> {
-        self.version_monitor.heard(&message);
+        self.version_monitor.observe_epoch(&message);
         let Some(message) = self.fault_injector.pass(message) else { return Ok(Vec::new()) };
         let source = match &message {
             Message::Batch { source, .. } | Message::ServiceSnapshot { source, .. } => Some(*source),
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -439,7 +439,7 @@
     let active = |revision| record(1, revision, change(0, "a", State::Active, "a"));
     let drained = record(1, 5, change(0, "a", State::Draining, "a"));
     let mut watch = VersionMonitor::default();
-    watch.heard(&batch(1, Vec::new()));
+    watch.observe_epoch(&batch(1, Vec::new()));
     assert_eq!(watch.applied(0, &active(3)), Version::default());
     assert_eq!(watch.applied(0, &drained), version(1, 3));
     assert_eq!((watch.live(), watch.breaks().len()), (1, 0));
@@ -449,7 +449,7 @@
     assert!(watch.breaks()[1].starts_with("an older version"), "the same once more: {:?}", watch.breaks());
     let mut watch = VersionMonitor::default();
     watch.applied(0, &drained);
-    watch.heard(&batch(2, Vec::new()));
+    watch.observe_epoch(&batch(2, Vec::new()));
     watch.applied(0, &active(3));
     assert_eq!(watch.breaks(), &[] as &[String], "the source lost the drain, and says so with its new life");
     watch.applied(0, &record(2, 6, change(0, "a", State::Gone, "")));
--- a/crates/testbed/src/scale/fleet/version_monitor.rs
+++ b/crates/testbed/src/scale/fleet/version_monitor.rs
@@ -15,22 +15,22 @@
 #[derive(Debug, Default)]
 pub struct VersionMonitor {
     held: FxHashMap<(SourceId, u64), (Version, State)>,
-    heard: FxHashMap<SourceId, Epoch>,
+    epochs: FxHashMap<SourceId, Epoch>,
     live: u32,
     breaks: Vec<String>,
 }
 
 impl VersionMonitor {
     /// Notes the epoch of a message before the subscriber receives it.
-    pub fn heard(&mut self, message: &Message) {
+    pub fn observe_epoch(&mut self, message: &Message) {
         let (Message::Batch { source, epoch, .. }
         | Message::DigestSummary { source, epoch, .. }
         | Message::ServiceSnapshot { source, epoch, .. }) = message
         else {
             return;
         };
-        let heard = self.heard.entry(*source).or_default();
-        *heard = (*heard).max(*epoch);
+        let known = self.epochs.entry(*source).or_default();
+        *known = (*known).max(*epoch);
     }
 
     /// Checks a record that came into force. Returns the version in force before; zero: none.
@@ -46,7 +46,7 @@
             (false, true) => self.live = self.live.saturating_sub(1),
             _ => {}
         }
-        let renewed = self.heard.get(&source).is_some_and(|&heard| heard > before.0.epoch);
+        let renewed = self.epochs.get(&source).is_some_and(|&heard| heard > before.0.epoch);
         if record.version <= before.0 && !renewed && self.breaks.len() < MAX_DESCRIBED_VIOLATIONS {
             let undone = before.1 != State::Active && record.state == State::Active;
             let what = if undone { "a drain undone" } else { "an older version over a newer one" };
