--- a/crates/testbed/src/scale/fleet/model.rs
+++ b/crates/testbed/src/scale/fleet/model.rs
@@ -100,12 +100,12 @@
         all.map(|&place| &self.acknowledged[place]).filter(|said| !said.lost)
     }
 
-    /// Resets the model to a restarted source: `held` must be the state at a prefix of the acknowledged changes. `head` has
+    /// Resets the model to a restarted source: `replica` must be the state at a prefix of the acknowledged changes. `head` has
     /// the new epoch and the revision of the prefix. Returns the number of lost changes.
     ///
     /// # Errors
-    /// If `held` is no such prefix, or the epoch is not newer.
-    pub fn restarted(&mut self, held: &[ReplicaRecord], head: Version) -> Result<usize, Disagreement> {
+    /// If `replica` is no such prefix, or the epoch is not newer.
+    pub fn restarted(&mut self, replica: &[ReplicaRecord], head: Version) -> Result<usize, Disagreement> {
         let wrong = |text: String| Err(Disagreement(text));
         if head.epoch <= self.head.epoch {
             return wrong(format!("it is at {head:?}, which is no new life after {:?}", self.head));
@@ -117,11 +117,11 @@
             then.insert(said.key, said);
         }
         let live = then.values().filter(|said| said.state != State::Gone).count();
-        if live != held.len() {
-            return wrong(format!("it has {} records, at {head:?} there were {live}", held.len()));
+        if live != replica.len() {
+            return wrong(format!("it has {} records, at {head:?} there were {live}", replica.len()));
         }
         let mut services: FxHashMap<ServiceId, Service> = FxHashMap::default();
-        for record in held {
+        for record in replica {
             let key = key_hash(record.service, record.kind, &record.name);
             let current = CurrentRecord { version: record.version, state: record.state, body: record.body };
             match then.get(&key) {
--- a/crates/testbed/src/scale/fleet/network.rs
+++ b/crates/testbed/src/scale/fleet/network.rs
@@ -167,9 +167,9 @@
         starter: &ProcessStarter<'_>,
     ) -> Result<Result<usize, String>, ScaleError> {
         self.sources[source].node.start(starter).await?;
-        let (held, head) = self.read(source).await?;
+        let (replica, head) = self.read(source).await?;
         let Some(model) = self.model.get_mut(&(source as SourceId)) else { return Ok(Ok(0)) };
-        Ok(model.restarted(&held, head).map_err(|disagreement| disagreement.0))
+        Ok(model.restarted(&replica, head).map_err(|disagreement| disagreement.0))
     }
 
     /// All records of a source, as it says them itself to somebody who knows nothing; and how far it is.
