--- a/crates/testbed/src/scale/fleet/real.rs
+++ b/crates/testbed/src/scale/fleet/real_proxies.rs
@@ -1,12 +1,12 @@
-//! Real proxies beside the hollow ones: each with its agent, before stand-in backends under load. All backends are one
-//! listener on all loopback addresses; which one was called tells which backend it was.
+//! Real proxies beside the simulated ones: each with its agent, before test backends under load. All backends share one
+//! listener on all loopback addresses; the destination address identifies the backend.
 
 use super::ScaleError;
 use super::checker::Entry;
+use super::messages;
 use super::network::Network;
 use super::population::Population;
-use super::programs::{Party, Starter};
-use super::words;
+use super::programs::{ControlNode, ProcessStarter};
 use crate::fleet::{Machine, Process, ProxyInstance};
 use crate::http1;
 use crate::script::Script;
@@ -25,16 +25,16 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-/// Arrivals that are kept.
+/// Upper bound of the recorded arrivals.
 const MAX_ARRIVALS: usize = 2_000_000;
-/// Connections of clients to each proxy.
+/// Client connections to each proxy.
 const CLIENTS: usize = 4;
 /// How long a client waits beyond a request's deadline, and the deadline.
 const DEADLINE_MS: u64 = 1_000;
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
 const BACKLOG: u32 = 1_024;
 
-/// What clients and backends saw.
+/// Counters and arrivals of clients and backends.
 #[derive(Debug, Default)]
 struct Seen {
     arrivals: Mutex<Vec<(u64, u32)>>,
@@ -46,7 +46,7 @@
     quiet: AtomicBool,
 }
 
-/// What became of all requests.
+/// Outcomes of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Requests {
     /// Asked.
@@ -61,20 +61,20 @@
     pub unanswered: u64,
 }
 
-/// The stand-in backends and clients, on a thread of their own.
-pub struct Stand {
-    /// Where all backends listen.
+/// Test backends and clients, on a thread of their own.
+pub struct TestBackends {
+    /// The port of all backends.
     pub port: u16,
     seen: Arc<Seen>,
     load: UnboundedSender<(Vec<SocketAddr>, f64)>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Stand {
+impl TestBackends {
     /// Starts the backends.
     ///
     /// # Errors
-    /// Where there is no socket for them.
+    /// If no listening socket can be opened.
     pub fn start() -> io::Result<Self> {
         let (load, loads) = unbounded_channel();
         let (said, port) = mpsc::channel();
@@ -98,12 +98,12 @@
         Ok(Self { port, seen, load, thread: Some(thread) })
     }
 
-    /// Clients ask these proxies, each so often a second.
+    /// Starts clients that send this many requests per second to each proxy.
     pub fn ask(&self, proxies: Vec<SocketAddr>, per_s: f64) {
         let _ = self.load.send((proxies, per_s));
     }
 
-    /// What clients got so far.
+    /// Outcomes of the requests so far.
     #[must_use]
     pub fn requests(&self) -> Requests {
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -116,19 +116,19 @@
         }
     }
 
-    /// Clients ask nothing more.
+    /// Stops sending requests.
     pub fn rest(&self) {
         self.seen.quiet.store(true, Ordering::Relaxed);
     }
 
-    /// When a request came to which backend.
+    /// Time (microseconds of Unix time) and backend of each arrival.
     #[must_use]
     pub fn arrivals(&self) -> Vec<(u64, u32)> {
         self.seen.arrivals.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-impl Drop for Stand {
+impl Drop for TestBackends {
     fn drop(&mut self) {
         let (closed, _) = unbounded_channel();
         self.load = closed;
@@ -174,7 +174,7 @@
         if let Some(number) = number {
             let mut arrivals = seen.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
             if arrivals.len() < MAX_ARRIVALS {
-                arrivals.push((words::now(), number as u32));
+                arrivals.push((messages::now(), number as u32));
             }
         }
         if http1::answer(&mut stream, "200 OK", "", b"served").await.is_err() {
@@ -183,7 +183,7 @@
     }
 }
 
-/// One client: one request at a time on one connection, anew after an error.
+/// One client: one request at a time on one connection, which is reopened after an error.
 async fn ask(proxy: SocketAddr, per_s: f64, place: u64, seen: Arc<Seen>) {
     let add = |counter: &AtomicU64| counter.fetch_add(1, Ordering::Relaxed);
     let pause = Duration::from_secs_f64(1.0 / per_s.max(0.01));
@@ -225,14 +225,14 @@
 }
 
 /// The proxies and their agents.
-pub struct Real {
-    agents: Vec<Party>,
+pub struct RealProxies {
+    agents: Vec<ControlNode>,
     processes: Vec<Process>,
     // Their addresses are theirs while this lives.
     places: Vec<ProxyInstance>,
 }
 
-impl Real {
+impl RealProxies {
     /// Starts agents, then proxies, and waits until these are ready.
     ///
     /// # Errors
@@ -240,11 +240,11 @@
     pub async fn start(
         population: &Population,
         network: &Network,
-        starter: &Starter<'_>,
+        starter: &ProcessStarter<'_>,
         machine: &Machine,
         seed: u64,
     ) -> Result<Self, ScaleError> {
-        let count = population.proxies.len() - population.hollow;
+        let count = population.proxies.len() - population.simulated;
         let text = format!(
             "seed = {seed}\nseconds = 60.0\n\
              fleet = {{ boxes = 1000, proxies = {}, zones = {}, cells = 1, cores = 1.0, holds = 8.0 }}\n\
@@ -255,7 +255,7 @@
         );
         let script = Script::parse(&text, Path::new("real proxies"))?;
         let mut real = Self { agents: Vec::new(), processes: Vec::new(), places: Vec::new() };
-        for (number, proxy) in population.proxies[population.hollow..].iter().enumerate() {
+        for (number, proxy) in population.proxies[population.simulated..].iter().enumerate() {
             let name = format!("agent-{number}");
             let relays = network.relays_of(population.region_of_zone(proxy.zone));
             let relays: Vec<String> = relays
@@ -271,7 +271,7 @@
                     relays.join(", ")
                 )
             };
-            let mut agent = Party::new(starter, "agent", &name, config)?;
+            let mut agent = ControlNode::new(starter, "agent", &name, config)?;
             agent.start(starter).await?;
             real.agents.push(agent);
         }
--- /dev/null
+++ b/crates/testbed/src/scale/fleet/simulated_proxies.rs
@@ -0,0 +1,271 @@
+//! The testbed's side of the processes of simulated proxies: starts them, sends commands and receives responses.
+
+use super::ScaleError;
+use super::messages::{
+    self, Command, InjectedFault, MAX_MESSAGE_BYTES, ReplicaRecord, Response, SimulatedProxyCost,
+    SimulatedProxySpec, Tally,
+};
+use super::programs::Program;
+use crate::fleet::Folder;
+use control_plane::record::{SourceId, Version};
+use std::collections::BTreeMap;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::Path;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::timeout;
+
+/// Upper bound of one response: all records of a thousand proxies, on a busy machine.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
+/// Simulated proxies in one command: their scopes stay far below the longest frame.
+const MAX_PROXIES_PER_COMMAND: usize = 500;
+
+struct HostProcess {
+    program: Program,
+    stream: TcpStream,
+}
+
+impl HostProcess {
+    async fn send(&mut self, command: &Command) -> Result<(), ScaleError> {
+        let failed = |e| ScaleError::Words(self.program.name.clone(), e);
+        messages::write(&mut self.stream, command).await.map_err(failed)?;
+        Ok(())
+    }
+
+    async fn receive(&mut self) -> Result<Response, ScaleError> {
+        let name = self.program.name.clone();
+        let failed = move |e| ScaleError::Words(name.clone(), e);
+        let read = timeout(ANSWER_TIMEOUT, messages::read(&mut self.stream, MAX_MESSAGE_BYTES)).await;
+        if let Some((_, response)) = read.map_err(|e| failed(e.into()))?.map_err(&failed)? {
+            Ok(response)
+        } else {
+            self.program.runs()?;
+            Err(failed(std::io::ErrorKind::UnexpectedEof.into()))
+        }
+    }
+}
+
+/// All processes of simulated proxies.
+pub struct SimulatedProxies {
+    processes: Vec<HostProcess>,
+}
+
+/// Costs of all simulated proxies since the last request.
+#[derive(Default)]
+pub struct Costs {
+    /// One entry for each simulated proxy.
+    pub each: Vec<SimulatedProxyCost>,
+    /// Memory of the version monitors, bytes.
+    pub watchers: u64,
+    /// Violations found, with the proxy's number.
+    pub breaks: Vec<(u32, String)>,
+}
+
+impl SimulatedProxies {
+    /// Starts this many processes.
+    ///
+    /// # Errors
+    /// If one does not start.
+    pub async fn start(keeper: &Path, folder: &Folder, process_count: usize) -> Result<Self, ScaleError> {
+        let mut processes = Vec::new();
+        for number in 0..process_count {
+            let name = format!("hollow-{number}");
+            let failed = |e| ScaleError::Start(name.clone(), e);
+            let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(failed)?;
+            let rig: SocketAddr = listener.local_addr().map_err(failed)?;
+            let arguments = ["scale".into(), "hollow".into(), rig.to_string().into()];
+            let mut program = Program::start(keeper, keeper, &arguments, folder, &name)?;
+            let accepted = timeout(ANSWER_TIMEOUT, listener.accept()).await;
+            let Ok(accepted) = accepted else {
+                program.runs()?;
+                return Err(failed(std::io::ErrorKind::TimedOut.into()));
+            };
+            let (stream, _) = accepted.map_err(failed)?;
+            stream.set_nodelay(true).map_err(failed)?;
+            processes.push(HostProcess { program, stream });
+        }
+        Ok(Self { processes })
+    }
+
+    /// The index of the process that hosts this simulated proxy.
+    #[must_use]
+    pub fn process(&self, number: u32) -> usize {
+        number as usize % self.processes.len()
+    }
+
+    async fn request_all(&mut self, command: &Command) -> Result<Vec<Response>, ScaleError> {
+        for process in &mut self.processes {
+            process.send(command).await?;
+        }
+        let mut responses = Vec::new();
+        for process in &mut self.processes {
+            responses.push(process.receive().await?);
+        }
+        Ok(responses)
+    }
+
+    /// Assigns proxies to processes without starting them. The first proxy has the injected fault.
+    ///
+    /// # Errors
+    /// If a process has exited.
+    pub async fn assign(
+        &mut self,
+        hollows: Vec<SimulatedProxySpec>,
+        fault: InjectedFault,
+    ) -> Result<(), ScaleError> {
+        let mut by_house: Vec<Vec<SimulatedProxySpec>> = self.processes.iter().map(|_| Vec::new()).collect();
+        for hollow in hollows {
+            let process = self.process(hollow.number);
+            by_house[process].push(hollow);
+        }
+        for (number, (process, hollows)) in self.processes.iter_mut().zip(by_house).enumerate() {
+            let fault = if number == 0 { fault } else { InjectedFault::None };
+            for part in hollows.chunks(MAX_PROXIES_PER_COMMAND) {
+                process.send(&Command::Start { proxies: part.to_vec(), fault }).await?;
+                process.receive().await?;
+            }
+        }
+        Ok(())
+    }
+
+    fn partition_by_process<T>(
+        &self,
+        numbers: impl Iterator<Item = T>,
+        number: impl Fn(&T) -> u32,
+    ) -> Vec<Vec<T>> {
+        let mut partition_by_process: Vec<Vec<T>> = self.processes.iter().map(|_| Vec::new()).collect();
+        for one in numbers {
+            partition_by_process[self.process(number(&one))].push(one);
+        }
+        partition_by_process
+    }
+
+    /// Restarts these, each with the number of records of its complete replica.
+    ///
+    /// # Errors
+    /// If a process has exited.
+    pub async fn restart(&mut self, numbers: impl Iterator<Item = (u32, u32)>) -> Result<(), ScaleError> {
+        let partition_by_process = self.partition_by_process(numbers, |one| one.0);
+        for (process, numbers) in self.processes.iter_mut().zip(partition_by_process) {
+            process.send(&Command::Restart { numbers }).await?;
+        }
+        for process in &mut self.processes {
+            process.receive().await?;
+        }
+        Ok(())
+    }
+
+    /// Stops these.
+    ///
+    /// # Errors
+    /// If a process has exited.
+    pub async fn end(&mut self, numbers: impl Iterator<Item = u32>) -> Result<(), ScaleError> {
+        let partition_by_process = self.partition_by_process(numbers, |&one| one);
+        for (process, numbers) in self.processes.iter_mut().zip(partition_by_process) {
+            process.send(&Command::End { numbers }).await?;
+        }
+        for process in &mut self.processes {
+            process.receive().await?;
+        }
+        Ok(())
+    }
+
+    /// Starts to count updates, and arms the injected fault.
+    ///
+    /// # Errors
+    /// If a process has exited.
+    pub async fn begin(&mut self) -> Result<(), ScaleError> {
+        self.request_all(&Command::Begin).await.map(drop)
+    }
+
+    /// The number of proxies that lag behind these positions, and an example.
+    ///
+    /// # Errors
+    /// If a process has exited.
+    pub async fn behind(
+        &mut self,
+        heads: &BTreeMap<SourceId, Version>,
+    ) -> Result<(u32, Option<String>), ScaleError> {
+        let heads = heads.iter().map(|(&source, &head)| (source, head)).collect();
+        let (mut sum, mut first) = (0, None);
+        for response in self.request_all(&Command::Behind { heads }).await? {
+            if let Response::Behind { count, example } = response {
+                sum += count;
+                first = first.or(example);
+            }
+        }
+        Ok((sum, first))
+    }
+
+    /// Reads the replicas of these, or of all that run, one after another.
+    ///
+    /// # Errors
+    /// If a process has exited.
+    pub async fn dump(
+        &mut self,
+        numbers: Option<Vec<u32>>,
+        mut take: impl FnMut(u32, &[ReplicaRecord]),
+    ) -> Result<(), ScaleError> {
+        let command = Command::Dump { numbers };
+        for process in &mut self.processes {
+            process.send(&command).await?;
+            while let Response::Records { number, records } = process.receive().await? {
+                take(number, &records);
+            }
+        }
+        Ok(())
+    }
+
+    /// Updates since the last request, by process, and the number of updates that exceeded the tallies' bound.
+    ///
+    /// # Errors
+    /// If a process has exited.
+    pub async fn tallies(&mut self) -> Result<(Vec<Vec<Tally>>, u64), ScaleError> {
+        let (mut request_all, mut lost) = (Vec::new(), 0);
+        for response in self.request_all(&Command::Tallies).await? {
+            if let Response::Tallies { tallies, forgotten } = response {
+                request_all.push(tallies);
+                lost += forgotten;
+            }
+        }
+        Ok((request_all, lost))
+    }
+
+    /// Costs since the last request.
+    ///
+    /// # Errors
+    /// If a process has exited.
+    pub async fn costs(&mut self) -> Result<Costs, ScaleError> {
+        let mut sum = Costs::default();
+        for response in self.request_all(&Command::Costs).await? {
+            if let Response::Costs { each, watchers, breaks } = response {
+                sum.each.extend(each);
+                sum.watchers += watchers;
+                sum.breaks.extend(breaks);
+            }
+        }
+        Ok(sum)
+    }
+
+    /// Suspends a process, or resumes it.
+    pub fn stall(&mut self, process: usize, stalled: bool) {
+        if let Some(process) = self.processes.get_mut(process) {
+            process.program.stall(stalled);
+        }
+    }
+
+    /// Total processor time so far, seconds, and memory, bytes.
+    #[must_use]
+    pub fn usage(&self) -> (f64, u64) {
+        let programs = self.processes.iter().map(|process| &process.program);
+        programs.fold((0.0, 0), |(cpu, memory), p| (cpu + p.cpu_s(), memory + p.memory()))
+    }
+
+    /// Checks that all processes run.
+    ///
+    /// # Errors
+    /// The first that has exited.
+    pub fn run(&mut self) -> Result<(), ScaleError> {
+        self.processes.iter_mut().try_for_each(|process| process.program.runs())
+    }
+}
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -1,17 +1,17 @@
 //! The pure parts by themselves: each checker must find what it is there for, and find nothing where nothing is wrong.
 
-use super::checker::{Wrong, compare, compare_list};
-use super::in_force::{Audience, Group, InForce, percentile, summary};
+use super::checker::{Mismatch, compare, compare_list};
+use super::fault_injection::FaultInjector;
+use super::messages::{InjectedFault, ReplicaRecord, Tally, key_hash};
 use super::model::{Model, SourceModel};
-use super::plan::{Deed, ScalePlan};
-use super::plant::Shim;
+use super::plan::{PlannedChange, ScalePlan};
 use super::population::Population;
-use super::reach::{Reach, Who, Window};
+use super::propagation::{Audience, Group, Propagation, percentile, summary};
+use super::reachability::{Outage, OutageTarget, Reachability};
 use super::report::{ListRow, Report, StepRow};
 use super::script::{ScaleScript, ScaleScriptError};
-use super::strays::{DRAINED_TIMEOUT, strays};
-use super::watch::Watch;
-use super::words::{Held, Plant, Tally, key_hash};
+use super::stale_sends::{DRAINED_TIMEOUT, find_stale_sends};
+use super::version_monitor::VersionMonitor;
 use control_plane::message::{Message, ServiceRange};
 use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
 use proptest::prelude::*;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_in_a_script_is_named_by_its_key() {
+fn names_the_key_of_an_invalid_script_value() {
     let cases = [
         ("subscribers = 500", "subscribers = 0", "size.subscribers"),
         ("relays = 4", "relays = 1", "size.relays"),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_population_and_plan_and_another_one_others() {
+fn population_and_plan_depend_on_the_seed_alone() {
     let one = script(SMALL);
     let other = ScaleScript { seed: one.seed + 1, ..one.clone() };
     let drawn = |script: &ScaleScript| {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_population_has_the_sizes_that_its_script_says() {
+fn population_has_the_sizes_of_its_script() {
     let script = script(SMALL);
     let population = Population::draw(&script);
     assert_eq!(population.backends.len(), 10_000);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn the_plan_of_two_years_is_a_good_script_and_every_part_of_it() {
+fn full_scale_script_is_valid_at_every_part_size() {
     let whole = script(WHOLE);
     for (part, size) in [(1.0, (5_200, 7_400, 160_000)), (0.25, (1_300, 1_850, 40_000))] {
         let script = whole.clone().part(part);
@@ -119,27 +119,28 @@
 }
 
 #[test]
-fn a_plan_has_the_rates_of_its_script_and_every_backend_leaves_before_it_has_left() {
+fn plan_has_the_rates_of_its_script_and_valid_state_transitions() {
     let mut script = script(WHOLE);
     script.step.truncate(2);
     script.size.subscribers = 50;
     (script.step[0].seconds, script.step[1].seconds) = (300.0, 300.0);
     let population = Population::draw(&script);
     let plan = ScalePlan::draw(&script, &population);
-    assert!(plan.deeds.windows(2).all(|pair| pair[0].0 <= pair[1].0), "in order");
+    assert!(plan.changes.windows(2).all(|pair| pair[0].0 <= pair[1].0), "in order");
     let half = 300_000_000;
-    let begun = |deed: &Deed| matches!(deed, Deed::Backend { state: State::Draining, .. });
-    let count = |from: u64, to: u64, of: &dyn Fn(&Deed) -> bool| {
-        plan.deeds.iter().filter(|(at, deed)| (from..to).contains(at) && of(deed)).count() as f64
+    let begun =
+        |change: &PlannedChange| matches!(change, PlannedChange::Backend { state: State::Draining, .. });
+    let count = |from: u64, to: u64, of: &dyn Fn(&PlannedChange) -> bool| {
+        plan.changes.iter().filter(|(at, change)| (from..to).contains(at) && of(change)).count() as f64
     };
     // 56,000 a day are 194 in five minutes; four deviations of chance.
     assert!((count(0, half, &begun) - 194.4).abs() < 56.0, "{}", count(0, half, &begun));
     assert!((count(half, 2 * half, &begun) - 1_944.0).abs() < 177.0, "{}", count(half, 2 * half, &begun));
-    let configured = |deed: &Deed| matches!(deed, Deed::Configuration { .. });
+    let configured = |change: &PlannedChange| matches!(change, PlannedChange::Configuration { .. });
     assert!((count(half, 2 * half, &configured) - 451.4).abs() < 85.0);
     let mut states = BTreeMap::<usize, State>::new();
-    for (_, deed) in &plan.deeds {
-        if let Deed::Backend { number, state } = *deed {
+    for (_, change) in &plan.changes {
+        if let PlannedChange::Backend { number, state } = *change {
             let before = states.insert(number, state).unwrap_or(State::Active);
             let follows = matches!(
                 (before, state),
@@ -170,7 +171,7 @@
     (service % 2) as u16
 }
 
-fn said() -> [Vec<Change>; 2] {
+fn written_changes() -> [Vec<Change>; 2] {
     let active = |service, name| change(service, name, State::Active, name);
     [
         vec![
@@ -187,65 +188,65 @@
 
 fn model() -> Model {
     let mut model = Model::new();
-    for (source, changes) in said().into_iter().enumerate() {
+    for (source, changes) in written_changes().into_iter().enumerate() {
         let one = model.entry(source as u16).or_default();
         let last = version(5, changes.len() as u64);
-        one.wrote(&changes, last, 1_000, Some(0));
+        one.record_write(&changes, last, 1_000, Some(0));
     }
     model
 }
 
-fn held(source: u16, revision: u64, change: Change) -> Held {
-    Held::of(source, &record(5, revision, change))
+fn replica_record(source: u16, revision: u64, change: Change) -> ReplicaRecord {
+    ReplicaRecord::of(source, &record(5, revision, change))
 }
 
 /// What somebody with services 0, 1 and 2 holds.
-fn right() -> Vec<Held> {
+fn expected_replica() -> Vec<ReplicaRecord> {
     vec![
-        held(0, 1, change(0, "a", State::Active, "a")),
-        held(0, 4, change(0, "b", State::Draining, "b")),
-        held(0, 6, change(2, "d", State::Active, "d")),
-        held(1, 3, change(1, "e", State::Active, "anew")),
+        replica_record(0, 1, change(0, "a", State::Active, "a")),
+        replica_record(0, 4, change(0, "b", State::Draining, "b")),
+        replica_record(0, 6, change(2, "d", State::Active, "d")),
+        replica_record(1, 3, change(1, "e", State::Active, "anew")),
     ]
 }
 
-fn wrong(held: &[Held]) -> Vec<Wrong> {
+fn mismatches(held: &[ReplicaRecord]) -> Vec<Mismatch> {
     let scope = BTreeSet::from([0, 1, 2]);
-    compare(&model(), &scope, source_of, held).into_iter().map(|difference| difference.wrong).collect()
+    compare(&model(), &scope, source_of, held).into_iter().map(|difference| difference.mismatch).collect()
 }
 
 #[test]
-fn the_checker_finds_each_kind_of_difference_and_none_where_there_is_none() {
-    assert_eq!(wrong(&right()), []);
-    let with = |held: Held| [right(), vec![held]].concat();
-    let but = |place: usize, held: Held| {
-        let mut all = right();
+fn checker_finds_each_kind_of_mismatch_and_none_in_an_equal_replica() {
+    assert_eq!(mismatches(&expected_replica()), []);
+    let with = |held: ReplicaRecord| [expected_replica(), vec![held]].concat();
+    let but = |place: usize, held: ReplicaRecord| {
+        let mut all = expected_replica();
         all[place] = held;
         all
     };
     for place in 0..4 {
-        let mut fewer = right();
+        let mut fewer = expected_replica();
         fewer.remove(place);
-        assert_eq!(wrong(&fewer), [Wrong::Missing], "{place}");
+        assert_eq!(mismatches(&fewer), [Mismatch::Missing], "{place}");
     }
-    let stale = held(0, 3, change(2, "c", State::Active, "c"));
-    assert_eq!(wrong(&with(stale)), [Wrong::NotThere], "a drain that was never heard of");
-    let stray = held(1, 2, change(3, "f", State::Active, "f"));
-    assert_eq!(wrong(&with(stray)), [Wrong::OutOfScope]);
-    assert_eq!(wrong(&with(right()[0].clone())), [Wrong::Twice, Wrong::NotThere]);
-    let old = held(0, 2, change(0, "b", State::Active, "b"));
-    assert_eq!(wrong(&but(1, old)), [Wrong::Version]);
-    let undone = held(0, 4, change(0, "b", State::Active, "b"));
-    assert_eq!(wrong(&but(1, undone)), [Wrong::State]);
-    let spoilt = held(0, 1, change(0, "a", State::Active, "A"));
-    assert_eq!(wrong(&but(0, spoilt)), [Wrong::Body]);
-    let foreign = held(1, 1, change(0, "a", State::Active, "a"));
-    assert_eq!(wrong(&but(0, foreign)), [Wrong::NotThere], "another source's");
-    assert_eq!(wrong(&[]), [Wrong::Missing; 4]);
+    let stale = replica_record(0, 3, change(2, "c", State::Active, "c"));
+    assert_eq!(mismatches(&with(stale)), [Mismatch::NotThere], "a drain that was never heard of");
+    let stray = replica_record(1, 2, change(3, "f", State::Active, "f"));
+    assert_eq!(mismatches(&with(stray)), [Mismatch::OutOfScope]);
+    assert_eq!(mismatches(&with(expected_replica()[0].clone())), [Mismatch::Twice, Mismatch::NotThere]);
+    let old = replica_record(0, 2, change(0, "b", State::Active, "b"));
+    assert_eq!(mismatches(&but(1, old)), [Mismatch::Version]);
+    let undone = replica_record(0, 4, change(0, "b", State::Active, "b"));
+    assert_eq!(mismatches(&but(1, undone)), [Mismatch::State]);
+    let spoilt = replica_record(0, 1, change(0, "a", State::Active, "A"));
+    assert_eq!(mismatches(&but(0, spoilt)), [Mismatch::Body]);
+    let foreign = replica_record(1, 1, change(0, "a", State::Active, "a"));
+    assert_eq!(mismatches(&but(0, foreign)), [Mismatch::NotThere], "another source's");
+    assert_eq!(mismatches(&[]), [Mismatch::Missing; 4]);
 }
 
 #[test]
-fn an_agents_list_is_right_only_with_every_entry_address_and_phase() {
+fn agent_list_must_match_every_entry_address_and_phase() {
     let entry = |id: &str, phase: &str| {
         let name = id.rsplit('/').next().unwrap_or_default();
         (id.to_owned(), (format!("at {name}"), phase.to_owned()))
@@ -270,8 +271,8 @@
 
 proptest! {
     #[test]
-    fn whatever_one_thing_is_changed_in_what_is_held_it_is_found(place in 0_usize..4, what in 0_usize..6) {
-        let mut all = right();
+    fn checker_finds_any_single_change_of_a_replica(place in 0_usize..4, what in 0_usize..6) {
+        let mut all = expected_replica();
         match what {
             0 => { all.remove(place); }
             1 => all[place].version.revision += 1,
@@ -280,18 +281,18 @@
             4 => all[place].name.push('x'),
             _ => all[place].state = if all[place].state == State::Active { State::Draining } else { State::Active },
         }
-        prop_assert!(!wrong(&all).is_empty());
+        prop_assert!(!mismatches(&all).is_empty());
     }
 }
 
 #[test]
-fn a_source_that_lost_its_last_changes_is_believed_only_where_it_has_a_cut_of_what_was_said() {
-    let of = |revisions: &[(u64, Change)]| -> Vec<Held> {
-        revisions.iter().map(|(revision, change)| held(0, *revision, change.clone())).collect()
+fn restarted_source_must_hold_a_prefix_of_its_acknowledged_changes() {
+    let of = |revisions: &[(u64, Change)]| -> Vec<ReplicaRecord> {
+        revisions.iter().map(|(revision, change)| replica_record(0, *revision, change.clone())).collect()
     };
     let active = |service, name: &str| change(service, name, State::Active, name);
     let cut = of(&[(1, active(0, "a")), (2, active(0, "b")), (3, active(2, "c"))]);
-    let restarted = |held: &[Held], head| {
+    let restarted = |held: &[ReplicaRecord], head| {
         let mut source = model().remove(&0).expect("it is there");
         source.restarted(held, head).map(|lost| (lost, source.head, source.live(0), source.live(2)))
     };
@@ -306,13 +307,13 @@
 }
 
 #[test]
-fn after_a_loss_what_was_lost_counts_no_more_and_revisions_go_on() {
+fn lost_changes_are_not_expected_after_a_source_restart() {
     let mut source = SourceModel::default();
     let active = |name: &str| change(0, name, State::Active, name);
-    source.wrote(&[active("a"), change(0, "a", State::Draining, "a")], version(1, 2), 10, Some(0));
-    let kept = [Held::of(0, &record(1, 1, active("a")))];
+    source.record_write(&[active("a"), change(0, "a", State::Draining, "a")], version(1, 2), 10, Some(0));
+    let kept = [ReplicaRecord::of(0, &record(1, 1, active("a")))];
     assert_eq!(source.restarted(&kept, version(2, 1)), Ok(1));
-    source.wrote(&[change(0, "a", State::Gone, "")], version(2, 2), 20, Some(0));
+    source.record_write(&[change(0, "a", State::Gone, "")], version(2, 2), 20, Some(0));
     let key = key_hash(0, Kind::Backend, "a");
     let states: Vec<State> = source.history(key).map(|said| said.state).collect();
     assert_eq!(states, [State::Active, State::Gone]);
@@ -338,15 +339,15 @@
 }
 
 #[test]
-fn a_change_is_in_force_when_the_last_one_has_it_or_a_newer_one() {
+fn change_is_in_force_when_the_last_subscriber_has_it_or_a_newer_one() {
     let group = |zone| Group { process: 0, zone };
     let audience = Everybody(vec![(group(3), 2), (group(7), 1), (group(9), 5)]);
     let mut model = Model::new();
     let source = model.entry(0).or_default();
-    source.wrote(&[change(0, "a", State::Active, "1")], version(1, 1), 1_000, None);
-    source.wrote(&[change(0, "a", State::Draining, "1")], version(1, 2), 2_000, Some(0));
-    source.wrote(&[change(0, "a", State::Gone, "")], version(1, 3), 3_000, Some(1));
-    source.wrote(&[change(5, "b", State::Active, "1")], version(1, 4), 3_000, Some(1));
+    source.record_write(&[change(0, "a", State::Active, "1")], version(1, 1), 1_000, None);
+    source.record_write(&[change(0, "a", State::Draining, "1")], version(1, 2), 2_000, Some(0));
+    source.record_write(&[change(0, "a", State::Gone, "")], version(1, 3), 3_000, Some(1));
+    source.record_write(&[change(5, "b", State::Active, "1")], version(1, 4), 3_000, Some(1));
     let key = key_hash(0, Kind::Backend, "a");
     let tally = |zone, from, to, count, last| Tally {
         source: 0,
@@ -357,7 +358,7 @@
         count,
         last,
     };
-    let mut in_force = InForce::default();
+    let mut in_force = Propagation::default();
     // One takes both; the other one of zone 3 hears of the second alone; zone 7 likewise.
     in_force.take(&model, 0, &[tally(3, 1, 2, 1, 2_100), tally(3, 2, 3, 1, 3_100)]);
     in_force.take(&model, 0, &[tally(3, 1, 3, 1, 4_000)]);
@@ -374,7 +375,7 @@
 }
 
 #[test]
-fn percentiles_are_the_least_values_that_so_large_a_part_is_not_above() {
+fn percentile_is_the_smallest_value_at_or_above_its_rank() {
     let values: Vec<u64> = (1..=200).collect();
     let at = |part| percentile(&values, part);
     assert_eq!((at(0.5), at(0.99), at(1.0), at(0.0)), (100, 198, 200, 1));
@@ -382,13 +383,13 @@
 }
 
 #[test]
-fn whoever_was_cut_off_stopped_or_gone_is_counted_from_when_it_could_be_reached() {
+fn propagation_to_unreachable_groups_counts_from_the_end_of_the_outage() {
     let population = Population::draw(&script(SMALL));
-    let mut reach = Reach::new(&population, 2);
-    let window = |who| Window { who, from: 1_000_000, to: 2_000_000 };
+    let mut reach = Reachability::new(&population, 2);
+    let window = |who| Outage { target: who, from: 1_000_000, to: 2_000_000 };
     let group = |process, zone| Group { process, zone };
-    let at = |reach: &Reach, source, group| reach.reachable(source, group, 1_500_000);
-    reach.windows = vec![window(Who::Region(0))];
+    let at = |reach: &Reachability, source, group| reach.reachable(source, group, 1_500_000);
+    reach.outages = vec![window(OutageTarget::Region(0))];
     // Zones 0 and 2 are region 0's.
     assert_eq!(at(&reach, 0, group(0, 0)), Some(1_500_000), "its own source");
     assert_eq!(at(&reach, 1, group(0, 2)), Some(2_000_000), "the others' source");
@@ -397,33 +398,34 @@
     assert_eq!(reach.reachable(1, group(0, 0), 2_000_000), Some(2_000_000), "it is over");
     assert_eq!(reach.reachable(1, group(0, 0), 100), Some(100), "long before");
     assert_eq!(reach.latest(1, 1_500_000), 2_000_000);
-    reach.windows = vec![window(Who::Process(1))];
+    reach.outages = vec![window(OutageTarget::Process(1))];
     assert_eq!((at(&reach, 0, group(0, 0)), at(&reach, 0, group(1, 0))), (Some(1_500_000), Some(2_000_000)));
-    reach.windows = vec![window(Who::Zone(2))];
+    reach.outages = vec![window(OutageTarget::Zone(2))];
     assert_eq!((at(&reach, 0, group(0, 0)), at(&reach, 0, group(0, 2))), (Some(1_500_000), None));
     let must: u32 = (0..500).flat_map(|service| reach.of(service)).map(|(_, count)| count).sum();
     assert_eq!(must, 500 * 16, "each proxy and service of its scope once");
 }
 
 #[test]
-fn a_request_to_a_backend_that_was_drained_long_before_is_found() {
+fn finds_requests_sent_after_the_drain_timeout() {
     let population = Population::draw(&script(SMALL));
-    let mut reach = Reach::new(&population, 2);
+    let mut reach = Reachability::new(&population, 2);
     let service = population.backends[7].service;
     let source = population.region_of_service(service) as u16;
     let said = |state, body: &str| [change(service, "b7", state, body)];
     let mut model = Model::new();
     let one = model.entry(source).or_default();
-    one.wrote(&said(State::Active, "1"), version(1, 1), 100, None);
-    one.wrote(&said(State::Draining, "1"), version(1, 2), 1_000_000, Some(0));
-    one.wrote(&said(State::Gone, ""), version(1, 3), 5_000_000, Some(0));
-    one.wrote(&said(State::Active, "2"), version(1, 4), 30_000_000, Some(0));
+    one.record_write(&said(State::Active, "1"), version(1, 1), 100, None);
+    one.record_write(&said(State::Draining, "1"), version(1, 2), 1_000_000, Some(0));
+    one.record_write(&said(State::Gone, ""), version(1, 3), 5_000_000, Some(0));
+    one.record_write(&said(State::Active, "2"), version(1, 4), 30_000_000, Some(0));
     let told = 1_000_000 + DRAINED_TIMEOUT;
-    let found = |reach: &Reach, at| strays(&[(at, 7), (at, 8)], &model, &population, reach).len();
+    let found =
+        |reach: &Reachability, at| find_stale_sends(&[(at, 7), (at, 8)], &model, &population, reach).len();
     let times = [500_000, told, told + 1, 29_999_999, 30_000_001];
     assert_eq!(times.map(|at| found(&reach, at)), [0, 0, 1, 1, 0]);
     // Where its source and somebody were cut off from one another, from the end of that on.
-    reach.windows = vec![Window { who: Who::Region(0), from: 900_000, to: 8_000_000 }];
+    reach.outages = vec![Outage { target: OutageTarget::Region(0), from: 900_000, to: 8_000_000 }];
     assert_eq!((found(&reach, told + 1), found(&reach, 8_000_001 + DRAINED_TIMEOUT)), (0, 1));
 }
 
@@ -433,11 +435,11 @@
 }
 
 #[test]
-fn the_watcher_sees_older_words_and_undone_drains_but_for_a_new_life_of_the_source() {
+fn version_monitor_finds_regressions_except_after_a_new_epoch() {
     let active = |revision| record(1, revision, change(0, "a", State::Active, "a"));
     let drained = record(1, 5, change(0, "a", State::Draining, "a"));
-    let mut watch = Watch::default();
-    watch.heard(&batch(1, Vec::new()));
+    let mut watch = VersionMonitor::default();
+    watch.observe_epoch(&batch(1, Vec::new()));
     assert_eq!(watch.applied(0, &active(3)), Version::default());
     assert_eq!(watch.applied(0, &drained), version(1, 3));
     assert_eq!((watch.live(), watch.breaks().len()), (1, 0));
@@ -445,9 +447,9 @@
     assert!(watch.breaks()[0].starts_with("a drain undone"), "{:?}", watch.breaks());
     watch.applied(0, &active(4));
     assert!(watch.breaks()[1].starts_with("an older version"), "the same once more: {:?}", watch.breaks());
-    let mut watch = Watch::default();
+    let mut watch = VersionMonitor::default();
     watch.applied(0, &drained);
-    watch.heard(&batch(2, Vec::new()));
+    watch.observe_epoch(&batch(2, Vec::new()));
     watch.applied(0, &active(3));
     assert_eq!(watch.breaks(), &[] as &[String], "the source lost the drain, and says so with its new life");
     watch.applied(0, &record(2, 6, change(0, "a", State::Gone, "")));
@@ -455,11 +457,11 @@
 }
 
 #[test]
-fn each_planted_fault_does_what_it_says_and_nothing_else() {
+fn each_injected_fault_changes_only_its_own_messages() {
     let one = || record(1, 3, change(0, "a", State::Active, "a"));
     let two = || record(1, 4, change(0, "b", State::Active, "b"));
     let whole = batch(1, vec![one(), two()]);
-    let mut none = Shim::new(Plant::None);
+    let mut none = FaultInjector::new(InjectedFault::None);
     none.arm();
     assert_eq!(none.pass(whole.clone()), Some(whole.clone()));
 
@@ -467,23 +469,23 @@
         Some(Message::Batch { records, scope_digest: None, .. }) => records,
         other => panic!("{other:?}"),
     };
-    let mut drop = Shim::new(Plant::Drop);
+    let mut drop = FaultInjector::new(InjectedFault::Drop);
     assert_eq!(records(drop.pass(whole.clone())), [one(), two()], "not before it is armed");
     drop.arm();
     assert_eq!(records(drop.pass(whole.clone())), [two()]);
     assert_eq!(records(drop.pass(batch(1, vec![two(), one()]))), [two()], "the same record again, no other");
 
-    let mut digest = Shim::new(Plant::Digest);
+    let mut digest = FaultInjector::new(InjectedFault::Digest);
     digest.arm();
     let spoilt = records(digest.pass(whole.clone()));
     assert_eq!((spoilt[0].version, &*spoilt[0].body, &spoilt[1]), (one().version, &b"`"[..], &two()));
 
     let services = |count| Scope::Services((0..count).collect());
     let hello = |scope| Message::Hello { protocol: 1, name: "n".into(), scope, positions: Vec::new() };
-    assert_eq!(Shim::new(Plant::Scope).out(hello(services(4))), hello(services(3)));
-    assert_eq!(Shim::new(Plant::Drop).out(hello(services(4))), hello(services(4)));
+    assert_eq!(FaultInjector::new(InjectedFault::Scope).out(hello(services(4))), hello(services(3)));
+    assert_eq!(FaultInjector::new(InjectedFault::Drop).out(hello(services(4))), hello(services(4)));
 
-    let mut epoch = Shim::new(Plant::Epoch);
+    let mut epoch = FaultInjector::new(InjectedFault::Epoch);
     assert_eq!(records(epoch.pass(whole)).len(), 2);
     match epoch.pass(batch(2, vec![one()])) {
         Some(Message::Batch { epoch: 1, records, .. }) => assert_eq!(records, [one()]),
@@ -501,7 +503,7 @@
 }
 
 #[test]
-fn a_page_can_take_every_figure_of_a_report_by_its_name_and_size() {
+fn every_report_figure_has_a_unique_name_and_size() {
     let step = |name: &str, times| StepRow { name: name.into(), times, ..StepRow::default() };
     let mut report = Report { size: (5_200, 160_000), real: 16, relays: 20, ..Report::default() };
     report.steps = vec![step("0 ordinary", 1.0), step("1 ordinary", 10.0), step("2 ordinary", 10.0)];
