--- a/crates/testbed/src/scale/slopes/subject.rs
+++ b/crates/testbed/src/scale/slopes/subject.rs
@@ -26,8 +26,8 @@
 /// What a class of open requests lets a client wait, microseconds: longer than any measurement holds them.
 const PATIENT_US: u64 = 120_000_000;
 /// What the log says when the configuration was read again.
-const READ_AGAIN: &str = "read the configuration again";
-const KEPT_OLD: &str = "kept the old configuration";
+const RELOADED_LOG_TEXT: &str = "reloaded the configuration";
+const RELOAD_FAILED_LOG_TEXT: &str = "reload failed";
 
 /// What the settings hold.
 #[derive(Clone, Copy, Debug)]
@@ -177,17 +177,17 @@
     /// Writes the configuration anew with other settings and has it read; back once the log says that it was. Gives the
     /// configuration's size in bytes.
     pub(super) async fn renew(&mut self) -> Result<usize, ScaleError> {
-        let before = self.count(READ_AGAIN)?;
+        let before = self.count(RELOADED_LOG_TEXT)?;
         self.edition += 1;
         let text = config(&self.shape, self.edition, self.address(), self.discovery, self.descriptors);
         fs::write(&self.file, &text)?;
         let id = i32::try_from(self.child.id()).map_err(std::io::Error::other)?;
         kill(Pid::from_raw(id), Signal::SIGHUP).map_err(std::io::Error::from)?;
         self.until("done with the new configuration", async |subject| {
-            if subject.count(KEPT_OLD)? > 0 {
+            if subject.count(RELOAD_FAILED_LOG_TEXT)? > 0 {
                 return Err(ScaleError::Proxy(subject.last_words()));
             }
-            Ok(subject.count(READ_AGAIN)? > before)
+            Ok(subject.count(RELOADED_LOG_TEXT)? > before)
         })
         .await?;
         Ok(text.len())
