--- a/crates/admin/src/exclusion_store.rs
+++ b/crates/admin/src/exclusion_store.rs
@@ -39,7 +39,7 @@
     /// Another process holds the lock.
     #[error("{0} is held by another process")]
     Locked(PathBuf),
-    /// The write took longer than [`WRITE_TIMEOUT`]. It may still complete.
+    /// The write took longer than `WRITE_TIMEOUT`. It may still complete.
     #[error("{0} was not written within {ms} ms; the change may hold yet", ms = WRITE_TIMEOUT.as_millis())]
     WriteTimeout(PathBuf),
     /// The bound on exclusions is reached.
--- a/crates/admin/src/snapshot_file.rs
+++ b/crates/admin/src/snapshot_file.rs
@@ -124,7 +124,7 @@
     /// It is of this other format version.
     #[error("version {0} is not {FORMAT_VERSION}")]
     Version(u32),
-    /// It is older than [`MAX_SNAPSHOT_AGE`], or from the future.
+    /// It is older than `MAX_SNAPSHOT_AGE`, or from the future.
     #[error("it is not of the last {} s", MAX_SNAPSHOT_AGE / 1_000_000)]
     Expired,
     /// It belongs to a configuration with other classes, kinds or zones.
@@ -133,7 +133,7 @@
     /// The value of this key is out of range.
     #[error("`{0}` makes no sense")]
     InvalidValue(&'static str),
-    /// It is larger than [`MAX_FILE_BYTES`].
+    /// It is larger than `MAX_FILE_BYTES`.
     #[error("larger than {MAX_FILE_BYTES} bytes")]
     TooLarge,
 }
