--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,8 +1,8 @@
-//! What an instance wants done.
+//! Actions that an instance returns for the proxy to execute.
 
 use super::{BackendId, Micros, RequestId};
 
-/// What an instance wants done.
+/// An action for the proxy to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -11,36 +11,36 @@
         request: RequestId,
         /// The backend to send to.
         backend: BackendId,
-        /// Latest time at which the attempt may begin, however late its connection is established; `Micros::MAX` for
-        /// no limit.
+        /// Latest time at which the attempt may begin, also if its connection is established later than that;
+        /// `Micros::MAX` for no limit.
         start_by: Micros,
-        /// When to give it up.
+        /// Time at which the attempt times out.
         give_up_at: Micros,
     },
-    /// Final response: rejected, and a retry is harmless.
+    /// Final response: the request was rejected, and the client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before a retry; 0 for no advice.
+        /// How long the client should wait before a retry; 0 if no `Retry-After` is to be sent.
         retry_after: Micros,
     },
-    /// Final response: failed, with no promise about its effect.
+    /// Final response: the request failed, and may or may not have been executed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, from 0 in the order of the sends.
         attempt: u16,
     },
-    /// Request an [`Event::TimerExpired`](super::Event::TimerExpired).
+    /// Deliver an [`Event::TimerExpired`](super::Event::TimerExpired) after a delay.
     SetTimer {
         /// Time from now.
         delay: Micros,
-        /// Comes back with the event.
+        /// Identifies the timer; passed back in the event.
         token: u32,
     },
     /// Start watching discovery for changes.
@@ -49,6 +49,6 @@
     CheckHealth(BackendId),
     /// Close this proxy's idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -1,21 +1,21 @@
-//! What an instance is notified of.
+//! Events that the proxy passes to an instance.
 
 use super::{BackendId, MembershipUpdate, Micros, Outcome, RequestId, Settings};
 
 /// A request that a client sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Its id, unique among the open requests of the instance.
     pub id: RequestId,
     /// Index of its class in the settings.
     pub class: u8,
     /// Index of its tenant in the settings.
     pub tenant: u16,
-    /// Hash of the object that it is about.
+    /// Hash of the object that the request refers to, if the client named one.
     pub key: Option<u64>,
-    /// Time until the client gives up.
+    /// Time from its arrival until the client stops waiting.
     pub timeout: Micros,
-    /// Expected work on a standard core.
+    /// Expected service time on a standard core, if the client stated one.
     pub expected_work: Option<Micros>,
     /// Whether the client marked it as a retry.
     pub is_retry: bool,
@@ -38,35 +38,35 @@
     pub is_answered: bool,
     /// Time since the send.
     pub elapsed: Micros,
-    /// The backend's load report; empty if none came.
+    /// Values of the backend's load report; empty if there was none.
     pub load_report: &'a [f32],
 }
 
-/// What an instance is notified of.
+/// An event that the proxy passes to an instance.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The list of backends changed.
     Membership(MembershipUpdate<'a>),
     /// A request arrived.
     Request(Request),
-    /// The first byte of a streamed response was passed on.
+    /// The first byte of a streamed response was forwarded to the client.
     ResponseStarted {
         /// The request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u16,
     },
-    /// An attempt became a session (such as a tunnel): its client has its response, and the session occupies a slot without
-    /// a latency to measure until its [`AttemptResult`].
+    /// An attempt became a session (such as a tunnel): the client has its response. Until its
+    /// [`AttemptResult`], the session occupies a slot, and its latency is not measured.
     SessionEstablished {
         /// The request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u16,
     },
     /// An attempt ended.
     AttemptFinished(AttemptResult<'a>),
-    /// The client disconnected; the request is over.
+    /// The client disconnected before its final response.
     ClientDisconnected(RequestId),
     /// A health check ended.
     HealthCheckFinished {
@@ -74,12 +74,13 @@
         backend: BackendId,
         /// How it ended.
         outcome: Outcome,
-        /// The load report that came with it; empty if none came.
+        /// Values of the load report in its response; empty if there was none.
         load_report: &'a [f32],
     },
-    /// A timer expired; the token of its [`Action::SetTimer`](super::Action::SetTimer).
+    /// The timer with this token expired; see [`Action::SetTimer`](super::Action::SetTimer).
     TimerExpired(u32),
-    /// New settings for requests that arrive from now on; open requests keep the ones under which they arrived. Known
-    /// classes keep their indices; zones, machine kinds and tenants stay as they are.
+    /// New settings for requests that arrive from now on. An open request keeps its class and its maximum
+    /// number of attempts. Known classes must keep their indices; zones, machine kinds and tenants must not
+    /// change.
     SettingsChanged(&'a Settings),
 }
--- a/crates/balancer/src/api/membership.rs
+++ b/crates/balancer/src/api/membership.rs
@@ -1,13 +1,13 @@
-//! Backends as discovery lists them.
+//! The list of backends, as discovery reports it.
 
 use super::{BackendId, Micros};
 
-/// Whether a backend may be sent to.
+/// Whether a backend may get new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// Takes requests.
     Ready,
-    /// Finishes what it has in flight; gets nothing new.
+    /// Finishes its requests in flight; gets no new ones.
     Draining,
     /// Removed from the list.
     Removed,
@@ -16,17 +16,17 @@
 /// A backend's entry in the list.
 #[derive(Clone, Copy, Debug)]
 pub struct Backend {
-    /// Its id.
+    /// Its id, which stays the same when its process restarts.
     pub id: BackendId,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: u16,
-    /// Its kind of machine.
+    /// Index of its machine kind.
     pub machine_kind: u8,
-    /// Its cell, numbered across the whole tier.
+    /// Index of its cell, unique across all zones.
     pub cell: u16,
-    /// Whether it may be sent to.
+    /// Whether it may get new requests.
     pub readiness: Readiness,
-    /// When its process last started; `None` if that is long ago.
+    /// When its process last started; `None` if it warmed up long ago.
     pub started_at: Option<Micros>,
 }
 
@@ -35,10 +35,10 @@
 pub enum MembershipUpdate<'a> {
     /// The entries that changed.
     Delta(&'a [Backend]),
-    /// The complete list: a backend that is absent was removed.
+    /// The complete list: backends that are absent from it were removed.
     Snapshot(&'a [Backend]),
-    /// The complete list as last seen, possibly out of date.
+    /// The complete list from an earlier time, possibly out of date.
     CachedSnapshot(&'a [Backend]),
-    /// A call to discovery failed, or its watch broke.
+    /// A call to discovery failed, or the watch was interrupted.
     Failed,
 }
--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The interface of the decisions: their [`Settings`], the [`Event`]s that an instance is notified of, and the [`Action`]s
-//! that it returns. Nothing here does I/O or reads a clock; the time comes in with each call.
+//! The interface of the balancer: its [`Settings`], the [`Event`]s that it handles, and the [`Action`]s that
+//! it returns. The balancer does no I/O and reads no clock; callers pass the current time with each event.
 
 mod action;
 mod event;
@@ -22,7 +22,7 @@
 
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
-/// A request, as the proxy numbers it. No two open requests of an instance share an id.
+/// A request id, assigned by the proxy and unique among the open requests of an instance.
 pub type RequestId = u32;
-/// A backend; the same number at every proxy, also after its process restarts.
+/// A backend id: the same at every proxy, and unchanged when the backend's process restarts.
 pub type BackendId = u32;
--- a/crates/balancer/src/api/outcome.rs
+++ b/crates/balancer/src/api/outcome.rs
@@ -1,26 +1,27 @@
-//! How attempts end.
+//! Outcomes of attempts.
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served the request.
     Ok,
     /// The backend responded with an error.
     Error,
-    /// A response came that cannot be parsed. Unlike [`Outcome::Error`] it is weak evidence against the backend: intermediaries
-    /// corrupt responses of healthy backends. Real sockets only; the simulator has no such outcome.
+    /// The response cannot be parsed. Intermediaries also corrupt responses of healthy backends, so this is
+    /// weaker evidence against the backend than [`Outcome::Error`]. It occurs with real sockets only; the
+    /// simulator has no such outcome.
     Malformed,
-    /// The backend rejected it without processing it.
+    /// The backend rejected the request without processing it.
     Rejected,
     /// No response in time.
     Timeout,
     /// No connection could be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke before the response was complete.
     Reset,
     /// Cancelled by this proxy.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
@@ -38,7 +39,8 @@
         Self::NotSent,
     ];
 
-    /// Whether the connection broke or spoiled the response, which is no sign of its backend's load.
+    /// Whether the connection could not be established, broke, or corrupted the response. Such an outcome
+    /// does not indicate load on the backend.
     #[must_use]
     pub fn is_broken_connection(self) -> bool {
         matches!(self, Self::Malformed | Self::ConnectFailed | Self::Reset)
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,6 +1,7 @@
-//! What an instance is configured with.
+//! Configuration of an instance.
 //!
-//! Times are in microseconds. The names on the wire and in configuration files differ; crate `settings` maps them.
+//! Times are in microseconds. Names on the wire and in configuration files differ from the names here; crate
+//! `settings` maps them.
 
 use super::Micros;
 use std::fmt;
@@ -8,7 +9,7 @@
 /// Largest number of tenants in the settings: a request refers to its tenant by a 16-bit index.
 pub const MAX_TENANTS: usize = 1 << 16;
 
-/// Which backends recognise a retried request by its idempotency key.
+/// The group of backends that deduplicate a request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every backend.
@@ -20,32 +21,34 @@
 }
 
 impl DedupScope {
-    /// Whether it holds fewer backends than another scope.
+    /// Whether this scope contains fewer backends than `other`.
     #[must_use]
     pub fn is_narrower_than(self, other: Self) -> bool {
         self as u8 > other as u8
     }
 }
 
-/// What running a request twice would do.
+/// Effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A second execution changes nothing.
+    /// Further executions have no additional effect.
     Idempotent,
-    /// It carries an idempotency key: backends of one scope drop a retry for a while after the first attempt.
+    /// Requests carry an idempotency key, and backends within the scope do not execute one with the same key
+    /// twice within the `ttl`.
     Keyed {
-        /// The backends that know of one another's attempts.
+        /// The backends that share one record of keys.
         scope: DedupScope,
-        /// How long they remember the key.
+        /// How long after the first attempt the key is remembered.
         ttl: Micros,
     },
-    /// It must not run twice.
+    /// A request must not be executed twice.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// What holds for a request that may be meant under either of two versions of its class, where neither is the stricter
-    /// one in all respects: the narrower scope of the one, and the shorter ttl of the other (rule 2). `None` where one is.
+    /// The narrower scope of the one and the shorter `ttl` of the other, for a request to which either of two
+    /// versions of its class may apply (rule 2). `None` unless both are keyed and each is stricter than the
+    /// other in one respect.
     #[must_use]
     pub fn combined_with(self, other: Self) -> Option<Self> {
         let (Self::Keyed { scope: first_scope, ttl: first_ttl }, Self::Keyed { scope, ttl }) = (self, other)
@@ -63,69 +66,70 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Responses within this time earn the full priority weight.
+    /// Responses within this time have the full priority weight.
     pub latency_objective: Micros,
-    /// Part of a request's own work that is added to its latency objective.
+    /// Multiple of a request's expected work that is added to its latency objective; 0 or more.
     pub objective_work_factor: f64,
-    /// How long a client waits in all.
+    /// Time from its arrival until the client stops waiting.
     pub deadline: Micros,
-    /// Value of a response in time, relative to other classes.
+    /// Value of a response within the latency objective, relative to other classes; 0 or more.
     pub priority_weight: f64,
-    /// Part of the weight, 0 to 1, that is left once the latency objective is missed.
+    /// Fraction of the priority weight, 0 to 1, that a response after the latency objective has.
     pub late_weight_fraction: f64,
-    /// What running a request of this class twice would do.
+    /// Effect of executing a request of this class more than once.
     pub idempotency: Idempotency,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second within its quota, summed over all instances.
+    /// Requests per second over all instances; 0 or more.
     pub quota_per_s: f64,
 }
 
-/// Positions of the values that are read from a load report.
+/// Indices of values in a load report; `None` for a value that is not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportFields {
-    /// Requests being processed by the backend.
+    /// Number of requests that the backend is processing.
     pub in_flight: Option<usize>,
-    /// Requests waiting in its queue.
+    /// Number of requests in the backend's queue.
     pub queued: Option<usize>,
-    /// Recent mean service time, milliseconds.
+    /// Recent mean service time, in milliseconds.
     pub mean_service_ms: Option<usize>,
 }
 
-/// What an instance may do.
+/// Which actions an instance may use, and their bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
-    /// Attempts per request, hedged requests and retries included.
+    /// Maximum number of attempts per request, hedged requests and retries included; at least 1.
     pub max_attempts: u16,
     /// Whether a request may have two attempts in flight at once.
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether backends may be sent health checks.
+    /// Whether health checks may be sent to backends.
     pub health_checks: bool,
-    /// A backend closes a connection that has been idle for this time.
+    /// Time after which backends close an idle connection.
     pub idle_connection_timeout: Micros,
-    /// Attempts that one connection carries at the same time.
+    /// Maximum number of concurrent attempts on one connection.
     pub streams_per_connection: u32,
-    /// Longest `Retry-After` that clients honour; `None` where they honour none.
+    /// Longest `Retry-After` that clients honour; `None` if they ignore it.
     pub max_retry_after: Option<Micros>,
 }
 
-/// Figures of the rules that the operators check.
+/// Parameters of the rules that the operators verify (see [`balancer`](crate::balancer)).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SafetyLimits {
-    /// An instance without a watch counts as notified of every change that is older than this.
+    /// Rule 3 applies to an instance without a watch once a change of the list is older than this.
     pub max_poll_interval: Micros,
-    /// Fraction of its capacity, 0 to 1, that a backend has right after its start.
+    /// Fraction of its full capacity, 0 to 1, that a backend has right after its start.
     pub initial_capacity: f64,
-    /// Time from its start until a backend is warm.
+    /// Time from the start of a backend until it has its full capacity.
     pub warm_up_duration: Micros,
-    /// A warming backend falls over when it gets more than this multiple of its present capacity ...
+    /// A warming backend fails if its load exceeds this multiple of its current capacity for the
+    /// `overload_window`; above 0.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// Duration of an overload after which a warming backend fails.
     pub overload_window: Micros,
 }
 
@@ -142,54 +146,54 @@
     pub zone_count: u16,
     /// Number of machine kinds.
     pub machine_kind_count: u8,
-    /// Whether the list of backends comes only after [`Action::Subscribe`](super::Action::Subscribe).
+    /// Whether discovery sends its list only after [`Action::Subscribe`](super::Action::Subscribe).
     pub discovery_on_request: bool,
     /// Whether a backend does less work for a key that it has recently served.
     pub key_affinity: bool,
-    /// Request classes.
+    /// Request classes, at least one; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants, at most [`MAX_TENANTS`]; requests refer to them by index. May be empty.
     pub tenants: Vec<Tenant>,
     /// Weight of a request beyond its tenant's quota, as a fraction (0 to 1) of its class's weight.
     pub over_quota_weight: f64,
-    /// Cost of an attempt that crosses zones, as a fraction of a mean request's weight.
+    /// Cost of an attempt that crosses zones, as a fraction of the mean weight of a request.
     pub cross_zone_cost: f64,
-    /// Cost of a health check, in the same unit.
+    /// Cost of a health check, as a fraction of the mean weight of a request.
     pub health_check_cost: f64,
-    /// Positions of the values in a load report.
+    /// Indices of the values in a load report.
     pub load_report: LoadReportFields,
-    /// Whether load reports come with the results of health checks alone.
+    /// Whether only responses to health checks carry load reports.
     pub load_report_by_health_check: bool,
-    /// What is allowed.
+    /// Which actions the instance may use.
     pub permissions: Permissions,
-    /// Figures of the rules.
+    /// Parameters of the rules that the operators verify.
     pub safety: SafetyLimits,
 }
 
-/// What is wrong with a setting.
+/// Why the value of a setting is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsProblem {
-    /// It is 0, negative or not a number.
+    /// It is 0, negative or not a finite number.
     NotPositive,
     /// It is negative or not a finite number.
     Negative,
     /// It is not in 0..=1.
     NotFraction,
-    /// It is 0 or an empty list.
-    NoneGiven,
+    /// It is 0 or an empty list, where at least one is required.
+    AtLeastOneRequired,
     /// A deadline is shorter than the latency objective of its class.
-    DeadlineUnderObjective,
+    DeadlineBelowObjective,
     /// There are more than [`MAX_TENANTS`] tenants.
     TooManyTenants {
-        /// Their number.
+        /// Number of tenants in the settings.
         count: usize,
     },
-    /// It is none of the known values.
+    /// It is not one of the accepted values.
     UnknownValue {
-        /// The value.
+        /// The value as it was given.
         value: String,
     },
-    /// It cannot be parsed; the parser's message.
+    /// It cannot be parsed; contains the parser's message.
     Malformed(String),
 }
 
@@ -199,8 +203,8 @@
             Self::NotPositive => f.write_str("must be above 0"),
             Self::Negative => f.write_str("must be 0 or more"),
             Self::NotFraction => f.write_str("must lie in 0..=1"),
-            Self::NoneGiven => f.write_str("there must be at least one"),
-            Self::DeadlineUnderObjective => f.write_str("must not be under the aim"),
+            Self::AtLeastOneRequired => f.write_str("there must be at least one"),
+            Self::DeadlineBelowObjective => f.write_str("must not be under the aim"),
             Self::TooManyTenants { count } => {
                 write!(f, "{count} tenants, and at most {MAX_TENANTS} are told apart; leave out some")
             }
@@ -210,12 +214,12 @@
     }
 }
 
-/// A setting that cannot be used.
+/// A setting with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Which setting, as configuration files name it.
+    /// Name of the setting in configuration files.
     pub field: String,
-    /// What is wrong with it.
+    /// Why its value is invalid.
     pub problem: SettingsProblem,
 }
 
@@ -227,7 +231,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// An error at `field` unless its value is valid.
+/// Returns an error about `field` unless `is_valid`.
 fn check(is_valid: bool, field: &str, problem: SettingsProblem) -> Result<(), SettingsError> {
     if is_valid { Ok(()) } else { Err(SettingsError { field: field.into(), problem }) }
 }
@@ -247,7 +251,7 @@
         check(
             self.deadline >= self.latency_objective,
             &field("deadline"),
-            SettingsProblem::DeadlineUnderObjective,
+            SettingsProblem::DeadlineBelowObjective,
         )?;
         check(is_not_negative(self.priority_weight), &field("worth"), SettingsProblem::Negative)?;
         check(is_fraction(self.late_weight_fraction), &field("late_worth"), SettingsProblem::NotFraction)?;
@@ -256,19 +260,19 @@
 }
 
 impl Settings {
-    /// Checks that every value can be used. Errors name settings as configuration files do.
+    /// Checks that each value is in its range. Errors name settings as configuration files do.
     ///
     /// # Errors
-    /// The first setting that is out of its range.
+    /// The first setting with an invalid value.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        check(self.instance_count > 0, "balancers", SettingsProblem::NoneGiven)?;
-        check(!self.classes.is_empty(), "classes", SettingsProblem::NoneGiven)?;
+        check(self.instance_count > 0, "balancers", SettingsProblem::AtLeastOneRequired)?;
+        check(!self.classes.is_empty(), "classes", SettingsProblem::AtLeastOneRequired)?;
         for (index, class) in self.classes.iter().enumerate() {
             class.validate(index)?;
         }
         self.validate_tenants()?;
         check(is_fraction(self.over_quota_weight), "over_share_worth", SettingsProblem::NotFraction)?;
-        check(self.permissions.max_attempts > 0, "max_attempts", SettingsProblem::NoneGiven)?;
+        check(self.permissions.max_attempts > 0, "max_attempts", SettingsProblem::AtLeastOneRequired)?;
         check(is_fraction(self.safety.initial_capacity), "cold_from", SettingsProblem::NotFraction)?;
         let factor = self.safety.overload_factor;
         check(factor.is_finite() && factor > 0.0, "fall_multiple", SettingsProblem::NotPositive)
--- a/crates/balancer/src/api/unserved.rs
+++ b/crates/balancer/src/api/unserved.rs
@@ -6,15 +6,15 @@
 /// Why the balancer ended a request, rejected or failed, without a backend's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnservedCause {
-    /// It waited in the queue as long as it may, and no backend had free capacity.
+    /// No backend had free capacity within the maximum queueing time.
     QueueTimeout,
-    /// A response would come too late to have any value.
+    /// A response would arrive too late to have any value.
     TooLate,
-    /// Its tenant is over its quota while queues stand.
+    /// Its tenant is over its quota while requests are rejected for lack of capacity.
     OverQuota,
-    /// Its attempts failed, and the rules or the maximum number of attempts allow no further one.
+    /// Its attempts failed, and idempotency or the maximum number of attempts allows no other one.
     NoFurtherAttempt,
-    /// Its attempt failed, and the retry budget is empty.
+    /// Its attempt failed, and the retry budget is exhausted.
     RetryBudget,
 }
 
@@ -23,7 +23,7 @@
     pub const ALL: [Self; 5] =
         [Self::QueueTimeout, Self::TooLate, Self::OverQuota, Self::NoFurtherAttempt, Self::RetryBudget];
 
-    /// The label of its counter.
+    /// Label of the cause in metrics and logs.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -46,24 +46,24 @@
         self.0[cause as usize] += 1;
     }
 
-    /// The number of requests that ended for this cause.
+    /// Number of requests that ended for this cause.
     #[must_use]
     pub fn of(&self, cause: UnservedCause) -> u64 {
         self.0[cause as usize]
     }
 
-    /// The number of requests, whatever the cause.
+    /// Number of requests over all causes.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
 
-    /// What was counted since these earlier counts.
+    /// Difference to `earlier` counts, at least 0 for each cause.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         let mut counts = *self;
-        for (count, before) in counts.0.iter_mut().zip(earlier.0) {
-            *count = count.saturating_sub(before);
+        for (count, earlier) in counts.0.iter_mut().zip(earlier.0) {
+            *count = count.saturating_sub(earlier);
         }
         counts
     }
@@ -71,8 +71,8 @@
 
 impl AddAssign for UnservedCounts {
     fn add_assign(&mut self, other: Self) {
-        for (count, more) in self.0.iter_mut().zip(other.0) {
-            *count += more;
+        for (count, added) in self.0.iter_mut().zip(other.0) {
+            *count += added;
         }
     }
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,13 +1,17 @@
-//! The decisions of one instance; each kind has a module below this one.
+//! The decisions of one instance; each kind of decision has its own submodule.
 //!
-//! In the ordinary case an instance keeps for every ready backend its requests in flight (IFR) and an AIMD
-//! concurrency limit. A request goes to the backend with the greatest free capacity (limit - IFR). Without
-//! free capacity it is queued for a tenth of its remaining time and then rejected. What differs from that is
-//! marked `Departure:`; `docs/design.md` gives the reasons.
+//! The basic algorithm: for each ready backend, an instance counts its requests in flight and adapts a
+//! concurrency limit by AIMD (additive increase, multiplicative decrease). A request is sent to the backend
+//! with the greatest free capacity (limit minus requests in flight). Without free capacity, it is queued for
+//! a tenth of its remaining time and then rejected. Comments that begin with `Deviation:` explain where and
+//! why the code differs from this; `docs/design.md` gives the reasons in detail.
 //!
-//! The four rules hold in one place each: a final response in time in `finish`, no effect twice in
-//! `retry_scope` and `may_reject`, nothing to a draining backend in `Fleet::ready`, no overload of a warming
-//! one in `WarmUpBudget`.
+//! Four rules always apply. Each is enforced in one place:
+//!
+//! 1. Each request gets exactly one final response, before its deadline: `finish`.
+//! 2. No request takes effect twice, unless its class is idempotent: `retry_scope` and `may_reject`.
+//! 3. A draining or removed backend gets no requests: `Fleet::ready`.
+//! 4. A backend that is warming up is not overloaded: `WarmUpBudget`.
 
 mod admission;
 mod attempts;
@@ -25,41 +29,41 @@
 
 use crate::api::{Action, Event, Micros, Settings, SettingsError, Tenant, UnservedCounts};
 use crate::state::{
-    FailureRate, Fleet, IdleTrust, KindLimit, LatencyTable, PeakThroughput, RejectionRate, Requests,
+    FailureRate, Fleet, IdleTimeLimit, KindLimit, LatencyTable, PeakThroughput, RejectionRate, Requests,
     RetryBudget, SlotBudget, TokenBucket, TrafficStatistics,
 };
 use timer::Timer;
 
-/// A zone crossing that costs at most this fraction of a request's weight counts as free.
+/// Crossing zones counts as free up to this cost, as a fraction of a request's weight.
 const MAX_FREE_CROSSING_COST: f64 = 0.01;
 
-/// The decisions of one instance.
+/// Decision logic and state of one instance.
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
     fleet: Fleet,
     requests: Requests,
-    /// By kind of machine.
+    /// By machine kind.
     kind_limits: Vec<KindLimit>,
     traffic: TrafficStatistics,
     /// By tenant.
     tenant_quotas: Vec<TokenBucket>,
     retry_budget: RetryBudget,
-    idle_trust: IdleTrust,
+    idle_time_limit: IdleTimeLimit,
     slot_budget: SlotBudget,
     /// Consecutive failures of the watch on discovery.
     subscribe_failures: u32,
-    /// The latest time of any event.
+    /// Latest time that any call has passed.
     latest_time: Micros,
     unserved: UnservedCounts,
 }
 
 impl Balancer {
-    /// A balancer that knows no backends yet. The same settings, seed and events always lead to the same
-    /// actions.
+    /// Creates a balancer without backends. It is deterministic: the same settings, seed and events lead to
+    /// the same actions.
     ///
     /// # Errors
-    /// The first setting that is out of its range.
+    /// The first setting with an invalid value.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.validate()?;
         let kinds = usize::from(settings.machine_kind_count).max(1);
@@ -82,7 +86,7 @@
             },
             tenant_quotas: settings.tenants.iter().map(quota).collect(),
             retry_budget: RetryBudget::new(),
-            idle_trust: IdleTrust::new(settings.permissions.idle_connection_timeout, now),
+            idle_time_limit: IdleTimeLimit::new(settings.permissions.idle_connection_timeout, now),
             slot_budget: SlotBudget::new(),
             subscribe_failures: 0,
             latest_time: now,
@@ -91,8 +95,8 @@
         })
     }
 
-    /// Applies one event and appends the actions that follow from it. A `now` (microseconds) before that of
-    /// an earlier call counts as the latest one, so that no time is subtracted below zero.
+    /// Handles one event and appends the resulting actions to `out`. If `now` is before the time of an
+    /// earlier call, the latest time so far is used, so that differences of times are never negative.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         let now = self.monotonic(now);
         match event {
@@ -118,30 +122,30 @@
         }
     }
 
-    /// Makes time monotonic, whatever the caller's clock does.
+    /// The latest time so far, `now` included.
     fn monotonic(&mut self, now: Micros) -> Micros {
         self.latest_time = self.latest_time.max(now);
         self.latest_time
     }
 
-    /// Number of ejections of backends so far.
+    /// Number of backend ejections so far.
     #[must_use]
     pub fn ejections(&self) -> u64 {
         self.fleet.ejections
     }
 
-    /// Requests that ended without a backend's response so far, by cause.
+    /// Number of requests so far that ended without a backend's response, by cause.
     #[must_use]
     pub fn unserved(&self) -> UnservedCounts {
         self.unserved
     }
 
-    /// The limit and the requests in flight of each ready backend, for operators.
+    /// Concurrency limit and requests in flight of each ready backend, for operators.
     pub fn limits(&self) -> impl Iterator<Item = (f64, u32)> {
         self.fleet.ready_backends().map(|backend| (backend.limit, backend.in_flight))
     }
 
-    /// New classes come behind the known ones.
+    /// Applies new settings; new classes are appended to the known ones.
     fn on_settings_changed(&mut self, now: Micros, settings: &Settings) {
         for class in settings.classes.iter().skip(self.settings.classes.len()) {
             self.traffic.latencies.add_class(class.latency_objective, now);
@@ -154,8 +158,7 @@
             Some(Timer::Subscribe) => out.push(Action::Subscribe),
             Some(Timer::QueueTimeout { slot }) => {
                 let queued_until = self.requests.open.get(slot).and_then(|request| request.queued_until);
-                // The request for which the timer was set may have left the queue, and another one taken its
-                // slot.
+                // The request of this timer may have left the queue, and another one may use its slot.
                 if queued_until.is_some_and(|until| until <= now) {
                     self.on_queue_timeout(now, slot, out);
                 }
--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which requests are sent at once, queued, or ended, and in which order queued ones are served.
+//! Admission: which requests are sent at once, queued or ended, and the order in which queued ones are sent.
 
 use super::Balancer;
 use super::timer::Timer;
@@ -6,12 +6,12 @@
 use crate::state::{AttemptState, OpenRequest, RetryScope};
 use smallvec::SmallVec;
 
-/// A request without capacity waits for its remaining time divided by this.
+/// The maximum queueing time of a request is its remaining time divided by this.
 const QUEUE_TIME_DIVISOR: Micros = 10;
-/// A rejected client is advised to wait for its latency objective if an instance has this many slots, and for
-/// less if it has fewer ...
+/// Number of slots from which on a rejected client is advised to wait for its full latency objective. With
+/// fewer slots, the advice is proportionally shorter.
 const FULL_RETRY_AFTER_SLOTS: f64 = 16.0;
-/// ... but at least for this fraction of the objective.
+/// Lower bound of that advice, as a fraction of the latency objective.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.125;
 
 impl Balancer {
@@ -25,7 +25,7 @@
             arrived_at: now,
             deadline: now + request.timeout,
             max_attempts: usize::from(self.settings.permissions.max_attempts),
-            is_over_quota: self.take_quota(now, usize::from(request.tenant)),
+            is_over_quota: self.charge_quota(now, usize::from(request.tenant)),
             is_proxied: request.is_proxied,
             is_answered: false,
             is_streaming: false,
@@ -40,9 +40,10 @@
 
     /// Takes a token of a tenant's quota; returns whether the tenant is over its quota.
     ///
-    /// An instance gets more than its share of the traffic where others died: a tenant without a token is
-    /// over its quota only if it also demands more of its quota here than the tenants do on average.
-    fn take_quota(&mut self, now: Micros, tenant: usize) -> bool {
+    /// When other instances fail, this one gets more than its fraction of the traffic of all tenants. So a
+    /// tenant without a token is over its quota only if its demand here, relative to its quota, also exceeds
+    /// the average of all tenants.
+    fn charge_quota(&mut self, now: Micros, tenant: usize) -> bool {
         let quota = |tenant: usize| self.settings.tenants[tenant].quota_per_s;
         let Some(bucket) = self.tenant_quotas.get_mut(tenant) else { return false };
         let rate = quota(tenant) / f64::from(self.settings.instance_count);
@@ -55,22 +56,23 @@
         demand * total_quota > total_demand * quota(tenant)
     }
 
-    /// Sends a request if there is capacity, or queues it, or ends it.
+    /// Sends a request if there is capacity. Otherwise ends it if it cannot be served, or queues it.
     pub(super) fn dispatch(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
         if let Some(backend) = self.select(now, slot) {
             return self.send(now, slot, backend, out);
         }
         let request = &self.requests.open[slot];
         let is_shed = request.is_over_quota && self.traffic.rejections.has_standing_queues();
-        let hopeless = if is_shed { Some(UnservedCause::OverQuota) } else { self.hopeless(now, request) };
-        match hopeless {
-            Some(cause) => self.give_up(slot, cause, out),
+        let cause =
+            if is_shed { Some(UnservedCause::OverQuota) } else { self.unservable_cause(now, request) };
+        match cause {
+            Some(cause) => self.end_unserved(slot, cause, out),
             None => self.enqueue(now, slot, out),
         }
     }
 
-    /// Why no attempt that starts now could serve the request, if none could.
-    pub(super) fn hopeless(&self, now: Micros, request: &OpenRequest) -> Option<UnservedCause> {
+    /// Why an attempt that starts now cannot serve the request; `None` if it can.
+    pub(super) fn unservable_cause(&self, now: Micros, request: &OpenRequest) -> Option<UnservedCause> {
         if self.retry_scope(now, request) == RetryScope::Nowhere {
             return Some(UnservedCause::NoFurtherAttempt);
         }
@@ -94,10 +96,10 @@
         }
         self.requests.dequeue(slot);
         let cause = if is_too_late { UnservedCause::TooLate } else { UnservedCause::QueueTimeout };
-        self.give_up(slot, cause, out);
+        self.end_unserved(slot, cause, out);
     }
 
-    /// Capacity may have become free: sends queued requests, those with the highest weight per work first.
+    /// Sends queued requests while there is capacity, in the order of their weight per work.
     pub(super) fn serve_queue(&mut self, now: Micros, out: &mut Vec<Action>) {
         while let Some(slot) = self.most_valuable_queued() {
             let Some(backend) = self.select(now, slot) else { return };
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The queued request of the highest value; the one that was queued first among equals.
+    /// The queued request of the highest value; among equal ones, the one that was queued first.
     fn most_valuable_queued(&self) -> Option<usize> {
         let better = |a, b| if self.value(b) > self.value(a) { b } else { a };
         self.requests.queue.iter().copied().reduce(better)
@@ -116,17 +118,17 @@
         let request = &self.requests.open[slot];
         let quota_factor = if request.is_over_quota { self.settings.over_quota_weight } else { 1.0 };
         let weight = self.settings.classes[request.class].priority_weight;
-        weight * quota_factor / self.traffic.latencies.class_mean(request.class)
+        weight * quota_factor / self.traffic.latencies.class_mean_us(request.class)
     }
 
-    /// Nothing more can be started for the request: it ends unless an attempt is still in flight.
-    pub(super) fn give_up(&mut self, slot: usize, cause: UnservedCause, out: &mut Vec<Action>) {
+    /// Ends a request for which no attempt can be started, unless one is still unfinished.
+    pub(super) fn end_unserved(&mut self, slot: usize, cause: UnservedCause, out: &mut Vec<Action>) {
         if self.requests.open[slot].unfinished_attempts() == 0 {
             self.finish(slot, cause, out);
         }
     }
 
-    /// The only place where a final response is given (rule 1).
+    /// Issues a final response. No other function does (rule 1).
     fn finish(&mut self, slot: usize, cause: UnservedCause, out: &mut Vec<Action>) {
         let open = &self.requests.open[slot];
         if open.is_answered {
@@ -151,16 +153,16 @@
 
     /// How long a rejected client should wait before a retry.
     ///
-    /// Departure: an instance with few slots rejects mostly because requests coincided there, and the
-    /// client's retry, likely at another instance, can still meet the objective. With many slots per instance
-    /// a rejection means that the fleet is full.
+    /// Deviation: an instance with few slots rejects mostly because requests coincided at this instance. A
+    /// retry probably reaches another instance and can still meet the objective, so the advice is short. With
+    /// many slots per instance, a rejection means that the fleet has no free capacity.
     fn retry_after(&self, class: usize) -> Micros {
         let fraction = self.slot_budget.slots / FULL_RETRY_AFTER_SLOTS;
         let fraction = fraction.clamp(MIN_RETRY_AFTER_FRACTION, 1.0);
         (self.settings.classes[class].latency_objective as f64 * fraction) as Micros
     }
 
-    /// The request is over for the client; its slot stays in use until its attempts have ended.
+    /// Marks a request as answered. Its slot is released once its attempts have ended.
     pub(super) fn close(&mut self, slot: usize) {
         self.requests.dequeue(slot);
         let request = &mut self.requests.open[slot];
@@ -169,7 +171,7 @@
             return;
         }
         for attempt in &request.attempts {
-            self.fleet.backends.dereference(attempt.backend);
+            self.fleet.backends.release_reference(attempt.backend_slot);
         }
         let id = request.id;
         self.requests.open.release(id);
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,29 +1,29 @@
-//! Attempts: how one starts, becomes a session, and ends.
+//! Life cycle of attempts: start, change to a session, end.
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, Micros, RequestId};
 use crate::state::{Attempt, AttemptState};
 
-/// An instance that uses at least this fraction of a backend's slots has tested its limit.
+/// The limit of a backend counts as used if at least this fraction of its slots is in flight.
 const USED_LIMIT_NUMERATOR: i64 = 3;
 const USED_LIMIT_DENOMINATOR: i64 = 4;
 
 impl Balancer {
-    /// The only place where an attempt starts; `select` has ensured that the backend may get it.
-    pub(super) fn send(&mut self, now: Micros, slot: usize, index: usize, out: &mut Vec<Action>) {
+    /// Starts an attempt; no other function does. `select` has checked that the backend may get it.
+    pub(super) fn send(&mut self, now: Micros, slot: usize, backend_slot: usize, out: &mut Vec<Action>) {
         self.requests.dequeue(slot);
         let is_proxied = self.requests.open[slot].is_proxied;
-        let connection_idle_time = if is_proxied { self.reuse_connection(now, index, out) } else { 0 };
-        self.spend_warm_up_token(now, index);
-        self.count_attempt(now, index);
+        let connection_idle_time = if is_proxied { self.reuse_connection(now, backend_slot, out) } else { 0 };
+        self.spend_warm_up_token(now, backend_slot);
+        self.count_attempt(now, backend_slot);
         let request = &self.requests.open[slot];
         let timeout = self.attempt_timeout(now, request);
         let start_by = self.start_by(request);
-        let backend = &mut self.fleet.backends[index];
+        let backend = &mut self.fleet.backends[backend_slot];
         backend.references += 1;
         let request = &mut self.requests.open[slot];
         request.attempts.push(Attempt {
-            backend: index,
+            backend_slot,
             zone: backend.zone,
             cell: backend.cell,
             sent_at: now,
@@ -35,10 +35,10 @@
         out.push(Action::Send { request, backend, start_by, give_up_at: timeout.give_up_at });
     }
 
-    fn count_attempt(&mut self, now: Micros, index: usize) {
-        let backend = &mut self.fleet.backends[index];
+    fn count_attempt(&mut self, now: Micros, backend_slot: usize) {
+        let backend = &mut self.fleet.backends[backend_slot];
         if backend.in_flight == 0 {
-            backend.silent_since = now;
+            backend.unresponsive_since = now;
         }
         backend.health.trial_in_flight = backend.health.is_ejected();
         backend.unused_since = Micros::MAX;
@@ -69,7 +69,7 @@
             self.traffic.rejections.record_response();
         }
         if was_session {
-            self.fleet.backends[attempt.backend].sessions -= 1;
+            self.fleet.backends[attempt.backend_slot].sessions -= 1;
             self.requests.sessions -= 1;
         } else {
             self.record_outcome(now, class, attempt, result, out);
@@ -82,7 +82,7 @@
         self.serve_queue(now, out);
     }
 
-    /// A session occupies a slot, but has no response to wait for and no latency.
+    /// Turns an attempt into a session. It still occupies a slot, but has no latency and no pending response.
     pub(super) fn on_session_established(
         &mut self,
         now: Micros,
@@ -94,14 +94,14 @@
         let attempt = self.requests.open[slot].attempts.get_mut(usize::from(attempt));
         let Some(attempt) = attempt.filter(|attempt| attempt.state == AttemptState::InFlight) else { return };
         attempt.state = AttemptState::Session;
-        let index = attempt.backend;
-        let backend = &mut self.fleet.backends[index];
+        let backend_slot = attempt.backend_slot;
+        let backend = &mut self.fleet.backends[backend_slot];
         backend.in_flight = backend.in_flight.saturating_sub(1);
         backend.sessions += 1;
-        backend.silent_since = now;
+        backend.unresponsive_since = now;
         self.requests.in_flight = self.requests.in_flight.saturating_sub(1);
         self.requests.sessions += 1;
-        self.update_ejection(now, index, false, out);
+        self.update_ejection(now, backend_slot, false, out);
         self.close(slot);
         self.serve_queue(now, out);
     }
--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -1,39 +1,41 @@
 //! Ejection of backends whose requests fail, and their readmission.
+//!
+//! Deviation: the basic algorithm sends to failing backends as to others. Here, they are ejected, and
+//! readmitted when a single trial request succeeds.
 
 use super::Balancer;
 use crate::api::{Action, Micros};
 
 /// Fraction of the ready backends that may be ejected at once.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
-/// The ejection time is multiplied by a random factor between this and 0.5 more.
+/// The ejection duration is multiplied by a random factor from this value to 0.5 above it.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 
 impl Balancer {
-    /// Adds an outcome to the backend's failure score. Its failures count as usual only once it has succeeded
-    /// again: those of a sick backend must not excuse the others.
-    pub(super) fn score_outcome(&mut self, index: usize, is_failure: bool, weight: f64) {
-        let health = &mut self.fleet.backends[index].health;
-        let usual = self.traffic.failures.usual();
+    /// Adds an outcome to the backend's failure score. Its failures enter the baseline only with its next
+    /// success, since failures of an unhealthy backend must not raise the baseline for the others.
+    pub(super) fn score_outcome(&mut self, backend_slot: usize, is_failure: bool, weight: f64) {
+        let health = &mut self.fleet.backends[backend_slot].health;
+        let baseline = self.traffic.failures.baseline();
         if is_failure {
-            health.record_failure(usual, weight);
+            health.record_failure(baseline, weight);
         } else {
-            let failures_before = health.record_success(usual, weight);
+            let failures_before = health.record_success(baseline, weight);
             self.traffic.failures.record_success(failures_before);
         }
     }
 
-    /// Departure: a backend whose requests fail is ejected, and readmitted when a single trial request
-    /// succeeds.
+    /// Ejects a backend, extends its ejection or readmits it, according to the outcome just recorded.
     pub(super) fn update_ejection(
         &mut self,
         now: Micros,
-        index: usize,
+        backend_slot: usize,
         is_failure: bool,
         out: &mut Vec<Action>,
     ) {
         let may_eject = is_failure && self.may_eject_another();
         let jitter = MIN_EJECTION_JITTER + self.rng.f64() / 2.0;
-        let backend = &mut self.fleet.backends[index];
+        let backend = &mut self.fleet.backends[backend_slot];
         let health = &mut backend.health;
         if health.is_ejected() {
             if !is_failure {
@@ -43,7 +45,7 @@
                 health.eject(now, jitter);
                 backend.unused_since = now;
             }
-        } else if may_eject && health.is_suspect() {
+        } else if may_eject && health.reached_ejection_score() {
             health.eject(now, jitter);
             backend.unused_since = now;
             self.fleet.ejections += 1;
--- a/crates/balancer/src/balancer/learned_state.rs
+++ b/crates/balancer/src/balancer/learned_state.rs
@@ -1,11 +1,11 @@
-//! Copies what an instance has learned out of it and into another one. Nothing is decided here.
+//! Export and import of the learned state.
 
 use super::Balancer;
 use crate::api::{LearnedKindLimit, LearnedLatency, LearnedLimit, LearnedState, Micros};
 use crate::state::{BackendState, KindLimit, LatencyEstimate};
 
 impl Balancer {
-    /// What was learned so far.
+    /// The learned state at present, for the process that replaces this one.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             backends: self.fleet.ready_backends().map(BackendState::learned).collect(),
@@ -16,9 +16,9 @@
         }
     }
 
-    /// Continues from what another instance has learned under the same settings. Backends that are not
-    /// listed, or that have restarted since, keep their state; so does everything if classes or machine kinds
-    /// differ. Returns whether the state was taken.
+    /// Restores what an instance has learned under the same settings. Limits of backends that are not listed,
+    /// or that have restarted since, are skipped. If the number of classes or machine kinds differs, nothing
+    /// is restored. Returns whether the state was restored.
     pub fn restore(&mut self, now: Micros, state: &LearnedState) -> bool {
         let now = self.monotonic(now);
         let estimates = &mut self.traffic.latencies.estimates;
@@ -27,8 +27,8 @@
         }
         for (estimate, learned) in estimates.iter_mut().zip(&state.latencies) {
             estimate.samples = learned.samples;
-            estimate.mean = learned.mean;
-            estimate.baseline = learned.baseline.unwrap_or(f64::MAX);
+            estimate.mean_us = learned.mean;
+            estimate.baseline_us = learned.baseline.unwrap_or(f64::MAX);
             estimate.updated_at = now;
         }
         for learned in &state.backends {
@@ -36,7 +36,7 @@
             let backend = &mut self.fleet.backends[slot];
             if backend.started_at == learned.started_at {
                 backend.limit = learned.limit;
-                backend.limit_is_shared = learned.is_shared;
+                backend.uses_kind_limit = learned.is_shared;
             }
         }
         for (kind, learned) in self.kind_limits.iter_mut().zip(&state.machine_kinds) {
@@ -55,7 +55,7 @@
             backend: self.id,
             started_at: self.started_at,
             limit: self.limit,
-            is_shared: self.limit_is_shared,
+            is_shared: self.uses_kind_limit,
         }
     }
 }
@@ -68,7 +68,7 @@
 
 impl LatencyEstimate {
     fn learned(&self) -> LearnedLatency {
-        let baseline = Some(self.baseline).filter(|_| self.has_baseline());
-        LearnedLatency { samples: self.samples, mean: self.mean, baseline }
+        let baseline = Some(self.baseline_us).filter(|_| self.has_baseline());
+        LearnedLatency { samples: self.samples, mean: self.mean_us, baseline }
     }
 }
--- a/crates/balancer/src/balancer/limits.rs
+++ b/crates/balancer/src/balancer/limits.rs
@@ -1,38 +1,40 @@
-//! Concurrency limits: AIMD on windows of latencies, for each backend and for each kind of machine.
+//! Concurrency limits: AIMD on windows of latency samples, for each backend and for each machine kind.
 
 use super::Balancer;
 use crate::api::{Micros, Settings};
 use crate::state::{AVERAGE_WEIGHT, BackendState, LARGE_FLEET, ReportedFactor, SECOND, SampleWindow};
 
-/// Shortest window: limits follow a load that changes within seconds.
+/// Minimum length of a window; short enough for limits to follow a load that changes within seconds.
 const MIN_WINDOW: Micros = SECOND / 4;
-/// A window with too few samples starts anew after this many times its shortest length.
+/// A window with too few samples is discarded at this multiple of the minimum length.
 const MAX_WINDOW_MULTIPLE: Micros = 40;
-/// Samples that a window needs; fewer are too noisy where work varies as much as its mean.
+/// Minimum number of samples in a window. Fewer are too noisy if the standard deviation of work is as large
+/// as its mean.
 const MIN_SAMPLES: u32 = 6;
-/// Factor on a limit whose window was too slow.
+/// Factor on a limit if the mean sample of its window is above the back-off threshold.
 const BACKOFF_RATIO: f64 = 0.7;
-/// Departure: smallest increase, as a fraction of the limit; on a large backend 1 would be lost beside a
-/// back-off.
+/// Deviation: minimum increase, as a fraction of the limit. On a large backend, increases by 1 would be
+/// negligible compared with a back-off.
 const MIN_INCREASE_FRACTION: f64 = 0.15;
-/// A backend without a slot and without an evaluated window for this long takes the limit of its kind.
+/// A backend without a slot and without an evaluated window for this long gets the limit of its kind.
 const UNSAMPLED_DELAY: Micros = 2 * SECOND;
-/// Bounds of the limit of one backend for all instances together. The lower one keeps samples coming.
+/// Bounds of the limit of one backend, summed over all instances. With a lower minimum, a backend might get
+/// no requests and so no samples.
 const MIN_LIMIT: f64 = 0.8;
 const MAX_LIMIT: f64 = 64.0;
-/// Bounds of the factor on its kind's limit that a load report gives a backend.
+/// Bounds of the factor on the kind's limit that a load report determines.
 const MIN_REPORTED_FACTOR: f64 = 0.1;
 const MAX_REPORTED_FACTOR: f64 = 1.5;
-/// A reported service time counts in its kind's average as at most this multiple of the average.
+/// A reported service time is capped at this multiple of its kind's average before it is averaged.
 const MAX_REPORT_MULTIPLE: f64 = 3.0;
 /// How long a load report stays valid.
 const REPORT_TTL: Micros = 5 * SECOND;
 
-/// This instance's share of a backend: the inverse of the number of instances that use it.
+/// This instance's fraction of a backend: the inverse of the number of instances that use it.
 ///
-/// Departure: bounds and steps of a limit are the backend's, not the instance's, so that the admitted sum
-/// does not grow with the number of instances.
-pub(super) fn instance_share(settings: &Settings, backend: &BackendState) -> f64 {
+/// Deviation: bounds and steps of a limit are defined for a backend, not for an instance, so that the sum of
+/// the limits does not grow with the number of instances.
+pub(super) fn instance_fraction(settings: &Settings, backend: &BackendState) -> f64 {
     let instances = f64::from(settings.instance_count);
     let in_zone = (instances / f64::from(settings.zone_count)).max(1.0);
     1.0 / if backend.zone == settings.zone { in_zone } else { instances }
@@ -41,79 +43,79 @@
 impl Balancer {
     /// Applies a load report.
     ///
-    /// Departure: an instance with few slots uses a backend once in many seconds, too seldom for windows.
-    /// Where reports give the backend's recent service time, the limit is at once that of its kind, scaled by
-    /// how the backend compares with its kind: slow backends, for whatever cause, get less from all instances
-    /// alike.
-    pub(super) fn apply_load_report(&mut self, now: Micros, index: usize, report: &[f32]) {
+    /// Deviation: an instance with few slots sends to each backend only once in many seconds, too seldom to
+    /// fill a window. If reports contain the recent service time, the limit is set directly: to that of the
+    /// kind, scaled by the speed of the backend relative to its kind. So all instances send less to slow
+    /// backends, whatever the cause.
+    pub(super) fn apply_load_report(&mut self, now: Micros, backend_slot: usize, report: &[f32]) {
         let Some(field) = self.settings.load_report.mean_service_ms else { return };
         let Some(service_ms) = report.get(field).map(|&ms| f64::from(ms)) else { return };
         if !service_ms.is_finite() || service_ms <= 0.0 {
             return;
         }
-        let share = instance_share(&self.settings, &self.fleet.backends[index]);
-        let backend = &mut self.fleet.backends[index];
+        let fraction = instance_fraction(&self.settings, &self.fleet.backends[backend_slot]);
+        let backend = &mut self.fleet.backends[backend_slot];
         let kind = &mut self.kind_limits[usize::from(backend.machine_kind)];
-        let usual = kind.mean_service_ms.unwrap_or(service_ms);
-        let bounded = service_ms.min(usual * MAX_REPORT_MULTIPLE);
-        kind.mean_service_ms = Some(usual + (bounded - usual) * AVERAGE_WEIGHT);
-        let factor = (usual / service_ms).clamp(MIN_REPORTED_FACTOR, MAX_REPORTED_FACTOR);
+        let kind_mean_ms = kind.mean_service_ms.unwrap_or(service_ms);
+        let bounded = service_ms.min(kind_mean_ms * MAX_REPORT_MULTIPLE);
+        kind.mean_service_ms = Some(kind_mean_ms + (bounded - kind_mean_ms) * AVERAGE_WEIGHT);
+        let factor = (kind_mean_ms / service_ms).clamp(MIN_REPORTED_FACTOR, MAX_REPORTED_FACTOR);
         backend.reported = ReportedFactor { factor, reported_at: now };
-        if backend.limit_is_shared && kind.limit * share < 1.0 {
-            backend.limit = kind.limit * share * factor;
+        if backend.uses_kind_limit && kind.limit * fraction < 1.0 {
+            backend.limit = kind.limit * fraction * factor;
         }
     }
 
-    /// Adds a sample to a kind's window; evaluates the window if it is complete.
+    /// Adds a sample to a kind's window, and adjusts the kind's limit if the window is complete.
     ///
-    /// Departure: there is also a limit for each kind of machine, by the same AIMD on the samples of all its
-    /// backends, and doubling until its first back-off. Backends without recent samples have this limit: each
-    /// of many instances holds a slot on few backends, and the limits of the others would freeze.
+    /// Deviation: each machine kind also has a limit, adapted by the same AIMD on the samples of all its
+    /// backends, and doubling until its first back-off. It applies to backends without recent samples: an
+    /// instance out of many has slots on few backends only, and the limits of the others would never change.
     pub(super) fn adjust_kind_limit(&mut self, now: Micros, kind: usize, sample: f64) {
-        let common = &mut self.kind_limits[kind];
-        let before = common.limit;
-        common.window.add(sample);
-        let age = now - common.window.started_at;
-        if common.window.count < MIN_SAMPLES || (!common.is_doubling && age < MIN_WINDOW) {
+        let kind_limit = &mut self.kind_limits[kind];
+        let before = kind_limit.limit;
+        kind_limit.window.add(sample);
+        let age = now - kind_limit.window.started_at;
+        if kind_limit.window.count < MIN_SAMPLES || (!kind_limit.is_doubling && age < MIN_WINDOW) {
             return;
         }
-        if common.window.mean() > 1.0 {
-            common.is_doubling = false;
-            common.limit *= BACKOFF_RATIO;
-        } else if common.window.limit_was_used {
-            common.limit *= if common.is_doubling { 2.0 } else { 1.0 + MIN_INCREASE_FRACTION };
+        if kind_limit.window.mean() > 1.0 {
+            kind_limit.is_doubling = false;
+            kind_limit.limit *= BACKOFF_RATIO;
+        } else if kind_limit.window.limit_was_used {
+            kind_limit.limit *= if kind_limit.is_doubling { 2.0 } else { 1.0 + MIN_INCREASE_FRACTION };
         }
-        common.limit = common.limit.clamp(MIN_LIMIT, MAX_LIMIT);
-        common.window = SampleWindow::new(now);
-        let is_unchanged = common.limit == before;
+        kind_limit.limit = kind_limit.limit.clamp(MIN_LIMIT, MAX_LIMIT);
+        kind_limit.window = SampleWindow::new(now);
+        let is_unchanged = kind_limit.limit == before;
         if !(is_unchanged && self.fleet.backends.len() > LARGE_FLEET) {
-            self.share_kind_limit(now, kind);
+            self.propagate_kind_limit(now, kind);
         }
     }
 
-    /// Gives a kind's limit to its backends without recent samples.
-    fn share_kind_limit(&mut self, now: Micros, kind: usize) {
+    /// Sets the limits of a kind's backends without recent samples to the kind's limit.
+    fn propagate_kind_limit(&mut self, now: Micros, kind: usize) {
         let limit = self.kind_limits[kind].limit;
         for (_, backend) in self.fleet.backends.iter_mut() {
-            let share = instance_share(&self.settings, backend);
-            let is_unsampled = backend.limit_is_shared
+            let fraction = instance_fraction(&self.settings, backend);
+            let is_unsampled = backend.uses_kind_limit
                 || (backend.slots(self.slot_budget.spread) == 0
                     && now > backend.window.started_at + UNSAMPLED_DELAY);
             if is_unsampled && usize::from(backend.machine_kind) == kind {
                 let ReportedFactor { factor, reported_at } = backend.reported;
-                let report_applies = limit * share < 1.0 && now < reported_at + REPORT_TTL;
-                backend.limit = limit * share * if report_applies { factor } else { 1.0 };
-                backend.limit_is_shared = true;
+                let report_applies = limit * fraction < 1.0 && now < reported_at + REPORT_TTL;
+                backend.limit = limit * fraction * if report_applies { factor } else { 1.0 };
+                backend.uses_kind_limit = true;
             }
         }
     }
 
-    /// Adds a sample to a backend's window and makes the AIMD step if the window is complete.
+    /// Adds a sample to a backend's window, and makes an AIMD step if the window is complete.
     ///
-    /// Departure: a window stays open until it has enough samples, up to a maximum age.
-    pub(super) fn adjust_limit(&mut self, now: Micros, index: usize, sample: f64) {
-        let share = instance_share(&self.settings, &self.fleet.backends[index]);
-        let backend = &mut self.fleet.backends[index];
+    /// Deviation: a window stays open until it has enough samples, up to a maximum age.
+    pub(super) fn adjust_limit(&mut self, now: Micros, backend_slot: usize, sample: f64) {
+        let fraction = instance_fraction(&self.settings, &self.fleet.backends[backend_slot]);
+        let backend = &mut self.fleet.backends[backend_slot];
         let window = &mut backend.window;
         window.add(sample);
         let age = now - window.started_at;
@@ -123,11 +125,11 @@
         }
         if has_samples && window.mean() > 1.0 {
             backend.limit *= BACKOFF_RATIO;
-            backend.limit_is_shared = false;
-        } else if has_samples && window.limit_was_used && !backend.limit_is_shared {
-            backend.limit += share.max(backend.limit * MIN_INCREASE_FRACTION);
+            backend.uses_kind_limit = false;
+        } else if has_samples && window.limit_was_used && !backend.uses_kind_limit {
+            backend.limit += fraction.max(backend.limit * MIN_INCREASE_FRACTION);
         }
-        backend.limit = backend.limit.clamp(MIN_LIMIT * share, MAX_LIMIT * share);
+        backend.limit = backend.limit.clamp(MIN_LIMIT * fraction, MAX_LIMIT * fraction);
         backend.window = SampleWindow::new(now);
     }
 }
--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -1,12 +1,12 @@
-//! Membership: which backends may be sent to, and what is forgotten of those that restarted or were removed.
+//! Membership: which backends may get requests, and which state is discarded on a restart or a removal.
 
 use super::Balancer;
-use super::limits::instance_share;
+use super::limits::instance_fraction;
 use super::timer::Timer;
 use crate::api::{Action, Backend, MembershipUpdate, Micros, Readiness};
 use crate::state::{BackendState, SECOND, SampleWindow, WarmUpBudget};
 
-/// Shortest wait before a failed watch is renewed; it doubles with each consecutive failure.
+/// Minimum delay before a failed watch is renewed; it doubles with each consecutive failure.
 const MIN_SUBSCRIBE_DELAY: Micros = SECOND / 8;
 const MAX_SUBSCRIBE_DOUBLINGS: u32 = 3;
 
@@ -21,11 +21,11 @@
                 }
                 (entries, true)
             }
-            MembershipUpdate::Failed => return self.subscribe_later(out),
+            MembershipUpdate::Failed => return self.schedule_resubscribe(out),
         };
         self.subscribe_failures = 0;
         if is_complete {
-            self.fleet.backends.unlist_all();
+            self.fleet.backends.mark_all_unlisted();
         }
         for entry in entries {
             self.update_backend(now, entry);
@@ -35,8 +35,8 @@
         self.serve_queue(now, out);
     }
 
-    /// The watch on discovery failed: renews it after an exponential delay with jitter, 2 s at most.
-    fn subscribe_later(&mut self, out: &mut Vec<Action>) {
+    /// Schedules the renewal of a failed watch on discovery: exponential backoff with jitter, 2 s at most.
+    fn schedule_resubscribe(&mut self, out: &mut Vec<Action>) {
         let wait = MIN_SUBSCRIBE_DELAY << self.subscribe_failures.min(MAX_SUBSCRIBE_DOUBLINGS);
         self.subscribe_failures += 1;
         let delay = wait + self.rng.u64(0..=wait);
@@ -45,13 +45,13 @@
 
     fn update_backend(&mut self, now: Micros, entry: &Backend) {
         let is_listed = entry.readiness != Readiness::Removed;
-        let machine_kind = self.known_machine_kind(entry);
-        let index = match self.fleet.backends.find(entry.id) {
-            Some(index) => index,
+        let machine_kind = self.clamped_machine_kind(entry);
+        let backend_slot = match self.fleet.backends.find(entry.id) {
+            Some(backend_slot) => backend_slot,
             None if !is_listed => return,
             None => self.add_backend(now, entry),
         };
-        let backend = &mut self.fleet.backends[index];
+        let backend = &mut self.fleet.backends[backend_slot];
         if !backend.is_ready {
             backend.unused_since = now;
         }
@@ -62,28 +62,28 @@
         backend.machine_kind = machine_kind;
         if backend.started_at != entry.started_at {
             backend.started_at = entry.started_at;
-            self.reset_backend(now, index);
+            self.reset_backend(now, backend_slot);
         }
     }
 
     fn add_backend(&mut self, now: Micros, entry: &Backend) -> usize {
-        let backend = BackendState::new(now, entry, self.known_machine_kind(entry));
-        let index = self.fleet.backends.add(entry.id, backend);
-        self.reset_backend(now, index);
-        index
+        let backend = BackendState::new(now, entry, self.clamped_machine_kind(entry));
+        let backend_slot = self.fleet.backends.add(entry.id, backend);
+        self.reset_backend(now, backend_slot);
+        backend_slot
     }
 
-    /// The machine kind of an entry, within the kinds that the settings name.
-    fn known_machine_kind(&self, entry: &Backend) -> u8 {
+    /// The machine kind of an entry; the last known one if it is out of the range of the settings.
+    fn clamped_machine_kind(&self, entry: &Backend) -> u8 {
         entry.machine_kind.min(self.settings.machine_kind_count.saturating_sub(1))
     }
 
-    /// A backend's process is new: what was known of the one before no longer holds.
-    fn reset_backend(&mut self, now: Micros, index: usize) {
-        let backend = &mut self.fleet.backends[index];
+    /// Discards the state of a backend's previous process.
+    fn reset_backend(&mut self, now: Micros, backend_slot: usize) {
+        let backend = &mut self.fleet.backends[backend_slot];
         let kind = usize::from(backend.machine_kind);
-        backend.limit = self.kind_limits[kind].limit * instance_share(&self.settings, backend);
-        backend.limit_is_shared = true;
+        backend.limit = self.kind_limits[kind].limit * instance_fraction(&self.settings, backend);
+        backend.uses_kind_limit = true;
         backend.window = SampleWindow::new(now);
         backend.connections_idle_since.clear();
         backend.health.reset(now);
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -1,66 +1,66 @@
-//! Choice of a backend: the one with the greatest free capacity, preferred zones first.
+//! Selection of a backend: the one with the greatest free capacity, preferred zones first.
 
 use super::Balancer;
 use crate::api::{Idempotency, Micros};
 use crate::state::{BackendState, LARGE_FLEET, RetryScope};
 use smallvec::SmallVec;
 
-/// Time over which all instances take turns in using a returned backend first, microseconds.
-const FIRST_USE_WINDOW: f64 = 4e6;
-/// Backends that a request looks at on a large fleet, among the preferred ones and then among all.
+/// Time over which the first uses of a backend that became ready are distributed among the instances.
+const FIRST_USE_WINDOW_US: f64 = 4e6;
+/// Number of backends in each sample of a large fleet: one of the preferred backends, then one of all.
 const SAMPLE_SIZE: usize = 64;
 /// Fraction of a backend's limit that requests beyond their tenant's quota may fill.
 const OVER_QUOTA_LIMIT_FRACTION: f64 = 0.6;
-/// An attempt is overdue at this multiple of its class's mean latency ...
+/// An attempt is overdue at this multiple of its class's mean latency.
 const OVERDUE_MEAN_MULTIPLE: f64 = 4.0;
-/// ... between these fractions of its latency objective.
+/// Bounds of that time, as fractions of the latency objective.
 const MIN_OVERDUE_FRACTION: f64 = 0.25;
 const MAX_OVERDUE_FRACTION: f64 = 0.8;
 
-/// What the next attempt of a request requires of its backend.
+/// Requirements of a request's next attempt on its backend.
 struct Criteria {
     scope: RetryScope,
     /// Factor on limits before they are rounded to slots.
     slot_factor: f64,
-    /// Time without any response after which a backend with attempts in flight is skipped.
+    /// Time without a response after which a backend with attempts in flight is skipped.
     overdue_time: Micros,
-    /// Whether the request may be the trial of an ejected backend.
+    /// Whether the request may be the trial of an ejected backend, since it may be retried afterwards.
     is_retryable: bool,
     /// Whether this instance has no attempt in flight.
     is_idle: bool,
-    /// Slots of the backends that the request was sent to.
-    tried: SmallVec<[usize; 2]>,
+    /// Slots of the backends to which the request was already sent.
+    tried_slots: SmallVec<[usize; 2]>,
 }
 
-/// The best backend so far, chosen at random among equals.
+/// The backend with the most free slots so far; ties are broken at random.
 #[derive(Default)]
-struct Best {
-    backend: Option<usize>,
+struct BestCandidate {
+    backend_slot: Option<usize>,
     free_slots: i64,
     ties: u32,
 }
 
-impl Best {
-    fn offer(&mut self, backend: usize, free_slots: i64, rng: &mut fastrand::Rng) {
-        let is_tie = self.backend.is_some() && free_slots == self.free_slots;
-        if self.backend.is_some() && free_slots < self.free_slots {
+impl BestCandidate {
+    fn offer(&mut self, backend_slot: usize, free_slots: i64, rng: &mut fastrand::Rng) {
+        let is_tie = self.backend_slot.is_some() && free_slots == self.free_slots;
+        if self.backend_slot.is_some() && free_slots < self.free_slots {
             return;
         }
         self.ties = if is_tie { self.ties + 1 } else { 1 };
         if self.ties == 1 || rng.u32(0..self.ties) == 0 {
-            self.backend = Some(backend);
+            self.backend_slot = Some(backend_slot);
             self.free_slots = free_slots;
         }
     }
 }
 
-/// The candidates of one selection.
+/// The best candidates of one selection, by preference.
 #[derive(Default)]
 struct Candidates {
-    preferred: Best,
-    other_zones: Best,
-    /// The backend with the largest limit left, although less than a slot, for an instance with nothing in
-    /// flight.
+    preferred: BestCandidate,
+    other_zones: BestCandidate,
+    /// The backend with the largest limit, even if it is below one slot. Used only by an instance with no
+    /// attempt in flight.
     fallback: Option<usize>,
     fallback_limit: f64,
 }
@@ -68,27 +68,28 @@
 impl Balancer {
     /// The backend with the greatest free capacity, in the local zone first.
     ///
-    /// Departure: where crossing zones has a cost, other zones are used when the local one has no free
-    /// capacity. An instance without a slot on any backend would serve no request; it may have one in flight.
+    /// Deviation: if crossing zones has a cost, other zones are used only if the local one has no free
+    /// capacity. An instance without a slot on any backend may have one request in flight; otherwise it could
+    /// serve none.
     ///
-    /// Departure: on a large fleet a request looks at a random sample, of the preferred backends and then, if
-    /// none of those has free capacity, of all. A fleet with free capacity on one backend in ten is missed
-    /// once in 800 times; the request is then queued, and selects again.
+    /// Deviation: on a large fleet, a random sample of the preferred backends is examined. If none of these
+    /// has free capacity, a sample of all backends is. If one backend in ten has free capacity, a sample
+    /// contains none of these in one of 800 cases; the request is then queued and selection is retried later.
     pub(super) fn select(&mut self, now: Micros, slot: usize) -> Option<usize> {
         let criteria = self.criteria(now, slot)?;
         let mut candidates = Candidates::default();
         let is_sampled = criteria.scope == RetryScope::Anywhere && self.fleet.ready.len() > LARGE_FLEET;
-        let looks = if is_sampled { 2 * SAMPLE_SIZE } else { self.fleet.ready.len() };
-        for look in 0..looks {
+        let count = if is_sampled { 2 * SAMPLE_SIZE } else { self.fleet.ready.len() };
+        for nth in 0..count {
             let position = match is_sampled {
-                true if look < SAMPLE_SIZE => self.rng.usize(self.fleet.local.clone()),
-                true if candidates.preferred.backend.is_some() => break,
+                true if nth < SAMPLE_SIZE => self.rng.usize(self.fleet.preferred.clone()),
+                true if candidates.preferred.backend_slot.is_some() => break,
                 true => self.rng.usize(0..self.fleet.ready.len()),
-                false => look,
+                false => nth,
             };
             self.consider(now, self.fleet.ready[position], &criteria, &mut candidates);
         }
-        candidates.preferred.backend.or(candidates.other_zones.backend).or(candidates.fallback)
+        candidates.preferred.backend_slot.or(candidates.other_zones.backend_slot).or(candidates.fallback)
     }
 
     /// `None` if no attempt may start now.
@@ -96,7 +97,7 @@
         let request = &self.requests.open[slot];
         let scope = self.retry_scope(now, request);
         let in_flight = self.requests.in_flight;
-        // Sessions count, but must not keep every other request out.
+        // Sessions count too, but must not block all other requests.
         let is_full = in_flight > 0 && in_flight + self.requests.sessions >= self.slot_budget.max_in_flight;
         if scope == RetryScope::Nowhere || is_full {
             return None;
@@ -109,28 +110,34 @@
             overdue_time: self.overdue_time(request.class),
             is_retryable: class.idempotency != Idempotency::NonIdempotent,
             is_idle: in_flight == 0,
-            tried: request.attempts.iter().map(|attempt| attempt.backend).collect(),
+            tried_slots: request.attempts.iter().map(|attempt| attempt.backend_slot).collect(),
         })
     }
 
     fn overdue_time(&self, class: usize) -> Micros {
         let objective = self.settings.classes[class].latency_objective as f64;
-        let time = self.traffic.latencies.class_mean(class) * OVERDUE_MEAN_MULTIPLE;
+        let time = self.traffic.latencies.class_mean_us(class) * OVERDUE_MEAN_MULTIPLE;
         time.clamp(objective * MIN_OVERDUE_FRACTION, objective * MAX_OVERDUE_FRACTION) as Micros
     }
 
     /// Adds a backend to the candidates if it meets the criteria.
-    fn consider(&mut self, now: Micros, index: usize, criteria: &Criteria, candidates: &mut Candidates) {
-        let backend = &self.fleet.backends[index];
+    fn consider(
+        &mut self,
+        now: Micros,
+        backend_slot: usize,
+        criteria: &Criteria,
+        candidates: &mut Candidates,
+    ) {
+        let backend = &self.fleet.backends[backend_slot];
         if !criteria.scope.contains(backend.zone, backend.cell)
-            || criteria.tried.contains(&index)
+            || criteria.tried_slots.contains(&backend_slot)
             || !self.is_available(now, backend, criteria)
         {
             return;
         }
         let remaining_limit = backend.limit * criteria.slot_factor + backend.dither;
         if criteria.is_idle && remaining_limit > candidates.fallback_limit {
-            candidates.fallback = Some(index);
+            candidates.fallback = Some(backend_slot);
             candidates.fallback_limit = remaining_limit;
         }
         let free_slots = free_slots(now, backend, criteria);
@@ -140,32 +147,34 @@
             } else {
                 &mut candidates.other_zones
             };
-            best.offer(index, free_slots, &mut self.rng);
+            best.offer(backend_slot, free_slots, &mut self.rng);
         }
     }
 
     /// Whether a backend may be selected at all, apart from its free slots.
     fn is_available(&self, now: Micros, backend: &BackendState, criteria: &Criteria) -> bool {
         if let Some(until) = backend.health.ejected_until {
-            // Departure: an ejected backend gets one trial, of a request that can be retried.
+            // An ejected backend gets a single trial, by a request that may be retried.
             return now >= until && !backend.health.trial_in_flight && criteria.is_retryable;
         }
-        // Departure: a backend with attempts in flight that has long been silent may hang, and gets nothing
-        // more. One that rejects requests looks the least loaded; it is skipped for the time of a request.
-        let is_silent = backend.in_flight > 0 && now > backend.silent_since + criteria.overdue_time;
+        // Deviation: a backend with attempts in flight and no response for a long time may hang, and is
+        // skipped. A backend that rejects requests looks the least loaded, and is skipped for about the
+        // duration of a request.
+        let is_unresponsive =
+            backend.in_flight > 0 && now > backend.unresponsive_since + criteria.overdue_time;
         let has_token = |budget| self.warm_up_tokens(now, backend, budget) >= 1.0;
-        !is_silent && now >= backend.rejecting_until && backend.warm_up.as_ref().is_none_or(has_token)
+        !is_unresponsive && now >= backend.rejecting_until && backend.warm_up.as_ref().is_none_or(has_token)
     }
 }
 
-/// Free slots of a backend; `i64::MAX` where this instance is to use it first.
+/// Free slots of a backend; `i64::MAX` if it is due for its first use by this instance.
 fn free_slots(now: Micros, backend: &BackendState, criteria: &Criteria) -> i64 {
     let used = i64::from(backend.in_flight + backend.sessions);
     let free_slots = backend.slots(criteria.slot_factor) - used;
-    // Departure: a returned backend with free capacity is used first, once; a quiet fleet would never try
-    // it.
-    let unused_time = now.saturating_sub(backend.unused_since) as f64;
-    let is_due = unused_time > (1.0 - backend.dither) * FIRST_USE_WINDOW;
+    // Deviation: a backend that became ready or may be readmitted is preferred once. Otherwise an instance
+    // with little traffic would never use it.
+    let unused_time_us = now.saturating_sub(backend.unused_since) as f64;
+    let is_due = unused_time_us > (1.0 - backend.dither) * FIRST_USE_WINDOW_US;
     let is_first_use = is_due && free_slots > 0 && criteria.is_idle && backend.warm_up.is_none();
     if is_first_use { i64::MAX } else { free_slots }
 }
--- a/crates/balancer/src/balancer/slot_budget.rs
+++ b/crates/balancer/src/balancer/slot_budget.rs
@@ -1,4 +1,4 @@
-//! The slot budget of an instance whose limits add up to few slots.
+//! The slot budget, for instances whose limits add up to few slots.
 
 use super::Balancer;
 use crate::api::Micros;
@@ -6,20 +6,20 @@
 
 /// Time between two computations of the budget.
 const REFRESH_INTERVAL: Micros = SECOND / 4;
-/// Backends over which an instance spreads its requests, at least, while hardly any request is rejected.
+/// Minimum number of backends over which an instance spreads its requests while none is rejected.
 const MIN_SPREAD: f64 = 3.0;
-/// Requests that one of several instances may have in flight beyond its limits, while hardly any request is
+/// Number of requests that one of several instances may have in flight beyond its limits while none is
 /// rejected.
 const MAX_EXCESS_IN_FLIGHT: f64 = 2.0;
 
 impl Balancer {
-    /// Computes the slot budget anew if it is out of date.
+    /// Recomputes the slot budget if it is out of date.
     ///
-    /// Departure: where an instance's limits add up to few slots (many instances with little traffic each), a
-    /// second request at the same time finds no capacity although the fleet has plenty. Its slots then spread
-    /// over more backends, while the sum of its limits, with its square root for the chance that requests
-    /// coincide, bounds what it has in flight. The dithers keep the number of instances with a slot on a
-    /// backend equal.
+    /// Deviation: if the limits of an instance add up to few slots (many instances with little traffic each),
+    /// a second concurrent request would find no capacity although the fleet has plenty. So the slots are
+    /// spread over more backends, and the requests in flight are bounded by the sum of the limits plus its
+    /// square root, as an allowance for requests that coincide. Because of the dithers, each backend still
+    /// has slots at about the same number of instances.
     pub(super) fn refresh_slot_budget(&mut self, now: Micros) {
         if self.slot_budget.computed_at.is_some_and(|computed_at| now < computed_at + REFRESH_INTERVAL) {
             return;
@@ -27,9 +27,10 @@
         let preferred = self.fleet.ready_backends().filter(|backend| self.is_preferred(backend));
         let slots = preferred.map(|backend| backend.limit).sum::<f64>();
         let offset = (f64::from(self.settings.instance_index) * GOLDEN_RATIO).fract();
-        let calm = 1.0 - self.traffic.rejections.queue_pressure();
-        let min_spread = 1.0 + (MIN_SPREAD - 1.0) * calm;
-        let excess = if self.settings.instance_count > 1 { MAX_EXCESS_IN_FLIGHT * calm } else { 0.0 };
+        let queue_headroom = 1.0 - self.traffic.rejections.queue_pressure();
+        let min_spread = 1.0 + (MIN_SPREAD - 1.0) * queue_headroom;
+        let excess =
+            if self.settings.instance_count > 1 { MAX_EXCESS_IN_FLIGHT * queue_headroom } else { 0.0 };
         let max_in_flight = slots + slots.sqrt() + offset + excess;
         let budget = &mut self.slot_budget;
         budget.computed_at = Some(now);
@@ -38,7 +39,7 @@
         budget.max_in_flight = if budget.spread > 1.0 { (max_in_flight as u32).max(1) } else { u32::MAX };
     }
 
-    /// Whether sending to a backend costs no zone crossing.
+    /// Whether sending to a backend has no cost of crossing zones.
     pub(super) fn is_preferred(&self, backend: &BackendState) -> bool {
         backend.zone == self.settings.zone || self.crossing_is_free()
     }
--- a/crates/balancer/src/balancer/timer.rs
+++ b/crates/balancer/src/balancer/timer.rs
@@ -1,6 +1,6 @@
-//! Timers and the tokens that name them.
+//! Timers, and the tokens that identify them.
 
-/// Bits of a token that give the kind of the timer; the others hold its slot.
+/// Number of low bits of a token that encode the kind of the timer; the other bits contain its slot.
 const KIND_BITS: u32 = 2;
 const KIND_QUEUE_TIMEOUT: u32 = 0;
 const KIND_SUBSCRIBE: u32 = 1;
@@ -8,9 +8,9 @@
 /// A timer of an instance.
 #[derive(Clone, Copy)]
 pub(super) enum Timer {
-    /// The request in this slot has waited long enough in the queue.
+    /// The request in this slot has reached its maximum queueing time.
     QueueTimeout { slot: usize },
-    /// A failed watch on discovery is to be renewed.
+    /// It is time to renew a failed watch on discovery.
     Subscribe,
 }
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The timer with this token; `None` for a token that no timer has.
+    /// The timer with this token; `None` for an invalid token.
     pub(super) fn from_token(token: u32) -> Option<Self> {
         match token & ((1 << KIND_BITS) - 1) {
             KIND_QUEUE_TIMEOUT => Some(Self::QueueTimeout { slot: (token >> KIND_BITS) as usize }),
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of the load balancer: backend choice, concurrency limits, retries and admission.
+//! Decision logic of the load balancer: backend selection, concurrency limits, retries and admission.
 //!
-//! Nothing here does I/O or reads a clock; the time comes in with each call. [`api`] is the interface,
-//! [`balancer`] takes the decisions, with a file below it for each kind of decision.
+//! The crate does no I/O and reads no clock; callers pass the current time with each event. [`api`] defines
+//! the interface, [`balancer`] implements the decisions, with one module for each kind of decision.
 
 pub mod api;
 pub mod balancer;
--- a/crates/balancer/src/slot_map.rs
+++ b/crates/balancer/src/slot_map.rs
@@ -1,9 +1,9 @@
-//! A container with stable indices. Nothing is decided here.
+//! A container with stable indices and lookup by id.
 
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-/// Values by id, each in a slot whose index stays the same until the value is released. Slots are reused.
+/// Values by id, each in a slot whose index is stable until the value is released. Slots are reused.
 pub(crate) struct SlotMap<T> {
     slots: Slab<T>,
     slot_by_id: FxHashMap<u32, usize>,
@@ -28,7 +28,7 @@
         slot
     }
 
-    /// Drops the value with this id, if there is one, and frees its slot.
+    /// Removes the value with this id, if there is one, and frees its slot.
     pub(crate) fn release(&mut self, id: u32) {
         if let Some(slot) = self.slot_by_id.remove(&id) {
             self.slots.remove(slot);
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,10 +1,11 @@
-//! State of an instance, by concern. The decisions that use it are in [`balancer`](crate::balancer).
+//! State of an instance, with one module for each concern. The decisions based on it are in
+//! [`balancer`](crate::balancer).
 
 mod backend;
 mod failure_rate;
 mod fleet;
 mod health;
-mod idle_trust;
+mod idle_time_limit;
 mod latency;
 mod limits;
 mod rejection_rate;
@@ -18,7 +19,7 @@
 pub(crate) use failure_rate::FailureRate;
 pub(crate) use fleet::{Fleet, LARGE_FLEET};
 pub(crate) use health::Health;
-pub(crate) use idle_trust::{IdleTrust, MIN_BLAMED_IDLE_TIME};
+pub(crate) use idle_time_limit::{IdleTimeLimit, MIN_SUSPECT_IDLE_TIME};
 pub(crate) use latency::{AVERAGE_WEIGHT, LatencyEstimate, LatencyTable};
 pub(crate) use limits::{KindLimit, SlotBudget};
 pub(crate) use rejection_rate::RejectionRate;
@@ -30,7 +31,7 @@
 
 use crate::api::Micros;
 
-/// Moving averages of the traffic of an instance.
+/// Statistics of the traffic of an instance.
 pub(crate) struct TrafficStatistics {
     pub(crate) latencies: LatencyTable,
     pub(crate) throughput: PeakThroughput,
@@ -38,8 +39,7 @@
     pub(crate) rejections: RejectionRate,
 }
 
-/// One second.
 pub(crate) const SECOND: Micros = 1_000_000;
-/// The fractional part of the golden ratio: its multiples spread the instances evenly over 0..1, however many
-/// there are.
+/// Fractional part of the golden ratio. The fractional parts of its multiples are evenly distributed over
+/// 0..1 for any number of instances.
 pub(crate) const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
--- a/crates/balancer/src/state/backend.rs
+++ b/crates/balancer/src/state/backend.rs
@@ -1,14 +1,14 @@
-//! The backends that an instance knows.
+//! State of the backends that an instance knows.
 
 use super::{Health, SampleWindow};
 use crate::api::{Backend, BackendId, Micros};
 use crate::slot_map::SlotMap;
 
-/// What an instance may send to a warming backend: one token per attempt (rule 4).
+/// Slow-start budget of one instance for a backend that is warming up: one token per attempt (rule 4).
 ///
-/// Every instance finds an empty new backend the least loaded at once. Each takes only its own share of what
-/// the backend can bear, and starts at a random point of its token's period so that they don't send at the
-/// same time.
+/// A new backend without requests is the least loaded one for all instances at the same time. So each
+/// instance sends only its fraction of what the backend can bear, and starts with a random part of a token,
+/// so that the instances do not send at the same time.
 #[derive(Clone, Copy)]
 pub(crate) struct WarmUpBudget {
     /// When the backend's process started.
@@ -18,15 +18,15 @@
     pub(crate) updated_at: Micros,
 }
 
-/// How a load report compares a backend with its kind of machine.
+/// Speed of a backend relative to its machine kind, according to its last load report.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ReportedFactor {
-    /// Factor on the limit of its kind.
+    /// Factor on the limit of its kind: below 1 for a backend slower than the mean.
     pub(crate) factor: f64,
     pub(crate) reported_at: Micros,
 }
 
-/// A backend and what this instance knows of it.
+/// A backend and what this instance has measured of it.
 #[derive(Default)]
 pub(crate) struct BackendState {
     pub(crate) id: BackendId,
@@ -36,36 +36,35 @@
     /// Whether discovery lists it.
     pub(crate) is_listed: bool,
     pub(crate) is_ready: bool,
-    /// Since when it has got no request after it became ready or was ejected; `Micros::MAX` once it got one.
+    /// When it became ready or was ejected, if it has got no request since then; `Micros::MAX` otherwise.
     pub(crate) unused_since: Micros,
     /// Attempts of open requests that refer to its slot.
     pub(crate) references: u32,
-    /// When its process started; `None` if that is long ago.
+    /// When its process started; `None` if it warmed up long ago.
     pub(crate) started_at: Option<Micros>,
     pub(crate) in_flight: u32,
-    /// Attempts that became sessions; they occupy slots and are not in flight.
+    /// Attempts that became sessions; they occupy slots and do not count as in flight.
     pub(crate) sessions: u32,
-    /// Concurrency limit of this instance, in requests.
+    /// Concurrency limit of this instance, in requests; not rounded.
     pub(crate) limit: f64,
     /// Added to the limit before it is rounded down, 0 to 1.
     pub(crate) dither: f64,
-    /// Whether the limit is that of its kind, since none of its own windows was evaluated.
-    pub(crate) limit_is_shared: bool,
+    /// Whether the limit is derived from that of its machine kind, since no window of its own has changed it.
+    pub(crate) uses_kind_limit: bool,
     pub(crate) reported: ReportedFactor,
     pub(crate) window: SampleWindow,
     pub(crate) health: Health,
-    /// Since when it has had attempts in flight and has finished none.
-    pub(crate) silent_since: Micros,
-    /// It rejected a request: until then it counts as having no capacity.
+    /// Time of its last response, or of its first attempt in flight if that is later.
+    pub(crate) unresponsive_since: Micros,
+    /// End of the time during which it counts as having no capacity, after it rejected a request.
     pub(crate) rejecting_until: Micros,
-    /// `Some` while it warms up.
+    /// `Some` while it is warming up.
     pub(crate) warm_up: Option<WarmUpBudget>,
     /// When each of this instance's connections to it was last in use.
     pub(crate) connections_idle_since: Vec<Micros>,
 }
 
 impl BackendState {
-    /// One that discovery lists for the first time.
     pub(crate) fn new(now: Micros, entry: &Backend, machine_kind: u8) -> Self {
         Self {
             id: entry.id,
@@ -73,43 +72,43 @@
             machine_kind,
             cell: entry.cell,
             started_at: entry.started_at,
-            silent_since: now,
+            unresponsive_since: now,
             reported: ReportedFactor { factor: 1.0, reported_at: now },
             ..Self::default()
         }
     }
 
-    /// The limit as an integer; `factor` scales the limit before it is rounded down.
+    /// The limit as a number of slots; `factor` scales the limit before it is rounded down.
     ///
-    /// Departure: below 1 the dither decides which instances hold a slot, so that the admitted sum does not
-    /// grow with their number. A warming backend's budget ensures that alone: with both, hardly any of many
-    /// instances ever sent it anything.
+    /// With a limit below 1, the dither determines which instances have a slot, so that the sum of slots over
+    /// all instances does not grow with their number. A backend that is warming up always has a slot, since
+    /// the slow-start budget already bounds that sum: with both bounds, hardly any of many instances ever
+    /// sent it a request.
     pub(crate) fn slots(&self, factor: f64) -> i64 {
         // A cast is much cheaper than `floor`.
         ((self.limit * factor + self.dither) as i64).max(i64::from(self.warm_up.is_some()))
     }
 
-    /// Whether it can be forgotten.
     fn is_removable(&self) -> bool {
         !self.is_listed && self.references == 0
     }
 }
 
-/// The backends that are listed or referred to by an open request. A slot is reused only when no attempt
-/// refers to it: otherwise the attempt's outcome would be attributed to the backend that took the slot.
+/// The backends that are listed, or that an attempt of an open request refers to. A slot is reused only when
+/// no attempt refers to it; otherwise the attempt's outcome would be attributed to another backend.
 pub(crate) type Backends = SlotMap<BackendState>;
 
 impl Backends {
-    /// Marks all as no longer listed, before a complete list is applied.
-    pub(crate) fn unlist_all(&mut self) {
+    /// Marks all backends as not listed, before a complete list is applied.
+    pub(crate) fn mark_all_unlisted(&mut self) {
         for (_, backend) in self.iter_mut() {
             backend.is_listed = false;
             backend.is_ready = false;
         }
     }
 
-    /// Drops one reference of an open request.
-    pub(crate) fn dereference(&mut self, slot: usize) {
+    /// Removes one reference of an attempt, and the backend if it is unlisted and has no other references.
+    pub(crate) fn release_reference(&mut self, slot: usize) {
         self[slot].references -= 1;
         let backend = &self[slot];
         if backend.is_removable() {
@@ -117,7 +116,7 @@
         }
     }
 
-    /// Forgets the backends that are neither listed nor referred to.
+    /// Removes the backends that are neither listed nor referred to.
     pub(crate) fn remove_unlisted(&mut self) {
         let removable = self.iter().filter(|(_, backend)| backend.is_removable());
         let ids: Vec<BackendId> = removable.map(|(_, backend)| backend.id).collect();
--- a/crates/balancer/src/state/backend_tests.rs
+++ b/crates/balancer/src/state/backend_tests.rs
@@ -1,4 +1,4 @@
-//! Reuse of the slots of backends.
+//! Tests of the reuse of backend slots.
 
 use super::*;
 
@@ -10,7 +10,7 @@
 fn reuses_the_slots_of_removed_backends() {
     let mut backends = Backends::default();
     for id in 0..1_000 {
-        backends.unlist_all();
+        backends.mark_all_unlisted();
         backends.add(id, listed(id));
         backends.remove_unlisted();
     }
@@ -23,11 +23,11 @@
     let mut backends = Backends::default();
     let first = backends.add(1, listed(1));
     backends[first].references = 2;
-    backends.unlist_all();
+    backends.mark_all_unlisted();
     backends.remove_unlisted();
-    backends.dereference(first);
+    backends.release_reference(first);
     assert_ne!(backends.add(2, listed(2)), first, "one attempt still refers to it");
-    backends.dereference(first);
+    backends.release_reference(first);
     assert_eq!(backends.find(1), None);
     assert_eq!(backends.add(3, listed(3)), first);
 }
--- a/crates/balancer/src/state/failure_rate.rs
+++ b/crates/balancer/src/state/failure_rate.rs
@@ -1,24 +1,24 @@
-//! The fraction of the attempts that fails on backends that serve.
+//! The fraction of attempts that fails on healthy backends.
 
-/// Bounds of what counts as the usual fraction.
-const MIN_USUAL: f64 = 0.02;
-const MAX_USUAL: f64 = 0.45;
-/// Weight of one more outcome in the average.
+/// Bounds of the baseline.
+const MIN_BASELINE: f64 = 0.02;
+const MAX_BASELINE: f64 = 0.45;
+/// Weight of a new outcome in the average.
 const WEIGHT: f64 = 1.0 / 32.0;
 
-/// Moving average of failures.
+/// Moving average of the fraction of failures.
 #[derive(Default)]
 pub(crate) struct FailureRate {
     fraction: f64,
 }
 
 impl FailureRate {
-    /// The fraction of failures that is taken as usual.
-    pub(crate) fn usual(&self) -> f64 {
-        self.fraction.clamp(MIN_USUAL, MAX_USUAL)
+    /// The fraction of failures that is expected of a healthy backend.
+    pub(crate) fn baseline(&self) -> f64 {
+        self.fraction.clamp(MIN_BASELINE, MAX_BASELINE)
     }
 
-    /// Records a success and the failures that came before it on the same backend.
+    /// Records a success, and the failures on the same backend since its previous success.
     pub(crate) fn record_success(&mut self, failures_before: usize) {
         for outcome in std::iter::repeat_n(1.0, failures_before).chain([0.0]) {
             self.fraction += (outcome - self.fraction) * WEIGHT;
--- a/crates/balancer/src/state/fleet.rs
+++ b/crates/balancer/src/state/fleet.rs
@@ -4,25 +4,25 @@
 use super::backend::{BackendState, Backends};
 use std::ops::Range;
 
-/// Number of backends above which decisions look at a sample of them.
+/// Number of backends above which decisions are based on a sample of them.
 pub(crate) const LARGE_FLEET: usize = 256;
 
-/// The backends, and which of them may be sent to.
+/// All known backends, and which of them may get requests.
 #[derive(Default)]
 pub(crate) struct Fleet {
     pub(crate) backends: Backends,
-    /// Slots of the backends that may be sent to, by zone, kind and id. Rule 3: a draining or removed one is
-    /// not in here.
+    /// Slots of the ready backends, sorted by zone, kind and id. Rule 3: draining and removed backends are
+    /// not included.
     pub(crate) ready: Vec<usize>,
-    /// Positions in `ready` that are preferred: those of the local zone; all where that has none or crossing
-    /// is free.
-    pub(crate) local: Range<usize>,
-    /// Ejections so far.
+    /// Range of `ready` that is preferred: the local zone, or all zones if the local one has no backends or
+    /// crossing zones is free.
+    pub(crate) preferred: Range<usize>,
+    /// Number of ejections so far.
     pub(crate) ejections: u64,
 }
 
 impl Fleet {
-    /// Computes `ready`, `local` and the dithers anew after the list changed.
+    /// Recomputes `ready`, `preferred` and the dithers after a change of the list.
     pub(crate) fn rebuild(&mut self, zone: u16, crossing_is_free: bool, instance_index: u32) {
         self.backends.remove_unlisted();
         self.ready.clear();
@@ -31,11 +31,11 @@
         self.assign_dithers(instance_index);
         let first = self.ready.partition_point(|&slot| self.backends[slot].zone < zone);
         let end = self.ready.partition_point(|&slot| self.backends[slot].zone <= zone);
-        self.local = if crossing_is_free || first == end { 0..self.ready.len() } else { first..end };
+        self.preferred = if crossing_is_free || first == end { 0..self.ready.len() } else { first..end };
     }
 
-    /// Spaces an instance's dithers evenly over the backends of a zone and kind, and the instances' evenly
-    /// over each backend. Random dithers left some instances without a slot for good.
+    /// Distributes the dithers of an instance evenly over the backends of a zone and kind, and those of all
+    /// instances evenly for each backend. With random dithers, some instances never had a slot.
     fn assign_dithers(&mut self, instance_index: u32) {
         let backends = &mut self.backends;
         let group = |backend: &BackendState| (backend.zone, backend.machine_kind);
--- a/crates/balancer/src/state/limits.rs
+++ b/crates/balancer/src/state/limits.rs
@@ -1,19 +1,19 @@
-//! Limits that are not those of a single backend.
+//! Concurrency limits of machine kinds, and the slot budget of an instance.
 
 use super::SampleWindow;
 use crate::api::Micros;
 
-/// First limit of a backend for all instances together. It must not starve large backends.
+/// Initial limit of a backend, summed over all instances. A lower one would leave large backends unused.
 const INITIAL_LIMIT: f64 = 1.5;
 
-/// What one backend of a kind of machine takes from all instances together.
+/// Concurrency limit of one backend of a machine kind, summed over all instances.
 #[derive(Clone)]
 pub(crate) struct KindLimit {
     /// In requests.
     pub(crate) limit: f64,
-    /// Whether it still grows by doubling.
+    /// Whether it still doubles at each increase, as no back-off has occurred yet.
     pub(crate) is_doubling: bool,
-    /// Mean service time in the load reports of its backends; `None` while no report came.
+    /// Moving average of the service times in load reports of its backends; `None` before the first report.
     pub(crate) mean_service_ms: Option<f64>,
     pub(crate) window: SampleWindow,
 }
@@ -25,14 +25,15 @@
     }
 }
 
-/// How widely an instance with few slots spreads its requests, and how many it may have in flight.
+/// Over how many backends an instance with few slots spreads its requests, and how many requests it may have
+/// in flight.
 pub(crate) struct SlotBudget {
-    /// Sum of the limits of the backends that cost nothing to reach.
+    /// Sum of the limits of the preferred backends.
     pub(crate) slots: f64,
-    /// Factor on every limit before it is rounded to slots; 1 or more.
+    /// Factor on each limit before it is rounded to slots; 1 or more.
     pub(crate) spread: f64,
     pub(crate) max_in_flight: u32,
-    /// When it was last computed; `None` before the first time.
+    /// Time of the last computation; `None` before the first one.
     pub(crate) computed_at: Option<Micros>,
 }
 
--- a/crates/balancer/src/state/rejection_rate.rs
+++ b/crates/balancer/src/state/rejection_rate.rs
@@ -1,11 +1,11 @@
-//! The fraction of the requests that is rejected for lack of capacity.
+//! The fraction of requests that is rejected for lack of capacity.
 
-/// Weight of one more request in the average.
+/// Weight of a new request in the average.
 const WEIGHT: f64 = 1.0 / 64.0;
-/// The fraction from which on the backends count as having standing queues.
+/// Rejected fraction from which on queues on the backends are taken as standing (persistent).
 const STANDING_QUEUE_FRACTION: f64 = 0.1;
 
-/// Moving average of rejections for lack of capacity.
+/// Moving average of the fraction of rejections for lack of capacity.
 #[derive(Default)]
 pub(crate) struct RejectionRate {
     /// 0 to 1.
@@ -21,7 +21,7 @@
         self.fraction -= self.fraction * WEIGHT;
     }
 
-    /// 0 if queues drain, 1 if there are standing queues.
+    /// From 0 (queues drain) to 1 (standing queues).
     pub(crate) fn queue_pressure(&self) -> f64 {
         (self.fraction / STANDING_QUEUE_FRACTION).min(1.0)
     }
--- a/crates/balancer/src/state/request.rs
+++ b/crates/balancer/src/state/request.rs
@@ -4,7 +4,6 @@
 use crate::slot_map::SlotMap;
 use smallvec::SmallVec;
 
-/// State of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum AttemptState {
     InFlight,
@@ -18,21 +17,20 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     /// Slot of its backend.
-    pub(crate) backend: usize,
-    /// Zone and cell of the backend at the time of the send: that group remembers the idempotency key, even
-    /// if discovery moves the backend later.
+    pub(crate) backend_slot: usize,
+    /// Zone and cell of the backend at the time of the send. This group remembers the idempotency key, even
+    /// if discovery assigns the backend to another group later.
     pub(crate) zone: u16,
     pub(crate) cell: u16,
     pub(crate) sent_at: Micros,
-    /// How long its connection had been idle.
+    /// How long its connection had been idle before it was sent.
     pub(crate) connection_idle_time: Micros,
-    /// Whether reaching its timeout means that it was lost, since the timeout is long beside its work.
+    /// Whether a timeout means that the attempt was lost, as it is far longer than the attempt's work takes.
     pub(crate) timeout_means_loss: bool,
     pub(crate) state: AttemptState,
 }
 
 impl Attempt {
-    /// Whether it may have an effect on the backend.
     pub(crate) fn may_have_executed(&self) -> bool {
         self.state != AttemptState::NeverExecuted
     }
@@ -42,7 +40,7 @@
     }
 }
 
-/// A request whose attempts have not all ended.
+/// A request without a final response, or with unfinished attempts.
 pub(crate) struct OpenRequest {
     pub(crate) id: RequestId,
     pub(crate) class: usize,
@@ -55,9 +53,9 @@
     /// Whether the client has its final response, or disconnected.
     pub(crate) is_answered: bool,
     pub(crate) is_streaming: bool,
-    /// `Some` while it waits in the queue.
+    /// `Some` while it is queued.
     pub(crate) queued_until: Option<Micros>,
-    /// Inline for two, since most requests need one: no allocation on the hot path.
+    /// Two are stored inline, since most requests need one: this avoids allocations on the hot path.
     pub(crate) attempts: SmallVec<[Attempt; 2]>,
 }
 
@@ -72,7 +70,7 @@
     }
 }
 
-/// Where the next attempt of a request may go (rule 2).
+/// The backends to which the next attempt of a request may be sent (rule 2).
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum RetryScope {
     Anywhere,
@@ -96,7 +94,7 @@
 #[derive(Default)]
 pub(crate) struct Requests {
     pub(crate) open: SlotMap<OpenRequest>,
-    /// Slots of the requests that wait for capacity.
+    /// Slots of the requests that wait for capacity, in the order in which they were queued.
     pub(crate) queue: Vec<usize>,
     /// Attempts in flight, sessions excluded.
     pub(crate) in_flight: u32,
@@ -104,7 +102,7 @@
 }
 
 impl Requests {
-    /// Takes a request out of the queue if it is in there.
+    /// Removes a request from the queue if it is queued.
     pub(crate) fn dequeue(&mut self, slot: usize) {
         if self.open[slot].queued_until.take().is_some() {
             self.queue.retain(|&queued| queued != slot);
--- a/crates/balancer/src/state/retry_budget.rs
+++ b/crates/balancer/src/state/retry_budget.rs
@@ -1,15 +1,15 @@
-//! The retry budget: bounds the attempts that follow one that may have executed.
+//! The retry budget: bounds the retries of attempts that may have executed.
 
-/// Retries per request.
+/// Tokens that each request deposits.
 const RETRY_FRACTION: f64 = 0.1;
-/// Retries in a burst.
+/// Maximum number of tokens.
 const MAX_BURST: f64 = 10.0;
-/// Tokens of a retry after a failure that may be a sign of load.
-const FULL_PRICE: f64 = 1.0;
-/// Tokens of a retry after a failure that is no sign of load: twice as many of them are allowed.
-const REDUCED_PRICE: f64 = 0.5;
+/// Tokens that a retry costs after a failure that may indicate load.
+const FULL_COST: f64 = 1.0;
+/// Tokens that a retry costs after a failure that does not indicate load: twice as many are allowed.
+const REDUCED_COST: f64 = 0.5;
 
-/// A token per retry, or less; each request deposits a fraction of one.
+/// Token bucket that requests fill and retries drain.
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
@@ -25,13 +25,13 @@
         self.tokens = (self.tokens + RETRY_FRACTION).min(MAX_BURST);
     }
 
-    /// Debits one retry. `is_unrelated_to_load`: the failure before it is no sign of load.
+    /// Debits one retry. `is_unrelated_to_load`: whether the failure before it does not indicate load.
     pub(crate) fn withdraw(&mut self, is_unrelated_to_load: bool) {
-        self.tokens -= if is_unrelated_to_load { REDUCED_PRICE } else { FULL_PRICE };
+        self.tokens -= if is_unrelated_to_load { REDUCED_COST } else { FULL_COST };
     }
 
-    /// Whether no retry can be paid, whatever the failure before it.
+    /// Whether there are too few tokens for a retry, whatever the failure before it.
     pub(crate) fn is_empty(&self) -> bool {
-        self.tokens < FULL_PRICE
+        self.tokens < FULL_COST
     }
 }
--- a/crates/balancer/src/state/throughput.rs
+++ b/crates/balancer/src/state/throughput.rs
@@ -1,17 +1,17 @@
-//! The highest recent throughput.
+//! Peak throughput.
 
 use crate::api::Micros;
 
-/// Shortest time over which a rate is measured, seconds; a single second of a small instance varies too much.
-const MEASURED_SECONDS: f64 = 4.0;
-/// The peak decays to this fraction with each measurement.
+/// Minimum time over which a rate is measured; over 1 s, the rate of a small instance varies too much.
+const MIN_MEASUREMENT_SECONDS: f64 = 4.0;
+/// Factor by which the peak decays with each measurement.
 const PEAK_DECAY: f64 = 0.95;
 
-/// Served requests per second: the highest rate so far, decaying.
+/// Highest rate of served requests so far, decaying.
 pub(crate) struct PeakThroughput {
     count: f64,
     measured_since: Micros,
-    /// Per second.
+    /// Requests per second.
     pub(crate) peak: f64,
 }
 
@@ -24,7 +24,7 @@
     pub(crate) fn record(&mut self, now: Micros) {
         self.count += 1.0;
         let seconds = (now - self.measured_since) as f64 / 1e6;
-        if seconds >= MEASURED_SECONDS {
+        if seconds >= MIN_MEASUREMENT_SECONDS {
             self.peak = (self.count / seconds).max(self.peak * PEAK_DECAY);
             self.count = 0.0;
             self.measured_since = now;
--- a/crates/balancer/src/state/token_bucket.rs
+++ b/crates/balancer/src/state/token_bucket.rs
@@ -1,15 +1,15 @@
-//! A tenant's token bucket.
+//! Token bucket of a tenant's quota.
 
 use crate::api::Micros;
 
-/// Time over which the demand of a tenant fades when it sends nothing, microseconds.
-const DEMAND_FADE_TIME: f64 = 4e6;
+/// Time in which the recorded demand of a tenant without requests decays to 0.
+const DEMAND_DECAY_TIME_US: f64 = 4e6;
 
-/// Tokens within the tenant's quota, and its recent demand.
+/// Tokens of a tenant's quota, and its recent demand.
 pub(crate) struct TokenBucket {
     tokens: f64,
     updated_at: Micros,
-    /// Recent requests, fading within seconds.
+    /// Number of recent requests at `updated_at`, decaying within seconds.
     demand: f64,
 }
 
@@ -18,13 +18,13 @@
         Self { tokens, updated_at: now, demand: 0.0 }
     }
 
-    /// Requests of the last seconds.
+    /// Number of requests of the last seconds, decayed by age.
     pub(crate) fn recent_demand(&self, now: Micros) -> f64 {
-        self.demand * (1.0 - (now - self.updated_at) as f64 / DEMAND_FADE_TIME).max(0.0)
+        self.demand * (1.0 - (now - self.updated_at) as f64 / DEMAND_DECAY_TIME_US).max(0.0)
     }
 
-    /// Counts a request and takes a token for it. Returns whether there was one; `rate` tokens per second
-    /// come in, up to `capacity`.
+    /// Counts a request and takes a token for it; returns whether there was one. The bucket is refilled with
+    /// `rate` tokens per second up to `capacity`.
     pub(crate) fn take(&mut self, now: Micros, rate: f64, capacity: f64) -> bool {
         self.demand = self.recent_demand(now) + 1.0;
         self.tokens = (self.tokens + rate * (now - self.updated_at) as f64 / 1e6).min(capacity);
