--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! Life cycle of attempts: start, change to a session, end.
+//! Attempts: start, change to a session, and end.
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, Micros, RequestId};
@@ -82,7 +82,7 @@
         self.serve_queue(now, out);
     }
 
-    /// Turns an attempt into a session. It still occupies a slot, but has no latency and no pending response.
+    /// Changes an attempt to a session. It still occupies a slot, but has no latency and no pending response.
     pub(super) fn on_session_established(
         &mut self,
         now: Micros,
--- a/crates/balancer/src/state/backend.rs
+++ b/crates/balancer/src/state/backend.rs
@@ -7,8 +7,8 @@
 /// Slow-start budget of one instance for a backend that is warming up: one token per attempt (rule 4).
 ///
 /// A new backend without requests is the least loaded one for all instances at the same time. So each
-/// instance sends only its fraction of what the backend can bear, and starts with a random part of a token,
-/// so that the instances do not send at the same time.
+/// instance sends only its fraction of the rate that the backend can serve, and starts with a random part of
+/// a token, so that the instances do not send at the same time.
 #[derive(Clone, Copy)]
 pub(crate) struct WarmUpBudget {
     /// When the backend's process started.
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: the queue, tenants' quotas, and the advice to rejected clients.
+//! Tests of admission: the queue, quotas of tenants, and the `Retry-After` of rejected clients.
 
 mod common;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn serves_the_queued_request_of_the_highest_weight_first() {
+fn sends_the_queued_request_of_the_highest_priority_weight_first() {
     let mut settings = single_zone();
     settings.classes[usize::from(KEYED_ALL)].priority_weight = 10.0;
     let mut proxy = EmulatedProxy::new(settings, one_zone(1));
@@ -28,16 +28,16 @@
     let mut proxy = EmulatedProxy::new(settings, one_zone(4));
     proxy.load(10_000, 100, 2, |_| 20 * MS);
     proxy.complete(|_| 0);
-    let mut flood = 0;
-    while sent_to(&proxy.request(Request { tenant: 0, ..request(flood, IDEMPOTENT) })).is_some() {
-        flood += 1;
+    let mut over_quota = 0;
+    while sent_to(&proxy.request(Request { tenant: 0, ..request(over_quota, IDEMPOTENT) })).is_some() {
+        over_quota += 1;
     }
     let within = sent_to(&proxy.request(Request { tenant: 1, ..request(9000, IDEMPOTENT) }));
-    assert!(within.is_some(), "capacity is left for those within their quota");
+    assert!(within.is_some(), "capacity is reserved for tenants within their quota");
 }
 
-/// Booking of orders: nearly all that was rejected on a day of half load counted as over quota, often wrongly, and had not
-/// been queued for a moment.
+/// Guards against rejecting requests over quota without queueing them. At half load, nearly all rejected
+/// requests counted as over quota, often wrongly, and had never been queued.
 #[test]
 fn queues_requests_over_quota_and_serves_them_last_while_no_other_is_rejected() {
     let settings = Settings { tenants: tenants([1.0, 1000.0]), ..single_zone() };
@@ -54,36 +54,36 @@
         proxy.finish(sent.request, sent.attempt, Outcome::Ok);
     }
     let is_waiting = |id: &RequestId| proxy.requests[id].attempts.is_empty();
-    assert_eq!((1_000..1_020).find(is_waiting), None, "those within their quota went first");
+    assert_eq!((1_000..1_020).find(is_waiting), None, "requests within their quota were sent first");
 }
 
-/// Incident i7e9ee7: where other instances died, this one's traffic is more than its share of every quota, and tenants
-/// within their quota were treated as over it.
+/// Guards against treating tenants within their quota as over it after other instances failed: the remaining
+/// instances then get more than their fraction of every tenant's traffic.
 #[test]
-fn a_tenant_that_demands_less_of_its_quota_than_others_is_not_over_it() {
+fn a_tenant_that_uses_less_of_its_quota_than_others_is_not_over_quota() {
     let settings = Settings { tenants: tenants([100.0, 100.0]), instance_count: 100, ..single_zone() };
     let mut proxy = EmulatedProxy::new(settings, one_zone(40));
-    let modest = |id| Request { tenant: 0, ..request(id, IDEMPOTENT) };
-    let flood = |id| Request { tenant: 1, ..request(id, IDEMPOTENT) };
+    let low_demand = |id| Request { tenant: 0, ..request(id, IDEMPOTENT) };
+    let high_demand = |id| Request { tenant: 1, ..request(id, IDEMPOTENT) };
     let mut admitted = [0, 0];
     for tick in 0..100 {
         let id = tick * 100;
-        (0..20).for_each(|number| _ = proxy.request(flood(id + number)));
-        for (tenant, request) in [(0, modest(id + 50)), (1, flood(id + 51))] {
+        (0..20).for_each(|number| _ = proxy.request(high_demand(id + number)));
+        for (tenant, request) in [(0, low_demand(id + 50)), (1, high_demand(id + 51))] {
             admitted[tenant] += usize::from(!is_rejected(&proxy.request(request)));
         }
         proxy.advance(20 * MS);
         proxy.complete(|_| 400 * MS);
     }
-    assert!(admitted[0] > 95, "the modest tenant is sent or queued, not rejected at once: {admitted:?}");
-    assert!(admitted[1] < 60, "the flood is shed: {admitted:?}");
+    assert!(admitted[0] > 95, "low demand is sent or queued, not rejected at once: {admitted:?}");
+    assert!(admitted[1] < 60, "high demand is shed: {admitted:?}");
 }
 
-/// A rejection because requests coincided should not cost the client its objective; one for a full fleet should keep it
-/// away.
+/// After a rejection because requests coincided at one instance, a retry should still meet the objective. If
+/// the whole fleet is full, the client should wait longer.
 #[test]
 fn advises_a_shorter_retry_delay_where_an_instance_has_few_slots() {
-    let longest_advice = |instance_count| {
+    let max_retry_after = |instance_count| {
         let settings = Settings { instance_count, ..single_zone() };
         let mut proxy = EmulatedProxy::new(settings, one_zone(40));
         (0..200).for_each(|id| _ = proxy.request(request(id, IDEMPOTENT)));
@@ -94,5 +94,5 @@
         });
         delays.max().expect("some are rejected")
     };
-    assert!(longest_advice(200) < 100 * MS && longest_advice(1) == 500 * MS);
+    assert!(max_retry_after(200) < 100 * MS && max_retry_after(1) == 500 * MS);
 }
--- a/crates/balancer/tests/clocks.rs
+++ b/crates/balancer/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Clocks that go back between two events.
+//! Tests with clocks that go backwards between events.
 
 mod common;
 
@@ -12,7 +12,7 @@
 /// The clock's largest step between two events, in either direction.
 const MAX_STEP: i64 = 3 * SECOND as i64;
 
-/// One event, and the step of the clock before it.
+/// One event, and the change of the clock before it in microseconds.
 #[derive(Clone, Debug)]
 struct Step {
     clock: i64,
@@ -28,8 +28,9 @@
     })
 }
 
-/// Applies the steps and returns all actions. `reading` maps the clock's value, and its latest one so far, to the time passed on.
-fn play(steps: &[Step], reading: impl Fn(Micros, Micros) -> Micros) -> Vec<Action> {
+/// Applies the steps and returns all actions. `reading` gets the value of the clock and its maximum so far,
+/// and returns the time that is passed to the balancer.
+fn run_steps(steps: &[Step], reading: impl Fn(Micros, Micros) -> Micros) -> Vec<Action> {
     let mut balancer = Balancer::new(settings(), 7, START).expect("valid settings");
     let mut actions = Vec::new();
     let list: Vec<Backend> = (0..6).map(backend).collect();
@@ -76,9 +77,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
-    /// Guards against times that are subtracted below zero when the clock goes back between two events.
+    /// Guards against differences of times that underflow when the clock goes backwards between two events.
     #[test]
-    fn clock_that_goes_back_counts_as_its_latest_time(steps in prop::collection::vec(step(), 1..120)) {
-        prop_assert_eq!(play(&steps, |clock, _| clock), play(&steps, |_, latest| latest));
+    fn clock_that_goes_backwards_counts_as_its_latest_time(steps in prop::collection::vec(step(), 1..120)) {
+        prop_assert_eq!(run_steps(&steps, |clock, _| clock), run_steps(&steps, |_, latest| latest));
     }
 }
--- a/crates/balancer/tests/common/emulated_proxy.rs
+++ b/crates/balancer/tests/common/emulated_proxy.rs
@@ -1,4 +1,5 @@
-//! An emulated proxy around one balancer: keeps timers and attempts, and checks the four rules independently.
+//! An emulated proxy around one balancer: runs its timers and attempts, and checks the four rules
+//! independently.
 
 use super::fixtures::{MS, SECOND};
 use balancer::api::*;
@@ -10,6 +11,7 @@
 /// Step of the emulated clock.
 const TICK: Micros = 5 * MS;
 
+/// How far an attempt got.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum AttemptState {
     InFlight,
@@ -17,10 +19,11 @@
     MayHaveExecuted,
 }
 
+/// An attempt that the balancer has sent.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub backend: BackendId,
-    /// Its entry in the list at the time of the send.
+    /// The backend's entry in the list at the time of the send.
     entry: Backend,
     pub sent_at: Micros,
     pub give_up_at: Micros,
@@ -35,11 +38,12 @@
     pub backend: BackendId,
 }
 
+/// A request and the attempts made for it.
 #[derive(Clone, Debug)]
 pub struct TrackedRequest {
     pub class: u8,
     pub deadline: Micros,
-    /// Whether it has its final response, or its client disconnected.
+    /// Whether it has its final response or its client disconnected.
     pub ended: bool,
     pub attempts: Vec<Attempt>,
 }
@@ -55,7 +59,7 @@
     pub settings: Settings,
     pub balancer: Balancer,
     pub backends: BTreeMap<BackendId, Backend>,
-    /// Backends of which the balancer was notified that they are draining or removed, and when.
+    /// Backends that are draining or removed, and when the balancer was notified of that.
     pub unavailable: BTreeMap<BackendId, Micros>,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
     timers: Vec<Timer>,
@@ -80,7 +84,7 @@
         proxy
     }
 
-    /// Applies an event, and executes and checks the actions that follow.
+    /// Passes an event to the balancer, and checks and executes the resulting actions.
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -94,14 +98,14 @@
     fn execute(&mut self, action: &Action) {
         match *action {
             Action::Send { request, backend, start_by, give_up_at } => {
-                assert!(start_by > self.now, "rule 2: sent after its window");
+                assert!(start_by > self.now, "rule 2: sent after the latest time at which it may begin");
                 self.check_send(request, backend, give_up_at);
             }
             Action::Reject { request, .. } => self.check_final_response(request, true),
             Action::Fail { request } => self.check_final_response(request, false),
             Action::Cancel { request, attempt } => {
                 let tracked = &self.requests[&request];
-                assert!(usize::from(attempt) < tracked.attempts.len(), "cancelled an attempt never made");
+                assert!(usize::from(attempt) < tracked.attempts.len(), "cancelled an unknown attempt");
                 assert!(self.settings.permissions.cancellation);
             }
             Action::SetTimer { delay, token } => {
@@ -116,12 +120,12 @@
     }
 
     fn check_send(&mut self, request: RequestId, backend: BackendId, give_up_at: Micros) {
-        let entry = self.backends.get(&backend).copied().expect("sent to a backend that no list named");
+        let entry = self.backends.get(&backend).copied().expect("sent to a backend that was never listed");
         assert!(!self.unavailable.contains_key(&backend), "rule 3: sent to a draining or removed backend");
         let settings = &self.settings;
         let tracked = self.requests.get_mut(&request).expect("sent an unknown request");
-        assert!(!tracked.ended, "rule 1: sent after the end");
-        assert!(give_up_at <= tracked.deadline, "rule 1: an attempt outlasts the deadline");
+        assert!(!tracked.ended, "rule 1: sent after the final response");
+        assert!(give_up_at <= tracked.deadline, "rule 1: an attempt times out after the deadline");
         assert!(tracked.attempts.len() < usize::from(settings.permissions.max_attempts));
         let in_flight = tracked.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight);
         assert!(!in_flight || settings.permissions.hedging, "rule 2: two attempts in flight");
@@ -134,8 +138,8 @@
             }
             Idempotency::Keyed { scope, ttl } => {
                 for earlier in executed {
-                    assert!(self.now <= earlier.sent_at + ttl, "rule 2: a retry after the key's time");
-                    // The group that remembers the key is the one at the time of the attempt.
+                    assert!(self.now <= earlier.sent_at + ttl, "rule 2: a retry after the key expired");
+                    // The key is remembered by the group in which the backend was at the time of the attempt.
                     assert!(match scope {
                         DedupScope::All => true,
                         DedupScope::Zone => earlier.entry.zone == entry.zone,
@@ -159,14 +163,15 @@
         assert!(self.now <= tracked.deadline + DEADLINE_TOLERANCE, "rule 1: a late final response");
         let may_have_executed =
             tracked.attempts.iter().any(|attempt| attempt.state != AttemptState::NeverExecuted);
-        let retry_is_harmless = match self.settings.classes[usize::from(tracked.class)].idempotency {
+        let retry_is_safe = match self.settings.classes[usize::from(tracked.class)].idempotency {
             Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
             _ => !may_have_executed,
         };
-        assert!(!rejected || retry_is_harmless, "rule 2: rejected what may have executed");
+        assert!(!rejected || retry_is_safe, "rule 2: rejected a request that may have executed");
         tracked.ended = true;
     }
 
+    /// Passes a change of the list to the balancer.
     pub fn update_membership(&mut self, update: MembershipUpdate<'_>) -> Vec<Action> {
         let (MembershipUpdate::Delta(entries)
         | MembershipUpdate::Snapshot(entries)
@@ -190,6 +195,7 @@
         self.event(Event::Membership(update))
     }
 
+    /// Passes a new request to the balancer.
     pub fn request(&mut self, request: Request) -> Vec<Action> {
         let class = request.class.min(self.settings.classes.len() as u8 - 1);
         let deadline = self.now + request.timeout;
@@ -203,7 +209,7 @@
         self.finish_with_report(request, attempt, outcome, &[])
     }
 
-    /// [`Self::finish`] with a load report.
+    /// Ends an attempt that is in flight, with a load report.
     pub fn finish_with_report(
         &mut self,
         request: RequestId,
@@ -233,14 +239,14 @@
         }))
     }
 
-    /// Ends all attempts that are in flight now.
+    /// Ends all attempts that are in flight now; `outcome` returns the outcome of each.
     pub fn finish_all(&mut self, outcome: impl Fn(InFlightAttempt) -> Outcome) {
         for sent in self.attempts_in_flight() {
             self.finish(sent.request, sent.attempt, outcome(sent));
         }
     }
 
-    /// The attempts in flight, by request and number.
+    /// The attempts in flight, ordered by request and attempt number.
     pub fn attempts_in_flight(&self) -> Vec<InFlightAttempt> {
         let mut in_flight = Vec::new();
         for (&request, tracked) in &self.requests {
@@ -264,13 +270,13 @@
         self.log.iter().filter(|(_, action)| matches!(action, Action::Reject { .. })).count()
     }
 
-    /// Number of log lines so far that begin with `start`.
-    pub fn log_lines(&self, start: &str) -> usize {
-        let starts = |action: &Action| matches!(action, Action::Log(line) if line.starts_with(start));
-        self.log.iter().filter(|(_, action)| starts(action)).count()
+    /// Number of log lines so far that begin with `prefix`.
+    pub fn log_lines(&self, prefix: &str) -> usize {
+        let has_prefix = |action: &Action| matches!(action, Action::Log(line) if line.starts_with(prefix));
+        self.log.iter().filter(|(_, action)| has_prefix(action)).count()
     }
 
-    /// Lets time pass; timers expire and attempts time out on the way.
+    /// Advances the clock; timers that expire and attempts that time out meanwhile are handled.
     pub fn advance(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.now < end {
@@ -291,13 +297,13 @@
             for (id, tracked) in &self.requests {
                 assert!(
                     tracked.ended || self.now <= tracked.deadline + DEADLINE_TOLERANCE,
-                    "rule 1: request {id} was lost"
+                    "rule 1: request {id} got no final response"
                 );
             }
         }
     }
 
-    /// Completes the attempts that have been in flight for the latency of their backend.
+    /// Completes the attempts that have been in flight for at least the latency of their backend.
     pub fn complete(&mut self, latency: impl Fn(BackendId) -> Micros) {
         for sent in self.attempts_in_flight() {
             let sent_at = self.requests[&sent.request].attempts[usize::from(sent.attempt)].sent_at;
@@ -307,7 +313,8 @@
         }
     }
 
-    /// Sends idempotent requests, numbered from `first`: `per_tick` of them every 10 ms, each completed after `latency`.
+    /// Sends `per_tick` idempotent requests every 10 ms, numbered from `first`, and completes each after the
+    /// `latency` of its backend.
     pub fn load(
         &mut self,
         first: RequestId,
--- a/crates/balancer/tests/common/fixtures.rs
+++ b/crates/balancer/tests/common/fixtures.rs
@@ -1,4 +1,4 @@
-//! Settings, backends and requests that the tests start from, and views of actions.
+//! Settings, backends and requests for the tests, and predicates on actions.
 
 use balancer::api::*;
 
@@ -12,6 +12,7 @@
 pub const KEYED_ZONE: u8 = 3;
 pub const KEYED_CELL: u8 = 4;
 
+/// A class with a latency objective of 500 ms and a deadline of 2 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 500 * MS,
@@ -71,7 +72,7 @@
     Settings { zone_count: 1, ..settings() }
 }
 
-/// A warm backend; even ids in zone 0, odd ones in zone 1, cells of three.
+/// A warm backend. Even ids are in zone 0 and odd ones in zone 1; each cell has three backends.
 pub fn backend(id: BackendId) -> Backend {
     Backend {
         id,
@@ -83,11 +84,12 @@
     }
 }
 
-/// `count` warm backends in zone 0 and one cell.
+/// `count` warm backends, all in zone 0 and cell 0.
 pub fn one_zone(count: u32) -> Vec<Backend> {
     (0..count).map(|id| Backend { zone: 0, cell: 0, ..backend(id) }).collect()
 }
 
+/// A request without a key, with a timeout of 2 s.
 pub fn request(id: RequestId, class: u8) -> Request {
     Request {
         id,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Fixtures and an emulated proxy for the tests of the decisions.
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
+//! Fixtures and an emulated proxy for the tests of the balancer.
+#![allow(dead_code, unused_imports, reason = "each test file uses only some of the items")]
 
 mod emulated_proxy;
 mod fixtures;
--- a/crates/balancer/tests/connections.rs
+++ b/crates/balancer/tests/connections.rs
@@ -1,12 +1,12 @@
-//! Idle connections that an intermediary may have dropped.
+//! Tests of idle connections that an intermediary may have dropped.
 
 mod common;
 
 use balancer::api::*;
 use common::*;
 
-/// `idle_reap` days of kochi-main: connections were dropped silently while idle, and each use of one lost a request. After
-/// the first loss, a connection that was idle as long is closed before the next send.
+/// Guards against losing a request on each idle connection that an intermediary has dropped silently. After
+/// the first loss, connections that were idle as long are closed before the next send.
 #[test]
 fn closes_connections_idle_as_long_as_one_that_lost_a_request() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(1));
@@ -23,16 +23,17 @@
         closes_connections(&actions)
     };
     closes_after(&mut proxy, 0, Outcome::Ok);
-    assert!(!closes_after(&mut proxy, SECOND, Outcome::Ok), "trusted until something is lost");
+    assert!(!closes_after(&mut proxy, SECOND, Outcome::Ok), "reused until a request is lost");
     assert!(!closes_after(&mut proxy, SECOND, Outcome::Timeout));
     assert!(closes_after(&mut proxy, SECOND, Outcome::Ok), "closed before the send");
-    assert!(!closes_after(&mut proxy, 100 * MS, Outcome::Ok), "a short idle time is still trusted");
+    assert!(!closes_after(&mut proxy, 100 * MS, Outcome::Ok), "still reused after a short idle time");
 }
 
-/// A request lost on an idle connection is the connection's fault: the backend is not ejected for it. An idle time of a
-/// fraction of a second is what every connection has under load, and excuses no backend.
+/// A loss after a long idle time is attributed to the connection, and does not eject the backend. A loss
+/// after a fraction of a second is attributed to the backend: all connections are idle for so long under
+/// load.
 #[test]
-fn a_loss_on_an_idle_connection_ejects_no_backend() {
+fn a_loss_on_a_long_idle_connection_does_not_eject_its_backend() {
     let losses_until_ejection = |idle_time: Micros| {
         let mut proxy = EmulatedProxy::new(single_zone(), one_zone(2));
         for id in 0..2 {
@@ -46,7 +47,7 @@
             proxy.finish(id, 0, Outcome::Reset);
             proxy.log_lines("ejected") > 0
         });
-        last.expect("a backend that loses all is ejected in the end") - 1
+        last.expect("a backend that loses all requests is ejected eventually") - 1
     };
     let without_idling = losses_until_ejection(0);
     assert!((2..=4).contains(&without_idling), "{without_idling}");
--- a/crates/balancer/tests/health.rs
+++ b/crates/balancer/tests/health.rs
@@ -1,4 +1,4 @@
-//! Ejection and readmission of backends.
+//! Tests of ejection and readmission of backends.
 
 mod common;
 
@@ -18,7 +18,7 @@
     }
     proxy.advance(1300 * MS);
     (1000..1030).for_each(|id| _ = proxy.request(request(id, NON_IDEMPOTENT)));
-    assert_eq!(proxy.in_flight(2), 0, "no trial with a request that must not run twice");
+    assert_eq!(proxy.in_flight(2), 0, "no trial with a non-idempotent request");
     proxy.advance(3 * SECOND);
     (2000..2030).for_each(|id| _ = proxy.request(request(id, IDEMPOTENT)));
     assert_eq!(proxy.in_flight(2), 1, "a single trial");
@@ -41,14 +41,14 @@
     }
     assert!(proxy.log_lines("ejected") >= 3);
     let sent = (1000..1040).filter(|&id| sent_to(&proxy.request(request(id, IDEMPOTENT))).is_some()).count();
-    assert!(sent > 0, "some backend still serves");
+    assert!(sent > 0, "some backend still gets requests");
 }
 
-/// Intermediaries corrupt responses of any backend alike. Counted like a lost connection, one of them ejected a healthy
-/// backend, and a few of them most of the fleet. A backend whose responses are all corrupt is ejected like one that responds
-/// with errors.
+/// Guards against ejecting healthy backends because intermediaries corrupt some responses of all backends.
+/// When a malformed response weighed as much as a lost connection, one ejected a backend, and a few ejected
+/// most of the fleet. A backend whose responses are all malformed is still ejected.
 #[test]
-fn occasional_malformed_responses_cost_no_backend_its_place_or_its_limit() {
+fn occasional_malformed_responses_neither_eject_a_backend_nor_lower_its_limit() {
     struct Result {
         ejections: usize,
         in_flight: usize,
@@ -67,17 +67,18 @@
         Result { ejections: proxy.log_lines("ejected"), in_flight: proxy.attempts_in_flight().len() }
     };
     let (none, some) = (malformed_one_in(u32::MAX), malformed_one_in(10));
-    assert_eq!(some.ejections, 0, "a tenth is malformed, from any backend");
+    assert_eq!(some.ejections, 0, "a tenth of the responses is malformed, on all backends");
     assert!(
         some.in_flight * 2 > none.in_flight,
-        "limits stay: {} and {} in flight",
+        "limits are not lowered: {} and {} in flight",
         some.in_flight,
         none.in_flight
     );
     assert!(malformed_one_in(1).ejections > 0, "all are malformed");
 }
 
-/// First incident of accra-register: hundreds of ejections and no readmission, as no class there is idempotent.
+/// Guards against backends that are never readmitted in a deployment without idempotent classes. Hundreds of
+/// ejections without a readmission occurred while only idempotent requests could be trials.
 #[test]
 fn a_keyed_request_may_be_the_trial_of_an_ejected_backend() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(3));
@@ -85,13 +86,14 @@
     proxy.finish(0, 0, Outcome::Reset);
     proxy.advance(3 * SECOND);
     let trial = (1..20).any(|id| sent_to(&proxy.request(request(id, KEYED_CELL))) == Some(broken));
-    assert!(trial, "the ejection ends with a keyed request");
+    assert!(trial, "a keyed request is the trial");
 }
 
-/// Connections break everywhere on some days: one in eight of a healthy fleet's requests was lost, single losses ejected
-/// their backends, and half of the requests were rejected although every backend served.
+/// Guards against ejections when connections to all backends break equally often. With one in eight requests
+/// of a healthy fleet lost, single losses ejected backends, and half of the requests were rejected although
+/// every backend served.
 #[test]
-fn failures_of_the_whole_fleet_eject_no_backend_and_cost_no_limit() {
+fn failures_across_the_whole_fleet_neither_eject_backends_nor_lower_limits() {
     for outcome in [Outcome::Reset, Outcome::ConnectFailed, Outcome::Malformed] {
         let mut proxy = EmulatedProxy::new(single_zone(), one_zone(6));
         let mut rng = fastrand::Rng::with_seed(5);
@@ -106,31 +108,35 @@
             rejected += usize::from(proxy.requests[&id].ended && proxy.requests[&id].attempts.is_empty());
         }
         let ejections = proxy.log_lines("ejected");
-        assert!(ejections <= 2, "{outcome:?}: {ejections} times in 800 requests");
+        assert!(ejections <= 2, "{outcome:?}: {ejections} ejections in 800 requests");
         assert_eq!(rejected, 0, "{outcome:?}");
     }
 }
 
-/// Where connections break everywhere, a backend that fails all its requests is still detected, and so is one where a third
-/// of the fleet fails at once: those failures must not excuse each other.
+/// Guards against a baseline of failures that hides dead backends. They must be ejected although connections
+/// to all backends break occasionally, and although a third of the fleet fails at once and so raises the
+/// baseline.
 #[test]
-fn ejects_a_backend_that_serves_nothing_among_others_that_fail_occasionally() {
-    for (sick, usual) in [(1, 8), (2, 8), (2, u32::MAX)] {
+fn ejects_dead_backends_among_others_that_fail_occasionally() {
+    for (dead_count, failure_period) in [(1, 8), (2, 8), (2, u32::MAX)] {
         let mut proxy = EmulatedProxy::new(single_zone(), one_zone(6));
         let mut rng = fastrand::Rng::with_seed(5);
         let mut wasted = 0;
-        for turn in 0..120 {
-            (0..12).for_each(|number| _ = proxy.request(request(turn * 12 + number, IDEMPOTENT)));
+        for round in 0..120 {
+            (0..12).for_each(|number| _ = proxy.request(request(round * 12 + number, IDEMPOTENT)));
             proxy.advance(20 * MS);
             for sent in proxy.attempts_in_flight() {
-                let is_dead = turn >= 40 && sent.backend < sick;
+                let is_dead = round >= 40 && sent.backend < dead_count;
                 wasted += u32::from(is_dead);
-                let fails = is_dead || rng.u32(0..usual) == 0;
+                let fails = is_dead || rng.u32(0..failure_period) == 0;
                 let outcome = if fails { Outcome::ConnectFailed } else { Outcome::Ok };
                 proxy.finish(sent.request, sent.attempt, outcome);
             }
         }
-        assert!(wasted <= 16 * sick, "{wasted} requests went to {sick} dead backends, usual 1 in {usual}");
-        assert!(wasted >= sick);
+        assert!(
+            wasted <= 16 * dead_count,
+            "{wasted} requests to {dead_count} dead backends; others fail 1 in {failure_period}"
+        );
+        assert!(wasted >= dead_count);
     }
 }
--- a/crates/balancer/tests/learned_state.rs
+++ b/crates/balancer/tests/learned_state.rs
@@ -1,12 +1,12 @@
-//! Hand-over of what one instance has learned to another one.
+//! Tests of the transfer of learned state from one instance to another.
 
 mod common;
 
 use balancer::api::*;
 use common::*;
 
-/// An instance that has served requests, one of whose backends is far slower than the others.
-fn experienced_proxy() -> EmulatedProxy {
+/// A proxy that has served requests on four backends, one of them far slower than the others.
+fn proxy_with_learned_state() -> EmulatedProxy {
     let mut proxy = EmulatedProxy::new(settings(), (0..4).map(backend));
     proxy.load(0, 400, 1, |backend| if backend == 2 { 400 * MS } else { 30 * MS });
     proxy
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn a_new_instance_restores_what_another_has_learned() {
-    let learned = experienced_proxy().balancer.learned_state();
+fn a_new_instance_restores_the_learned_state_of_another() {
+    let learned = proxy_with_learned_state().balancer.learned_state();
     let fresh = EmulatedProxy::new(settings(), (0..4).map(backend));
-    assert_ne!(fresh.balancer.learned_state(), learned, "something was learned");
+    assert_ne!(fresh.balancer.learned_state(), learned, "the state differs from the initial one");
     let mut restored = EmulatedProxy::new(settings(), (0..4).map(backend));
     assert!(restored.balancer.restore(restored.now, &learned));
     assert_eq!(restored.balancer.learned_state(), learned);
@@ -32,8 +32,8 @@
 
 #[test]
 fn does_not_restore_limits_of_removed_or_restarted_backends() {
-    let learned = experienced_proxy().balancer.learned_state();
-    // Backend 1 was removed, 2 has restarted, 9 is new.
+    let learned = proxy_with_learned_state().balancer.learned_state();
+    // Backend 1 was removed, 2 has restarted, and 9 is new.
     let restarted = Backend { started_at: Some(SECOND / 2), ..backend(2) };
     let list = [backend(0), restarted, backend(3), backend(9)];
     let mut proxy = EmulatedProxy::new(settings(), list);
@@ -41,12 +41,12 @@
     assert!(proxy.balancer.restore(proxy.now, &learned));
     assert_eq!((limit(&proxy, 0), limit(&proxy, 3)), (limit_in(&learned, 0), limit_in(&learned, 3)));
     assert_eq!((limit(&proxy, 2), limit(&proxy, 9)), (limit_of_restarted, limit_of_new));
-    assert_eq!(proxy.balancer.learned_state().backends.len(), 4, "it adds no backends");
+    assert_eq!(proxy.balancer.learned_state().backends.len(), 4, "no backends are added");
 }
 
 #[test]
-fn does_not_restore_what_was_learned_under_other_classes() {
-    let learned = experienced_proxy().balancer.learned_state();
+fn does_not_restore_state_learned_with_other_classes() {
+    let learned = proxy_with_learned_state().balancer.learned_state();
     let mut other_settings = settings();
     other_settings.classes.pop();
     let mut proxy = EmulatedProxy::new(other_settings, (0..4).map(backend));
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits.
+//! Tests of concurrency limits.
 
 mod common;
 
@@ -10,10 +10,10 @@
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(4));
     (0..100).for_each(|id| _ = proxy.request(request(id, IDEMPOTENT)));
     let sent = proxy.attempts_in_flight().len();
-    assert!((4..=8).contains(&sent), "the first limit is 1.5 per backend, {sent} were sent to four");
+    assert!((4..=8).contains(&sent), "the initial limit is 1.5 per backend; {sent} were sent to four");
     proxy.advance(150 * MS);
     let ended = proxy.requests.values().filter(|tracked| tracked.ended).count();
-    assert_eq!(ended, 0, "queued for a tenth of two seconds");
+    assert_eq!(ended, 0, "queued for a tenth of the timeout of 2 s");
     proxy.advance(60 * MS);
     let rejections =
         proxy.log.iter().filter(|(_, action)| matches!(action, Action::Reject { retry_after: 1.., .. }));
@@ -25,13 +25,13 @@
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(2));
     proxy.load(0, 300, 4, |_| 40 * MS);
     let quick = proxy.attempts_in_flight().len();
-    assert!(quick >= 8, "two backends that keep up take more than their first limit: {quick}");
+    assert!(quick >= 8, "the limits of two quick backends exceed the initial ones: {quick}");
     proxy.load(10_000, 500, 4, |_| 450 * MS);
     let slow = proxy.attempts_in_flight().len();
-    assert!(slow <= 6, "near the objective the limits have fallen: {slow}");
+    assert!(slow <= 6, "the limits fall at latencies near the objective: {slow}");
 }
 
-/// An attempt lost on the way is no sign of load.
+/// A lost attempt does not indicate load on its backend.
 #[test]
 fn lost_attempts_do_not_lower_a_limit() {
     let admitted_after = |losses: u32| {
@@ -49,7 +49,7 @@
     assert_eq!(admitted_after(8), admitted_after(0));
 }
 
-/// Quick errors look like a low latency.
+/// The latency of quick errors is low, but they do not show that the backend has capacity.
 #[test]
 fn quick_errors_do_not_raise_a_limit() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(1));
@@ -78,13 +78,14 @@
     };
     let (few, many) = (admitted(2), admitted(20));
     assert!(few.abs_diff(many) * 4 < few, "2 instances admit {few}, 20 admit {many}");
-    // With under three slots per instance their square root is added, for requests that coincide.
+    // With less than three slots per instance, their square root is added for requests that coincide.
     let slots: f64 = 50.0 * 1.5 / 40.0;
     assert!(admitted(40) as f64 <= 40.0 * (slots + slots.sqrt() + 1.0));
 }
 
-/// Booking of orders: backends there queue without falling behind and clients wait for twelve times the work, yet limits
-/// fell at 1.8 times the baseline latency and one request in ten was rejected with the fleet half idle.
+/// Guards against limits that fall although the queues on the backends drain. When limits backed off at 1.8
+/// times the baseline latency, one request in ten was rejected with the fleet half idle, although clients
+/// wait for twelve times the work.
 #[test]
 fn limits_tolerate_a_draining_queue_and_not_a_standing_one() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(2));
@@ -94,21 +95,22 @@
     proxy.load(1_000, 400, 1, |_| 80 * MS);
     assert_eq!(proxy.rejections(), 0, "the queue drains");
     let limit = min_limit(&proxy);
-    assert!(limit >= 4.0, "eight at a time come for two backends: {limit}");
+    assert!(limit >= 4.0, "eight concurrent requests for two backends: {limit}");
     proxy.load(10_000, 300, 20, |_| 80 * MS);
-    assert!(proxy.rejections() > 3_000, "ten times what two backends take");
+    assert!(proxy.rejections() > 3_000, "ten times the capacity of two backends");
     let limit = min_limit(&proxy);
-    assert!(limit < 3.0, "the same latency is too much with standing queues: {limit}");
+    assert!(limit < 3.0, "the same latency lowers limits with standing queues: {limit}");
     proxy.load(20_000, 800, 1, |_| 20 * MS);
     let before = proxy.rejections();
     proxy.load(30_000, 200, 1, |_| 80 * MS);
-    assert_eq!(proxy.rejections(), before, "the flood is over and forgotten");
+    assert_eq!(proxy.rejections(), before, "the overload has no lasting effect");
 }
 
-/// Booking of orders, rate+silent+leave: of two instances one rejected half of its requests all day. Work of a few
-/// milliseconds waited for ten, limits fell for it to the minimum, what they rejected held the threshold down, and so on.
+/// Guards against limits that stay at their minimum because of short waits. Work of a few milliseconds waited
+/// for ten, which lowered the limits; the resulting rejections kept the back-off threshold low, and one of
+/// two instances rejected half of its requests permanently.
 #[test]
-fn limits_recover_from_waits_that_cost_nothing() {
+fn limits_recover_from_waits_that_are_short_relative_to_the_objective() {
     let mut settings = single_zone();
     settings.classes[0].latency_objective = 2 * SECOND;
     settings.classes[0].deadline = 5 * SECOND;
@@ -120,11 +122,11 @@
     assert_eq!(
         proxy.rejections(),
         before,
-        "eighteen at a time on a backend, all within a twentieth of the objective"
+        "18 concurrent requests per backend, all within a twentieth of the objective"
     );
 }
 
-/// Slow backends at full size: a single load report has to suffice, as windows never fill.
+/// With many instances and backends, windows never fill, so a single load report has to suffice.
 #[test]
 fn a_load_report_lowers_the_limit_of_a_slow_backend_at_once_where_an_instance_has_few_slots() {
     let mut settings = Settings { instance_count: 100, ..single_zone() };
--- a/crates/balancer/tests/membership.rs
+++ b/crates/balancer/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: the watch on discovery, and entries at the bounds of the clock.
+//! Tests of membership: the watch on discovery, and changed entries of backends.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::*;
 
 #[test]
-fn subscribes_on_request_and_again_after_each_failure() {
+fn subscribes_when_discovery_is_on_request_and_after_each_failure() {
     let settings = Settings { discovery_on_request: true, ..settings() };
     let mut proxy = EmulatedProxy::new(settings, []);
     let subscriptions =
@@ -14,14 +14,14 @@
     assert_eq!(subscriptions(&proxy), 1);
     for failures in 1..6 {
         proxy.update_membership(MembershipUpdate::Failed);
-        assert_eq!(subscriptions(&proxy), failures, "not at once");
+        assert_eq!(subscriptions(&proxy), failures, "not immediately");
         proxy.advance(5 * SECOND);
         assert_eq!(subscriptions(&proxy), failures + 1);
     }
 }
 
 #[test]
-fn times_at_the_end_of_the_clock_do_not_overflow() {
+fn times_near_the_maximum_do_not_overflow() {
     let mut settings = single_zone();
     settings.classes[usize::from(KEYED_ALL)].idempotency =
         Idempotency::Keyed { scope: DedupScope::All, ttl: Micros::MAX };
@@ -35,9 +35,9 @@
     proxy.advance(3 * SECOND);
 }
 
-/// Guards against a backend that restarts on another kind of machine and keeps the limit of the kind it had first.
+/// Guards against a backend that restarts on another machine kind with the limit of its first kind.
 #[test]
-fn restarted_backend_has_the_limit_of_its_present_machine_kind() {
+fn a_restarted_backend_has_the_limit_of_its_current_machine_kind() {
     let limits = |proxy: &EmulatedProxy| {
         let learned = proxy.balancer.learned_state().backends;
         [0, 2].map(|id| learned.iter().find(|learned| learned.backend == id).map(|learned| learned.limit))
--- a/crates/balancer/tests/retries.rs
+++ b/crates/balancer/tests/retries.rs
@@ -1,12 +1,13 @@
-//! Retries and the timeouts of attempts.
+//! Tests of retries and of the timeouts of attempts.
 
 mod common;
 
 use balancer::api::*;
 use common::*;
 
-/// Two retries for a hundred requests, two in a row at most, left most of the malformed responses of a day without the
-/// second attempt that their class permits.
+/// Guards against a retry budget that is too small for malformed responses. With two retries per hundred
+/// requests, and bursts of at most two, most malformed responses were not retried although their class
+/// permits it.
 #[test]
 fn retries_each_of_several_malformed_responses_in_a_row() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(8));
@@ -22,12 +23,13 @@
     }
 }
 
-/// A connection broke silently under a request: its backend responds to all others. The request gets another attempt while
-/// that can still be in time, and the backend does not count as hung meanwhile. Where work takes long beside the time that
-/// clients wait, and where nothing may be retried, an attempt is awaited.
+/// A connection broke silently, and its backend responds to all other requests. The lost attempt must time
+/// out early enough for a retry, and the backend must not count as hung meanwhile. If work takes long
+/// compared with the time that clients wait, or if the request must not be retried, the timeout is the
+/// deadline.
 #[test]
-fn gives_up_a_lost_attempt_in_time_for_another_one() {
-    let given_up_after = |class: u8, latency: Micros| {
+fn a_lost_attempt_times_out_early_enough_for_a_retry() {
+    let timeout_after = |class: u8, latency: Micros| {
         let mut proxy = EmulatedProxy::new(single_zone(), one_zone(4));
         for id in 1000..1400 {
             proxy.request(request(id, class));
@@ -38,20 +40,21 @@
         let attempt = &proxy.requests[&0].attempts[0];
         (attempt.give_up_at - attempt.sent_at, proxy)
     };
-    let (timeout, mut proxy) = given_up_after(IDEMPOTENT, 5 * MS);
-    assert!((100 * MS..200 * MS).contains(&timeout), "{timeout} of an objective of 500 ms");
-    let silent = proxy.requests[&0].attempts[0].backend;
+    let (timeout, mut proxy) = timeout_after(IDEMPOTENT, 5 * MS);
+    assert!((100 * MS..200 * MS).contains(&timeout), "{timeout} us with an objective of 500 ms");
+    let unresponsive = proxy.requests[&0].attempts[0].backend;
     proxy.advance(timeout + 5 * MS);
-    assert_eq!(proxy.requests[&0].attempts.len(), 2, "another attempt");
+    assert_eq!(proxy.requests[&0].attempts.len(), 2, "it was retried");
     proxy.complete(|_| 0);
     (2000..2004).for_each(|id| _ = proxy.request(request(id, IDEMPOTENT)));
-    assert!(proxy.in_flight(silent) > 0, "one lost request does not bar its backend");
-    assert_eq!(given_up_after(IDEMPOTENT, 100 * MS).0, 2 * SECOND, "work takes long");
-    assert_eq!(given_up_after(NON_IDEMPOTENT, 5 * MS).0, 2 * SECOND, "not idempotent");
+    assert!(proxy.in_flight(unresponsive) > 0, "a backend that lost one request still gets others");
+    assert_eq!(timeout_after(IDEMPOTENT, 100 * MS).0, 2 * SECOND, "work takes long");
+    assert_eq!(timeout_after(NON_IDEMPOTENT, 5 * MS).0, 2 * SECOND, "not idempotent");
 }
 
-/// Seen at 200 instances before 60 backends, exponential work with a mean of 40 ms: an instance that had met light requests
-/// first gave a heavy one up after a quarter of its objective, four times in all, and rejected it on an idle fleet.
+/// Guards against rejecting heavy requests on an idle fleet. With 200 instances, 60 backends and
+/// exponentially distributed work of 40 ms on average, an instance whose first requests were light timed out
+/// each of the four attempts of a heavy one after a quarter of the objective.
 #[test]
 fn doubles_the_timeout_of_a_heavy_request_at_each_attempt() {
     let mut proxy = EmulatedProxy::new(settings(), (0..8).map(backend));
@@ -70,7 +73,7 @@
     let attempts = &proxy.requests[&1_000].attempts;
     let timeouts: Vec<Micros> =
         attempts.iter().map(|attempt| (attempt.give_up_at - attempt.sent_at) / MS).collect();
-    assert_eq!(timeouts.first(), Some(&125), "a lost response still leaves time for another attempt");
+    assert_eq!(timeouts.first(), Some(&125), "a lost response still leaves time for a retry");
     assert!(timeouts.windows(2).all(|pair| pair[1] > pair[0]), "{timeouts:?}");
     assert_eq!(attempts.last().map(|attempt| attempt.state), Some(AttemptState::MayHaveExecuted));
     let is_rejection = |action: &Action| matches!(action, Action::Reject { request: 1_000, .. });
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn leaves_a_streaming_response_alone() {
+fn does_not_cancel_or_fail_a_streaming_response() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(3));
     proxy.request(request(1, IDEMPOTENT));
     proxy.event(Event::ResponseStarted { request: 1, attempt: 0 });
@@ -88,7 +91,7 @@
     assert!(!proxy.log.iter().any(|(_, action)| ends(action)));
 }
 
-/// Sends requests one after another, each attempt of which ends in a broken connection with this probability.
+/// Sends requests one after another; the connection of each attempt breaks with this probability.
 fn load_with_broken_connections(probability: f64, seed: u64) -> EmulatedProxy {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(8));
@@ -106,7 +109,7 @@
     proxy
 }
 
-/// Guards against requests that end unserved on an idle fleet while a tenth of all connections break.
+/// Guards against requests that are not served by an idle fleet while a tenth of all connections break.
 #[test]
 fn retry_budget_lasts_while_a_tenth_of_connections_break() {
     for seed in 0..8 {
@@ -116,7 +119,8 @@
     }
 }
 
-/// Guards against a retry budget that bounds nothing: every attempt breaks, as with a request that its backends can't bear.
+/// Guards against a retry budget without effect. The connection of every attempt breaks, as with a request
+/// that crashes its backends.
 #[test]
 fn retry_budget_bounds_retries_where_every_connection_breaks() {
     let proxy = load_with_broken_connections(1.0, 7);
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, checked independently on random sequences of events, and scenarios for each rule.
+//! Tests of the four rules: independent checks on random sequences of events, and scenarios for each rule.
 
 mod common;
 
@@ -45,7 +45,8 @@
     ]
 }
 
-/// Sends an event that no correct proxy would send: unknown ids, stale timers, an outcome that was already reported.
+/// Passes an event that no correct proxy would pass: an unknown id, a stale timer, or an outcome that was
+/// already reported.
 fn send_unexpected_event(proxy: &mut EmulatedProxy, kind: u8, number: u32) {
     let known = proxy.requests.keys().copied().nth(number as usize % proxy.requests.len().max(1));
     let request = if kind & 64 == 0 { 1_000_000 + number } else { known.unwrap_or(number) };
@@ -89,8 +90,8 @@
     }
 }
 
-/// Plays a sequence and returns the actions that followed.
-fn play(settings: Settings, steps: &[Step]) -> Vec<(Micros, Action)> {
+/// Applies a sequence of steps and returns the resulting actions, with their times.
+fn run_steps(settings: Settings, steps: &[Step]) -> Vec<(Micros, Action)> {
     let mut proxy = EmulatedProxy::new(settings, (0..6).map(backend));
     for (number, step) in steps.iter().enumerate() {
         match *step {
@@ -141,8 +142,8 @@
         settings.key_affinity = key_affinity;
         settings.discovery_on_request = max_attempts % 2 == 0;
         settings.tenants = vec![Tenant { quota_per_s: 5.0 }, Tenant { quota_per_s: 50.0 }];
-        let log = play(settings.clone(), &steps);
-        prop_assert_eq!(log, play(settings, &steps), "the same events lead to the same actions");
+        let log = run_steps(settings.clone(), &steps);
+        prop_assert_eq!(log, run_steps(settings, &steps), "the same events lead to the same actions");
     }
 }
 
@@ -177,11 +178,12 @@
         proxy.request(request(1, class));
         proxy.now += 601 * MS;
         let actions = proxy.finish(1, 0, Outcome::Error);
-        assert!(is_failed(&actions), "the key has expired, and a rejection would promise too much");
+        assert!(is_failed(&actions), "the key has expired, so a rejection would not be safe to retry");
     }
 }
 
-/// The group that remembers the key is the one at the time of the attempt, even if the list moves that backend later.
+/// The key is remembered by the group in which the backend was at the time of the attempt, even if discovery
+/// assigns the backend to another group later.
 #[test]
 fn a_keyed_request_stays_in_the_group_of_its_first_attempt_although_its_backend_moves() {
     for class in [KEYED_ZONE, KEYED_CELL] {
@@ -191,7 +193,7 @@
         proxy.update_membership(MembershipUpdate::Delta(&[Backend { zone, cell, ..backend(first) }]));
         let second = sent_to(&proxy.finish(1, 0, Outcome::Error)).expect("a free slot in the group");
         assert_eq!(first % 2, second % 2, "class {class}");
-        // New requests use the present group of the backend.
+        // For new requests, the current group of the backend applies.
         let mut sent = (2..60).filter_map(|id| Some((id, sent_to(&proxy.request(request(id, class)))?)));
         let (later, _) = sent.find(|&(_, backend)| backend == first).expect("it still serves");
         let retried_on = sent_to(&proxy.finish(later, 0, Outcome::Error));
@@ -200,7 +202,7 @@
 }
 
 #[test]
-fn a_drain_takes_effect_at_once_also_for_queued_and_retried_requests() {
+fn a_draining_backend_immediately_gets_no_queued_or_retried_requests() {
     let mut proxy = EmulatedProxy::new(settings(), [backend(0)]);
     let sent = (0..200).filter(|&id| sent_to(&proxy.request(request(id, IDEMPOTENT))).is_some()).count();
     assert!(sent < 200, "some are queued");
@@ -213,7 +215,7 @@
     proxy.advance(3 * SECOND);
 }
 
-/// Serves a request every 50 ms; returns when backend 3 got one.
+/// Sends a request every 50 ms; returns the times at which backend 3 got one.
 fn serve_steadily(proxy: &mut EmulatedProxy, next_id: &mut RequestId, duration: Micros) -> Vec<Micros> {
     let mut sends = Vec::new();
     for _ in 0..duration / (50 * MS) {
@@ -227,7 +229,7 @@
     sends
 }
 
-/// 20 instances with a warm fleet of 10, each with steady traffic; one backend restarts.
+/// 20 instances with steady traffic use 10 warm backends, one of which restarts.
 #[test]
 fn all_instances_together_stay_within_the_budget_of_a_warming_backend() {
     let mut settings = settings();
@@ -249,6 +251,6 @@
     let in_window_from =
         |start: Micros| sends.iter().filter(|&&time| time >= start && time < start + 2 * SECOND).count();
     let max = sends.iter().map(|&start| in_window_from(start)).max();
-    let max = max.expect("a warming backend gets something");
+    let max = max.expect("a warming backend gets some requests");
     assert!(max > 0 && (max as f64) < budget, "{max} sends in the overload window, {budget} allowed");
 }
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Choice of a backend.
+//! Tests of the selection of a backend.
 
 mod common;
 
@@ -29,7 +29,7 @@
     assert!(zones.is_sorted(), "the local zone is filled first: {zones:?}");
 }
 
-/// Incident i5cb7d4: a backend that rejects requests looked the least loaded and attracted every send.
+/// Guards against sending all requests to a backend that rejects them, because it has the fewest in flight.
 #[test]
 fn skips_a_backend_that_rejected_a_request_for_a_while() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(3));
@@ -37,10 +37,10 @@
     proxy.finish(0, 0, Outcome::Rejected);
     assert_eq!(proxy.in_flight(full), 0);
     (1..9).for_each(|id| _ = proxy.request(request(id, IDEMPOTENT)));
-    assert_eq!(proxy.in_flight(full), 0, "it has the most free slots, but has just rejected one");
+    assert_eq!(proxy.in_flight(full), 0, "it has the most free slots, but has just rejected a request");
 }
 
-/// Hedging overdue requests cost crowded fleets more than it saved.
+/// Hedging of overdue requests is not used: on fleets with high load, it did more harm than good.
 #[test]
 fn skips_a_hung_backend_and_does_not_hedge_its_requests() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(3));
@@ -60,7 +60,7 @@
     assert_eq!(proxy.requests[&5000].attempts.len(), 1);
 }
 
-/// With limits shared by many instances one may have no slot on any backend.
+/// If the limits of the backends are divided among many instances, an instance may have no slot at all.
 #[test]
 fn an_instance_without_any_slot_still_serves() {
     for instance_index in 0..40 {
@@ -79,13 +79,13 @@
     assert!(local.iter().all(|id| id % 2 == 0), "the local zone has free slots");
     let max = local.iter().map(|&id| proxy.in_flight(id)).max();
     assert!(max <= Some(2), "{max:?} on one backend");
-    // Once the local zone drains, the second sample finds the other one.
+    // Once the local zone is draining, the second sample finds backends of the other one.
     let draining: Vec<Backend> =
         (0..500).map(|half| Backend { readiness: Readiness::Draining, ..backend(half * 2) }).collect();
     proxy.update_membership(MembershipUpdate::Delta(&draining));
     let remote = sent_to(&proxy.request(request(1_000, IDEMPOTENT)));
     assert!(remote.is_some_and(|id| id % 2 == 1), "{remote:?}");
-    // A retry goes to its cell, which no sample would find.
+    // A retry that must stay in its cell examines all backends; a sample might contain none of the cell.
     let first = sent_to(&proxy.request(request(1_001, KEYED_CELL))).expect("a free slot");
     proxy.finish(1_001, 0, Outcome::Reset);
     let second = proxy.requests[&1_001].attempts.get(1).map(|attempt| attempt.backend);
--- a/crates/balancer/tests/settings_change.rs
+++ b/crates/balancer/tests/settings_change.rs
@@ -1,4 +1,4 @@
-//! Settings that change while requests are open.
+//! Tests of changes of settings while requests are open.
 
 mod common;
 
@@ -6,19 +6,19 @@
 use common::*;
 
 #[derive(Debug, PartialEq)]
-struct End {
+struct FinalOutcome {
     attempts: usize,
     is_rejected: bool,
 }
 
-/// Fails each attempt of a request until no other one is sent. `actions` came at its arrival.
-fn fail_all_attempts(proxy: &mut EmulatedProxy, id: RequestId, mut actions: Vec<Action>) -> End {
+/// Fails each attempt of a request until no other one is sent. `actions` are those returned on its arrival.
+fn fail_all_attempts(proxy: &mut EmulatedProxy, id: RequestId, mut actions: Vec<Action>) -> FinalOutcome {
     let mut attempts = 0;
     while sent_to(&actions).is_some() {
         actions = proxy.finish(id, attempts as u16, Outcome::Reset);
         attempts += 1;
     }
-    End { attempts, is_rejected: is_rejected(&actions) }
+    FinalOutcome { attempts, is_rejected: is_rejected(&actions) }
 }
 
 #[test]
@@ -26,22 +26,22 @@
     let mut proxy = EmulatedProxy::new(settings(), (0..8).map(backend));
     let old = proxy.request(request(1, IDEMPOTENT));
     let keyed = proxy.request(request(2, KEYED_ALL));
-    // One attempt from now on, and another class, which is not idempotent.
+    // From now on, one attempt per request, and an additional class that is not idempotent.
     let mut changed = settings();
     changed.classes.push(class(Idempotency::NonIdempotent));
     changed.permissions.max_attempts = 1;
     assert!(proxy.event(Event::SettingsChanged(&changed)).is_empty());
     let before = std::mem::replace(&mut proxy.settings, changed);
     let new = proxy.request(request(3, IDEMPOTENT));
-    let one_attempt = End { attempts: 1, is_rejected: true };
-    assert_eq!(fail_all_attempts(&mut proxy, 3, new), one_attempt, "it arrived under one attempt");
+    let one_attempt = FinalOutcome { attempts: 1, is_rejected: true };
+    assert_eq!(fail_all_attempts(&mut proxy, 3, new), one_attempt, "it arrived after the change");
     let added = proxy.request(request(4, 5));
-    let failed = End { attempts: 1, is_rejected: false };
+    let failed = FinalOutcome { attempts: 1, is_rejected: false };
     assert_eq!(fail_all_attempts(&mut proxy, 4, added), failed, "it may have executed, and fails");
-    // The requests from before the change get all their attempts.
+    // Requests that arrived before the change get all four attempts.
     proxy.settings = before;
-    assert_eq!(fail_all_attempts(&mut proxy, 1, old), End { attempts: 4, is_rejected: true });
-    assert_eq!(fail_all_attempts(&mut proxy, 2, keyed), End { attempts: 4, is_rejected: true });
+    assert_eq!(fail_all_attempts(&mut proxy, 1, old), FinalOutcome { attempts: 4, is_rejected: true });
+    assert_eq!(fail_all_attempts(&mut proxy, 2, keyed), FinalOutcome { attempts: 4, is_rejected: true });
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let initial: Vec<_> = proxy.balancer.limits().collect();
     proxy.load(0, 200, 1, |_| 40 * MS);
     let before: Vec<_> = proxy.balancer.limits().collect();
-    assert_ne!(before, initial, "something was learned");
+    assert_ne!(before, initial, "the limits differ from the initial ones");
     let mut changed = settings();
     changed.classes.push(class(Idempotency::Idempotent));
     proxy.event(Event::SettingsChanged(&changed));
--- a/crates/balancer/tests/slot_budget.rs
+++ b/crates/balancer/tests/slot_budget.rs
@@ -1,4 +1,4 @@
-//! Spread of an instance with few slots over the fleet, and first use of returned backends.
+//! Tests of instances with few slots, and of the first use of backends that became ready again.
 
 mod common;
 
@@ -6,7 +6,8 @@
 use common::*;
 use std::collections::BTreeSet;
 
-/// Sends `per_tick` requests every 10 ms, each completed after `latency`; returns the number of backends that got any.
+/// Sends `per_tick` requests every 10 ms and completes each after `latency`; returns the number of backends
+/// that got any.
 fn backends_used(
     proxy: &mut EmulatedProxy,
     first: RequestId,
@@ -30,7 +31,7 @@
     proxy.attempts_in_flight().iter().map(|sent| sent.backend).collect()
 }
 
-/// An instance of several before warm backends in its zone; crossing zones is free.
+/// One of `instance_count` instances, with warm backends in its zone; crossing zones is free.
 fn instance(instance_index: u32, instance_count: u32, backends: u32) -> EmulatedProxy {
     let settings = Settings { instance_index, instance_count, cross_zone_cost: 0.0, ..settings() };
     EmulatedProxy::new(settings, (0..backends).map(backend_in_zone_0))
@@ -40,8 +41,9 @@
     Backend { zone: 0, ..backend(id) }
 }
 
-/// A hundred instances before sixty backends: spread over three, each met on every backend what others had sent there. While
-/// nothing is rejected, three are right: two requests at once have to find free slots.
+/// With 100 instances and 60 backends, spreading over three backends under load made each instance compete
+/// with the others on every backend. While nothing is rejected, three are right: two concurrent requests must
+/// find free slots.
 #[test]
 fn a_small_instance_spreads_over_fewer_backends_while_requests_are_rejected() {
     let (mut idle, mut loaded) = (0, 0);
@@ -54,13 +56,14 @@
         loaded += backends_used(&mut proxy, 5_000, 100, 4, 100 * MS);
     }
     assert!(idle >= 25, "ten instances use {idle} backends while nothing is rejected");
-    assert!(loaded <= 20, "ten instances use {loaded} backends while most is rejected");
+    assert!(loaded <= 20, "ten instances use {loaded} backends while most requests are rejected");
 }
 
-/// Two hundred instances before sixty backends, with hardly any traffic. An instance whose limits add up to half a slot had
-/// one or two requests in flight at most, queued the next and rejected it, although every backend was idle.
+/// Guards against rejections on an idle fleet. With 200 instances, 60 backends and hardly any traffic, an
+/// instance whose limits add up to half a slot had at most two requests in flight, and queued and then
+/// rejected the next one.
 #[test]
-fn a_small_instance_on_a_quiet_fleet_queues_nothing() {
+fn a_small_instance_with_an_idle_fleet_queues_nothing() {
     for instance_index in 0..10 {
         let mut proxy = instance(instance_index, 200, 60);
         for id in 0..3 {
@@ -73,8 +76,8 @@
     }
 }
 
-/// kochi-main at full size: with under one slot in all, an instance could not send two requests at the same time, and
-/// rejected the second although the fleet was idle.
+/// Guards against an instance with less than one slot in total that cannot have two requests in flight, and
+/// rejects the second one although the fleet is idle.
 #[test]
 fn an_instance_with_few_slots_can_have_several_requests_in_flight_on_different_backends() {
     let sends_two = |instance_index| {
@@ -88,10 +91,10 @@
     assert!((0..40).filter(|&instance_index| sends_two(instance_index)).count() > 20);
 }
 
-/// Incident ifee80a: with a random dither for each pair of instance and backend, some instances had no slot on any backend
-/// for good and rejected requests that coincided there.
+/// Guards against random dithers for each pair of instance and backend: some instances never had a slot on
+/// any backend, and rejected requests that coincided.
 #[test]
-fn every_instance_has_about_as_many_slots_and_so_does_every_backend() {
+fn slots_are_distributed_evenly_over_instances_and_backends() {
     let (mut by_backend, mut by_instance) = (vec![0; 60], Vec::new());
     for instance_index in 0..200 {
         let settings = Settings { instance_index, instance_count: 60, ..single_zone() };
@@ -109,7 +112,7 @@
     assert!(max - min <= 8, "{by_backend:?}");
 }
 
-/// The backend to which a request goes while nothing else is in flight; it is completed.
+/// Sends and completes a request while no other one is in flight; returns the backend that got it.
 fn send_one(proxy: &mut EmulatedProxy, id: RequestId) -> BackendId {
     proxy.request(request(id, IDEMPOTENT));
     let backend = proxy.attempts_in_flight().first().expect("it was sent").backend;
@@ -123,62 +126,62 @@
     proxy.update_membership(MembershipUpdate::Delta(&[entry]));
 }
 
-fn bring_back(proxy: &mut EmulatedProxy, id: BackendId) {
+fn mark_ready(proxy: &mut EmulatedProxy, id: BackendId) {
     proxy.update_membership(MembershipUpdate::Delta(&[backend_in_zone_0(id)]));
 }
 
-/// One request at a time leaves all backends with free slots, and the one with the greatest limit gets them all: one that
-/// returned from a drain waited for its first request until another one was busy, for good where none ever was.
+/// Guards against backends that get no request after a drain. With one request at a time, all backends have
+/// free slots, and the one with the highest limit gets all requests as long as it is never busy.
 #[test]
-fn a_returned_backend_gets_the_next_request_of_a_quiet_fleet() {
+fn a_backend_that_became_ready_again_gets_the_next_request_of_an_idle_fleet() {
     let mut proxy = instance(0, 1, 10);
     (0..400).for_each(|id| _ = send_one(&mut proxy, id));
     for id in 0..10 {
         drain(&mut proxy, id);
         assert_ne!(send_one(&mut proxy, 1_000 + 10 * id), id);
-        bring_back(&mut proxy, id);
+        mark_ready(&mut proxy, id);
         proxy.advance(4 * SECOND + 5 * MS);
-        assert_eq!(send_one(&mut proxy, 1_001 + 10 * id), id, "the first after its return");
+        assert_eq!(send_one(&mut proxy, 1_001 + 10 * id), id, "the first request after it became ready");
     }
-    // Once: after that the usual selection holds.
+    // It is preferred once; the ordinary selection applies after that.
     let later: BTreeSet<_> = (0..20).map(|number| send_one(&mut proxy, 2_000 + number)).collect();
-    assert!(later != BTreeSet::from([9]), "the last one to return got all that followed");
+    assert!(later != BTreeSet::from([9]), "the last backend that became ready got all later requests");
 }
 
 /// An ejected backend gets its trial although others have more free slots.
 #[test]
-fn an_ejected_backend_gets_its_trial_on_a_quiet_fleet() {
+fn an_ejected_backend_gets_its_trial_on_an_idle_fleet() {
     let mut proxy = instance(0, 1, 10);
     (0..400).for_each(|id| _ = send_one(&mut proxy, id));
-    let (mut id, mut sick) = (1_000, None);
+    let (mut id, mut failing) = (1_000, None);
     while proxy.balancer.ejections() == 0 {
         id += 1;
         proxy.request(request(id, IDEMPOTENT));
         let sent = *proxy.attempts_in_flight().first().expect("it was sent");
         proxy.advance(20 * MS);
-        if *sick.get_or_insert(sent.backend) == sent.backend {
+        if *failing.get_or_insert(sent.backend) == sent.backend {
             proxy.finish(id, sent.attempt, Outcome::Error);
         }
         proxy.complete(|_| 0);
         assert!(id < 3_000, "nothing was ejected");
     }
-    let sick = sick.expect("the one that failed");
+    let failing = failing.expect("a backend has failed");
     proxy.advance(4 * SECOND + 5 * MS);
-    assert_eq!(send_one(&mut proxy, 5_000), sick, "its trial");
-    let trials = (0..20).filter(|number| send_one(&mut proxy, 5_100 + number) == sick).count();
-    assert!(trials < 20, "one request was enough");
+    assert_eq!(send_one(&mut proxy, 5_000), failing, "its trial");
+    let later = (0..20).filter(|number| send_one(&mut proxy, 5_100 + number) == failing).count();
+    assert!(later < 20, "it is preferred for one request only");
 }
 
-/// Two hundred instances that all are notified of the return at once: those with a slot there come first, one after the other, and no
-/// backend without free slots is filled further.
+/// Guards against many instances that use a backend at the same moment because it became ready. Only
+/// instances with a free slot on it use it first, at different times.
 #[test]
-fn few_of_many_instances_use_a_returned_backend_at_once() {
+fn instances_use_a_backend_that_became_ready_again_at_different_times() {
     let mut first_uses = [0; 5];
     for instance_index in 0..200 {
         let mut proxy = instance(instance_index, 200, 10);
         (0..20).for_each(|id| _ = send_one(&mut proxy, id));
         drain(&mut proxy, 3);
-        bring_back(&mut proxy, 3);
+        mark_ready(&mut proxy, 3);
         let first_use = (0..5).find(|&second| {
             let backend = send_one(&mut proxy, 1_000 + second);
             proxy.advance(980 * MS);
