--- a/crates/request-engine/src/driver/cancellation.rs
+++ b/crates/request-engine/src/driver/cancellation.rs
@@ -5,16 +5,17 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum Cancellation {
-    /// The attempt continues.
+    /// Not cancelled.
     #[default]
     None,
-    /// The attempt ends unless it has sent a byte.
+    /// Cancelled if no byte has been sent.
     UnlessSent,
-    /// The attempt ends.
+    /// Cancelled, whatever has been sent.
     Immediate,
 }
 
-/// The cancellation signal of one attempt. It can only become stronger, and is also seen by a task that waits later.
+/// The cancellation signal of one attempt. It can only become stronger. A task that starts to wait after the
+/// signal was set returns at once.
 #[derive(Debug, Default)]
 pub struct CancellationSignal {
     cancellation: Cell<Cancellation>,
@@ -45,17 +46,17 @@
         }
     }
 
-    /// Waits until the attempt must not start if it has not started yet. One task at a time may wait.
+    /// Waits until an attempt that has not sent anything is cancelled. One task at a time may wait.
     pub async fn start_cancelled(&self) {
         self.wait_for(Cancellation::UnlessSent).await;
     }
 
-    /// Waits until the attempt has to end, whatever it has sent. One task at a time may wait.
+    /// Waits until the attempt is cancelled, whatever it has sent. One task at a time may wait.
     pub async fn cancelled(&self) {
         self.wait_for(Cancellation::Immediate).await;
     }
 
-    /// Whether the attempt must not start.
+    /// Whether the attempt is cancelled if it has not sent anything.
     #[must_use]
     pub fn is_start_cancelled(&self) -> bool {
         self.cancellation.get() >= Cancellation::UnlessSent
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -1,8 +1,8 @@
-//! The asynchronous part: front ends call the engine through a [`Handle`], a [`Transport`] executes its commands, and
-//! one task sleeps until the next timer.
+//! The asynchronous layer: front ends call the engine through a [`Handle`], a [`Transport`] executes its
+//! commands, and one task sleeps until the next timer.
 //!
-//! All of it runs on one thread, in a `LocalSet`. A front end's call runs the engine at once, without a queue that
-//! could grow and without a task switch per request.
+//! Everything runs on one thread, in a `LocalSet`. A front end's call runs the engine synchronously, so that
+//! there is no queue of calls to bound and no task switch per request.
 
 pub mod cancellation;
 pub mod clock;
@@ -22,21 +22,21 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// When an attempt may start, and when it is given up, as instants of the runtime.
+/// The latest start and the time limit of an attempt, as instants of the runtime.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
-    /// It must not start at or after this instant; `None`: no limit.
+    /// The attempt must not start at or after this instant; `None`: no limit.
     pub start_by: Option<Instant>,
-    /// When it is given up.
+    /// The time limit, at which an unfinished attempt is aborted.
     pub give_up_at: Instant,
 }
 
 /// Executes the engine's commands. No method may call the engine before it returns.
 pub trait Transport: Sized + 'static {
-    /// The front end's message types.
+    /// The message types of the front ends.
     type Messages: MessageTypes;
 
-    /// Makes an attempt on a backend, limited by `times` and by `cancellation`, and returns how it ended.
+    /// Sends a request to a backend, subject to `times` and `cancellation`, and returns the attempt's end.
     fn start_attempt(
         &self,
         backend: BackendId,
@@ -45,32 +45,34 @@
         cancellation: Rc<CancellationSignal>,
     ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
 
-    /// Checks a backend's health and returns the result.
+    /// Makes a health check of a backend and returns its end.
     fn check_health(
         &self,
         backend: BackendId,
     ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
 
-    /// Delivers a final answer to its front end.
+    /// Delivers a final outcome to the front end of its request.
     fn respond(
         &self,
         responder: <Self::Messages as MessageTypes>::Responder,
         outcome: FinalOutcome<<Self::Messages as MessageTypes>::Response>,
     );
 
-    /// Delivers a lease to the front end of its request; `None` where the client has disconnected.
+    /// Delivers a lease to the front end of its request. `responder` is `None` if the request has its final
+    /// outcome or its client has disconnected.
     fn grant_lease(&self, responder: Option<&<Self::Messages as MessageTypes>::Responder>, grant: LeaseGrant);
 
-    /// Revokes a lease; `None` where the client has disconnected.
+    /// Notifies the front end of a request that a lease is revoked. `responder` is `None` if the request has
+    /// its final outcome or its client has disconnected.
     fn revoke_lease(&self, responder: Option<&<Self::Messages as MessageTypes>::Responder>, lease: LeaseId);
 
-    /// Subscribes to membership changes, where discovery requires it.
+    /// Subscribes to membership changes, if discovery works by subscription.
     fn subscribe(&self);
 
-    /// Closes the idle connections to a backend.
+    /// Closes the idle connections to a backend; those in use are not affected.
     fn close_idle_connections(&self, backend: BackendId);
 
-    /// Writes a log line.
+    /// Writes a line of the balancer to the log.
     fn log(&self, line: &str);
 }
 
@@ -78,7 +80,6 @@
 type Responder<T> = <<T as Transport>::Messages as MessageTypes>::Responder;
 type Response<T> = <<T as Transport>::Messages as MessageTypes>::Response;
 
-/// One attempt of one request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct AttemptId {
     request: RequestId,
@@ -91,14 +92,14 @@
     cancellations: RefCell<FxHashMap<AttemptId, Rc<CancellationSignal>>>,
     transport: T,
     clock: Clock,
-    /// Until when the timer task sleeps; `Micros::MAX`: until it is woken.
+    /// When the timer task wakes up by itself; `Micros::MAX`: never; 0: it is running.
     asleep_until: Cell<Micros>,
     wake: Notify,
-    /// A call of the engine panicked: its state can't be trusted.
+    /// A call of the engine has panicked, so that the engine's state may be inconsistent.
     has_panicked: Cell<bool>,
 }
 
-/// Records a panic of the engine when a call of it unwinds.
+/// Records a panic of the engine when dropped during unwinding, and wakes the timer task so that it returns.
 struct PanicGuard<'a, T: Transport>(&'a Inner<T>);
 
 impl<T: Transport> Drop for PanicGuard<'_, T> {
@@ -110,7 +111,7 @@
     }
 }
 
-/// A shared handle to the engine, its clock and its transport.
+/// A reference-counted handle to the engine, its clock and its transport.
 pub struct Handle<T: Transport>(Rc<Inner<T>>);
 
 impl<T: Transport> Clone for Handle<T> {
@@ -120,7 +121,7 @@
 }
 
 impl<T: Transport> Handle<T> {
-    /// A handle to this engine.
+    /// Takes ownership of an engine. The transport executes its commands.
     #[must_use]
     pub fn new(engine: Engine<T::Messages>, clock: Clock, transport: T) -> Self {
         Self(Rc::new(Inner {
@@ -134,7 +135,7 @@
         }))
     }
 
-    /// Runs the engine's timers. Returns only when the engine has panicked: the process should then exit too.
+    /// Runs the engine's timers. Returns only after a panic of the engine; the process should exit then.
     pub async fn run(self) {
         while !self.0.has_panicked.get() {
             let next = self.with_engine(|engine, _| engine.next_timer());
@@ -153,7 +154,7 @@
     /// Admits a request; see [`Engine::admit`].
     ///
     /// # Errors
-    /// At one of the engine's limits.
+    /// One of the engine's limits is reached.
     pub fn admit(
         &self,
         incoming: IncomingRequest<OutboundRequest<T>>,
@@ -162,41 +163,42 @@
         self.with_engine(|engine, now| engine.admit(now, incoming, responder))
     }
 
-    /// The client of a request has disconnected.
+    /// Handles the disconnect of a request's client; see [`Engine::client_disconnected`].
     pub fn client_disconnected(&self, request: RequestId) {
         self.with_engine(|engine, now| engine.client_disconnected(now, request));
     }
 
-    /// The holder of a lease reports how its attempt ended.
+    /// Handles a lease holder's report of the end of its attempt; see [`Engine::report_result`].
     ///
     /// # Errors
-    /// Where the lease is not active.
+    /// The lease is not active.
     pub fn report_result(&self, lease: LeaseId, end: AttemptEnd<Response<T>>) -> Result<(), LeaseError> {
         self.with_engine(|engine, now| engine.report_result(now, lease, end))
     }
 
-    /// The holder of a lease reports that its attempt has become a session. Returns after how many microseconds it
-    /// expires unless it is renewed.
+    /// Handles a lease holder's report that its attempt has become a session. Returns the time in
+    /// microseconds after which the session expires unless it is renewed.
     ///
     /// # Errors
-    /// Where the lease is not active or already a session.
+    /// The lease is not active or already a session.
     pub fn establish_session(&self, lease: LeaseId) -> Result<Micros, LeaseError> {
         self.with_engine(|engine, now| {
             engine.establish_session(now, lease).map(|expires_at| expires_at.saturating_sub(now))
         })
     }
 
-    /// The holder of a session renews it. Returns after how many microseconds it expires unless it is renewed again.
+    /// Renews a session. Returns the time in microseconds after which it expires unless it is renewed once
+    /// more.
     ///
     /// # Errors
-    /// Where the lease is not active or not a session.
+    /// The lease is not active or not a session.
     pub fn renew_session(&self, lease: LeaseId) -> Result<Micros, LeaseError> {
         self.with_engine(|engine, now| {
             engine.renew_session(now, lease).map(|expires_at| expires_at.saturating_sub(now))
         })
     }
 
-    /// The process ends; see [`Engine::set_response_deadline`].
+    /// Starts shutdown; see [`Engine::set_response_deadline`].
     pub fn set_response_deadline(&self, deadline: Micros) {
         self.with_engine(|engine, now| engine.set_response_deadline(now, deadline));
     }
@@ -206,33 +208,33 @@
         self.with_engine(|engine, now| engine.update_membership(now, update));
     }
 
-    /// Applies other settings to requests that arrive from now on.
+    /// Applies new settings to requests that are admitted from now on; see [`Engine::update_settings`].
     ///
     /// # Errors
-    /// The first invalid setting; then nothing has changed.
+    /// The first invalid setting; the current settings then remain in force.
     pub fn update_settings(&self, settings: &Settings) -> Result<(), SettingsError> {
         self.with_engine(|engine, now| engine.update_settings(now, settings))
     }
 
-    /// What the balancer has learned.
+    /// The balancer's learned state, for the process that replaces this one.
     #[must_use]
     pub fn learned_state(&self) -> LearnedState {
         self.0.engine.borrow().learned_state()
     }
 
-    /// Restores what another process's balancer has learned. Returns whether it fits this one.
+    /// Restores the learned state of another process's balancer; see [`Engine::restore`].
     #[must_use]
     pub fn restore(&self, state: &LearnedState) -> bool {
         self.with_engine(|engine, now| engine.restore(now, state))
     }
 
-    /// The transport.
+    /// The transport that executes the engine's commands.
     #[must_use]
     pub fn transport(&self) -> &T {
         &self.0.transport
     }
 
-    /// The clock of all events.
+    /// The clock that all events are timed with.
     #[must_use]
     pub fn clock(&self) -> Clock {
         self.0.clock
@@ -250,14 +252,14 @@
         self.0.engine.borrow().limits()
     }
 
-    /// Runs a call of the engine, then its expired timers, then the commands of both.
+    /// Calls the engine, handles its expired timers, and executes the resulting commands.
     fn with_engine<R>(&self, call: impl FnOnce(&mut Engine<T::Messages>, Micros) -> R) -> R {
         let inner = &*self.0;
         let _guard = PanicGuard(inner);
         let engine = &mut *inner.engine.borrow_mut();
         let now = inner.clock.now();
         let result = call(engine, now);
-        // Under a steady stream of calls the timer task might not run in time.
+        // Expired timers are handled on every call: under steady load the timer task may not run in time.
         engine.advance(now);
         while let Some(command) = engine.next_command() {
             self.execute(engine, command);
--- a/crates/request-engine/src/engine/attempts.rs
+++ b/crates/request-engine/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The life cycle of attempts: the balancer's actions start and cancel them, results finish them.
+//! The lifecycle of attempts: the balancer's actions start and cancel them, results finish them.
 
 use super::{Engine, REPORT_GRACE, SEND_WINDOW};
 use crate::lease::{Lease, LeaseStage};
@@ -7,42 +7,43 @@
 use crate::timers::TimerKind;
 use balancer::api::{Action, AttemptResult, BackendId, Event, Micros, Outcome, RequestId};
 
-impl<X: MessageTypes> Engine<X> {
-    /// Passes an event to the balancer and applies its actions and all that they cause at once.
+impl<M: MessageTypes> Engine<M> {
+    /// Passes an event to the balancer and applies the resulting actions, including those that follow from
+    /// attempts that could not be sent.
     pub(super) fn handle_event(&mut self, now: Micros, event: Event<'_>) {
         self.balancer.handle(now, event, &mut self.actions);
         self.apply_actions(now);
         self.finish_unsent_attempts(now);
     }
 
-    /// Finishes the attempts that the engine itself did not send.
+    /// Finishes the attempts that the engine did not send, with [`Outcome::NotSent`].
     pub(super) fn finish_unsent_attempts(&mut self, now: Micros) {
         while let Some(UnsentAttempt { request, attempt }) = self.unsent_attempts.pop_front() {
             self.finish_attempt(now, request, attempt, Outcome::NotSent.into());
         }
     }
 
-    pub(super) fn is_proxied_attempt(&self, request: RequestId, attempt: u16) -> bool {
+    pub(super) fn is_unfinished_proxied_attempt(&self, request: RequestId, attempt: u16) -> bool {
         let open = self.open_requests.get(&request);
         let attempt = open.and_then(|open| open.attempts.get(usize::from(attempt)));
         attempt.is_some_and(|attempt| attempt.is_proxied() && attempt.state != AttemptState::Finished)
     }
 
-    /// The only place where an attempt finishes.
+    /// Records the result of an attempt and passes it to the balancer. No other function finishes an attempt.
     pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
         number: u16,
-        end: AttemptEnd<X::Response>,
+        end: AttemptEnd<M::Response>,
     ) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         let Some(attempt) = open.attempts.get_mut(usize::from(number)) else { return };
         let previous = std::mem::replace(&mut attempt.state, AttemptState::Finished);
-        assert!(previous != AttemptState::Finished, "attempt {number} of request {request} ends twice");
+        assert!(previous != AttemptState::Finished, "attempt {number} of request {request} finished twice");
         let backend = attempt.backend;
         let elapsed = now.saturating_sub(attempt.sent_at).saturating_sub(end.client_wait);
-        // The first success reaches the client without a decision of the balancer.
+        // The first success goes to the client without involving the balancer.
         if end.outcome == Outcome::Ok {
             self.respond(request, FinalOutcome::Served(end.response));
         }
@@ -66,7 +67,7 @@
         now: Micros,
         request: RequestId,
         number: u16,
-        response: Option<X::Response>,
+        response: Option<M::Response>,
     ) {
         let open = self.open_requests.get_mut(&request);
         let attempt = open.and_then(|open| open.attempts.get_mut(usize::from(number)));
@@ -80,7 +81,8 @@
         self.handle_event(now, Event::SessionEstablished { request, attempt: number });
     }
 
-    /// Removes a request that has its final answer and no attempt in flight.
+    /// Removes a request that has its final outcome, or no client any more, and whose attempts have all
+    /// finished.
     pub(super) fn remove_if_finished(&mut self, request: RequestId) {
         if self.open_requests.get(&request).is_some_and(OpenRequest::is_finished) {
             self.open_requests.remove(&request);
@@ -100,7 +102,7 @@
                 Action::Fail { request } => self.respond(request, FinalOutcome::Failed),
                 Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
                 Action::SetTimer { delay, token } => {
-                    self.schedule_timer(now.saturating_add(delay), TimerKind::Decision(token));
+                    self.schedule_timer(now.saturating_add(delay), TimerKind::Balancer(token));
                 }
                 Action::Subscribe => self.commands.push_back(Command::Subscribe),
                 Action::CheckHealth(backend) => self.commands.push_back(Command::CheckHealth(backend)),
@@ -113,8 +115,9 @@
         self.actions = actions;
     }
 
-    /// The only place where a final answer leaves.
-    pub(super) fn respond(&mut self, request: RequestId, outcome: FinalOutcome<X::Response>) {
+    /// Issues the final outcome of a request, unless it already has one or its client has disconnected. No
+    /// other function issues one.
+    pub(super) fn respond(&mut self, request: RequestId, outcome: FinalOutcome<M::Response>) {
         let open = self.open_requests.get_mut(&request);
         let Some(responder) = open.and_then(|open| open.responder.take()) else { return };
         let count = match outcome {
@@ -139,7 +142,7 @@
             _ if !may_start => self.unsent_attempts.push_back(UnsentAttempt { request, attempt }),
             Dispatch::Proxied(outbound_request) => {
                 let (outbound_request, is_single_use) =
-                    (outbound_request.clone(), X::is_single_use(outbound_request));
+                    (outbound_request.clone(), M::is_single_use(outbound_request));
                 self.commands.push_back(Command::StartAttempt {
                     request,
                     attempt,
@@ -148,7 +151,8 @@
                     outbound_request,
                 });
                 if is_single_use {
-                    // A request that is not retained completely can't be retried, whatever its outcome.
+                    // A request whose body is not completely retained can't be retried, whatever the outcome.
+                    // The balancer does not retry a request whose response has started.
                     let event = Event::ResponseStarted { request, attempt };
                     self.balancer.handle(now, event, &mut self.actions);
                 }
@@ -183,8 +187,8 @@
         self.commands.push_back(Command::GrantLease(grant));
     }
 
-    /// Cancels the proxied attempts of a request that have sent no byte. The settings and the balancer decide on those
-    /// that have; a lease that was not used expires by itself.
+    /// Cancels the proxied attempts of a request that have not sent any bytes. Whether those that have are
+    /// cancelled depends on the settings and the balancer. An unused lease expires by itself.
     pub(super) fn cancel_unsent_attempts(&mut self, request: RequestId) {
         let Some(open) = self.open_requests.get(&request) else { return };
         let in_flight = open
--- a/crates/request-engine/src/engine/events.rs
+++ b/crates/request-engine/src/engine/events.rs
@@ -1,4 +1,5 @@
-//! Events that are not about leases: requests, clients, proxied attempts, membership, settings, health checks and time.
+//! Events other than those of leases: requests, clients, proxied attempts, membership, settings, health
+//! checks and time.
 
 use super::{DEADLINE_MARGIN, Engine, RESPONSE_MARGIN};
 use crate::messages::{AttemptEnd, Dispatch, FinalOutcome, IncomingRequest, MessageTypes, Overload};
@@ -9,18 +10,19 @@
     SettingsError,
 };
 
-impl<X: MessageTypes> Engine<X> {
-    /// Admits a request. Its final answer comes as one [`Command::Respond`](crate::engine::Command::Respond), unless
-    /// its client disconnects first.
+impl<M: MessageTypes> Engine<M> {
+    /// Admits a request. Its final outcome is issued as one
+    /// [`Command::Respond`](crate::engine::Command::Respond), unless its client disconnects first.
     ///
     /// # Errors
-    /// At one of [`EngineLimits`](crate::engine::EngineLimits): the request was not admitted and gets no command.
+    /// One of the [`EngineLimits`](crate::engine::EngineLimits) is reached: the request is not admitted, and
+    /// no command is issued for it.
     pub fn admit(
         &mut self,
         now: Micros,
-        incoming: IncomingRequest<X::OutboundRequest>,
-        responder: X::Responder,
-    ) -> Result<RequestId, Overload<X::Responder>> {
+        incoming: IncomingRequest<M::OutboundRequest>,
+        responder: M::Responder,
+    ) -> Result<RequestId, Overload<M::Responder>> {
         let now = self.monotonic(now);
         if self.open_requests.len() >= self.limits.requests {
             self.counts.overloaded += 1;
@@ -40,7 +42,8 @@
             class: incoming.class,
             tenant: incoming.tenant,
             key: incoming.key,
-            // A client with less time than the margin keeps half of what it has.
+            // The margin takes at most half of the remaining time, so that a short deadline leaves some to
+            // the balancer.
             timeout: time_left.saturating_sub(RESPONSE_MARGIN.min(time_left / 2)),
             expected_work: incoming.expected_work,
             is_retry: incoming.is_retry,
@@ -59,7 +62,8 @@
         Ok(id)
     }
 
-    /// The client of a request has disconnected: it gets no answer, and its unsent attempts are cancelled.
+    /// Handles the disconnect of a request's client: no final outcome is issued, and unsent attempts are
+    /// cancelled.
     pub fn client_disconnected(&mut self, now: Micros, request: RequestId) {
         let now = self.monotonic(now);
         if let Some(open) = self.open_requests.get_mut(&request)
@@ -72,30 +76,31 @@
         }
     }
 
-    /// The process ends: every request, open now or admitted later, gets its final answer by `deadline`.
+    /// Starts shutdown: every request, open now or admitted later, gets its final outcome by `deadline`.
     pub fn set_response_deadline(&mut self, now: Micros, deadline: Micros) {
         let now = self.monotonic(now);
         self.response_deadline = Some(deadline);
-        let unanswered = self.open_requests.iter().filter(|(_, open)| open.responder.is_some());
-        let mut unanswered: Vec<RequestId> = unanswered.map(|(&id, _)| id).collect();
-        // The order of the answers must not depend on the hash map's.
-        unanswered.sort_unstable();
+        let pending = self.open_requests.iter().filter(|(_, open)| open.responder.is_some());
+        let mut pending: Vec<RequestId> = pending.map(|(&id, _)| id).collect();
+        // The order of the responses must not depend on the iteration order of the hash map.
+        pending.sort_unstable();
         let fails_at = deadline.saturating_sub(DEADLINE_MARGIN).max(now);
-        for request in unanswered {
+        for request in pending {
             self.schedule_timer(fails_at, TimerKind::ResponseDeadline(request));
         }
     }
 
-    /// A proxied attempt has finished. One that is not in flight changes nothing and is counted as unmatched.
+    /// Handles the end of a proxied attempt. If the attempt is not in flight, the event is counted as
+    /// unmatched and otherwise ignored.
     pub fn attempt_finished(
         &mut self,
         now: Micros,
         request: RequestId,
         attempt: u16,
-        end: AttemptEnd<X::Response>,
+        end: AttemptEnd<M::Response>,
     ) {
         let now = self.monotonic(now);
-        if self.is_proxied_attempt(request, attempt) {
+        if self.is_unfinished_proxied_attempt(request, attempt) {
             self.finish_attempt(now, request, attempt, end);
             self.finish_unsent_attempts(now);
         } else {
@@ -103,23 +108,26 @@
         }
     }
 
-    /// A proxied attempt has become a session: its backend has answered, and it occupies its slot until it finishes.
+    /// Handles a proxied attempt that has become a session: its backend has responded, and the attempt
+    /// occupies its concurrency slot until it finishes. Unmatched events are counted as in
+    /// [`Engine::attempt_finished`].
     pub fn session_established(
         &mut self,
         now: Micros,
         request: RequestId,
         attempt: u16,
-        response: X::Response,
+        response: M::Response,
     ) {
         let now = self.monotonic(now);
-        if self.is_proxied_attempt(request, attempt) {
+        if self.is_unfinished_proxied_attempt(request, attempt) {
             self.start_session(now, request, attempt, Some(response));
         } else {
             self.counts.unmatched += 1;
         }
     }
 
-    /// Changes the set of backends. Leases on draining or removed backends are revoked while they may be unsent.
+    /// Changes the set of backends. Leases on draining or removed backends are revoked if their attempts may
+    /// not have started yet.
     pub fn update_membership(&mut self, now: Micros, update: MembershipUpdate<'_>) {
         let now = self.monotonic(now);
         let unsent_leases = if self.leases.len() == 0 { Vec::new() } else { self.unsent_leases(now, update) };
@@ -129,10 +137,10 @@
         }
     }
 
-    /// Applies other settings to requests that arrive from now on; see [`Event::SettingsChanged`].
+    /// Applies new settings to requests that are admitted from now on; see [`Event::SettingsChanged`].
     ///
     /// # Errors
-    /// The first invalid setting; then nothing has changed.
+    /// The first invalid setting; the current settings then remain in force.
     pub fn update_settings(&mut self, now: Micros, settings: &Settings) -> Result<(), SettingsError> {
         settings.validate()?;
         let now = self.monotonic(now);
@@ -141,13 +149,15 @@
         Ok(())
     }
 
-    /// Restores what another process's balancer has learned. Returns whether it fits this one.
+    /// Restores the learned state of another process's balancer. Returns false, and changes nothing, if its
+    /// classes or machine kinds differ from this one's.
     pub fn restore(&mut self, now: Micros, state: &LearnedState) -> bool {
         let now = self.monotonic(now);
         self.balancer.restore(now, state)
     }
 
-    /// A health check has finished; `load_report` is in the order of the settings, empty without one.
+    /// Handles the result of a health check. `load_report` has the order of the settings and is empty without
+    /// a report.
     pub fn health_check_finished(
         &mut self,
         now: Micros,
@@ -159,19 +169,19 @@
         self.handle_event(now, Event::HealthCheckFinished { backend, outcome, load_report });
     }
 
-    /// Handles all timers that have expired.
+    /// Handles all timers that have expired at `now`.
     pub fn advance(&mut self, now: Micros) {
         let now = self.monotonic(now);
         while let Some(kind) = self.timers.pop(now) {
             match kind {
-                TimerKind::Decision(token) => self.handle_event(now, Event::TimerExpired(token)),
+                TimerKind::Balancer(token) => self.handle_event(now, Event::TimerExpired(token)),
                 TimerKind::ResponseDeadline(request) => self.expire_response_deadline(now, request),
                 TimerKind::LeaseExpiry(serial) => self.expire_lease(now, serial),
             }
         }
     }
 
-    /// An id that no open request has.
+    /// Returns the next id that no open request has; ids wrap around.
     fn allocate_request_id(&mut self) -> RequestId {
         loop {
             let id = self.next_request_id;
@@ -182,7 +192,8 @@
         }
     }
 
-    /// Rule 1: whatever the balancer is waiting for, the client gets an answer before its deadline.
+    /// Rule 1: a request without a final outcome fails shortly before the client's deadline, whatever the
+    /// balancer is waiting for.
     fn expire_response_deadline(&mut self, now: Micros, request: RequestId) {
         if self.responder(request).is_some() {
             self.counts.deadline_failures += 1;
--- a/crates/request-engine/src/engine/lease_events.rs
+++ b/crates/request-engine/src/engine/lease_events.rs
@@ -7,16 +7,16 @@
 use balancer::api::{Backend, BackendId, MembershipUpdate, Micros, Outcome, Readiness};
 use rustc_hash::FxHashSet;
 
-impl<X: MessageTypes> Engine<X> {
-    /// The holder of a lease reports how its attempt ended.
+impl<M: MessageTypes> Engine<M> {
+    /// Handles a lease holder's report of the end of its attempt, which settles the lease.
     ///
     /// # Errors
-    /// Where the lease is not active; then nothing has changed.
+    /// The lease is not active; nothing has changed then.
     pub fn report_result(
         &mut self,
         now: Micros,
         id: LeaseId,
-        end: AttemptEnd<X::Response>,
+        end: AttemptEnd<M::Response>,
     ) -> Result<(), LeaseError> {
         let now = self.monotonic(now);
         self.leases.find(now, id)?;
@@ -27,11 +27,11 @@
         Ok(())
     }
 
-    /// The holder of a lease reports that its attempt has become a session. Returns when the session expires unless it
-    /// is renewed.
+    /// Handles a lease holder's report that its attempt has become a session. Returns the time at which the
+    /// session expires unless it is renewed.
     ///
     /// # Errors
-    /// Where the lease is not active or already a session; then nothing has changed.
+    /// The lease is not active or already a session; nothing has changed then.
     pub fn establish_session(&mut self, now: Micros, id: LeaseId) -> Result<Micros, LeaseError> {
         let now = self.monotonic(now);
         let expires_at = now.saturating_add(SESSION_LEASE_DURATION);
@@ -46,10 +46,10 @@
         Ok(expires_at)
     }
 
-    /// The holder of a session renews it. Returns when the session expires unless it is renewed again.
+    /// Renews a session. Returns the time at which it expires unless it is renewed once more.
     ///
     /// # Errors
-    /// Where the lease is not active or not a session; then nothing has changed.
+    /// The lease is not active or not a session; nothing has changed then.
     pub fn renew_session(&mut self, now: Micros, id: LeaseId) -> Result<Micros, LeaseError> {
         let now = self.monotonic(now);
         let lease = self.leases.find(now, id)?;
@@ -61,7 +61,7 @@
         Ok(lease.expires_at)
     }
 
-    /// Rule 2: without a report, whether the attempt ran is unknown.
+    /// Rule 2: without a report it is unknown whether the attempt ran, so it counts as timed out.
     pub(super) fn expire_lease(&mut self, now: Micros, serial: u64) {
         match self.leases.expire(now, serial) {
             Ok(Some(Lease { request, attempt, .. })) => {
@@ -73,16 +73,17 @@
         }
     }
 
-    /// Serial numbers of the leases on backends that leave with this update and that may be unsent.
+    /// Serial numbers of the leases whose attempts may not have started and whose backends this update drains
+    /// or removes.
     pub(super) fn unsent_leases(&self, now: Micros, update: MembershipUpdate<'_>) -> Vec<u64> {
         match update {
             MembershipUpdate::Delta(entries) => {
                 let leaving = backends_by_readiness(entries, false);
-                self.leases.unsent_on(now, |backend| leaving.contains(&backend))
+                self.leases.unsent_on_backends(now, |backend| leaving.contains(&backend))
             }
             MembershipUpdate::Snapshot(entries) | MembershipUpdate::CachedSnapshot(entries) => {
                 let ready = backends_by_readiness(entries, true);
-                self.leases.unsent_on(now, |backend| !ready.contains(&backend))
+                self.leases.unsent_on_backends(now, |backend| !ready.contains(&backend))
             }
             MembershipUpdate::Failed => Vec::new(),
         }
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -1,13 +1,14 @@
-//! Requests, timers and attempts around the balancer: a state machine with no I/O and no clock.
+//! The state machine of requests, attempts and timers around the balancer; no I/O and no clock.
 //!
-//! It keeps the proxy's four rules for every front end:
-//! 1. One final answer: a request's responder is moved out with its only [`Command::Respond`], before its deadline;
-//!    nothing can be answered afterwards.
-//! 2. No effect twice: an attempt finishes once, and the balancer receives its result in the same step. A lease that
-//!    expires counts as an attempt that may have run.
-//! 3. Draining backends: a proxied attempt starts at once; the holder of a lease may start for [`SEND_WINDOW`] only,
-//!    and the lease is revoked when its backend drains or is removed.
-//! 4. Warming backends: both kinds of attempts come from the balancer's [`Action::Send`], after its slow-start budget.
+//! It enforces the proxy's four rules for every front end:
+//! 1. One final outcome: a request's responder is moved out with its only [`Command::Respond`], before its
+//!    deadline, so that a second response is impossible.
+//! 2. No duplicate execution: an attempt finishes once, and the balancer receives its result in the same
+//!    step. A lease that expires counts as an attempt that may have run.
+//! 3. Draining backends: a proxied attempt starts at once; the holder of a lease may start its attempt only
+//!    within [`SEND_WINDOW`], and the lease is revoked when its backend drains or is removed.
+//! 4. Backends that are warming up: proxied and leased attempts both come from the balancer's
+//!    [`Action::Send`], which is subject to the slow-start budget.
 
 mod attempts;
 mod events;
@@ -26,44 +27,45 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// The balancer's deadline for a request lies this long before the client's, in microseconds: the answer has to be
-/// written and to travel.
+/// Microseconds by which the balancer's deadline for a request precedes the client's: time to write and
+/// transmit the response.
 pub const RESPONSE_MARGIN: Micros = 20_000;
-/// A request that the balancer has left open fails this long before the client's deadline, in microseconds.
+/// Microseconds before the client's deadline at which a request that the balancer has not completed fails.
 pub const DEADLINE_MARGIN: Micros = 10_000;
-/// How long after its grant the holder of a lease may start its attempt, in microseconds. Well within the second for
-/// which a draining backend may still receive new requests, so that a lease granted just before keeps that rule too.
+/// Microseconds after the grant within which the holder of a lease may start its attempt. Well below the
+/// second for which a draining backend may still receive new requests, so that a lease granted just before
+/// the drain does not violate that rule.
 pub const SEND_WINDOW: Micros = 250_000;
-/// How long after an attempt's time limit its holder's report is still accepted, in microseconds. Shorter than
-/// `RESPONSE_MARGIN` less `DEADLINE_MARGIN`, so that the balancer decides the final answer.
+/// Microseconds after an attempt's time limit for which a report on its lease is still accepted. Shorter than
+/// `RESPONSE_MARGIN` minus `DEADLINE_MARGIN`, so that the balancer still decides the final outcome.
 pub const REPORT_GRACE: Micros = 8_000;
-/// A session that is not renewed for this long expires and releases its slot, in microseconds.
+/// Microseconds after which a session that has not been renewed expires and releases its concurrency slot.
 pub const SESSION_LEASE_DURATION: Micros = 30_000_000;
 
 /// Owns the balancer and all open requests, attempts, leases and timers.
-pub struct Engine<X: MessageTypes> {
+pub struct Engine<M: MessageTypes> {
     balancer: Balancer,
     limits: EngineLimits,
-    /// Attempts that a request arriving now may have.
+    /// Maximum attempts of a request that is admitted now.
     max_attempts: usize,
-    /// The latest time of any event: an earlier one counts as this.
+    /// The latest time of any event. An event with an earlier time is handled as if it had this time.
     latest_time: Micros,
-    /// When the process ends: every request has its final answer by then.
+    /// Set when the process is shutting down: every request has its final outcome by this time.
     response_deadline: Option<Micros>,
     next_request_id: RequestId,
-    open_requests: FxHashMap<RequestId, OpenRequest<X>>,
+    open_requests: FxHashMap<RequestId, OpenRequest<M>>,
     leases: Leases,
     timers: Timers,
     unsent_attempts: VecDeque<UnsentAttempt>,
-    /// Reused by each call of the balancer.
+    /// Buffer reused by each call of the balancer.
     actions: Vec<Action>,
-    commands: VecDeque<Command<X>>,
+    commands: VecDeque<Command<M>>,
     counts: Counts,
 }
 
-impl<X: MessageTypes> Engine<X> {
-    /// An engine with no open requests that knows no backends. `incarnation` must differ from one start of the process
-    /// to the next: it separates the leases of this engine from those of others.
+impl<M: MessageTypes> Engine<M> {
+    /// Creates an engine without open requests or backends. `incarnation` must differ between any two starts
+    /// of the process: it distinguishes the leases of this engine from those of others.
     ///
     /// # Errors
     /// The first invalid setting.
@@ -92,36 +94,37 @@
         })
     }
 
-    /// When [`Engine::advance`] has to be called next.
+    /// The time at which [`Engine::advance`] has to be called next; `None` without timers.
     #[must_use]
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.next()
     }
 
     /// Removes the oldest command that has not been executed.
-    pub fn next_command(&mut self) -> Option<Command<X>> {
+    pub fn next_command(&mut self) -> Option<Command<M>> {
         self.commands.pop_front()
     }
 
-    /// Where the final answer of a request will go; `None` once it has one or its client has disconnected.
+    /// The responder of a request; `None` once the request has its final outcome or its client has
+    /// disconnected.
     #[must_use]
-    pub fn responder(&self, request: RequestId) -> Option<&X::Responder> {
+    pub fn responder(&self, request: RequestId) -> Option<&M::Responder> {
         self.open_requests.get(&request)?.responder.as_ref()
     }
 
-    /// Number of requests whose attempts have not all finished.
+    /// Number of requests that have no final outcome yet or an unfinished attempt.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.open_requests.len()
     }
 
-    /// Number of leases that are granted and not settled.
+    /// Number of granted leases that are not settled.
     #[must_use]
     pub fn active_leases(&self) -> usize {
         self.leases.len()
     }
 
-    /// Number of stored timers, including those whose cause has ended.
+    /// Number of stored timers, including those whose request or lease has ended.
     #[must_use]
     pub fn pending_timers(&self) -> usize {
         self.timers.len()
@@ -133,7 +136,7 @@
         self.balancer.limits().collect()
     }
 
-    /// What the balancer has learned, for the process that replaces this one.
+    /// The balancer's learned state, for the process that replaces this one.
     #[must_use]
     pub fn learned_state(&self) -> LearnedState {
         self.balancer.learned_state()
@@ -151,7 +154,7 @@
         self.leases.counts
     }
 
-    /// Makes time monotonic, whatever the caller's clock does.
+    /// Clamps `now` to the latest time seen, so that time never decreases.
     fn monotonic(&mut self, now: Micros) -> Micros {
         self.latest_time = self.latest_time.max(now);
         self.latest_time
@@ -160,7 +163,7 @@
     fn schedule_timer(&mut self, at: Micros, kind: TimerKind) {
         let (open_requests, leases) = (&self.open_requests, &self.leases);
         self.timers.add(at, kind, |kind| match kind {
-            TimerKind::Decision(_) => true,
+            TimerKind::Balancer(_) => true,
             TimerKind::ResponseDeadline(request) => {
                 open_requests.get(&request).is_some_and(|open| open.responder.is_some())
             }
--- a/crates/request-engine/src/idempotency.rs
+++ b/crates/request-engine/src/idempotency.rs
@@ -1,9 +1,10 @@
-//! Deduplication of requests: a correlation id, and for keyed classes an idempotency key, belongs to one claim at a
-//! time, whichever front end or client claims it first. No I/O and no clock.
+//! Deduplication of requests: a correlation id, and for keyed classes an idempotency key, belongs to one
+//! claim at a time, whichever front end or client claims it first. No I/O and no clock.
 //!
-//! Rule 2 across front ends: two clients that submit the same request get one execution between them, and a client
-//! that submits it again gets the recorded final answer. An answer is retained for its class's retention time. The
-//! registry is bounded; at the bound a new claim is rejected, and no claim is removed before its time.
+//! This is rule 2 (no duplicate execution) across front ends: if two clients submit the same request, it is
+//! executed once, and a client that submits it later gets the recorded final outcome. Outcomes are retained
+//! for the time that their class specifies. The registry is bounded: at its capacity new claims are rejected,
+//! and no claim is removed before its retention time is over.
 
 use balancer::api::Micros;
 use rustc_hash::FxHashMap;
@@ -14,10 +15,10 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// The longest id or key, in bytes. Header values of the protocol are shorter.
+/// Maximum length of an id or key, in bytes. Header values of the protocol are shorter.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// Identifies a claim. Slots are reused; the serial number is unique.
+/// Identifies a claim. Slots are reused, serial numbers are not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClaimId {
     slot: usize,
@@ -26,46 +27,47 @@
 
 /// The result of claiming a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimStatus<A> {
-    /// The claim is new and belongs to the claimant, who has to call [`IdempotencyRegistry::complete`].
+pub enum ClaimStatus<O> {
+    /// The request was not claimed before. The claimant has to execute it and call
+    /// [`IdempotencyRegistry::complete`].
     New(ClaimId),
-    /// Another claim for it is in flight.
+    /// An earlier claim of the request is in flight.
     InFlight {
-        /// That claim.
+        /// The earlier claim.
         owner: ClaimId,
-        /// When that claim was made, microseconds.
+        /// When the earlier claim was made, microseconds.
         since: Micros,
         /// Whether the ids differ and only the keys are equal.
         by_key: bool,
     },
-    /// It has its final answer.
-    Completed(A),
+    /// The request has this final outcome.
+    Completed(O),
 }
 
-/// Why a claim was rejected. Nothing has run for it.
+/// Why a claim was rejected. Nothing was executed for it.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ClaimError {
-    /// The registry is full of claims that must not be removed yet; holds its capacity.
+    /// All claims in the registry are in flight or still retained; contains the registry's capacity.
     #[error("{0} requests are in flight or remembered, and no more can be")]
     Full(usize),
-    /// An id or key is empty or too long; holds its length in bytes.
+    /// An id or key is empty or too long; contains its length in bytes.
     #[error("an id or key has 1 to {MAX_NAME_BYTES} bytes, not {0}")]
     InvalidName(usize),
-    /// The id is known with another key, or with none.
+    /// The id was claimed with another key, or exactly one of the two claims has a key.
     #[error("this id was asked before with another key")]
     KeyMismatch,
 }
 
-/// What a claim's execution has done.
+/// Whether a claim's request may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionEffect {
-    /// Nothing has run: another request may use the key at once.
+    /// Nothing was executed: another request may use the key at once.
     None,
-    /// It has run or may have run: the key keeps this answer.
+    /// It was or may have been executed: the key retains this outcome.
     Possible,
 }
 
-/// The kind of front end that a claim's final answer came from.
+/// The kind of front end that recorded a claim's final outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontEnd {
     /// This process made the attempts.
@@ -74,62 +76,62 @@
     External,
 }
 
-/// A final answer as it is retained, without its body.
+/// A final outcome as it is retained, without the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
-    /// A backend's answer reached the client.
+    /// The client received a backend's response.
     Served,
-    /// Rejected: nothing has run, and a retry is harmless from this time on, microseconds.
+    /// Rejected without an execution; a retry is acceptable from this time on, microseconds.
     Rejected(Micros),
-    /// Failed; it may have run.
+    /// Failed; it may have been executed.
     Failed,
-    /// Its client disconnected without a report; it may have run.
+    /// The client disconnected without a report; it may have been executed.
     Unknown,
 }
 
-/// What is retained of a completed claim.
+/// The retained record of a completed claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletedRequest {
-    /// Where its final answer came from.
+    /// The front end that recorded the final outcome.
     pub front_end: FrontEnd,
-    /// How it ended.
+    /// The final outcome.
     pub status: FinalStatus,
 }
 
-/// The registry that all front ends of a process share, on the engine's thread.
+/// The registry that all front ends of a process use together, on the engine's thread.
 pub type SharedRegistry = Rc<RefCell<IdempotencyRegistry<CompletedRequest>>>;
 
-/// An idempotency key and its class: the same key in two classes is two keys.
+/// An idempotency key within its class: equal keys of different classes are different keys.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct ClassKey {
     class: u8,
     key: Box<[u8]>,
 }
 
-struct Entry<A> {
+struct Entry<O> {
     serial: u64,
     since: Micros,
     id: Box<[u8]>,
     key: Option<ClassKey>,
-    /// The final answer; `None` while the claim is in flight.
-    answer: Option<A>,
+    /// `None` while the claim is in flight.
+    outcome: Option<O>,
 }
 
-/// Claims by id, and by class and key, with final answers of type `A`.
-pub struct IdempotencyRegistry<A> {
+/// Claims by id, and by class and key, with final outcomes of type `O`.
+pub struct IdempotencyRegistry<O> {
     capacity: usize,
-    entries: Slab<Entry<A>>,
+    entries: Slab<Entry<O>>,
     by_id: FxHashMap<Box<[u8]>, usize>,
     by_key: FxHashMap<ClassKey, usize>,
-    /// Completed claims by the time at which they are removed.
+    /// Completed claims by the end of their retention.
     expirations: BinaryHeap<Reverse<(Micros, ClaimId)>>,
     next_serial: u64,
-    /// The latest time of any call: an earlier one counts as this.
+    /// The latest time of any call. A call with an earlier time is handled as if it had this time.
     latest_time: Micros,
 }
 
-impl<A: Clone> IdempotencyRegistry<A> {
-    /// An empty registry for `capacity` claims, in flight and completed together.
+impl<O: Clone> IdempotencyRegistry<O> {
+    /// Creates an empty registry for up to `capacity` claims, in flight and completed together.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -143,17 +145,17 @@
         }
     }
 
-    /// Claims a request by its id and, where its class is keyed, its key within that class.
+    /// Claims a request by its id and, if its class is keyed, by its key within that class.
     ///
     /// # Errors
-    /// Where the registry is full, an id or key has an invalid length, or the id was claimed with another key.
+    /// The registry is full, an id or key has an invalid length, or the id was claimed with another key.
     pub fn claim(
         &mut self,
         now: Micros,
         id: &[u8],
         class: u8,
         key: Option<&[u8]>,
-    ) -> Result<ClaimStatus<A>, ClaimError> {
+    ) -> Result<ClaimStatus<O>, ClaimError> {
         self.remove_expired(now);
         for name in [Some(id), key].into_iter().flatten() {
             if name.is_empty() || name.len() > MAX_NAME_BYTES {
@@ -181,7 +183,7 @@
             since: self.latest_time,
             id: id.clone(),
             key: key.clone(),
-            answer: None,
+            outcome: None,
         });
         self.by_id.insert(id, slot);
         if let Some(key) = key {
@@ -190,23 +192,23 @@
         Ok(ClaimStatus::New(ClaimId { slot, serial }))
     }
 
-    fn status(&self, slot: usize, by_key: bool) -> ClaimStatus<A> {
+    fn status(&self, slot: usize, by_key: bool) -> ClaimStatus<O> {
         let entry = &self.entries[slot];
-        if let Some(answer) = &entry.answer {
-            ClaimStatus::Completed(answer.clone())
+        if let Some(outcome) = &entry.outcome {
+            ClaimStatus::Completed(outcome.clone())
         } else {
             let owner = ClaimId { slot, serial: entry.serial };
             ClaimStatus::InFlight { owner, since: entry.since, by_key }
         }
     }
 
-    /// Records the final answer of a claim and retains it for `retention` microseconds. Returns false, and changes
-    /// nothing, if the claim has an answer or is not in the registry.
+    /// Records the final outcome of a claim and retains it for `retention` microseconds. Returns false, and
+    /// changes nothing, if the claim already has an outcome or is not in the registry.
     pub fn complete(
         &mut self,
         now: Micros,
         claim: ClaimId,
-        answer: A,
+        outcome: O,
         effect: ExecutionEffect,
         retention: Micros,
     ) -> bool {
@@ -214,10 +216,10 @@
         let expires_at = self.latest_time.saturating_add(retention);
         let entry = self.entries.get_mut(claim.slot).filter(|entry| entry.serial == claim.serial);
         let Some(entry) = entry else { return false };
-        if entry.answer.is_some() {
+        if entry.outcome.is_some() {
             return false;
         }
-        entry.answer = Some(answer);
+        entry.outcome = Some(outcome);
         self.expirations.push(Reverse((expires_at, claim)));
         if effect == ExecutionEffect::None
             && let Some(key) = &entry.key
@@ -227,7 +229,7 @@
         true
     }
 
-    /// Removes the claims whose retention is over. Time is monotonic, whatever the caller's clock does.
+    /// Advances the registry's time, which never decreases, and removes the claims whose retention is over.
     fn remove_expired(&mut self, now: Micros) {
         self.latest_time = self.latest_time.max(now);
         let is_expired =
@@ -235,9 +237,12 @@
         while self.expirations.peek().is_some_and(is_expired) {
             let Some(Reverse((_, claim))) = self.expirations.pop() else { return };
             let entry = self.entries.remove(claim.slot);
-            debug_assert_eq!(entry.serial, claim.serial, "a claim is removed once");
+            debug_assert_eq!(
+                entry.serial, claim.serial,
+                "the expiration belongs to an earlier claim in this slot"
+            );
             self.by_id.remove(&entry.id);
-            // After a claim without effect the key may belong to another claim.
+            // A claim without an execution has released its key, which may belong to a later claim now.
             if let Some(key) = entry.key
                 && self.by_key.get(&key) == Some(&claim.slot)
             {
@@ -246,7 +251,8 @@
         }
     }
 
-    /// Number of claims, in flight and completed together.
+    /// Number of claims, in flight and completed together. Expired claims count until the next claim or
+    /// completion.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
--- a/crates/request-engine/src/lease.rs
+++ b/crates/request-engine/src/lease.rs
@@ -1,8 +1,9 @@
-//! Leases: the permission for an external client to make one attempt itself. No I/O and no clock.
+//! Leases: each permits an external client, its holder, to make one attempt itself. No I/O and no clock.
 //!
-//! A lease is settled exactly once: by its holder's report or by its expiry. Its id is a fencing token: the
-//! incarnation of the engine that granted it and a serial number that is unique in that incarnation. A report on a
-//! settled lease, or on a lease of another engine, is classified, counted, and changes nothing.
+//! A lease is settled exactly once: by its holder's report or by its expiry. Its id is a fencing token that
+//! consists of the incarnation of the granting engine and a serial number unique in that incarnation. A
+//! report on a settled lease, or on a lease of another engine, is classified and counted and has no other
+//! effect.
 
 use balancer::api::{BackendId, Micros, RequestId};
 use rustc_hash::FxHashMap;
@@ -11,18 +12,18 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Settled leases whose end is retained, to distinguish a late report from a duplicate one. Reports on older leases
-/// count as late.
-const MAX_ENDED_LEASES: usize = 4_096;
-/// Characters of a malformed id that its error quotes.
+/// Number of settled leases whose settlement is retained, to distinguish a duplicate report from a late one.
+/// Reports on older leases count as late.
+const SETTLED_HISTORY_LENGTH: usize = 4_096;
+/// Maximum number of characters of a malformed id that its error quotes.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// The id of a lease. Written as two hexadecimal numbers with a dash between, 33 characters.
+/// The id of a lease. Its text has 33 characters: two hexadecimal numbers of 16 digits, separated by a dash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseId {
-    /// The incarnation of the engine that granted it.
+    /// The incarnation of the engine that granted the lease.
     pub incarnation: u64,
-    /// Its number in that incarnation, from 1.
+    /// The serial number of the lease in that incarnation, from 1.
     pub serial: u64,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// The text is not a lease id.
+/// The error of parsing a text that is not a lease id; contains the beginning of the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("a lease id is 16 hexadecimal digits, a dash and 16 more, not `{0}`")]
 pub struct ParseLeaseIdError(String);
@@ -41,7 +42,7 @@
     type Err = ParseLeaseIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        // The integer's parser would accept a sign and any length.
+        // `from_str_radix` alone would also accept a sign and other lengths.
         let is_number = |part: &str| part.len() == 16 && part.bytes().all(|byte| byte.is_ascii_hexdigit());
         let number = |part: &str| -> Result<u64, ParseIntError> { u64::from_str_radix(part, 16) };
         let error = || ParseLeaseIdError(text.chars().take(MAX_QUOTED_CHARS).collect());
@@ -56,22 +57,23 @@
     }
 }
 
-/// Why an operation on a lease changed nothing.
+/// Why an operation on a lease was rejected without an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LeaseError {
-    /// Another engine granted it, or an earlier incarnation of this one.
+    /// The lease was granted by another engine or by an earlier incarnation of this one.
     #[error("the lease is of another engine or of an earlier life")]
     Foreign,
-    /// This engine has never granted it.
+    /// This engine has not granted such a lease.
     #[error("no such lease was granted")]
     Unknown,
-    /// It has expired.
+    /// The lease has expired.
     #[error("the lease had run out")]
     Late,
-    /// Its outcome was reported before.
+    /// The lease was settled by an earlier report.
     #[error("the lease's outcome was reported before")]
     AlreadyReported,
-    /// Only a session can be renewed, and only a lease that is not a session can become one.
+    /// The operation does not fit the stage of the lease: only a session can be renewed, and only a lease
+    /// that is not a session can become one.
     #[error("the lease is not in a state for this")]
     WrongState,
 }
@@ -81,41 +83,42 @@
 pub struct LeaseCounts {
     /// Leases granted.
     pub granted: u64,
-    /// Settled by their holder's report.
+    /// Leases settled by a report of their holder.
     pub reported: u64,
-    /// Settled by expiry: their attempts may have run.
+    /// Leases settled by expiry. Their attempts may have run.
     pub expired: u64,
-    /// Revoked because their backend drains or is gone.
+    /// Leases revoked because their backend was draining or removed, or because the balancer cancelled the
+    /// attempt.
     pub revoked: u64,
-    /// Reports after the expiry.
+    /// Operations rejected with [`LeaseError::Late`].
     pub late: u64,
-    /// Reports after an earlier report.
+    /// Operations rejected with [`LeaseError::AlreadyReported`].
     pub duplicate: u64,
-    /// Reports on a lease of another engine or incarnation.
+    /// Operations rejected with [`LeaseError::Foreign`].
     pub foreign: u64,
-    /// Reports on a lease that was never granted.
+    /// Operations rejected with [`LeaseError::Unknown`].
     pub unknown: u64,
-    /// Operations that do not fit the lease's state.
+    /// Operations rejected with [`LeaseError::WrongState`].
     pub wrong_state: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LeaseEnd {
+enum Settlement {
     Reported,
     Expired,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct EndedLease {
+struct SettledLease {
     serial: u64,
-    end: LeaseEnd,
+    settlement: Settlement,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseStage {
-    /// Its holder may make one attempt.
+    /// The holder may make one attempt or is making it.
     Granted,
-    /// Its attempt has become a session.
+    /// The attempt has become a session.
     Session,
 }
 
@@ -124,22 +127,22 @@
     pub(crate) request: RequestId,
     pub(crate) attempt: u16,
     pub(crate) backend: BackendId,
-    /// Until when its holder may start its attempt.
+    /// The holder must not start its attempt later than this.
     pub(crate) send_by: Micros,
     pub(crate) expires_at: Micros,
     pub(crate) stage: LeaseStage,
     pub(crate) is_revoked: bool,
 }
 
-/// The active leases, and how the latest settled ones ended.
+/// The active leases and the history of the latest settled ones.
 #[derive(Debug)]
 pub(crate) struct Leases {
     incarnation: u64,
     next_serial: u64,
     capacity: usize,
     active: FxHashMap<u64, Lease>,
-    /// Ring buffer by serial number modulo its length; empty until the first lease.
-    ended: Vec<EndedLease>,
+    /// Ring buffer, indexed by serial number modulo its length. Allocated with the first lease.
+    settled: Vec<SettledLease>,
     pub(crate) counts: LeaseCounts,
 }
 
@@ -150,7 +153,7 @@
             next_serial: 1,
             capacity,
             active: FxHashMap::default(),
-            ended: Vec::new(),
+            settled: Vec::new(),
             counts: LeaseCounts::default(),
         }
     }
@@ -163,14 +166,15 @@
         self.active.len() < self.capacity
     }
 
-    /// Grants a lease; `None` at the capacity.
+    /// Grants a lease; returns `None` at the capacity.
     pub(crate) fn grant(&mut self, lease: Lease) -> Option<LeaseId> {
         if !self.has_capacity() {
             return None;
         }
-        if self.ended.is_empty() {
-            // A serial number of 0 is never granted.
-            self.ended = vec![EndedLease { serial: 0, end: LeaseEnd::Expired }; MAX_ENDED_LEASES];
+        if self.settled.is_empty() {
+            // Serial number 0 marks an unused entry: it is never granted.
+            self.settled =
+                vec![SettledLease { serial: 0, settlement: Settlement::Expired }; SETTLED_HISTORY_LENGTH];
         }
         let serial = self.next_serial;
         self.next_serial += 1;
@@ -188,7 +192,7 @@
         self.active.contains_key(&serial)
     }
 
-    /// Revokes a lease and returns its request; `None` if it is not active or already revoked.
+    /// Revokes a lease and returns its request; `None` if the lease is not active or already revoked.
     pub(crate) fn revoke(&mut self, serial: u64) -> Option<RequestId> {
         let lease = self.active.get_mut(&serial).filter(|lease| !lease.is_revoked)?;
         lease.is_revoked = true;
@@ -196,7 +200,7 @@
         Some(lease.request)
     }
 
-    /// The lease with this id, if it is active at `now`; otherwise the cause, which is counted.
+    /// Returns the lease with this id if it is active at `now`; otherwise counts the error.
     pub(crate) fn find(&mut self, now: Micros, id: LeaseId) -> Result<&mut Lease, LeaseError> {
         if let Some(error) = self.find_error(now, id) {
             match error {
@@ -219,45 +223,45 @@
             return Some(LeaseError::Unknown);
         }
         if let Some(lease) = self.active.get(&id.serial) {
-            // The lease expires by the clock, even if its timer has not been handled yet.
+            // The time decides: the timer of an expired lease may not have been handled yet.
             return (now >= lease.expires_at).then_some(LeaseError::Late);
         }
-        let ended = self.ended[id.serial as usize % MAX_ENDED_LEASES];
-        let is_duplicate = ended.serial == id.serial && ended.end == LeaseEnd::Reported;
+        let settled = self.settled[id.serial as usize % SETTLED_HISTORY_LENGTH];
+        let is_duplicate = settled.serial == id.serial && settled.settlement == Settlement::Reported;
         Some(if is_duplicate { LeaseError::AlreadyReported } else { LeaseError::Late })
     }
 
-    /// Settles a lease by its holder's report; `None` if it is not active.
+    /// Settles a lease by its holder's report; returns `None` if the lease is not active.
     pub(crate) fn settle_reported(&mut self, serial: u64) -> Option<Lease> {
-        let lease = self.settle(serial, LeaseEnd::Reported)?;
+        let lease = self.settle(serial, Settlement::Reported)?;
         self.counts.reported += 1;
         Some(lease)
     }
 
-    /// Settles a lease that has expired; `None` if it is not active.
+    /// Settles a lease that has expired at `now`; returns `None` if the lease is not active.
     ///
     /// # Errors
-    /// If it was renewed: when it expires now.
+    /// The lease expires later because it was renewed: the new expiry time.
     pub(crate) fn expire(&mut self, now: Micros, serial: u64) -> Result<Option<Lease>, Micros> {
         match self.active.get(&serial) {
             Some(lease) if lease.expires_at > now => Err(lease.expires_at),
             Some(_) => {
                 self.counts.expired += 1;
-                Ok(self.settle(serial, LeaseEnd::Expired))
+                Ok(self.settle(serial, Settlement::Expired))
             }
             None => Ok(None),
         }
     }
 
-    fn settle(&mut self, serial: u64, end: LeaseEnd) -> Option<Lease> {
+    fn settle(&mut self, serial: u64, settlement: Settlement) -> Option<Lease> {
         let lease = self.active.remove(&serial)?;
-        self.ended[serial as usize % MAX_ENDED_LEASES] = EndedLease { serial, end };
+        self.settled[serial as usize % SETTLED_HISTORY_LENGTH] = SettledLease { serial, settlement };
         Some(lease)
     }
 
-    /// Serial numbers, ascending, of the leases on backends for which `is_leaving` holds and whose holders may not have
-    /// started at `now`.
-    pub(crate) fn unsent_on(&self, now: Micros, is_leaving: impl Fn(BackendId) -> bool) -> Vec<u64> {
+    /// Ascending serial numbers of the leases on backends that `is_leaving` selects and whose holders may
+    /// still start their attempts at `now`.
+    pub(crate) fn unsent_on_backends(&self, now: Micros, is_leaving: impl Fn(BackendId) -> bool) -> Vec<u64> {
         let may_be_unsent = |lease: &Lease| {
             lease.stage == LeaseStage::Granted && now < lease.send_by && is_leaving(lease.backend)
         };
--- a/crates/request-engine/src/lease/tests.rs
+++ b/crates/request-engine/src/lease/tests.rs
@@ -39,15 +39,15 @@
 }
 
 #[test]
-fn history_of_ended_leases_is_bounded() {
+fn history_of_settled_leases_is_bounded() {
     let mut leases = Leases::new(9, 2);
     let first = leases.grant(lease()).expect("within the capacity");
     leases.settle_reported(first.serial);
-    for _ in 0..MAX_ENDED_LEASES * 3 {
+    for _ in 0..SETTLED_HISTORY_LENGTH * 3 {
         let id = leases.grant(lease()).expect("within the capacity");
         leases.settle_reported(id.serial);
     }
-    assert_eq!((leases.len(), leases.ended.len()), (0, MAX_ENDED_LEASES));
+    assert_eq!((leases.len(), leases.settled.len()), (0, SETTLED_HISTORY_LENGTH));
     assert_eq!(
         leases.find(10, first).err(),
         Some(LeaseError::Late),
--- a/crates/request-engine/src/lease_events.rs
+++ b/crates/request-engine/src/lease_events.rs
@@ -1,9 +1,9 @@
-//! Events for a front end whose clients make their attempts themselves, in order, each with the front end's handle of
-//! the request.
+//! The queue of events for a front end whose external clients make their attempts under leases. Each event
+//! has the front end's handle of the request.
 //!
-//! A [`Transport`](crate::driver::Transport) must not call the engine back while it executes a command, so the front
-//! end takes the events from a queue afterwards. The queue is bounded by the engine's limits: one final answer per
-//! open request, one grant and one revocation per lease.
+//! A [`Transport`](crate::driver::Transport) must not call the engine while it executes a command, so the
+//! front end takes the events from the queue afterwards. The engine's limits bound the queue: one final
+//! outcome per open request, one grant and one revocation per lease.
 
 use crate::lease::LeaseId;
 use crate::messages::{FinalOutcome, LeaseGrant};
@@ -11,22 +11,22 @@
 use std::collections::VecDeque;
 use tokio::sync::Notify;
 
-/// A front end's identifier of one of its requests, unique in one run of the process.
+/// A front end's identifier of one of its requests, unique within an incarnation of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestHandle(pub u64);
 
-/// An event of the engine about a leased request.
+/// An engine event of a leased request.
 #[derive(Debug, PartialEq)]
 pub enum LeaseEvent {
     /// The client may make an attempt.
     Granted(RequestHandle, LeaseGrant),
-    /// The client must not start an attempt under this lease.
+    /// The client must not start an attempt under this lease any more.
     Revoked(RequestHandle, LeaseId),
-    /// The request has its final answer.
+    /// The request has its final outcome.
     Completed(RequestHandle, FinalOutcome<()>),
 }
 
-/// Events that the front end has not taken yet.
+/// Events that the front end has not handled yet, oldest first.
 #[derive(Debug, Default)]
 pub struct LeaseEventQueue {
     events: RefCell<VecDeque<LeaseEvent>>,
@@ -40,12 +40,12 @@
         self.wake.notify_one();
     }
 
-    /// Removes the oldest event.
+    /// Removes the oldest event; `None` if the queue is empty.
     pub fn pop(&self) -> Option<LeaseEvent> {
         self.events.borrow_mut().pop_front()
     }
 
-    /// Waits until there may be an event. One task at a time may wait.
+    /// Waits for an event; may also return while the queue is empty. One task at a time may wait.
     pub async fn wait(&self) {
         self.wake.notified().await;
     }
--- a/crates/request-engine/src/messages.rs
+++ b/crates/request-engine/src/messages.rs
@@ -4,158 +4,162 @@
 use balancer::api::{BackendId, Micros, Outcome, RequestId, UnservedCounts};
 use thiserror::Error;
 
-/// The front end's types that pass through the engine, which does not look into them.
+/// Types of the front ends that pass through the engine as opaque values.
 pub trait MessageTypes {
-    /// What a proxied attempt sends, the same for every attempt.
+    /// The request that a proxied attempt sends to its backend, the same for every attempt.
     type OutboundRequest: Clone;
-    /// Where the final answer goes.
+    /// The destination of a request's final outcome.
     type Responder;
-    /// A backend's answer.
+    /// A backend's response.
     type Response;
 
-    /// Whether it can be sent only once, since its body is not retained completely.
+    /// Whether the request can be sent only once, because its body is not completely retained.
     fn is_single_use(_outbound_request: &Self::OutboundRequest) -> bool {
         false
     }
 }
 
-/// Who makes the attempts of a request.
+/// Whether the engine's transport or an external client makes the attempts of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Dispatch<W> {
-    /// The engine's transport, which sends this.
-    Proxied(W),
-    /// An external client, under leases.
+pub enum Dispatch<O> {
+    /// The engine's transport makes them and sends this request.
+    Proxied(O),
+    /// An external client makes them, each under a lease.
     Leased,
 }
 
 /// A request as a front end received it.
 #[derive(Clone, Debug)]
-pub struct IncomingRequest<W> {
-    /// Position of its class in the settings.
+pub struct IncomingRequest<O> {
+    /// Index of the request class in the settings.
     pub class: u8,
-    /// Position of its tenant in the settings.
+    /// Index of the tenant in the settings.
     pub tenant: u16,
     /// Affinity key; see [`request_key`](crate::request_key::request_key).
     pub key: Option<u64>,
-    /// When it arrived, microseconds.
+    /// Time of arrival, microseconds.
     pub arrived_at: Micros,
-    /// How long its client waits from its arrival, microseconds.
+    /// Time from the arrival until the client's deadline, microseconds.
     pub timeout: Micros,
-    /// Expected work on a standard core, microseconds.
+    /// Expected processing time on a standard core, microseconds.
     pub expected_work: Option<Micros>,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Who makes its attempts.
-    pub dispatch: Dispatch<W>,
+    /// How the attempts are made.
+    pub dispatch: Dispatch<O>,
 }
 
-/// The final answer to a request.
+/// The final outcome of a request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum FinalOutcome<P> {
-    /// A backend's response; `None` where the holder of a lease has it.
-    Served(Option<P>),
-    /// Nothing has run; a retry is harmless.
+pub enum FinalOutcome<R> {
+    /// Served, with the backend's response; `None` if the holder of a lease received it.
+    Served(Option<R>),
+    /// Rejected without an execution, so that a retry is safe.
     Rejected {
-        /// How long the client should wait before a retry, microseconds; 0: unspecified.
+        /// Time that the client should wait before a retry, microseconds; 0: unspecified.
         retry_after: Micros,
     },
-    /// Failed; it may have run.
+    /// Failed; the request may have been executed.
     Failed,
 }
 
-/// How an attempt or a health check ended.
+/// The end of an attempt or a health check.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AttemptEnd<P> {
-    /// The outcome in the balancer's terms.
+pub struct AttemptEnd<R> {
+    /// The outcome that the balancer receives.
     pub outcome: Outcome,
-    /// The response, where the outcome is [`Outcome::Ok`].
-    pub response: Option<P>,
-    /// The backend's load report, in the order of the settings; empty without one.
+    /// The response of a proxied attempt whose outcome is [`Outcome::Ok`].
+    pub response: Option<R>,
+    /// The backend's load report, in the order of the settings; empty without a report.
     pub load_report: Vec<f32>,
-    /// How long the attempt waited for its client, microseconds. Not part of the backend's latency.
+    /// Time for which the attempt waited for its client, microseconds. It does not count as latency of the
+    /// backend.
     pub client_wait: Micros,
 }
 
-impl<P> From<Outcome> for AttemptEnd<P> {
+impl<R> From<Outcome> for AttemptEnd<R> {
     fn from(outcome: Outcome) -> Self {
         Self { outcome, response: None, load_report: Vec::new(), client_wait: 0 }
     }
 }
 
-/// A lease as its holder receives it.
+/// A lease, in the form in which its holder receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Its id, a fencing token.
+    /// The id of the lease, a fencing token.
     pub lease: LeaseId,
     /// The request.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u16,
-    /// The backend to send to.
+    /// The backend to send the request to.
     pub backend: BackendId,
-    /// The holder must not start later than this, microseconds.
+    /// Latest time at which the holder may start the attempt, microseconds.
     pub send_by: Micros,
-    /// When the holder has to give the attempt up, microseconds.
+    /// Time limit at which the holder has to abort the attempt, microseconds.
     pub give_up_at: Micros,
 }
 
-/// When an attempt may start, and when it is given up.
+/// The latest start and the time limit of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// It must not start at or after this time, microseconds; `Micros::MAX`: no limit.
+    /// The attempt must not start at or after this time, microseconds; `Micros::MAX`: no limit.
     pub start_by: Micros,
-    /// When it is given up, microseconds.
+    /// Time limit at which an unfinished attempt is aborted, microseconds.
     pub give_up_at: Micros,
 }
 
-/// An instruction of the engine to its driver.
+/// A command of the engine to its driver.
 #[derive(Debug, PartialEq)]
-pub enum Command<X: MessageTypes> {
-    /// Start an attempt, and call [`Engine::attempt_finished`](crate::engine::Engine::attempt_finished) once it ends.
+pub enum Command<M: MessageTypes> {
+    /// Start a proxied attempt, and call
+    /// [`Engine::attempt_finished`](crate::engine::Engine::attempt_finished) when it has ended.
     StartAttempt {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u16,
-        /// The backend to send to.
+        /// The backend to send the request to.
         backend: BackendId,
-        /// When it may start, and when it is given up.
+        /// The latest start and the time limit of the attempt.
         schedule: Schedule,
-        /// What to send.
-        outbound_request: X::OutboundRequest,
+        /// The request to send.
+        outbound_request: M::OutboundRequest,
     },
-    /// Cancel an attempt; its end is still reported.
+    /// Cancel a proxied attempt. Its end must still be reported.
     CancelAttempt {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u16,
     },
-    /// Cancel an attempt if it has sent no byte, since its client has disconnected. Its end is reported in either case.
+    /// Cancel a proxied attempt if it has not sent any bytes, because its client has disconnected or the
+    /// request has failed at its deadline. Its end must be reported in either case.
     CancelUnsentAttempt {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u16,
     },
-    /// Grant a lease to the request's client, whose result goes to
+    /// Grant a lease to the request's client. The client's report goes to
     /// [`Engine::report_result`](crate::engine::Engine::report_result).
     GrantLease(LeaseGrant),
-    /// Revoke a lease: a holder that has not started must not, and reports [`Outcome::NotSent`].
+    /// Revoke a lease. A holder that has not started its attempt must not start it and reports
+    /// [`Outcome::NotSent`].
     RevokeLease {
         /// The request.
         request: RequestId,
         /// The lease.
         lease: LeaseId,
     },
-    /// Deliver the final answer.
+    /// Deliver the final outcome of a request.
     Respond {
         /// The request.
         request: RequestId,
-        /// Where the answer goes.
-        responder: X::Responder,
-        /// The answer.
-        outcome: FinalOutcome<X::Response>,
+        /// The destination of the outcome.
+        responder: M::Responder,
+        /// The final outcome.
+        outcome: FinalOutcome<M::Response>,
     },
     /// Subscribe to membership changes.
     Subscribe,
@@ -163,55 +167,57 @@
     CheckHealth(BackendId),
     /// Close the idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// Write a log line.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// Bounds of what the engine holds at a time.
+/// Limits on the engine's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLimits {
-    /// Requests whose attempts have not all finished. At the bound no request is admitted.
+    /// Maximum number of open requests: those without a final outcome or with an unfinished attempt. At the
+    /// limit no request is admitted.
     pub requests: usize,
-    /// Active leases. At the bound no leased request is admitted and no lease granted.
+    /// Maximum number of active leases. At the limit no leased request is admitted and no lease is granted.
     pub leases: usize,
 }
 
-/// A request was not admitted; holds its responder. Nothing of it has run, so the front end may reject it.
+/// The engine's limit at which a request was not admitted, with the request's responder. No attempt was made,
+/// so the front end may reject the request.
 #[derive(Debug, Error)]
 pub enum Overload<R> {
-    /// Too many requests are open.
+    /// [`EngineLimits::requests`] is reached.
     #[error("too many requests are open")]
     Requests(R),
-    /// Too many leases are active.
-    #[error("too many leases are out")]
+    /// [`EngineLimits::leases`] is reached.
+    #[error("too many leases are active")]
     Leases(R),
 }
 
 /// Totals over all requests since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Admitted.
+    /// Requests admitted.
     pub admitted: u64,
-    /// Not admitted, at one of [`EngineLimits`].
+    /// Requests not admitted because one of the [`EngineLimits`] was reached.
     pub overloaded: u64,
-    /// Answered by a backend.
+    /// Requests served by a backend.
     pub served: u64,
-    /// Rejected by the balancer.
+    /// Requests rejected by the balancer.
     pub rejected: u64,
-    /// Failed, including `deadline_failures`.
+    /// Requests failed, including `deadline_failures`.
     pub failed: u64,
-    /// Left open by the balancer until shortly before the client's deadline.
+    /// Requests that failed shortly before the client's deadline because the balancer had not completed them.
     pub deadline_failures: u64,
-    /// Their client disconnected before the final answer.
+    /// Requests whose client disconnected before the final outcome.
     pub client_disconnected: u64,
-    /// Attempts ordered by the balancer, sent or not.
+    /// Attempts that the balancer requested, sent or not.
     pub attempts: u64,
-    /// Events on attempts that were not in flight.
+    /// Events of attempts that were not in flight.
     pub unmatched: u64,
     /// Finished attempts by outcome, in the order of [`Outcome::ALL`].
     pub outcomes: [u64; Outcome::ALL.len()],
-    /// Backends ejected because their requests failed.
+    /// Ejections of backends because their requests failed.
     pub ejections: u64,
-    /// Ended by the balancer without a backend's response, by cause.
+    /// Requests that the balancer ended without a backend's response, by cause.
     pub unserved: UnservedCounts,
 }
--- a/crates/request-engine/src/open_request.rs
+++ b/crates/request-engine/src/open_request.rs
@@ -3,7 +3,7 @@
 use crate::messages::{Dispatch, MessageTypes};
 use balancer::api::{BackendId, Micros, RequestId};
 
-/// The lease serial number of an attempt without a lease; none is granted with it.
+/// The lease serial number of a proxied attempt. No lease has it.
 pub(crate) const PROXIED: u64 = 0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     pub(crate) backend: BackendId,
     pub(crate) sent_at: Micros,
     pub(crate) state: AttemptState,
-    /// The serial number of its lease, or [`PROXIED`].
+    /// The serial number of the attempt's lease, or [`PROXIED`].
     pub(crate) lease_serial: u64,
 }
 
@@ -28,23 +28,23 @@
     }
 }
 
-pub(crate) struct OpenRequest<X: MessageTypes> {
-    pub(crate) dispatch: Dispatch<X::OutboundRequest>,
-    /// `None` once the client has its final answer or has disconnected.
-    pub(crate) responder: Option<X::Responder>,
+pub(crate) struct OpenRequest<M: MessageTypes> {
+    pub(crate) dispatch: Dispatch<M::OutboundRequest>,
+    /// `None` once the request has its final outcome or its client has disconnected.
+    pub(crate) responder: Option<M::Responder>,
     pub(crate) max_attempts: usize,
     pub(crate) attempts: Vec<Attempt>,
 }
 
-impl<X: MessageTypes> OpenRequest<X> {
-    /// Whether it has its final answer (or no client) and no attempt in flight.
+impl<M: MessageTypes> OpenRequest<M> {
+    /// Whether the request has its final outcome (or no client any more) and all its attempts have finished.
     pub(crate) fn is_finished(&self) -> bool {
         self.responder.is_none()
             && self.attempts.iter().all(|attempt| attempt.state == AttemptState::Finished)
     }
 }
 
-/// An attempt that the engine did not send and whose result the balancer has not received yet.
+/// An attempt that the engine did not send and whose result has not been passed to the balancer yet.
 pub(crate) struct UnsentAttempt {
     pub(crate) request: RequestId,
     pub(crate) attempt: u16,
--- a/crates/request-engine/src/request_key.rs
+++ b/crates/request-engine/src/request_key.rs
@@ -1,10 +1,11 @@
-//! The affinity key of a request, read from the query of its target.
+//! The affinity key of a request, from the query of its target.
 
 use rustc_hash::FxHasher;
 use std::hash::Hasher;
 
-/// The affinity key of a request: the query parameter `key`, as a hexadecimal number or, for any other text, as its
-/// hash; `None` without the parameter. All front ends share it, since a backend that served a key lately has it cached.
+/// Returns the affinity key of a request: the value of the query parameter `key` as a hexadecimal number, or
+/// the hash of the value if it is not one; `None` without the parameter. All front ends use this function,
+/// because a backend that recently served a key, through any of them, has its data cached.
 #[must_use]
 pub fn request_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/crates/request-engine/src/timers.rs
+++ b/crates/request-engine/src/timers.rs
@@ -1,25 +1,25 @@
-//! Timers of the engine, by expiry time.
+//! The engine's timers.
 
 use balancer::api::{Micros, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Entries below which the heap is never swept.
+/// Number of entries up to which the heap is not swept.
 const MIN_SWEEP_SIZE: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKind {
     /// A timer of the balancer, with its token.
-    Decision(u32),
-    /// The latest time for a request's final answer.
+    Balancer(u32),
+    /// The time at which a request without a final outcome fails.
     ResponseDeadline(RequestId),
     /// The expiry of the lease with this serial number.
     LeaseExpiry(u64),
 }
 
-/// Timers by expiry time. An entry whose cause has ended is not removed but ignored when it expires. To bound such
-/// entries (requests that are answered at once, each with a long deadline), the heap is swept whenever it has grown to
-/// twice its size after the last sweep.
+/// Timers by expiry time. The timer of a request or lease that has ended is not removed but ignored when it
+/// expires. To bound the number of such timers (many short requests, each with a long deadline), they are
+/// swept whenever the heap has grown to twice its size after the last sweep.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     heap: BinaryHeap<Reverse<(Micros, TimerKind)>>,
@@ -27,7 +27,7 @@
 }
 
 impl Timers {
-    /// Adds an entry; `is_active` returns whether the cause of an entry has not ended.
+    /// Adds a timer. `is_active` returns whether a timer still has an effect; a sweep retains only these.
     pub(crate) fn add(&mut self, at: Micros, kind: TimerKind, is_active: impl Fn(TimerKind) -> bool) {
         self.heap.push(Reverse((at, kind)));
         if self.heap.len() > self.sweep_at.max(MIN_SWEEP_SIZE) {
@@ -40,7 +40,7 @@
         self.heap.peek().map(|&Reverse((at, _))| at)
     }
 
-    /// Removes the first entry that has expired at `now`.
+    /// Removes the earliest timer if it has expired at `now`.
     pub(crate) fn pop(&mut self, now: Micros) -> Option<TimerKind> {
         self.next().filter(|&at| at <= now)?;
         self.heap.pop().map(|Reverse((_, kind))| kind)
--- a/crates/request-engine/tests/edge_cases.rs
+++ b/crates/request-engine/tests/edge_cases.rs
@@ -1,4 +1,4 @@
-//! Cases in which a request or a lease could be lost, duplicated or never released, each produced with a manual clock.
+//! Edge cases in which a request or a lease could be lost, duplicated or never released, with a manual clock.
 
 mod harness;
 
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn counts_a_report_after_lease_expiry_and_changes_nothing() {
+fn counts_a_report_after_lease_expiry_and_ignores_it() {
     let mut harness = ten_backends();
     let (client, grant) = harness.submit_leased(1);
     let grant = grant.expect("a lease");
-    // The report is in transit while the lease expires: a non-idempotent request that may have run fails without a
-    // retry.
+    // The report is in transit while the lease expires. A non-idempotent request that may have been executed
+    // fails without a retry.
     harness.advance_time(grant.give_up_at + REPORT_GRACE - harness.now);
     assert_eq!(harness.clients[&client].outcome, Some(FinalOutcome::Failed));
     assert_eq!(harness.finish_attempt((client, 0), Outcome::Ok), Err(LeaseError::Late));
@@ -71,7 +71,7 @@
     let mut harness = Harness::with_incarnation(settings(), Harness::large_limits(), 0..10, 2);
     let (client, grant) = harness.submit_leased(1);
     let grant = grant.expect("a lease");
-    assert_eq!(old.serial, grant.lease.serial, "the serial numbers alone are ambiguous");
+    assert_eq!(old.serial, grant.lease.serial, "only the incarnations differ");
     assert_eq!(harness.engine.report_result(harness.now, old, Outcome::Ok.into()), Err(LeaseError::Foreign));
     let unknown = LeaseId { serial: grant.lease.serial + 1, ..grant.lease };
     assert_eq!(
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn releases_the_slot_of_a_disconnected_client_without_an_answer() {
+fn releases_the_lease_of_a_disconnected_client_without_a_final_outcome() {
     let mut harness = ten_backends();
     let (client, grant) = harness.submit_leased(2);
     harness.disconnect(client);
@@ -105,7 +105,8 @@
         harness.advance_time(10 * MS);
         harness.delta(Backend { readiness, ..backend(first) });
         assert!(harness.attempt((client, 0)).is_revoked);
-        // The holder reports that it had not started: even a non-idempotent request is retried on another backend.
+        // The holder reports that it has not started the attempt, so that even a non-idempotent request is
+        // retried on another backend.
         harness.finish_attempt((client, 0), Outcome::NotSent).expect("in time");
         assert_ne!(harness.active_lease(client).expect("another lease").backend, first);
         harness.finish_attempt((client, 1), Outcome::Ok).expect("in time");
@@ -121,7 +122,7 @@
     harness.snapshot(
         &(0..10).filter(|&id| Some(id) != grant.map(|g| g.backend)).map(backend).collect::<Vec<_>>(),
     );
-    assert!(!harness.attempt((client, 0)).is_revoked, "it may run there, and the backend finishes it");
+    assert!(!harness.attempt((client, 0)).is_revoked, "the attempt may have started on the removed backend");
     harness.finish_attempt((client, 0), Outcome::Ok).expect("in time");
     harness.finish();
 }
@@ -145,7 +146,7 @@
     assert!(granted > 600, "{granted} leases");
     harness.advance_time(5 * SECOND);
     assert_eq!((harness.engine.open_requests(), harness.engine.active_leases()), (0, 0));
-    // The backends were ejected meanwhile for not answering, and return with their first successes.
+    // The backends were ejected because their leases expired, and are readmitted with their first successes.
     let mut served = 0;
     for _ in 0..2_000 {
         harness.advance_time(50 * MS);
@@ -163,7 +164,7 @@
 #[test]
 fn two_front_ends_share_the_slow_start_budget_of_a_warming_backend() {
     let mut harness = Harness::new(settings(), Harness::large_limits(), 0..4);
-    // Steady traffic first: 10 requests per second for each backend.
+    // Steady traffic first: 10 requests per second and backend.
     for round in 0..200 {
         let client = harness.submit(0, Dispatch::Proxied(())).expect("admitted");
         harness.advance_time(25 * MS);
@@ -179,8 +180,9 @@
         all.filter(|a| a.backend == 9 && a.sent_at < started + 2 * SECOND && a.lease.is_some() == leased)
             .count()
     };
-    // Both front ends send 400 requests per second during the two seconds of the overload window. They alternate in
-    // submitting first, since a token goes to the first request after it is available.
+    // Each front end submits 400 requests per second during the two seconds of the overload window. They
+    // alternate in submitting first, because a token of the slow-start budget goes to the first request after
+    // it becomes available.
     for round in 0..800 {
         let (first, second) = (Dispatch::Proxied(()), Dispatch::Leased);
         let (first, second) = if round % 2 == 0 { (first, second) } else { (second, first) };
@@ -196,14 +198,14 @@
     }
     let (proxied, leased) = (sent(&harness, false), sent(&harness, true));
     assert!(proxied > 0 && leased > 0, "{proxied} proxied and {leased} leased attempts");
-    // The limit is that of a warmed-up backend: 20 requests per second at 50 ms each.
+    // A backend that has warmed up has a limit of 20 requests per second at 50 ms each.
     let overload_count = 2 * 20;
     assert!(proxied + leased <= overload_count, "{proxied} and {leased} attempts within two seconds");
     harness.finish();
 }
 
 #[test]
-fn survives_the_removal_and_return_of_all_backends() {
+fn serves_requests_after_all_backends_were_removed_and_listed_again() {
     let mut harness = ten_backends();
     let (leased, _) = harness.submit_leased(2);
     let proxied = harness.submit(2, Dispatch::Proxied(())).expect("admitted");
@@ -222,7 +224,7 @@
 }
 
 #[test]
-fn session_occupies_its_slot_for_hours_and_releases_it() {
+fn session_occupies_its_slot_until_it_finishes() {
     let mut harness = Harness::new(settings(), Harness::large_limits(), 0..1);
     let client = harness.submit(1, Dispatch::Proxied(())).expect("admitted");
     harness.advance_time(10 * MS);
@@ -230,9 +232,12 @@
     assert_eq!(harness.clients[&client].outcome, Some(FinalOutcome::Served(Some(client))));
     harness.advance_time(3_600 * SECOND);
     assert_eq!(harness.engine.open_requests(), 1, "the session is still open");
-    // The long session is no failure of the backend, and its slot is occupied.
-    let submitted = fill(&mut harness);
-    assert_eq!(submitted.len(), fill(&mut Harness::new(settings(), Harness::large_limits(), 0..1)).len() - 1);
+    // The long session does not count as a failure of the backend and occupies one slot.
+    let submitted = submit_until_queued(&mut harness);
+    assert_eq!(
+        submitted.len(),
+        submit_until_queued(&mut Harness::new(settings(), Harness::large_limits(), 0..1)).len() - 1
+    );
     let queued = submitted.last().copied().expect("a queued request");
     assert!(!harness.has_attempt_in_flight(queued));
     harness.finish_attempt((client, 0), Outcome::Ok).expect("a proxied attempt");
@@ -240,8 +245,8 @@
     harness.finish();
 }
 
-/// Submits requests until one is queued; returns their clients.
-fn fill(harness: &mut Harness) -> Vec<u32> {
+/// Submits requests until one is queued; returns their clients in this order.
+fn submit_until_queued(harness: &mut Harness) -> Vec<u32> {
     let mut submitted = Vec::new();
     while submitted.last().is_none_or(|&client| harness.has_attempt_in_flight(client)) {
         submitted.push(harness.submit(0, Dispatch::Proxied(())).expect("within the limits"));
@@ -252,13 +257,16 @@
 #[test]
 fn sessions_on_every_slot_leave_one_slot_for_ordinary_requests() {
     let mut harness = Harness::new(settings(), Harness::large_limits(), 0..1);
-    let submitted = fill(&mut harness);
+    let submitted = submit_until_queued(&mut harness);
     let (queued, sent) = submitted.split_last().expect("a queued request");
     for &client in sent {
         harness.establish((client, 0)).expect("a proxied attempt");
     }
     assert!(harness.has_attempt_in_flight(*queued));
-    assert!(!fill(&mut harness).iter().any(|&client| harness.has_attempt_in_flight(client)), "only one");
+    assert!(
+        !submit_until_queued(&mut harness).iter().any(|&client| harness.has_attempt_in_flight(client)),
+        "only one"
+    );
     harness.finish();
 }
 
@@ -293,9 +301,9 @@
     let mut harness = Harness::new(settings(), EngineLimits { requests: 3, leases: 2 }, 0..10);
     let first = harness.submit_leased(0).0;
     harness.submit_leased(0);
-    assert_eq!(harness.submit(0, Dispatch::Leased), None, "no lease is free");
+    assert_eq!(harness.submit(0, Dispatch::Leased), None, "the limit of leases is reached");
     assert!(harness.submit(0, Dispatch::Proxied(())).is_some());
-    assert_eq!(harness.submit(0, Dispatch::Proxied(())), None, "too many requests");
+    assert_eq!(harness.submit(0, Dispatch::Proxied(())), None, "the limit of requests is reached");
     assert_eq!(harness.engine.counts().overloaded, 2);
     harness.finish_attempt((first, 0), Outcome::Ok).expect("in time");
     assert!(harness.submit(0, Dispatch::Leased).is_some());
@@ -303,7 +311,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_changes_nothing() {
+fn ignores_a_clock_that_goes_back() {
     let mut harness = ten_backends();
     let (client, grant) = harness.submit_leased(0);
     harness.advance_time(100 * MS);
@@ -314,9 +322,10 @@
     assert!(harness.clients.contains_key(&client));
 }
 
-/// Requests that are open and those that still arrive have their final answers by the process's deadline.
+/// Guards against requests that are open at shutdown, or arrive during it, without a final outcome by the
+/// deadline.
 #[test]
-fn every_request_is_answered_by_the_process_deadline() {
+fn every_request_has_its_final_outcome_by_the_shutdown_deadline() {
     let mut harness = ten_backends();
     let open: Vec<u32> =
         (0..3).map(|class| harness.submit(class, Dispatch::Proxied(())).expect("admitted")).collect();
@@ -327,13 +336,13 @@
     harness.advance_time(deadline - DEADLINE_MARGIN - 1 - harness.now);
     assert!(
         open.iter().all(|client| harness.clients[client].outcome.is_none()),
-        "not earlier than necessary"
+        "failed earlier than necessary"
     );
     harness.advance_time(DEADLINE_MARGIN + 1);
     for client in open.iter().chain([&late]) {
-        assert!(harness.clients[client].outcome.is_some(), "client {client} has no answer");
+        assert!(harness.clients[client].outcome.is_some(), "client {client} has no final outcome");
     }
     let later = harness.submit(0, Dispatch::Proxied(())).expect("admitted");
     harness.advance_time(0);
-    assert!(harness.clients[&later].outcome.is_some(), "no time is left for it");
+    assert!(harness.clients[&later].outcome.is_some(), "admitted after the deadline and not failed at once");
 }
--- a/crates/request-engine/tests/harness/mod.rs
+++ b/crates/request-engine/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! The engine with a manual clock, a simulated transport and simulated lease holders. The harness checks the four rules
-//! on the engine's commands after every step, independent of the engine's own counters.
+//! Test harness: the engine with a manual clock, a simulated transport and simulated lease holders. It checks
+//! rules 1 to 3 of the engine on its commands after every step, independent of the engine's own counters.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod rules;
@@ -12,10 +12,12 @@
 use request_engine::lease::LeaseError;
 use std::collections::BTreeMap;
 
-/// Clients whose deadline is longer ago have all been checked: none waits longer than two seconds.
+/// Clients are checked in the reverse order of submission, up to the first whose deadline is longer ago than
+/// this. Timeouts are two seconds at most, so that the deadlines of all earlier clients have passed and were
+/// checked.
 const CHECKED_PERIOD: Micros = 3 * SECOND;
 
-/// Message types that carry nothing but the number of the client.
+/// Message types in which responders and responses are client numbers.
 #[derive(Debug, PartialEq)]
 pub struct ClientNumbers;
 
@@ -58,7 +60,7 @@
     pub attempts: Vec<Attempt>,
 }
 
-/// A client's number and the number of its attempt.
+/// The number of a client and the number of one of its attempts.
 pub type AttemptKey = (u32, u16);
 
 pub struct Harness {
@@ -87,7 +89,7 @@
         incarnation: u64,
     ) -> Self {
         let classes = settings.classes.clone();
-        let engine = Engine::new(settings, limits, 7, incarnation, SECOND).expect("good settings");
+        let engine = Engine::new(settings, limits, 7, incarnation, SECOND).expect("valid settings");
         let mut harness = Self {
             now: SECOND,
             engine,
@@ -164,7 +166,7 @@
         (client, self.active_lease(client))
     }
 
-    /// The latest lease of a client whose attempt is in flight.
+    /// The lease of a client's latest attempt in flight.
     pub fn active_lease(&self, client: u32) -> Option<LeaseGrant> {
         self.clients[&client]
             .attempts
@@ -191,12 +193,12 @@
         &self.clients[&client].attempts[usize::from(number)]
     }
 
-    /// Finishes an attempt in flight, as its transport or the holder of its lease would.
+    /// Finishes an attempt in flight in place of its transport or the holder of its lease.
     pub fn finish_attempt(&mut self, key: AttemptKey, outcome: Outcome) -> Result<(), LeaseError> {
         let attempt = self.attempt(key).clone();
         let response = (outcome == Outcome::Ok && attempt.lease.is_none()).then_some(key.0);
         let end = AttemptEnd { outcome, response, load_report: Vec::new(), client_wait: 0 };
-        // The result is recorded before the engine's commands are checked.
+        // The engine receives the result first; the execution is updated before the commands are checked.
         let accepted = match attempt.lease {
             None => {
                 self.engine.attempt_finished(self.now, attempt.request, attempt.number, end);
@@ -248,7 +250,7 @@
         self.execute_commands();
     }
 
-    /// Advances the clock from one timer to the next.
+    /// Advances the clock by `duration`, from one timer to the next.
     pub fn advance_time(&mut self, duration: Micros) {
         let end = self.now + duration;
         while let Some(at) = self.engine.next_timer().filter(|&at| at <= end) {
@@ -256,13 +258,13 @@
             self.expire_leases();
             self.engine.advance(self.now);
             self.execute_commands();
-            self.check_answers();
+            self.check_deadlines();
         }
         self.now = end;
-        self.check_answers();
+        self.check_deadlines();
     }
 
-    /// A lease without a report by its expiry is lost, whatever its holder did.
+    /// Marks the attempts of leases that expire without a report as possibly executed.
     fn expire_leases(&mut self) {
         let now = self.now;
         let recent = self.clients.values_mut().rev().take_while(|c| now < c.deadline + CHECKED_PERIOD);
@@ -281,7 +283,10 @@
         while let Some(command) = self.engine.next_command() {
             match command {
                 Command::StartAttempt { request, attempt, backend, schedule, .. } => {
-                    assert!(schedule.start_by > self.now, "it must not start any more");
+                    assert!(
+                        schedule.start_by > self.now,
+                        "an attempt was started after its latest start time"
+                    );
                     self.check_send(request, attempt, backend, schedule.give_up_at, None);
                 }
                 Command::GrantLease(grant) => {
@@ -295,7 +300,7 @@
                 }
                 Command::RevokeLease { request, lease } => self.check_revoke(request, lease),
                 Command::Respond { responder: client, outcome, .. } => {
-                    self.check_answer(client, outcome);
+                    self.check_final_outcome(client, outcome);
                 }
                 Command::CancelAttempt { .. }
                 | Command::CancelUnsentAttempt { .. }
@@ -307,18 +312,18 @@
         }
     }
 
-    /// Finishes all attempts and advances the clock: nothing may be left open.
+    /// Finishes all attempts, advances the clock, and checks that no request or lease is left open.
     pub fn finish(&mut self) {
         self.advance_time(4 * SECOND);
         while let Some(&key) = self.in_flight().iter().find(|w| self.attempt(**w).lease.is_none()) {
             let _ = self.finish_attempt(key, Outcome::Reset);
         }
         self.advance_time(SESSION_LEASE_DURATION + 4 * SECOND);
-        self.check_answers();
+        self.check_deadlines();
         assert_eq!(
             (self.engine.open_requests(), self.engine.active_leases()),
             (0, 0),
-            "requests or leases are left open"
+            "open requests and active leases"
         );
         let (counts, leases) = (self.engine.counts(), self.engine.lease_counts());
         assert_eq!(
--- a/crates/request-engine/tests/harness/settings.rs
+++ b/crates/request-engine/tests/harness/settings.rs
@@ -1,13 +1,13 @@
-//! Settings for tests of the engine, shared with the tests of the external processor.
+//! Settings for tests of the engine, also used by the tests of the external processor.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use balancer::api::{
     Class, DedupScope, Idempotency, LoadReportFields, Micros, Permissions, SafetyLimits, Settings,
 };
 
-/// Microseconds.
+/// One millisecond in microseconds.
 pub const MS: Micros = 1_000;
-/// Microseconds.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
 fn class(idempotency: Idempotency) -> Class {
@@ -21,12 +21,13 @@
     }
 }
 
-/// One proxy, one zone, three classes: idempotent, non-idempotent, keyed within a cell.
+/// Settings of one proxy in one zone, with three classes: idempotent (0), non-idempotent (1), and keyed with
+/// a cell as dedup scope (2).
 pub fn settings() -> Settings {
     settings_with_key_ttl(SECOND)
 }
 
-/// [`settings`] with another lifetime of the keyed class's keys.
+/// [`settings`] with another time to live of idempotency keys, in microseconds.
 pub fn settings_with_key_ttl(ttl: Micros) -> Settings {
     Settings {
         instance_index: 0,
--- a/crates/request-engine/tests/idempotency.rs
+++ b/crates/request-engine/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! The idempotency registry: edge cases, and random calls against a simple model.
+//! Tests of the idempotency registry: edge cases, and random calls compared with a reference model.
 
 use balancer::api::Micros;
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 
 const RETENTION: Micros = 3_000_000;
 
-fn new(claimed: Result<ClaimStatus<u32>, ClaimError>) -> ClaimId {
+fn expect_new(claimed: Result<ClaimStatus<u32>, ClaimError>) -> ClaimId {
     match claimed {
         Ok(ClaimStatus::New(claim)) => claim,
         other => panic!("{other:?} is not new"),
@@ -16,61 +16,65 @@
 }
 
 #[test]
-fn second_claim_sees_the_owner_and_later_the_answer() {
+fn second_claim_returns_the_owner_and_later_the_outcome() {
     let mut claims = IdempotencyRegistry::new(10);
-    let first = new(claims.claim(5, b"a", 1, Some(b"key")));
+    let first = expect_new(claims.claim(5, b"a", 1, Some(b"key")));
     let in_flight = |by_key| Ok(ClaimStatus::InFlight { owner: first, since: 5, by_key });
     assert_eq!(claims.claim(6, b"a", 1, Some(b"key")), in_flight(false));
     assert_eq!(claims.claim(6, b"b", 1, Some(b"key")), in_flight(true), "another id, the same key");
     assert!(claims.complete(10, first, 7, ExecutionEffect::Possible, RETENTION));
-    assert!(!claims.complete(11, first, 8, ExecutionEffect::Possible, RETENTION), "one final answer");
+    assert!(!claims.complete(11, first, 8, ExecutionEffect::Possible, RETENTION), "a second final outcome");
     for id in [b"a", b"b"] {
         assert_eq!(claims.claim(RETENTION + 9, id, 1, Some(b"key")), Ok(ClaimStatus::Completed(7)));
     }
-    assert_ne!(new(claims.claim(RETENTION + 10, b"a", 1, Some(b"key"))), first, "its retention is over");
+    assert_ne!(
+        expect_new(claims.claim(RETENTION + 10, b"a", 1, Some(b"key"))),
+        first,
+        "a new claim after the retention"
+    );
 }
 
 #[test]
-fn key_belongs_to_its_class_and_is_released_if_nothing_ran() {
+fn key_belongs_to_its_class_and_is_released_without_an_execution() {
     let mut claims = IdempotencyRegistry::new(10);
-    let submit = new(claims.claim(0, b"a", 1, Some(b"key")));
-    new(claims.claim(0, b"b", 2, Some(b"key")));
-    assert!(claims.complete(1, submit, 503, ExecutionEffect::None, RETENTION));
+    let first = expect_new(claims.claim(0, b"a", 1, Some(b"key")));
+    expect_new(claims.claim(0, b"b", 2, Some(b"key")));
+    assert!(claims.complete(1, first, 503, ExecutionEffect::None, RETENTION));
     assert_eq!(
         claims.claim(2, b"a", 1, Some(b"key")),
         Ok(ClaimStatus::Completed(503)),
-        "the id keeps its answer"
+        "the id retains its outcome"
     );
-    let second = new(claims.claim(2, b"c", 1, Some(b"key")));
-    // The removal of the first claim must not take the key from the second.
+    let second = expect_new(claims.claim(2, b"c", 1, Some(b"key")));
+    // The removal of the first claim must not remove the key of the second one.
     let in_flight = Ok(ClaimStatus::InFlight { owner: second, since: 2, by_key: true });
     assert_eq!(claims.claim(RETENTION + 2, b"d", 1, Some(b"key")), in_flight);
 }
 
 #[test]
-fn rejects_claims_at_capacity_and_removes_none_early() {
+fn rejects_claims_at_capacity_and_removes_none_before_its_time() {
     let mut claims = IdempotencyRegistry::new(2);
-    let first = new(claims.claim(0, b"a", 0, None));
-    new(claims.claim(0, b"b", 0, None));
+    let first = expect_new(claims.claim(0, b"a", 0, None));
+    expect_new(claims.claim(0, b"b", 0, None));
     assert_eq!(claims.claim(0, b"c", 0, None), Err(ClaimError::Full(2)));
     assert!(claims.complete(0, first, 1, ExecutionEffect::Possible, RETENTION));
     assert_eq!(claims.claim(RETENTION - 1, b"c", 0, None), Err(ClaimError::Full(2)));
     assert_eq!(
         claims.claim(RETENTION - 1, b"a", 0, None),
         Ok(ClaimStatus::Completed(1)),
-        "completed claims are still found"
+        "completed claims are still returned"
     );
-    new(claims.claim(RETENTION, b"c", 0, None));
+    expect_new(claims.claim(RETENTION, b"c", 0, None));
 }
 
 #[test]
-fn invalid_names_change_nothing() {
+fn rejects_invalid_and_mismatched_names_without_a_claim() {
     let mut claims = IdempotencyRegistry::<u32>::new(2);
     for (id, key) in [(&b""[..], None), (&[b'x'; MAX_NAME_BYTES + 1], None), (b"a", Some(&b""[..]))] {
         assert!(matches!(claims.claim(0, id, 0, key), Err(ClaimError::InvalidName(_))));
     }
     assert!(claims.is_empty());
-    new(claims.claim(0, b"a", 0, Some(b"k")));
+    expect_new(claims.claim(0, b"a", 0, Some(b"k")));
     assert_eq!(claims.claim(0, b"a", 0, Some(b"other")), Err(ClaimError::KeyMismatch));
     assert_eq!(claims.claim(0, b"a", 0, None), Err(ClaimError::KeyMismatch));
 }
@@ -91,48 +95,49 @@
     ]
 }
 
-/// A claim that the registry should hold.
+/// A claim that the registry should contain.
 struct ExpectedClaim {
     claim: ClaimId,
     id: u8,
     key: Option<u8>,
     has_run: bool,
-    answer: Option<ExpectedAnswer>,
+    outcome: Option<ExpectedOutcome>,
 }
 
 #[derive(Clone, Copy)]
-struct ExpectedAnswer {
-    answer: u32,
+struct ExpectedOutcome {
+    outcome: u32,
     expires_at: Micros,
 }
 
 impl ExpectedClaim {
-    /// Whether a new claim with this key has to find this one.
+    /// Whether a new claim with this key has to return this one.
     fn owns_key(&self, key: Option<u8>) -> bool {
-        key.is_some() && self.key == key && (self.answer.is_none() || self.has_run)
+        key.is_some() && self.key == key && (self.outcome.is_none() || self.has_run)
     }
 }
 
 const CAPACITY: usize = 6;
 const CLASS: u8 = 3;
 
-/// The registry and a simple model of it.
+/// The registry and its reference model.
 struct Model {
     registry: IdempotencyRegistry<u32>,
     expected_claims: Vec<ExpectedClaim>,
     now: Micros,
-    answer_count: u32,
+    outcome_count: u32,
 }
 
 impl Model {
     fn new() -> Self {
         let registry = IdempotencyRegistry::new(CAPACITY);
-        Self { registry, expected_claims: Vec::new(), now: 0, answer_count: 0 }
+        Self { registry, expected_claims: Vec::new(), now: 0, outcome_count: 0 }
     }
 
     fn run_step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         let now = self.now;
-        let is_retained = |claim: &ExpectedClaim| claim.answer.is_none_or(|answer| answer.expires_at > now);
+        let is_retained =
+            |claim: &ExpectedClaim| claim.outcome.is_none_or(|outcome| outcome.expires_at > now);
         self.expected_claims.retain(is_retained);
         match *step {
             Step::Wait(time) => self.now += time,
@@ -145,16 +150,16 @@
 
     fn complete(&mut self, index: usize, has_run: bool, retention: Micros) -> Result<(), TestCaseError> {
         let Some(expected) = self.expected_claims.get_mut(index) else { return Ok(()) };
-        self.answer_count += 1;
+        self.outcome_count += 1;
         let effect = if has_run { ExecutionEffect::Possible } else { ExecutionEffect::None };
         prop_assert_eq!(
-            self.registry.complete(self.now, expected.claim, self.answer_count, effect, retention),
-            expected.answer.is_none()
+            self.registry.complete(self.now, expected.claim, self.outcome_count, effect, retention),
+            expected.outcome.is_none()
         );
-        if expected.answer.is_none() {
+        if expected.outcome.is_none() {
             let expires_at = self.now + retention;
             expected.has_run = has_run;
-            expected.answer = Some(ExpectedAnswer { answer: self.answer_count, expires_at });
+            expected.outcome = Some(ExpectedOutcome { outcome: self.outcome_count, expires_at });
         }
         Ok(())
     }
@@ -168,24 +173,24 @@
             (Some(expected), _) if expected.key != key => {
                 prop_assert_eq!(status, Err(ClaimError::KeyMismatch));
             }
-            (Some(expected), _) | (None, Some(expected)) => match (status, expected.answer) {
-                (Ok(ClaimStatus::Completed(answer)), Some(given)) => {
-                    prop_assert_eq!(answer, given.answer);
+            (Some(expected), _) | (None, Some(expected)) => match (status, expected.outcome) {
+                (Ok(ClaimStatus::Completed(outcome)), Some(expected_outcome)) => {
+                    prop_assert_eq!(outcome, expected_outcome.outcome);
                 }
                 (Ok(ClaimStatus::InFlight { owner, .. }), None) => {
                     prop_assert_eq!(owner, expected.claim);
                 }
-                (status, given) => {
-                    let given = given.map(|given| given.answer);
-                    prop_assert!(false, "{:?} where {:?} was given", status, given);
+                (status, expected_outcome) => {
+                    let expected_outcome = expected_outcome.map(|expected_outcome| expected_outcome.outcome);
+                    prop_assert!(false, "status {:?}, expected outcome {:?}", status, expected_outcome);
                 }
             },
             (None, None) if self.expected_claims.len() >= CAPACITY => {
                 prop_assert_eq!(status, Err(ClaimError::Full(CAPACITY)));
             }
             (None, None) => {
-                let claim = new(status);
-                let expected = ExpectedClaim { claim, id, key, has_run: true, answer: None };
+                let claim = expect_new(status);
+                let expected = ExpectedClaim { claim, id, key, has_run: true, outcome: None };
                 self.expected_claims.push(expected);
             }
         }
@@ -195,7 +200,7 @@
 
 proptest! {
     #[test]
-    fn keys_have_one_owner_and_answers_last_for_their_retention(
+    fn keys_have_one_owner_and_outcomes_are_retained(
         steps in prop::collection::vec(step(), 1..200)
     ) {
         let mut model = Model::new();
--- a/crates/request-engine/tests/random_events.rs
+++ b/crates/request-engine/tests/random_events.rs
@@ -1,5 +1,5 @@
-//! The engine under random events: out of order, duplicated, late, and on leases of other engines. The harness checks
-//! the four rules after every step.
+//! Random events in any order: duplicated, late, and on leases of other engines. The harness checks the rules
+//! after every step.
 
 mod harness;
 
@@ -25,15 +25,15 @@
 enum Step {
     Submit { class: u8, is_leased: bool, timeout_ms: u64 },
     Finish { index: usize, outcome: usize },
-    FinishAgain { index: usize, outcome: usize },
+    FinishTwice { index: usize, outcome: usize },
     Establish { index: usize },
     Renew { index: usize },
-    Forge { incarnation: u64, serial: u64 },
+    ReportAnyLease { incarnation: u64, serial: u64 },
     Disconnect { index: usize },
     AdvanceTime { ms: u64 },
     Drain { id: BackendId },
     Remove { id: BackendId },
-    Return { id: BackendId, is_warming_up: bool },
+    ListAgain { id: BackendId, is_warming_up: bool },
     RemoveAll,
     Unmatched { request: RequestId, attempt: u16, outcome: usize },
 }
@@ -45,15 +45,16 @@
         8 => (0..3_u8, any::<bool>(), prop_oneof![Just(2_000_u64), 0..60_u64])
             .prop_map(|(class, is_leased, timeout_ms)| Step::Submit { class, is_leased, timeout_ms }),
         6 => (index.clone(), outcome.clone()).prop_map(|(index, outcome)| Step::Finish { index, outcome }),
-        2 => (index.clone(), outcome.clone()).prop_map(|(index, outcome)| Step::FinishAgain { index, outcome }),
+        2 => (index.clone(), outcome.clone()).prop_map(|(index, outcome)| Step::FinishTwice { index, outcome }),
         1 => index.clone().prop_map(|index| Step::Establish { index }),
         1 => index.clone().prop_map(|index| Step::Renew { index }),
-        1 => (0..3_u64, 0..99_u64).prop_map(|(offset, serial)| Step::Forge { incarnation: offset + 0xfeed, serial }),
+        1 => (0..3_u64, 0..99_u64)
+            .prop_map(|(offset, serial)| Step::ReportAnyLease { incarnation: offset + 0xfeed, serial }),
         1 => index.prop_map(|index| Step::Disconnect { index }),
         4 => prop_oneof![0..30_u64, 0..900_u64].prop_map(|ms| Step::AdvanceTime { ms }),
         1 => id.clone().prop_map(|id| Step::Drain { id }),
         1 => id.clone().prop_map(|id| Step::Remove { id }),
-        2 => (id, any::<bool>()).prop_map(|(id, is_warming_up)| Step::Return { id, is_warming_up }),
+        2 => (id, any::<bool>()).prop_map(|(id, is_warming_up)| Step::ListAgain { id, is_warming_up }),
         1 => Just(Step::RemoveAll),
         1 => (0..200_u32, 0..4_u16, outcome)
             .prop_map(|(request, attempt, outcome)| Step::Unmatched { request, attempt, outcome }),
@@ -75,7 +76,7 @@
                 let _ = harness.finish_attempt(key, OUTCOMES[outcome]);
             }
         }
-        Step::FinishAgain { index, outcome } => {
+        Step::FinishTwice { index, outcome } => {
             let finished = harness
                 .clients
                 .values()
@@ -118,7 +119,7 @@
                 let _ = harness.engine.renew_session(harness.now, grant.lease);
             }
         }
-        Step::Forge { incarnation, serial } => {
+        Step::ReportAnyLease { incarnation, serial } => {
             let lease = LeaseId { incarnation, serial };
             let is_active = harness
                 .in_flight()
@@ -141,7 +142,7 @@
             }
         }
         Step::Remove { id } => harness.delta(Backend { readiness: Readiness::Removed, ..backend(id) }),
-        Step::Return { id, is_warming_up } => {
+        Step::ListAgain { id, is_warming_up } => {
             let started = is_warming_up.then_some(harness.now);
             harness.delta(Backend { started_at: started, ..backend(id) });
         }
@@ -157,7 +158,7 @@
             }
         }
     }
-    harness.check_answers();
+    harness.check_deadlines();
 }
 
 proptest! {
--- a/crates/request-engine/tests/simultaneous_events.rs
+++ b/crates/request-engine/tests/simultaneous_events.rs
@@ -1,5 +1,5 @@
-//! Events that end a request come from several sources; after a pause of the process they arrive at one time, in any
-//! order.
+//! Events that end a request, handled at the same time in either order. They come from several sources, and
+//! after a pause of the process all of them are due at once.
 
 mod harness;
 
@@ -7,7 +7,7 @@
 use harness::*;
 use request_engine::engine::*;
 
-/// A harness with one proxied request of this class, whose first attempt is in flight.
+/// A harness and the client of a proxied request of this class, whose first attempt is in flight.
 fn with_proxied_request(class: u8) -> (Harness, u32) {
     let mut harness = Harness::new(settings(), Harness::large_limits(), 0..10);
     let client = harness.submit(class, Dispatch::Proxied(())).expect("admitted");
@@ -15,14 +15,15 @@
     (harness, client)
 }
 
-/// A response and the response deadline at the same time: the first event decides, the other one changes nothing.
+/// Guards against two final outcomes when the response and the response deadline are handled at the same
+/// time: the first event decides, the second one is ignored.
 #[test]
-fn response_and_deadline_at_the_same_time_give_one_final_answer() {
+fn response_and_deadline_at_the_same_time_give_one_final_outcome() {
     for class in 0..3 {
-        for answer_first in [true, false] {
+        for is_response_first in [true, false] {
             let (mut harness, client) = with_proxied_request(class);
             harness.now = harness.clients[&client].deadline - DEADLINE_MARGIN;
-            if answer_first {
+            if is_response_first {
                 harness.finish_attempt((client, 0), Outcome::Ok).expect("a proxied attempt");
                 assert_eq!(
                     harness.clients[&client].outcome,
@@ -36,14 +37,14 @@
                 harness.finish_attempt((client, 0), Outcome::Ok).expect("a proxied attempt");
                 assert_eq!(harness.clients[&client].outcome, Some(FinalOutcome::Failed), "{class}");
             }
-            assert_eq!(harness.clients[&client].attempts.len(), 1, "{class}: no further attempt");
+            assert_eq!(harness.clients[&client].attempts.len(), 1, "{class}: no retry");
             harness.finish();
         }
     }
 }
 
-/// The first attempt fails and the client disconnects. In that order a retry has been started: it is cancelled at once
-/// if it has sent nothing.
+/// Guards against attempts without a client when the first attempt fails and the client disconnects at the
+/// same time. If the failure is handled first, its retry must be cancelled unless it has sent anything.
 #[test]
 fn failure_and_disconnect_at_the_same_time_leave_no_startable_attempt() {
     for outcome in
@@ -53,7 +54,7 @@
         harness.advance_time(10 * MS);
         harness.disconnect(client);
         harness.finish_attempt((client, 0), outcome).expect("a proxied attempt");
-        assert_eq!(harness.clients[&client].attempts.len(), 1, "{outcome:?}: it disconnected first");
+        assert_eq!(harness.clients[&client].attempts.len(), 1, "{outcome:?}: a retry after the disconnect");
         harness.finish();
 
         let (mut harness, client) = with_proxied_request(0);
