--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,7 @@
-//! Settings of the decisions as JSON: the simulator sends them, and configuration files hold them.
+//! Settings of the balancer in JSON, as the simulator sends them and configuration files contain them.
 //!
-//! The keys are those of the simulator's protocol; they are mapped to the terms of [`balancer::api`] here and nowhere else.
+//! The JSON keys are those of the simulator's protocol. Only this crate maps them to the terms of
+//! [`balancer::api`].
 
 mod parse;
 mod raw;
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -6,13 +6,13 @@
     SettingsProblem, Tenant,
 };
 
-/// Largest number of machine kinds: the decisions number them in one byte.
+/// Maximum number of machine kinds: the balancer stores their number and indices in one byte.
 const MAX_MACHINE_KINDS: usize = 255;
 
-/// Parses settings from JSON text. Unknown keys are ignored.
+/// Parses and validates settings in JSON. Unknown keys are ignored.
 ///
 /// # Errors
-/// Names the first key that is missing, of a wrong type, or out of its range.
+/// The first key that is missing, has the wrong type, or has a value out of its range.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
     let mut json = serde_json::Deserializer::from_slice(json);
     let raw: RawSettings = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -65,7 +65,7 @@
 }
 
 impl RawClass {
-    /// `index` is that of the class in the settings, for errors.
+    /// `index` is the position of the class in the settings and is used in errors only.
     fn to_class(&self, index: usize) -> Result<Class, SettingsError> {
         Ok(Class {
             latency_objective: self.latency_objective,
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,6 +1,7 @@
-//! The settings in JSON: keys of the protocol under the names of [`balancer::api`]. Times are in microseconds.
+//! The JSON form of the settings: each field has its name in [`balancer::api`] and is renamed to the
+//! protocol's key. Times are in microseconds.
 //!
-//! The names of the types and the order of the fields show in error messages.
+//! The names of the types and the order of the fields are visible in error messages.
 
 use balancer::api::Micros;
 use serde::Deserialize;
@@ -43,9 +44,9 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct RawReport {
-    /// Names of the values in a load report, in their order.
+    /// Names of the values of a load report, in the order in which they are sent.
     pub(crate) fields: Vec<String>,
-    /// What load reports come with.
+    /// What delivers load reports; `probe`: the responses to health checks.
     #[serde(rename = "via")]
     pub(crate) source: String,
 }
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of settings while the proxy runs. Pure: no I/O, no clock.
+//! Reload of settings while the proxy is running. No I/O and no clock.
 
 mod classes;
 mod error;
--- a/crates/settings/src/reload/classes.rs
+++ b/crates/settings/src/reload/classes.rs
@@ -1,25 +1,27 @@
-//! Indices of classes across reloads.
+//! Indices of request classes across reloads.
 //!
-//! Open requests keep the class under which they arrived, so that a class keeps its index: an unchanged one stays where it
-//! is, a new or changed one gets an index behind all others, and a removed one leaves its index to the requests that it
-//! still has. Where neither version of a changed class is the stricter one in all respects, their combination follows, for
-//! the requests that may be meant under either.
+//! Open requests retain the index of the class under which they arrived, so an index never changes its class.
+//! An unchanged class retains its index, a new or changed one is appended, and the index of a removed one
+//! remains in use for its open requests. If neither version of a changed class is stricter in all respects, a
+//! combination of both is appended after the new version, for requests that may be intended under either.
 
 use super::ReloadError;
 use balancer::api::{Class, Idempotency, Settings};
 
-/// Largest number of class indices, removed classes included: the decisions number classes in one byte.
+/// Maximum number of class indices, including those of removed classes: the balancer stores an index in one
+/// byte.
 pub const MAX_CLASSES: usize = 256;
 
-/// The present and former classes of a proxy, by index.
+/// The names of the current classes of a proxy by index, with unnamed entries for removed and combined
+/// classes.
 #[derive(Clone, Debug, Default)]
 pub struct ClassIndices {
-    /// The name of each class; `None` for a former one.
+    /// The name of each class; `None` for a removed or combined one.
     names: Vec<Option<String>>,
 }
 
 impl ClassIndices {
-    /// The classes of the settings with which a proxy starts.
+    /// Creates the indices of the classes with which a proxy starts.
     ///
     /// # Errors
     /// [`ReloadError::DuplicateName`].
@@ -28,34 +30,35 @@
         Ok(Self { names: names.iter().cloned().map(Some).collect() })
     }
 
-    /// Index and name of each present class.
+    /// Returns the index and name of each current class.
     pub fn named(&self) -> impl Iterator<Item = (usize, &str)> {
         self.names.iter().enumerate().filter_map(|(index, name)| Some((index, name.as_deref()?)))
     }
 
-    /// Merges new settings, whose classes have these names, into the present ones. Zones, machine kinds, tenants, the load
-    /// report and the index of this instance stay as they are: only a restart changes them.
+    /// Merges `new` settings, whose classes have these `names`, into the `current` ones and returns the
+    /// result. Settings that require a restart remain unchanged: among others zones, machine kinds, tenants,
+    /// the load report and the number and index of the instances.
     ///
     /// # Errors
-    /// [`ReloadError::DuplicateName`], [`ReloadError::MissingTtl`] or [`ReloadError::TooManyClasses`]; then nothing has
-    /// changed.
+    /// [`ReloadError::DuplicateName`], [`ReloadError::MissingTtl`] or [`ReloadError::TooManyClasses`];
+    /// nothing has changed then.
     pub fn renew(
         &mut self,
-        present: &Settings,
+        current: &Settings,
         new: &Settings,
         names: &[String],
     ) -> Result<Settings, ReloadError> {
         check_unique(names)?;
         check_ttls(&new.classes)?;
-        let mut classes = present.classes.clone();
-        let mut merged_names = vec![None; present.classes.len()];
+        let mut classes = current.classes.clone();
+        let mut merged_names = vec![None; current.classes.len()];
         for (name, class) in names.iter().zip(&new.classes) {
             if let Some(index) = self.unchanged_index(name, class, &classes) {
                 merged_names[index] = Some(name.clone());
             } else {
                 classes.push(class.clone());
                 merged_names.push(Some(name.clone()));
-                if let Some(combined) = self.combined_class(name, class, &present.classes) {
+                if let Some(combined) = self.combined_class(name, class, &current.classes) {
                     classes.push(combined);
                     merged_names.push(None);
                 }
@@ -72,18 +75,18 @@
             health_check_cost: new.health_check_cost,
             permissions: new.permissions,
             safety: new.safety,
-            ..present.clone()
+            ..current.clone()
         })
     }
 
-    /// The combination of a changed class with its present version, if neither is the stricter one in all respects.
-    fn combined_class(&self, name: &str, class: &Class, present: &[Class]) -> Option<Class> {
+    /// Combines a changed class with its current version, if neither is stricter in all respects.
+    fn combined_class(&self, name: &str, class: &Class, current: &[Class]) -> Option<Class> {
         let (index, _) = self.named().find(|&(_, known)| known == name)?;
-        let idempotency = present[index].idempotency.combined_with(class.idempotency)?;
+        let idempotency = current[index].idempotency.combined_with(class.idempotency)?;
         Some(Class { idempotency, ..class.clone() })
     }
 
-    /// The index of the present class of this name, if it is equal to `class`.
+    /// Returns the index of the current class of this name if it equals `class`.
     fn unchanged_index(&self, name: &str, class: &Class, classes: &[Class]) -> Option<usize> {
         let is_unchanged = |&(index, known): &(usize, &str)| known == name && classes[index] == *class;
         self.named().find(is_unchanged).map(|(index, _)| index)
--- a/crates/settings/src/reload/error.rs
+++ b/crates/settings/src/reload/error.rs
@@ -1,4 +1,4 @@
-//! Why new settings cannot be applied.
+//! The error of a reload.
 
 use super::MAX_CLASSES;
 use thiserror::Error;
@@ -6,39 +6,39 @@
 /// Why new settings cannot be applied to a running proxy.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ReloadError {
-    /// A key of the present configuration is missing.
-    #[error("`{path}` is missing, and the present configuration has it")]
+    /// A key of the current configuration is missing in the new one.
+    #[error("`{path}` is missing, but the current configuration has it")]
     MissingKey {
-        /// The key with its parents.
+        /// Path of the key.
         path: String,
     },
-    /// A value has another JSON type than in the present configuration.
-    #[error("`{path}` is {actual}, and {expected} in the present configuration")]
+    /// A value has another JSON type than in the current configuration.
+    #[error("`{path}` is {actual}, but {expected} in the current configuration")]
     WrongType {
-        /// The key with its parents.
+        /// Path of the key.
         path: String,
-        /// Its type in the new configuration.
+        /// JSON type of the value in the new configuration, with an article.
         actual: &'static str,
-        /// Its type in the present configuration.
+        /// JSON type of the value in the current configuration, with an article.
         expected: &'static str,
     },
     /// Two classes have the same name.
-    #[error("`settings.classes[{index}].name`: a class before it is called `{name}` too")]
+    #[error("`settings.classes[{index}].name`: an earlier class is also named `{name}`")]
     DuplicateName {
-        /// Index of the second one.
+        /// Position of the second class in the new configuration.
         index: usize,
-        /// Their name.
+        /// The name of both classes.
         name: String,
     },
-    /// A class with idempotency keys has no time for which they are remembered.
-    #[error("`settings.classes[{index}].keyTtlUs` is missing or 0; a class whose effect is `dedup` needs it")]
+    /// A keyed class has no time to live for its idempotency keys.
+    #[error("`settings.classes[{index}].keyTtlUs` is missing or 0, but required by the effect `dedup`")]
     MissingTtl {
-        /// Index of the class.
+        /// Position of the class in the new configuration.
         index: usize,
     },
-    /// All [`MAX_CLASSES`] indices are used.
+    /// The classes need more than [`MAX_CLASSES`] indices.
     #[error(
-        "no place for a further class: {MAX_CLASSES} are used up by this and earlier settings; restart the proxy"
+        "too many classes: this and earlier settings need more than {MAX_CLASSES} class indices; restart the proxy"
     )]
     TooManyClasses,
 }
--- a/crates/settings/src/reload/keys.rs
+++ b/crates/settings/src/reload/keys.rs
@@ -1,15 +1,15 @@
-//! Comparison of the keys of two configurations.
+//! Comparison of the current configuration with a new one, by key.
 
 use super::ReloadError;
 use serde_json::{Map, Value};
 
-/// Keys of a class that only some values of `effect` need.
+/// Keys of a class that only some values of `effect` require.
 const OPTIONAL_CLASS_KEYS: [&str; 2] = ["group", "keyTtlUs"];
-/// Keys under which the configuration holds data instead of settings, so that what is below them may differ.
+/// Keys whose values are data instead of settings, so that the keys below them may differ.
 const DATA_KEYS: [&str; 1] = ["known"];
-/// Keys of the configuration that are read only at the start of a process.
+/// Top-level keys that are read only at the start of a process.
 const RESTART_ONLY_KEYS: [&str; 4] = ["name", "listen", "console", "limits"];
-/// Keys of its `settings` that are read only at the start of a process.
+/// Keys of `settings` that are read only at the start of a process.
 const RESTART_ONLY_SETTINGS: [&str; 9] = [
     "me",
     "balancers",
@@ -22,33 +22,33 @@
     "loadReport",
 ];
 
-/// Checks that a new configuration has all keys of the present one, with values of the same JSON type. A file that lacks
-/// one was truncated, or written by mistake, and no default is assumed for it. In a list, every entry needs the keys
-/// that all present entries have.
+/// Checks that a new configuration has all keys of the current one, with values of the same JSON type. A file
+/// in which a key is missing may be truncated or written by mistake, so no default is assumed for the key.
+/// Each entry of a list needs the keys that all current entries have.
 ///
 /// # Errors
-/// [`ReloadError::MissingKey`] or [`ReloadError::WrongType`] for the first such key.
-pub fn has_all_keys(present: &Value, new: &Value) -> Result<(), ReloadError> {
-    compare("", present, new)
+/// [`ReloadError::MissingKey`] or [`ReloadError::WrongType`] for the first key that does not comply.
+pub fn has_all_keys(current: &Value, new: &Value) -> Result<(), ReloadError> {
+    compare("", current, new)
 }
 
-fn compare(path: &str, present: &Value, new: &Value) -> Result<(), ReloadError> {
-    if type_name(present) != type_name(new) && !present.is_null() {
-        return Err(wrong_type(path.to_owned(), new, type_name(present)));
+fn compare(path: &str, current: &Value, new: &Value) -> Result<(), ReloadError> {
+    if type_name(current) != type_name(new) && !current.is_null() {
+        return Err(wrong_type(path.to_owned(), new, type_name(current)));
     }
-    match (present, new) {
-        (Value::Object(present), Value::Object(new)) => compare_objects(path, present, new),
-        (Value::Array(present), Value::Array(new)) => compare_lists(path, present, new),
+    match (current, new) {
+        (Value::Object(current), Value::Object(new)) => compare_objects(path, current, new),
+        (Value::Array(current), Value::Array(new)) => compare_lists(path, current, new),
         _ => Ok(()),
     }
 }
 
 fn compare_objects(
     path: &str,
-    present: &Map<String, Value>,
+    current: &Map<String, Value>,
     new: &Map<String, Value>,
 ) -> Result<(), ReloadError> {
-    for (key, value) in present {
+    for (key, value) in current {
         let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
         let Some(new_value) = new.get(key) else { return Err(ReloadError::MissingKey { path }) };
         if !DATA_KEYS.contains(&key.as_str()) {
@@ -58,14 +58,14 @@
     Ok(())
 }
 
-fn compare_lists(path: &str, present: &[Value], new: &[Value]) -> Result<(), ReloadError> {
-    let Some(Value::Object(first)) = present.first() else { return Ok(()) };
-    let is_in_all =
-        |key: &str| present.iter().all(|entry| entry.get(key).is_some_and(|value| !value.is_null()));
-    // Collected once and not for each new entry: there may be hundreds of thousands of tenants.
+fn compare_lists(path: &str, current: &[Value], new: &[Value]) -> Result<(), ReloadError> {
+    let Some(Value::Object(first)) = current.first() else { return Ok(()) };
+    let is_in_all_current =
+        |key: &str| current.iter().all(|entry| entry.get(key).is_some_and(|value| !value.is_null()));
+    // Collected once instead of for each new entry: there may be hundreds of thousands of tenants.
     let required: Vec<(&String, &Value)> = first
         .iter()
-        .filter(|(key, _)| !OPTIONAL_CLASS_KEYS.contains(&key.as_str()) && is_in_all(key))
+        .filter(|(key, _)| !OPTIONAL_CLASS_KEYS.contains(&key.as_str()) && is_in_all_current(key))
         .collect();
     for (index, entry) in new.iter().enumerate() {
         let path = format!("{path}[{index}]");
@@ -88,16 +88,17 @@
 fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
-        Value::Bool(_) => "true or false",
+        Value::Bool(_) => "a boolean",
         Value::Number(_) => "a number",
-        Value::String(_) => "a text",
+        Value::String(_) => "a string",
         Value::Array(_) => "a list",
         Value::Object(_) => "an object",
     }
 }
 
-/// The keys that differ between the configuration with which a process started and a new one, and that take effect only
-/// after a restart. Operators are to be notified of them.
+/// Returns the paths of the keys that take effect only after a restart and that differ between the
+/// configuration with which the process started and a new one. Operators need to know them, since a reload
+/// does not apply them.
 #[must_use]
 pub fn restart_only_keys(start: &Value, new: &Value) -> Vec<String> {
     let setting = |configuration: &Value, key: &str| configuration.get("settings")?.get(key).cloned();
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden file of the settings in JSON: every key with a value of its own, and what each of them becomes.
+//! Tests with a golden file of the settings in JSON, in which each key has a distinct value: the value is
+//! expected in the field that the key maps to.
 
 use balancer::api::{DedupScope, Idempotency, Settings};
 use golden_files::GoldenFiles;
@@ -10,11 +11,11 @@
 }
 
 fn settings() -> Settings {
-    parse_settings(&golden().read("settings.json")).expect("good settings")
+    parse_settings(&golden().read("settings.json")).expect("valid settings")
 }
 
 #[test]
-fn figures_of_the_instance_come_from_their_keys() {
+fn instance_settings_are_read_from_their_keys() {
     let settings = settings();
     assert_eq!((settings.instance_index, settings.instance_count, settings.zone), (3, 11, 1));
     assert_eq!((settings.zone_count, settings.machine_kind_count), (2, 3));
@@ -27,12 +28,15 @@
 }
 
 #[test]
-fn figures_of_classes_come_from_their_keys() {
+fn class_settings_are_read_from_their_keys() {
     let settings = settings();
-    let effects: Vec<Idempotency> = settings.classes.iter().map(|class| class.idempotency).collect();
-    let keyed = |group| Idempotency::Keyed { scope: group, ttl: 3_000_001 };
-    let groups = [DedupScope::All, DedupScope::Zone, DedupScope::Cell].map(keyed);
-    assert_eq!(effects, [&[Idempotency::Idempotent, Idempotency::NonIdempotent], &groups[..]].concat());
+    let idempotencies: Vec<Idempotency> = settings.classes.iter().map(|class| class.idempotency).collect();
+    let keyed = |dedup_scope| Idempotency::Keyed { scope: dedup_scope, ttl: 3_000_001 };
+    let keyed_in_scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Cell].map(keyed);
+    assert_eq!(
+        idempotencies,
+        [&[Idempotency::Idempotent, Idempotency::NonIdempotent], &keyed_in_scopes[..]].concat()
+    );
     let class = &settings.classes[0];
     assert_eq!(
         (class.latency_objective, class.deadline, class.objective_work_factor),
@@ -42,7 +46,7 @@
 }
 
 #[test]
-fn permissions_and_rules_come_from_their_keys() {
+fn permissions_and_safety_limits_are_read_from_their_keys() {
     let settings = settings();
     let permissions = settings.permissions;
     assert_eq!((permissions.max_attempts, permissions.streams_per_connection), (5, 2));
@@ -59,9 +63,10 @@
     assert_eq!((safety.initial_capacity, safety.overload_factor), (0.33, 3.5));
 }
 
-/// Without one of these keys there are no settings; every other key may be left out.
+/// Guards against renamed keys, and against required keys that become optional or the reverse: the golden
+/// file records the result of parsing without each key.
 #[test]
-fn the_keys_that_may_not_be_left_out_keep_their_names() {
+fn required_and_optional_keys_are_unchanged() {
     let text = String::from_utf8(golden().read("settings.json")).expect("text");
     let is_key = |word: &&str| text.contains(&format!("\"{word}\":"));
     let keys: BTreeSet<&str> = text.split('"').filter(is_key).collect();
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Parsing of settings, and errors that name the key.
+//! Tests of the parsing of settings, and of errors that name the key.
 
 use balancer::api::*;
 use settings::parse_settings;
@@ -15,7 +15,7 @@
 
 #[test]
 fn parses_settings_and_ignores_unknown_keys() {
-    let settings = parse_settings(SETTINGS.as_bytes()).expect("good settings");
+    let settings = parse_settings(SETTINGS.as_bytes()).expect("valid settings");
     assert!(settings.discovery_on_request && settings.key_affinity);
     assert_eq!(
         (settings.instance_index, settings.instance_count, settings.zone, settings.zone_count),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn rejects_invalid_settings_by_name() {
+fn names_the_key_of_an_invalid_setting() {
     let replacements = [
         (r#""balancers": 5"#, r#""balancers": 0"#, "balancers"),
         (r#""aimUs": 500000"#, r#""aimUs": 0"#, "classes[0].aim"),
@@ -41,8 +41,8 @@
         (r#""coldFrom": 0.33"#, r#""coldFrom": 7"#, "cold_from"),
         (r#""membershipMode": "on_request""#, r#""membershipMode": "guess""#, "membershipMode"),
     ];
-    for (good, bad, field) in replacements {
-        let json = SETTINGS.replace(good, bad);
+    for (valid, invalid, field) in replacements {
+        let json = SETTINGS.replace(valid, invalid);
         assert_ne!(json, SETTINGS);
         assert_eq!(parse_settings(json.as_bytes()).expect_err("invalid settings").field, field);
     }
@@ -50,7 +50,7 @@
     assert!(missing.expect_err("a key is missing").problem.to_string().contains("safety"));
 }
 
-/// One more would have the same index as the first one, and share its quota.
+/// Guards against a tenant index that wraps around, so that two tenants would use the same quota.
 #[test]
 fn rejects_more_tenants_than_an_index_can_distinguish() {
     let parsed_tenants = |tenants: usize| {
@@ -59,7 +59,7 @@
         parse_settings(json.as_bytes()).map(|settings| settings.tenants.len())
     };
     assert_eq!(parsed_tenants(MAX_TENANTS), Ok(MAX_TENANTS));
-    let error = parsed_tenants(MAX_TENANTS + 1).expect_err("one too many");
+    let error = parsed_tenants(MAX_TENANTS + 1).expect_err("one more than the maximum");
     assert_eq!(error.field, "tenants");
     let problem = error.problem.to_string();
     assert!(problem.contains("65537") && problem.contains("65536"), "{error}");
