--- a/crates/golden-files/src/lib.rs
+++ b/crates/golden-files/src/lib.rs
@@ -1,13 +1,13 @@
 //! Test support: compares bytes with the golden files that a crate commits under `tests/golden`.
 //!
-//! A golden file is never overwritten. To record a new one, or to change a format on purpose, remove the file and run the
-//! test with `RECORD_GOLDEN=1`.
+//! Existing golden files are never overwritten. To record a new one, or after an intended change of a format,
+//! remove the file and run the test with `RECORD_GOLDEN=1`.
 
 use std::env;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Variable of the environment that allows missing golden files to be written.
+/// Environment variable that makes tests write missing golden files.
 const RECORD_VARIABLE: &str = "RECORD_GOLDEN";
 const HEX_DIGITS: &[u8; 16] = b"0123456789abcdef";
 
@@ -18,32 +18,34 @@
 }
 
 impl GoldenFiles {
-    /// The golden files of the crate whose manifest lies in `manifest_dir` (`env!("CARGO_MANIFEST_DIR")`).
+    /// The golden files of the crate with this manifest directory (`env!("CARGO_MANIFEST_DIR")`).
     #[must_use]
     pub fn of_crate(manifest_dir: &str) -> Self {
         Self { directory: Path::new(manifest_dir).join("tests").join("golden") }
     }
 
-    /// Path of a golden file.
+    /// Path of the golden file with this name, whether it exists or not.
     #[must_use]
     pub fn path(&self, name: &str) -> PathBuf {
         self.directory.join(name)
     }
 
-    /// Bytes of a golden file.
+    /// Reads a golden file.
     ///
     /// # Panics
-    /// When the file cannot be read.
+    /// If the file cannot be read.
     #[must_use]
     pub fn read(&self, name: &str) -> Vec<u8> {
         let path = self.path(name);
         fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
     }
 
-    /// Asserts that `actual` equals the golden file byte for byte.
+    /// Asserts that `actual` equals the golden file byte for byte. Writes the file if it is missing and
+    /// recording is enabled.
     ///
     /// # Panics
-    /// When the bytes differ, or when there is no such file and recording is off.
+    /// If the bytes differ, the file is missing and recording is disabled, or the file cannot be read or
+    /// written.
     pub fn assert_bytes(&self, name: &str, actual: &[u8]) {
         let path = self.path(name);
         if !path.exists() && env::var_os(RECORD_VARIABLE).is_some() {
@@ -59,17 +61,17 @@
         );
     }
 
-    /// Asserts that lines of text equal the golden file, each with a line feed at its end.
+    /// Asserts that lines of text, each followed by a line feed, equal the golden file.
     ///
     /// # Panics
-    /// As [`GoldenFiles::assert_bytes`].
+    /// Under the conditions of [`GoldenFiles::assert_bytes`].
     pub fn assert_lines(&self, name: &str, lines: &[String]) {
         let text = lines.join("\n") + "\n";
         self.assert_bytes(name, text.as_bytes());
     }
 }
 
-/// Lower-case hexadecimal digits of bytes.
+/// Formats bytes as lower-case hexadecimal digits, two per byte, without separators.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> String {
     let mut digits = String::with_capacity(2 * bytes.len());
--- a/crates/socket-io/src/lib.rs
+++ b/crates/socket-io/src/lib.rs
@@ -1,4 +1,5 @@
-//! Sockets and system calls in the presence of partial transfers, interrupted calls and transient errors.
+//! I/O on sockets and retries of system calls, with partial transfers, interrupted calls and transient errors
+//! handled.
 
 mod arrival;
 pub mod retry;
--- a/crates/socket-io/src/stream.rs
+++ b/crates/socket-io/src/stream.rs
@@ -1,9 +1,9 @@
 //! A TCP stream that handles partial transfers and interrupted calls.
 //!
-//! The runtime takes a read that did not fill its buffer as proof that the socket is empty, and then waits for the kernel to
-//! announce more. If the read was short for another reason, the remaining bytes would wait for a peer that has nothing more
-//! to send. Here a socket counts as empty, or as full, only once the kernel reports `EAGAIN`. That costs one more system
-//! call for each read that empties a socket.
+//! The runtime assumes that the socket is empty after a read that did not fill its buffer, and then waits for
+//! the kernel to report readiness. If the read was short for another reason, the remaining bytes would not be
+//! read until the peer sends more, which may be never. Here a socket counts as empty, or as full, only when
+//! the kernel reports `EAGAIN`. This costs one additional system call for each read that empties a socket.
 
 use std::io;
 use std::pin::Pin;
@@ -11,12 +11,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether to retry a call: a signal interrupted it, or the announced readiness was stale.
+/// Whether to retry a call because a signal interrupted it or the reported readiness was stale.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads the bytes that have arrived, up to the free space in `buffer`; none at the end of the stream.
+/// Reads the bytes that have arrived, up to the free space in `buffer`. At the end of the stream it reads
+/// none.
 ///
 /// # Errors
 /// The connection failed.
@@ -49,7 +50,7 @@
     }
 }
 
-/// Writes as many of `bytes` as fit into the socket's send buffer; returns their number.
+/// Writes as many of `bytes` as fit into the socket's send buffer and returns their number.
 ///
 /// # Errors
 /// The connection failed.
@@ -57,7 +58,7 @@
     poll_write_with(stream, context, |stream| stream.try_write(bytes))
 }
 
-/// [`poll_write`] of several buffers in one system call.
+/// Writes several buffers in one system call; otherwise as [`poll_write`].
 ///
 /// # Errors
 /// The connection failed.
@@ -69,7 +70,7 @@
     poll_write_with(stream, context, |stream| stream.try_write_vectored(buffers))
 }
 
-/// A TCP stream whose transfers go through [`poll_read`], [`poll_write`] and [`poll_write_vectored`].
+/// A TCP stream that reads and writes with [`poll_read`], [`poll_write`] and [`poll_write_vectored`].
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
--- a/crates/socket-io/tests/retry.rs
+++ b/crates/socket-io/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: which errors are retried, how often and until when.
+//! Tests of retries: which errors are retried, how often and until when.
 
 use nix::errno::Errno;
 use socket_io::retry;
@@ -21,7 +21,7 @@
     *failure == Failure::Transient
 }
 
-/// A call that fails with `failure` as many times as `failures` and then returns the number of calls made.
+/// A call that fails `failures` times with `failure` and then returns the number of calls made.
 fn failing(failures: u32, failure: Failure) -> impl FnMut() -> Result<u32, Failure> {
     let mut calls = 0;
     move || {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn classifies_errors_of_this_machine() {
+fn classifies_local_and_disk_errors() {
     let error = |errno: Errno| io::Error::from_raw_os_error(errno as i32);
     for errno in [Errno::ENFILE, Errno::EMFILE, Errno::ENOBUFS, Errno::ENOMEM] {
         assert!(retry::is_exhausted(&error(errno)) && retry::is_local(&error(errno)), "{errno}");
--- a/crates/socket-io/tests/stream.rs
+++ b/crates/socket-io/tests/stream.rs
@@ -1,15 +1,15 @@
-//! Transfers over [`Stream`] that are larger than one system call moves.
+//! Tests of transfers over [`Stream`] that need more than one system call.
 
 use socket_io::Stream;
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes; more than the send and receive buffers of a socket pair hold.
+/// Length of the payload in bytes; exceeds the send and receive buffers of a socket pair together.
 const LENGTH: usize = 16 << 20;
 
 #[tokio::test]
-async fn transfers_more_than_the_socket_buffers_hold() -> io::Result<()> {
+async fn transfers_payload_larger_than_the_socket_buffers() -> io::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let mut client = Stream::from(TcpStream::connect(listener.local_addr()?).await?);
     let mut server = Stream::from(listener.accept().await?.0);
