--- a/crates/http-proxy/src/discovery.rs
+++ b/crates/http-proxy/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery client: reads the backend list, then watches for changes.
+//! The discovery client: reads the backend list, then watches it for changes.
 
 mod client;
 mod error;
@@ -26,36 +26,38 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::{sleep, sleep_until};
 
-/// A watch that returned no change within this time did not wait at the service.
-const UNWAITED_RESPONSE_TIME: Duration = Duration::from_millis(20);
-/// The delay before the next call of such a watch, well within the 200 ms in which a watch has to continue.
-const UNWAITED_RESPONSE_DELAY: Duration = Duration::from_millis(50);
+/// A watch call that returned no changes within this time did not wait at the service.
+const IMMEDIATE_RESPONSE_TIME: Duration = Duration::from_millis(20);
+/// The delay before the next call of such a watch, well below the 200 ms within which a watch has to
+/// continue.
+const IMMEDIATE_RESPONSE_DELAY: Duration = Duration::from_millis(50);
 
-/// How a discovery service that the whole fleet shares is called.
+/// What a discovery service that the complete fleet shares requires.
 pub struct OnRequestDiscovery {
     /// The balancer's requests to subscribe to changes.
     pub subscribe_requests: mpsc::UnboundedReceiver<()>,
-    /// When this proxy may call the service.
+    /// The times at which this proxy may call the service.
     pub schedule: PollSchedule,
 }
 
-/// What [`DiscoveryWatcher`] needs at its start.
+/// The parameters of a [`DiscoveryWatcher`].
 pub struct DiscoveryWatcherOptions {
-    /// The address of discovery; a reloaded configuration may change it.
+    /// The address of discovery, which a reloaded configuration may change.
     pub addresses: watch::Receiver<SocketAddr>,
-    /// Reads discovery's lists.
+    /// Parses discovery's lists.
     pub translator: ListTranslator,
     /// The listed backends and the exclusions.
     pub backend_list: Rc<RefCell<BackendList>>,
-    /// The engine that membership updates are handed to.
+    /// The engine that receives the membership updates.
     pub handle: Handle,
-    /// Set once a backend list is available.
+    /// Set to true once a backend list is available.
     pub has_backend_list: Rc<Cell<bool>>,
-    /// How a shared service is called; `None` for an agent on this machine, which is watched all the time.
+    /// Present if discovery is a shared service; `None` for an agent on this machine, which is watched
+    /// without interruption.
     pub on_request: Option<OnRequestDiscovery>,
 }
 
-/// Watches discovery and hands its lists to the engine.
+/// Watches discovery and passes its lists to the engine.
 pub struct DiscoveryWatcher {
     addresses: watch::Receiver<SocketAddr>,
     translator: ListTranslator,
@@ -64,27 +66,28 @@
     has_backend_list: Rc<Cell<bool>>,
     on_request: Option<OnRequestDiscovery>,
     client: DiscoveryClient,
-    /// The revision of the list that changes are requested from; `None` requests a snapshot.
+    /// The revision since which changes are requested; `None` requests a snapshot.
     revision: Option<u64>,
     /// The address has changed: the next call does not wait for a subscribe request.
     address_changed: bool,
-    /// The watch is running: its last call succeeded.
+    /// The watch is running: the last call succeeded.
     is_watching: bool,
-    /// The next call starts a watch. With a shared service the balancer decides when.
+    /// The next call starts a watch. With a shared service the balancer decides when that happens.
     starts_watch: bool,
-    /// The configuration's list has a ready backend.
+    /// The list in the configuration has a ready backend.
     cached_list_is_usable: bool,
-    /// The configuration's list, until it is handed to the balancer or replaced: a newer one may come from an agent first.
+    /// The list in the configuration, until it is passed to the balancer or replaced: an agent may deliver a
+    /// newer list first.
     cached_list: Option<Vec<NamedBackend>>,
-    /// In a row.
-    failures: u32,
-    /// In a row.
-    oversized_lists: u32,
+    /// Of calls for any reason.
+    consecutive_failures: u32,
+    /// Calls that failed for other reasons in between do not reset it.
+    consecutive_oversized_lists: u32,
     call_ended: Rc<Notify>,
 }
 
 impl DiscoveryWatcher {
-    /// A watcher that has made no call.
+    /// A watcher that has not called discovery yet.
     #[must_use]
     pub fn new(options: DiscoveryWatcherOptions) -> Self {
         Self {
@@ -101,32 +104,28 @@
             starts_watch: true,
             cached_list_is_usable: false,
             cached_list: None,
-            failures: 0,
-            oversized_lists: 0,
+            consecutive_failures: 0,
+            consecutive_oversized_lists: 0,
             call_ended: Rc::default(),
         }
     }
 
-    /// Notified when a call to discovery has ended. Before the first one an agent's list is unknown.
+    /// Notified when a call to discovery has ended. Until the first call ends, an agent's list is unknown.
     #[must_use]
     pub fn call_ended(&self) -> Rc<Notify> {
         Rc::clone(&self.call_ended)
     }
 
-    /// Takes the configuration's list, which may be outdated: the next call requests a snapshot. With an agent the balancer
-    /// gets this list only once a call has failed.
+    /// Sets the last known list, which the configuration contains and which may be outdated: the next call
+    /// requests a snapshot. With an agent the balancer gets this list only after a call has failed.
     ///
-    /// In a large fleet the next call requests the changes since that list, if it is complete, be it an empty one: that call
-    /// starts the watch as well, and a fleet that restarts has more calls to make than its service can answer in time.
+    /// In a large fleet, if the last known list is complete (even if it is empty), the next call requests the
+    /// changes since that list instead of a snapshot. That call starts the watch as well; a large fleet that
+    /// restarts would otherwise make more calls than its service can answer in time.
     pub fn start_from(&mut self, known_backends: Value) {
         let list = self.translator.list(known_backends).unwrap_or_else(|error| {
-            log(format_args!("`known`: {error}"));
-            DiscoveryList {
-                revision: 0,
-                is_complete: false,
-                backends: Vec::new(),
-                unreadable_names: Vec::new(),
-            }
+            log(format_args!("cannot read the backend list `known` of the configuration: {error}"));
+            DiscoveryList { revision: 0, is_complete: false, backends: Vec::new(), invalid_names: Vec::new() }
         });
         let is_ready = |named: &NamedBackend| named.listed.backend.readiness == Readiness::Ready;
         self.cached_list_is_usable = list.backends.iter().any(is_ready);
@@ -137,7 +136,7 @@
             self.has_backend_list.set(self.cached_list_is_usable);
         }
         self.cached_list = Some(list.backends);
-        // Also an empty list: the balancer requests a subscription in response.
+        // An empty list is published as well: in response the balancer requests a subscription.
         if self.on_request.is_some() {
             self.publish_cached_list();
         }
@@ -150,7 +149,7 @@
         }
     }
 
-    /// Watches discovery until the process ends, across changes of its address.
+    /// Watches discovery until the process ends, also after its address changes.
     pub async fn run(mut self) {
         let mut addresses = self.addresses.clone();
         addresses.mark_unchanged();
@@ -162,12 +161,13 @@
         }
     }
 
-    /// Ends the watch at once, since the old service is about to close it, and forgets the revision: revisions of one service
-    /// mean nothing to another. The present list stays in use until the new one has arrived.
+    /// Ends the watch immediately, since the previous service is about to close it, and resets the revision:
+    /// the revisions of one service are meaningless to another. The present list stays in use until the new
+    /// one arrives.
     fn reset_for_new_address(&mut self) {
         self.client.disconnect();
         (self.revision, self.address_changed, self.starts_watch) = (None, true, true);
-        (self.is_watching, self.failures, self.oversized_lists) = (false, 0, 0);
+        (self.is_watching, self.consecutive_failures, self.consecutive_oversized_lists) = (false, 0, 0);
         if let Some(on_request) = &mut self.on_request {
             on_request.schedule.address_changed();
         }
@@ -217,16 +217,16 @@
             schedule: self.on_request.as_ref().map(|on_request| &on_request.schedule),
             revision: self.revision,
             is_watching: self.is_watching,
-            failures: self.failures,
+            consecutive_failures: self.consecutive_failures,
         });
         let address = *self.addresses.borrow();
         let list = self.client.get(address, &call.target, call.timeout).await?;
         self.translator.list(serde_json::from_slice(&list).map_err(DiscoveryError::Malformed)?)
     }
 
-    /// Hands on a list and pauses where the service did not wait for changes.
+    /// Publishes a list, and pauses if the service did not wait for changes.
     async fn on_list(&mut self, list: DiscoveryList, started_at: Micros) {
-        (self.is_watching, self.failures, self.oversized_lists) = (true, 0, 0);
+        (self.is_watching, self.consecutive_failures, self.consecutive_oversized_lists) = (true, 0, 0);
         if let Some(on_request) = &mut self.on_request {
             on_request.schedule.call_succeeded();
         }
@@ -234,8 +234,8 @@
         self.publish(list);
         self.call_ended.notify_one();
         let duration = self.handle.clock().now().saturating_sub(started_at);
-        if has_no_changes && Duration::from_micros(duration) < UNWAITED_RESPONSE_TIME {
-            sleep(UNWAITED_RESPONSE_DELAY).await;
+        if has_no_changes && Duration::from_micros(duration) < IMMEDIATE_RESPONSE_TIME {
+            sleep(IMMEDIATE_RESPONSE_DELAY).await;
         }
     }
 
@@ -249,7 +249,7 @@
         }
         let mut backend_list = self.backend_list.borrow_mut();
         let mut updates = backend_list.apply(list.is_complete, list.backends);
-        updates.extend(backend_list.mark_draining(&list.unreadable_names));
+        updates.extend(backend_list.mark_draining(&list.invalid_names));
         drop(backend_list);
         if list.is_complete {
             update_backends(&self.handle, UpdateKind::Snapshot, &updates);
@@ -258,29 +258,34 @@
         }
     }
 
-    /// Counts a failure of a call that took `duration` (microseconds). An outage is logged once, and so is a series of
-    /// oversized lists, whatever fails in between. Returns the delay after an oversized list.
+    /// Records the failure of a call that took `duration` (microseconds). Only the first failure of an outage
+    /// is logged, and only the first of consecutive oversized lists, even if calls fail for other reasons in
+    /// between. Returns the delay that an oversized list requires.
     fn record_failure(&mut self, error: &DiscoveryError, duration: Micros) -> Option<Duration> {
         let is_oversized = matches!(error, DiscoveryError::Oversized(_));
-        let is_first = if is_oversized { self.oversized_lists == 0 } else { self.failures == 0 };
+        let is_first =
+            if is_oversized { self.consecutive_oversized_lists == 0 } else { self.consecutive_failures == 0 };
         if is_first {
             log(format_args!("discovery: {error}"));
         }
-        self.oversized_lists = self.oversized_lists.saturating_add(u32::from(is_oversized));
-        self.failures = self.failures.saturating_add(1);
+        self.consecutive_oversized_lists =
+            self.consecutive_oversized_lists.saturating_add(u32::from(is_oversized));
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if let Some(on_request) = &mut self.on_request {
             on_request.schedule.call_failed(error.as_call_failure(self.is_watching, duration));
         }
         self.client.disconnect();
         (self.starts_watch, self.is_watching) = (true, false);
-        is_oversized.then(|| retry_delay::after_oversized_lists(self.oversized_lists, fastrand::f64()))
+        is_oversized
+            .then(|| retry_delay::after_oversized_lists(self.consecutive_oversized_lists, fastrand::f64()))
     }
 
-    /// Prepares the next call. The balancer decides when a shared service is called; an agent is called after a delay, for a
-    /// snapshot, since another agent may count its revisions anew.
+    /// Prepares the next call. The balancer decides when a shared service is called. An agent is called after
+    /// a delay and for a snapshot, since another agent may have replaced it and counts its revisions from the
+    /// start.
     async fn recover(&mut self, oversized_delay: Option<Duration>) {
         self.publish_cached_list();
-        // Without discovery an outdated list is better than none.
+        // While discovery is unavailable, an outdated list is better than none.
         if self.cached_list_is_usable {
             self.has_backend_list.set(true);
         }
@@ -292,6 +297,6 @@
             return update_backends(&self.handle, UpdateKind::Failed, &[]);
         }
         self.revision = None;
-        sleep(oversized_delay.unwrap_or(retry_delay::after_failures(self.failures))).await;
+        sleep(oversized_delay.unwrap_or(retry_delay::after_failures(self.consecutive_failures))).await;
     }
 }
--- a/crates/http-proxy/src/discovery/client.rs
+++ b/crates/http-proxy/src/discovery/client.rs
@@ -16,14 +16,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// The largest list that is read, in bytes: some 25,000 backends.
+/// The maximum size of a list in bytes, enough for about 25,000 backends.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
-/// The longest pause within a list.
-const LIST_SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
-/// How long a list may take in total, from the end of the response's head on: a change has to be known after 6 s, and a list
-/// that arrives slowly still has changes.
+/// The maximum pause between two chunks of a list.
+const LIST_INACTIVITY_TIMEOUT: Duration = Duration::from_millis(750);
+/// The maximum time in which a list is received, from the end of the response's head on. A change has to be
+/// known within 6 s, and a list that arrives slowly may contain changes.
 const LIST_TIMEOUT: Duration = Duration::from_secs(4);
-/// The delay after a connect that failed for lack of local resources.
+/// The delay before a retry of a connect that failed for lack of local resources.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// An open connection to discovery, closed on drop.
@@ -38,7 +38,7 @@
     }
 }
 
-/// Calls discovery over a connection that is reused while calls succeed.
+/// Calls discovery over a connection that is reused as long as calls succeed.
 #[derive(Default)]
 pub(super) struct DiscoveryClient {
     connection: Option<DiscoveryConnection>,
@@ -50,7 +50,8 @@
         self.connection = None;
     }
 
-    /// Requests the list at `target`. The head of the response has to arrive within `head_timeout`.
+    /// Requests the list at `target` (path and query). The head of the response has to arrive within
+    /// `head_timeout`.
     pub(super) async fn get(
         &mut self,
         address: SocketAddr,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Reads a list for as long as it keeps arriving, within the size limit.
+/// Reads a list within the size limit and the two timeouts for lists.
 async fn read_list(body: Incoming) -> Result<Bytes, DiscoveryError> {
     let size = body.size_hint().exact();
     if size.is_some_and(|bytes| bytes > MAX_LIST_BYTES as u64) {
@@ -104,7 +105,7 @@
     let end = Instant::now() + LIST_TIMEOUT;
     let (mut body, mut list) = (Limited::new(body, MAX_LIST_BYTES), BytesMut::new());
     loop {
-        let frame = timeout_at(end.min(Instant::now() + LIST_SILENCE_TIMEOUT), body.frame()).await;
+        let frame = timeout_at(end.min(Instant::now() + LIST_INACTIVITY_TIMEOUT), body.frame()).await;
         match frame.map_err(|_| DiscoveryError::Timeout)? {
             None => return Ok(list.freeze()),
             Some(Ok(frame)) => list.extend(frame.into_data()),
@@ -126,7 +127,8 @@
     Some(DiscoveryConnection { sender, task })
 }
 
-/// Connects, with retries while this machine lacks resources: such a failure says nothing of discovery.
+/// Connects, and retries while this machine lacks resources: such a failure does not show that discovery is
+/// unavailable.
 async fn connect_stream(address: SocketAddr) -> io::Result<TcpStream> {
     retry::retry(None, CONNECT_RETRY_DELAY, retry::is_local, async || TcpStream::connect(address).await).await
 }
--- a/crates/http-proxy/src/discovery/error.rs
+++ b/crates/http-proxy/src/discovery/error.rs
@@ -7,25 +7,25 @@
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// Why a call to discovery gave no list.
+/// Why a call to discovery failed.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
     /// The connection could not be established.
-    #[error("the connection failed")]
+    #[error("cannot connect")]
     Unreachable,
     /// The connection was lost before the response was complete.
-    #[error("the connection broke")]
+    #[error("connection lost before the response was complete")]
     ConnectionLost,
-    /// The call timed out.
+    /// The head of the response, or the next part of its body, did not arrive in time.
     #[error("no answer in time")]
     Timeout,
     /// A response status other than 200.
-    #[error("answered {0}")]
+    #[error("unexpected response status {0}")]
     Status(StatusCode),
-    /// A list of more than [`MAX_LIST_BYTES`]; its size in bytes, where the response's head gives it.
+    /// The list has more than [`MAX_LIST_BYTES`]; contains its size in bytes if the response's head gives it.
     #[error(
-        "the list is too long: {}, and at most {MAX_LIST_BYTES} are read, some 25000 backends; the list that is held serves on, \
-         and a shorter one is asked for after {} s, later each {} s",
+        "the list is too long: {}, at most {MAX_LIST_BYTES} bytes (about 25,000 backends) are supported; the present list \
+         stays in use, and the list is requested again after {} s, later every {} s",
         size_text(*.0), MIN_OVERSIZED_DELAY.as_secs(), MAX_OVERSIZED_DELAY.as_secs()
     )]
     Oversized(Option<u64>),
@@ -42,8 +42,8 @@
 }
 
 impl DiscoveryError {
-    /// What the error of a call that took `duration` (microseconds) shows of a shared service. `is_watching`: the call
-    /// belonged to a running watch.
+    /// How the failure of a call that took `duration` (microseconds) counts in the schedule of a shared
+    /// service. `is_watching`: the call belonged to a running watch.
     pub(super) fn as_call_failure(&self, is_watching: bool, duration: Micros) -> CallFailure {
         match self {
             Self::Timeout if is_watching => CallFailure::WatchTimeout,
--- a/crates/http-proxy/src/discovery/start_times/tests.rs
+++ b/crates/http-proxy/src/discovery/start_times/tests.rs
@@ -25,7 +25,7 @@
     let mut starts = starts();
     assert_eq!(starts.started_at(NOW, 1, 0, NOW_MS), None, "long ago");
     assert_eq!(starts.started_at(NOW, 2, NOW_MS - 2_500, NOW_MS - 2_500), Some(NOW - 2_500_000));
-    // A snapshot: the latest start is recent, another one long before it.
+    // A snapshot: the latest start is recent, and another one was long before it.
     assert_eq!(starts.started_at(NOW, 3, NOW_MS - 60_000, NOW_MS - 500), Some(NOW - 60 * SECOND));
     assert_eq!(starts.started_at(NOW, 4, NOW_MS + 300, NOW_MS + 300), Some(NOW), "a little ahead");
 }
@@ -40,7 +40,7 @@
     assert_eq!(starts.started_at(NOW + 5 * SECOND, 1, reported, reported), Some(first));
     starts.expire_removed(NOW + 6 * SECOND, |_| false);
     assert_eq!(starts.started_at(NOW + 60 * SECOND, 1, reported, reported), Some(first));
-    // Earlier starts in the same list precede it by the reported difference.
+    // Earlier start times in the same list precede it by the reported difference.
     assert_eq!(starts.started_at(NOW, 2, reported - 20_000, reported), Some(first - 20 * SECOND));
 }
 
@@ -71,20 +71,20 @@
 #[test]
 fn bounds_the_number_of_retained_removed_backends() {
     let mut starts = starts();
-    for id in 0..2 * MAX_REMOVED as u32 {
+    for id in 0..2 * MAX_RETAINED_REMOVED as u32 {
         let now = NOW + u64::from(id);
         starts.started_at(now, id, NOW_MS, NOW_MS);
         starts.expire_removed(now, |listed| listed == 0);
     }
-    assert!(starts.known.len() <= MAX_REMOVED + 1, "{}", starts.known.len());
+    assert!(starts.known.len() <= MAX_RETAINED_REMOVED + 1, "{}", starts.known.len());
     assert!(starts.is_known(0, NOW_MS), "it is listed");
 }
 
 proptest! {
-    /// A backend that has just started counts for at most twice the initial capacity of the settings, and never starts in the
-    /// future.
+    /// A backend that has just started counts for at most twice the initial capacity in the settings, and its
+    /// start time is never in the future.
     #[test]
-    fn no_clock_difference_makes_a_started_backend_warm(
+    fn no_clock_difference_makes_a_restarted_backend_count_as_warmed_up(
         reported in 1_u64..2 * NOW_MS, initial_capacity in 0.01_f64..0.99, warm_up_us in 1_u64..60 * SECOND,
     ) {
         let mut starts = StartTimes::new(&safety(initial_capacity, warm_up_us));
--- a/crates/http-proxy/src/discovery/translator.rs
+++ b/crates/http-proxy/src/discovery/translator.rs
@@ -36,9 +36,9 @@
     up_since_ms: u64,
 }
 
-/// A list entry, parsed where possible.
+/// A list entry, parsed if it is valid.
 struct ListMember {
-    /// Its name, where that can be read.
+    /// Its name, if at least that can be read.
     name: Option<String>,
     parsed: Result<RawMember, MemberError>,
 }
@@ -56,7 +56,7 @@
     /// Not JSON of the expected form.
     #[error("{0}")]
     Malformed(serde_json::Error),
-    #[error("`{0}` is no address")]
+    #[error("`{0}` is not a valid address")]
     Address(String),
     #[error("unknown phase `{0}`")]
     Phase(String),
@@ -64,17 +64,17 @@
     Locality(String),
 }
 
-/// A list in the balancer's terms.
+/// A list, translated to the balancer's ids and indices.
 #[derive(Debug)]
 pub struct DiscoveryList {
-    /// Its revision.
+    /// The revision that the service assigned to it.
     pub revision: u64,
-    /// Whether it names all backends.
+    /// True for a snapshot of all backends, false for changes since an earlier revision.
     pub is_complete: bool,
     /// The valid entries.
     pub backends: Vec<NamedBackend>,
-    /// The names of the invalid entries, where they can be read.
-    pub unreadable_names: Vec<String>,
+    /// The names of the invalid entries, as far as the names can be read.
+    pub invalid_names: Vec<String>,
 }
 
 /// Translates discovery's names to the balancer's indices and ids.
@@ -88,7 +88,8 @@
 }
 
 impl ListTranslator {
-    /// A translator that has seen no backend.
+    /// A translator without ids and start times. `names` gives the zones and machine kinds in the order of
+    /// the settings.
     #[must_use]
     pub fn new(clock: Clock, names: &NameIndex, safety: &SafetyLimits) -> Self {
         let zones = names.zones.iter().cloned().zip(0..).collect();
@@ -106,10 +107,10 @@
     /// Parses a list. Invalid entries are logged and skipped.
     ///
     /// # Errors
-    /// The list is not of the expected form.
+    /// The list is not JSON of the expected form.
     pub fn list(&mut self, json: Value) -> Result<DiscoveryList, DiscoveryError> {
         let raw: RawList = serde_json::from_value(json).map_err(DiscoveryError::Malformed)?;
-        let (mut backends, mut unreadable_names) = (Vec::with_capacity(raw.members.len()), Vec::new());
+        let (mut backends, mut invalid_names) = (Vec::with_capacity(raw.members.len()), Vec::new());
         let members: Vec<_> = raw.members.into_iter().map(ListMember::parse).collect();
         let now = self.clock.now();
         let newest_start_ms = self.newest_start_ms(&members);
@@ -118,17 +119,18 @@
                 Ok(backend) => backends.push(backend),
                 Err(error) => {
                     log(format_args!("skipped an invalid entry of the backend list: {error}"));
-                    unreadable_names.extend(name);
+                    invalid_names.extend(name);
                 }
             }
         }
         let list =
-            DiscoveryList { revision: raw.revision, is_complete: raw.complete, backends, unreadable_names };
+            DiscoveryList { revision: raw.revision, is_complete: raw.complete, backends, invalid_names };
         self.drop_removed(&list);
         Ok(list)
     }
 
-    /// Drops the ids of removed backends, which would accumulate where every backend gets a new name.
+    /// Drops the ids of removed backends. They would accumulate in a fleet that gives every new backend a new
+    /// name.
     fn drop_removed(&mut self, list: &DiscoveryList) {
         let is_present = |listed: &ListedBackend| listed.backend.readiness != Readiness::Removed;
         let listed = || list.backends.iter().map(|named| named.listed);
@@ -145,7 +147,8 @@
         }
     }
 
-    /// The latest of the starts that these members report for the first time, in Unix milliseconds.
+    /// The latest of the start times that these entries report for the first time, in Unix milliseconds; 0 if
+    /// there is none.
     fn newest_start_ms(&mut self, members: &[ListMember]) -> u64 {
         let parsed = members.iter().filter_map(|member| member.parsed.as_ref().ok());
         let starts: Vec<_> = parsed.map(|raw| (self.id(&raw.id), raw.up_since_ms)).collect();
@@ -170,7 +173,7 @@
         };
         let zone = self.zones.get(&raw.locality).copied();
         let zone = zone.ok_or(MemberError::Locality(raw.locality))?;
-        // A backend of a kind that the settings don't name can still serve.
+        // A backend whose machine kind is missing in the settings can still serve.
         let machine_kind = self.kinds.get(&raw.flavor).copied().unwrap_or(0);
         let id = self.id(&raw.id);
         let started_at = self.start_times.started_at(now, id, raw.up_since_ms, newest_start_ms);
@@ -178,8 +181,9 @@
         Ok(NamedBackend { name: raw.id, listed: ListedBackend { backend, address } })
     }
 
-    /// A backend's id, the same at every proxy: the hash of its name. Of two names with the same hash (one pair in millions)
-    /// the later one gets the next free id, which may differ between proxies.
+    /// The id of a backend: the hash of its name, which is the same at every proxy. If two names have the
+    /// same hash (one pair in millions), the later one gets the next free id, which may differ between
+    /// proxies.
     fn id(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.ids.get(name) {
             return id;
--- a/crates/http-proxy/src/discovery/translator/tests.rs
+++ b/crates/http-proxy/src/discovery/translator/tests.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 
 #[test]
-fn drops_removed_names_and_keeps_the_ids_of_the_others() {
+fn drops_the_ids_of_removed_backends_and_retains_the_others() {
     let names = NameIndex { zones: vec!["a".into()], ..NameIndex::default() };
     let mut translator = ListTranslator::new(Clock::start(), &names, &safety(0.3, 8_000_000));
     let entry = |id: String, phase: &str| json!({"id": id, "host_port": "127.0.0.1:9", "locality": "a", "phase": phase, "up_since_ms": 1});
--- a/crates/http-proxy/tests/outage.rs
+++ b/crates/http-proxy/tests/outage.rs
@@ -1,5 +1,6 @@
-//! Simulates the recovery of a discovery service in virtual time: when does each proxy of a fleet get its first response? Uses
-//! the balancer and the call schedule of the proxy; the service has one queue.
+//! Simulates the recovery of a discovery service in virtual time, to find when each proxy of a fleet gets its
+//! first response. Uses the balancer and the call schedule of the proxy. The service handles calls one after
+//! another from a single queue.
 
 use balancer::api::{Action, Event, MembershipUpdate, Micros, Settings};
 use balancer::balancer::Balancer;
@@ -10,25 +11,25 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// A change has to be known this long after discovery was reachable, in microseconds.
+/// The time after which a change has to be known, counted from the recovery of discovery, in microseconds.
 const NOTIFICATION_LIMIT: Micros = 6 * SECOND;
-/// The service fails calls that were queued for longer, in microseconds.
+/// The service fails calls that were queued for longer than this, in microseconds.
 const QUEUE_TIMEOUT: Micros = 2 * SECOND;
-/// When the service fails, on the clock that all proxies share.
+/// The start of the outage on the clock that all proxies share, in microseconds.
 const OUTAGE_BEGAN: Micros = 1_796_148_000_123_456;
 
-/// How calls fail while the service is down.
+/// How calls fail during the outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
-    /// They are refused at once.
+    /// The service refuses them immediately.
     Refuses,
-    /// They get no response, not even after the recovery.
-    Silent,
-    /// They get no response, and a reset at the recovery.
+    /// They get no response, even after the recovery.
+    Unresponsive,
+    /// They get no response, and are reset at the recovery.
     ResetsAtRecovery,
 }
 
-/// The time that a call takes the service, in microseconds.
+/// The time that the service spends on a call, in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct CallCost {
     min: Micros,
@@ -41,19 +42,19 @@
     }
 }
 
-/// The service and its queue.
+/// The emulated service and its queue.
 struct Service {
     outage: Outage,
     recovered_at: Micros,
     cost: CallCost,
-    /// Whether failed calls take as long.
-    pays_for_failures: bool,
+    /// Whether failed calls cost the service as much time as others.
+    failures_cost_time: bool,
     busy_until: Micros,
     random: fastrand::Rng,
 }
 
 impl Service {
-    /// When a call that starts at `now` ends, and how.
+    /// The time at which a call that starts at `now` ends, and its result.
     fn call(&mut self, now: Micros) -> (Micros, Result<(), CallFailure>) {
         if now < self.recovered_at {
             let limit = now + START_TIMEOUT;
@@ -62,13 +63,13 @@
                 Outage::ResetsAtRecovery if self.recovered_at < limit => {
                     (self.recovered_at, Err(CallFailure::Rejected(self.recovered_at - now)))
                 }
-                Outage::Silent | Outage::ResetsAtRecovery => (limit, Err(CallFailure::Unreachable)),
+                Outage::Unresponsive | Outage::ResetsAtRecovery => (limit, Err(CallFailure::Unreachable)),
             };
         }
         let begins = self.busy_until.max(now);
         let done = begins + self.random.u64(self.cost.min..=self.cost.max);
         let fails = begins - now > QUEUE_TIMEOUT;
-        if !fails || self.pays_for_failures {
+        if !fails || self.failures_cost_time {
             self.busy_until = done;
         }
         if fails { (now + QUEUE_TIMEOUT, Err(CallFailure::Rejected(QUEUE_TIMEOUT))) } else { (done, Ok(())) }
@@ -86,7 +87,7 @@
 struct Proxy {
     balancer: Balancer,
     schedule: PollSchedule,
-    /// After the recovery, in microseconds.
+    /// The time after the recovery, in microseconds.
     first_response: Option<Micros>,
     calls: u32,
 }
@@ -104,7 +105,8 @@
     parse_settings(text.as_bytes()).expect("settings")
 }
 
-/// An outage of `duration` in which the proxies `indices` of a fleet lose their watches at one moment.
+/// A simulated outage of `duration`, at the start of which the proxies `indices` of a fleet all lose their
+/// watches.
 struct Trial {
     fleet_size: u32,
     indices: Vec<u32>,
@@ -112,14 +114,15 @@
     /// In microseconds.
     duration: Micros,
     cost: CallCost,
-    pays_for_failures: bool,
+    failures_cost_time: bool,
     /// An injected fault: each proxy delays its calls by this time, in microseconds.
     extra_delay: Micros,
     seed: u64,
 }
 
 impl Trial {
-    /// How long after the recovery each proxy got its first response, in ascending order.
+    /// The times after the recovery at which the proxies got their first response, in ascending order and
+    /// microseconds.
     fn run(&self) -> Vec<Micros> {
         let mut random = fastrand::Rng::with_seed(self.seed);
         let recovered_at = OUTAGE_BEGAN + self.duration;
@@ -127,7 +130,7 @@
             outage: self.outage,
             recovered_at,
             cost: self.cost,
-            pays_for_failures: self.pays_for_failures,
+            failures_cost_time: self.failures_cost_time,
             busy_until: 0,
             random: random.fork(),
         };
@@ -194,42 +197,46 @@
     }
 }
 
-/// Durations of outages over five rounds, in microseconds, in steps that match no other interval.
+/// Durations of outages, up to five rounds, in microseconds. The step is not a divisor or multiple of any
+/// other interval.
 fn outage_durations() -> impl Iterator<Item = Micros> {
     (0..113).map(|step| step * 223 * MS + 7)
 }
 
-const OUTAGES: [Outage; 3] = [Outage::Refuses, Outage::Silent, Outage::ResetsAtRecovery];
+const OUTAGES: [Outage; 3] = [Outage::Refuses, Outage::Unresponsive, Outage::ResetsAtRecovery];
 
 /// The latest first response of a fleet.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Latest {
-    /// After the recovery, in microseconds.
+    /// The time after the recovery, in microseconds.
     response: Micros,
-    /// The kind of outage and its parameters.
+    /// The kind of the outage and its parameters.
     scenario: String,
 }
 
-/// The latest first response of a fleet over all kinds and durations of outages, and in which of them.
+/// The latest first response of a fleet over all kinds and durations of outages, and the outage in which it
+/// occurred.
 fn latest_response(fleet_size: u32, indices: &[u32], cost: CallCost) -> Latest {
     let worst = OUTAGES
         .into_iter()
         .flat_map(|outage| {
-            outage_durations().flat_map(move |duration| [true, false].map(|pays| (outage, duration, pays)))
+            outage_durations().flat_map(move |duration| {
+                [true, false].map(|failures_cost| (outage, duration, failures_cost))
+            })
         })
-        .map(|(outage, duration, pays_for_failures)| {
+        .map(|(outage, duration, failures_cost_time)| {
             let trial = Trial {
                 fleet_size,
                 indices: indices.to_vec(),
                 outage,
                 duration,
                 cost,
-                pays_for_failures,
+                failures_cost_time,
                 extra_delay: 0,
                 seed: duration,
             };
             let response = *trial.run().last().expect("a proxy");
-            let scenario = format!("{outage:?}, {duration} us, failures cost: {pays_for_failures}");
+            let scenario = format!("{outage:?}, {duration} us, failures cost: {failures_cost_time}");
             Latest { response, scenario }
         });
     worst.max().expect("trials")
@@ -266,7 +273,7 @@
     }
 }
 
-/// A single proxy that lost its watch, whichever it is.
+/// For each index of the proxy that lost its watch.
 #[test]
 fn a_single_proxy_of_a_large_fleet_is_notified_in_time() {
     for (fleet_size, step) in [(5, 1), (26, 1), (100, 1), (300, 7)] {
@@ -280,7 +287,7 @@
                         outage,
                         duration,
                         cost,
-                        pays_for_failures: true,
+                        failures_cost_time: true,
                         extra_delay: 0,
                         seed: duration,
                     };
@@ -295,7 +302,8 @@
     }
 }
 
-/// Not all proxies of such a fleet can be notified in time, but failing calls must not keep the service overloaded forever.
+/// The service can't notify all proxies of such a fleet in time, but failing calls must not overload it
+/// forever.
 #[test]
 fn every_proxy_is_notified_eventually_where_the_fleet_overloads_the_service() {
     for (fleet_size, (min_ms, max_ms)) in [
@@ -306,7 +314,7 @@
         (300, (60, 160)),
         (300, (160, 160)),
     ] {
-        for pays_for_failures in [true, false] {
+        for failures_cost_time in [true, false] {
             let cost = CallCost::from_ms(min_ms, max_ms);
             let outage = Outage::Refuses;
             let duration = 8 * SECOND;
@@ -317,7 +325,7 @@
                 outage,
                 duration,
                 cost,
-                pays_for_failures,
+                failures_cost_time,
                 extra_delay: 0,
                 seed: 1,
             };
@@ -327,15 +335,15 @@
             assert!(in_time >= QUEUE_TIMEOUT / cost.max, "{fleet_size} at {cost:?}: {in_time} in time");
             let total_cost = Micros::from(fleet_size) * cost.max;
             let last = responses.last().expect("a proxy");
-            assert!(*last < 10 * total_cost, "{fleet_size} at {cost:?}, {pays_for_failures}: {last} us");
+            assert!(*last < 10 * total_cost, "{fleet_size} at {cost:?}, {failures_cost_time}: {last} us");
             println!(
-                "{fleet_size} at {cost:?}, failures cost: {pays_for_failures}: {in_time} in time, the last after {last} us"
+                "{fleet_size} at {cost:?}, failures cost: {failures_cost_time}: {in_time} in time, the last after {last} us"
             );
         }
     }
 }
 
-/// Checks the simulation itself.
+/// Checks that the simulation can fail.
 #[test]
 fn detects_a_delay_beyond_the_limit() {
     let is_late = |extra_delay| {
@@ -349,7 +357,7 @@
                     outage,
                     duration,
                     cost,
-                    pays_for_failures: true,
+                    failures_cost_time: true,
                     extra_delay,
                     seed: duration,
                 };
--- a/crates/http-proxy/tests/poll_schedule.rs
+++ b/crates/http-proxy/tests/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! Call slots at a discovery service that a fleet shares.
+//! Tests of the call slots at a discovery service that a fleet shares.
 
 use balancer::api::Micros;
 use http_proxy::poll_schedule::{CallFailure, PollSchedule, ROUND};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn only_a_larger_fleet_uses_call_slots() {
+fn only_a_fleet_of_more_than_six_uses_call_slots() {
     let waits = |index, fleet_size| after_failed_watch(index, fleet_size, 0).next_call_at(NOW, true) - NOW;
     for fleet_size in 1..=6 {
         assert!((0..fleet_size).all(|index| waits(index, fleet_size) == 0), "{fleet_size}");
@@ -62,9 +62,9 @@
     }
 }
 
-/// A proxy without a backend list can't serve.
+/// A proxy without a backend list can't serve requests.
 #[test]
-fn only_the_first_call_without_a_list_starts_at_once() {
+fn only_the_first_call_without_a_list_starts_immediately() {
     let mut schedule = PollSchedule::new(50, 100, MAX_POLL_INTERVAL);
     assert_eq!(schedule.next_call_at(NOW, false), NOW);
     schedule.call_started(NOW);
@@ -73,9 +73,10 @@
     assert!(next > NOW + 1 && (next + ROUND - ROUND / 2).is_multiple_of(ROUND));
 }
 
-/// Each proxy's silent watch times out at another moment, and what it missed has to be known soon.
+/// The unresponsive watch of each proxy times out at a different moment, and the changes that it missed have
+/// to be known soon.
 #[test]
-fn the_call_after_a_watch_timeout_starts_at_once() {
+fn the_call_after_a_watch_timeout_starts_immediately() {
     let mut schedule = after_failed_watch(50, 100, NOW);
     schedule.call_succeeded();
     schedule.call_failed(CallFailure::WatchTimeout);
@@ -85,7 +86,7 @@
     assert!(schedule.next_call_at(NOW + 2, true) > NOW + 2, "only one such call");
 }
 
-/// With equal waits, watches that fail silently together would time out together.
+/// With equal wait times, watches that become unresponsive together would time out together.
 #[test]
 fn watch_waits_of_a_fleet_are_spread_evenly() {
     for fleet_size in [2, 12, 100, 300] {
@@ -98,7 +99,7 @@
     }
 }
 
-/// The list of a new address has to be known after 4 s.
+/// The list of a new address has to be known within 4 s.
 #[test]
 fn calls_within_four_seconds_of_an_address_change_and_then_within_a_round() {
     for index in 0..100 {
@@ -115,16 +116,17 @@
     }
 }
 
-/// One queued failure may be the end of an outage; two in a row show an overloaded service.
+/// A single failure of a queued call may be the end of an outage. Two consecutive ones show that the service
+/// is overloaded.
 #[test]
-fn only_an_overloaded_service_is_called_less_often() {
+fn only_an_overloaded_service_gets_calls_less_often() {
     let waits = |failures: &[CallFailure]| {
         let mut schedule = after_failed_watch(299, 300, NOW);
         for &failure in failures {
             schedule.call_failed(failure);
         }
         schedule.call_started(NOW);
-        // The longest distance between two calls of a proxy in its slots.
+        // The maximum time between two calls of a proxy in its slots.
         let first = schedule.next_call_at(NOW + 1, true);
         schedule.next_call_at(first + 1, true) - first
     };
@@ -148,7 +150,8 @@
 }
 
 proptest! {
-    /// Regression: with a minimum distance of half a round, a call outside the slots delayed the next one beyond 6 s.
+    /// Regression test: with a minimum interval of half a round, a call outside the slots delayed the next
+    /// call beyond 6 s.
     #[test]
     fn calls_once_a_round_and_only_in_the_slot(
         index in 0_u32..500, fleet_size in 7_u32..500, now in 1_u64 << 40..1 << 52, since in 0_u64..20_000_000,
@@ -160,7 +163,8 @@
         prop_assert_eq!((at + ROUND - offset) % ROUND, 0);
         prop_assert!(at >= last + 500_000 && at >= now);
         prop_assert!(at <= now.max(last + 500_000) + ROUND);
-        // After a call in its slot the next one is exactly a round later, even after the longest call and backoff.
+        // After a call in its slot the next call is exactly one round later, even after the longest call and
+        // backoff.
         let mut schedule = schedule;
         schedule.call_started(at);
         schedule.call_failed(CallFailure::Unreachable);
