--- a/crates/http-proxy/src/backend_list.rs
+++ b/crates/http-proxy/src/backend_list.rs
@@ -1,24 +1,25 @@
 //! The backends that discovery lists, with the operators' exclusions applied. Pure: no I/O, no clock.
 //!
-//! Exclusions are applied before the balancer sees the list: an excluded backend is listed as draining, and a re-included one
-//! as started at that moment, since operators restart backends while they are excluded. The rules for draining and warming
-//! backends then apply, and the balancer needs no notion of exclusions.
+//! Exclusions are applied before the balancer sees the list. An excluded backend is listed as draining. A
+//! re-included backend is listed as started at the moment of its re-inclusion, since operators restart
+//! backends while they are excluded. The balancer then applies its rules for draining backends and for
+//! backends that are warming up, and has no notion of exclusions.
 
 use crate::backend_pool::ListedBackend;
 use admin::exclusions::Exclusions;
 use balancer::api::{Micros, Readiness};
 use rustc_hash::FxHashMap;
 
-/// A listed backend and its name.
+/// A listed backend together with its name.
 #[derive(Clone, Debug)]
 pub struct NamedBackend {
-    /// Its name, the same at every proxy.
+    /// The name that discovery gives it, the same at every proxy.
     pub name: String,
-    /// Its entry in the list.
+    /// The entry in the list, before exclusions are applied.
     pub listed: ListedBackend,
 }
 
-/// The listed backends and the exclusions.
+/// The backends that discovery lists, and the exclusions in force.
 #[derive(Debug, Default)]
 pub struct BackendList {
     listed: FxHashMap<String, ListedBackend>,
@@ -26,7 +27,7 @@
 }
 
 impl BackendList {
-    /// An empty list under these exclusions.
+    /// An empty list with these exclusions in force.
     #[must_use]
     pub fn new(exclusions: Exclusions) -> Self {
         Self { listed: FxHashMap::default(), exclusions }
@@ -38,7 +39,7 @@
         &self.exclusions
     }
 
-    /// Whether a backend of this name is listed or excluded.
+    /// Whether a backend with this name is listed or excluded.
     #[must_use]
     pub fn is_known(&self, name: &str) -> bool {
         self.listed.contains_key(name) || self.exclusions.is_excluded(name)
@@ -51,7 +52,7 @@
         ready.filter(|(name, _)| !self.exclusions.is_excluded(name)).count()
     }
 
-    /// Applies a snapshot or a delta and returns its entries under the exclusions.
+    /// Applies a snapshot or a delta, and returns its entries with the exclusions applied.
     pub fn apply(&mut self, is_snapshot: bool, backends: Vec<NamedBackend>) -> Vec<ListedBackend> {
         if is_snapshot {
             self.listed.clear();
@@ -68,8 +69,9 @@
         updates
     }
 
-    /// Marks the listed ones of these backends as draining until they are listed anew, and returns their entries. For entries
-    /// that could not be parsed: what has changed is unknown, so nothing new is sent there.
+    /// Marks these backends as draining, if they are listed, until another list contains them, and returns
+    /// their entries. Used for entries that could not be parsed: what has changed is unknown, so no further
+    /// requests are sent there.
     pub fn mark_draining(&mut self, names: &[String]) -> Vec<ListedBackend> {
         let mut updates = Vec::new();
         for name in names {
@@ -81,7 +83,7 @@
         updates
     }
 
-    /// Replaces the exclusions and returns the entries that change by it.
+    /// Replaces the exclusions, and returns the entries that change as a result.
     pub fn set_exclusions(&mut self, exclusions: Exclusions) -> Vec<ListedBackend> {
         let changed = self.exclusions.differing_ids(&exclusions);
         self.exclusions = exclusions;
@@ -93,7 +95,7 @@
         if self.exclusions.is_excluded(name) && backend.readiness == Readiness::Ready {
             backend.readiness = Readiness::Draining;
         }
-        // A later start in the list is another restart and counts.
+        // A later start in the list is another restart and takes precedence.
         if let Some(included_at) = self.exclusions.reincluded_at(name) {
             let started_at =
                 backend.started_at.map_or(included_at, |started: Micros| started.max(included_at));
--- a/crates/http-proxy/src/backend_list/tests.rs
+++ b/crates/http-proxy/src/backend_list/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_exclusion_overrides_every_list() {
+fn an_exclusion_takes_precedence_over_every_list() {
     let mut backend_list = BackendList::default();
     let ready = |name| entry(name, Readiness::Ready, None);
     backend_list.apply(true, vec![ready("a"), ready("b")]);
@@ -31,7 +31,7 @@
     assert_eq!(updates.iter().map(|l| l.backend.readiness).collect::<Vec<_>>(), [Readiness::Draining]);
     assert!(exclude(&mut backend_list, "a").is_empty(), "no change");
     assert_eq!(backend_list.ready_count(), 1);
-    // Listed in a delta, in a snapshot, and after its removal.
+    // Listed by a delta, by a snapshot, and once more after its removal.
     assert_eq!(backend_list.apply(false, vec![ready("a")])[0].backend.readiness, Readiness::Draining);
     assert_eq!(
         backend_list.apply(true, vec![ready("a"), ready("b")])[0].backend.readiness,
@@ -54,7 +54,7 @@
         (updates[0].backend.readiness, updates[0].backend.started_at),
         (Readiness::Ready, Some(9_000))
     );
-    // The list reports the restart during the exclusion late: that is not another restart.
+    // The list reports the restart during the exclusion late: this is not another restart.
     let late = backend_list.apply(false, vec![entry("a", Readiness::Ready, Some(7_000))]);
     assert_eq!(late[0].backend.started_at, Some(9_000));
     let restarted = backend_list.apply(false, vec![entry("a", Readiness::Ready, Some(12_000))]);
@@ -64,7 +64,7 @@
 }
 
 proptest! {
-    /// Whatever the order of lists and operators' commands.
+    /// For any order of lists and operators' commands.
     #[test]
     fn an_excluded_backend_is_never_reported_as_ready(
         steps in proptest::collection::vec((0_u8..4, 0_u8..4, 0_u8..3), 0..60),
--- a/crates/http-proxy/src/backend_pool.rs
+++ b/crates/http-proxy/src/backend_pool.rs
@@ -1,4 +1,4 @@
-//! The listed backends and the pool of connections to them.
+//! The backends that discovery lists, and the pool of connections to them.
 
 mod attempt;
 mod connect;
@@ -17,21 +17,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How often expired idle connections are closed.
+/// The interval at which expired idle connections are closed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection may take to accept another request after its response.
+/// The maximum time after a response until its connection accepts another request.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A backend in the balancer's terms, and its address.
+/// A backend as the balancer identifies it, and its address.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedBackend {
-    /// The backend in the balancer's terms.
+    /// The backend with its id, zone, machine kind, readiness and start time.
     pub backend: Backend,
-    /// Where it listens.
+    /// The address at which it accepts connections.
     pub address: SocketAddr,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check, with its response and load report.
 type AttemptEnd = request_engine::engine::AttemptEnd<crate::exchange::BackendResponse>;
 
 /// A listed backend and its idle connections.
@@ -39,9 +39,9 @@
     address: Cell<SocketAddr>,
     started_at: Cell<Option<Micros>>,
     is_ready: Cell<bool>,
-    /// Counts its restarts and moves: a connection to an earlier incarnation is not reused.
+    /// The number of restarts and address changes. A connection to an earlier incarnation is not reused.
     incarnation: Cell<u64>,
-    /// The longest idle first.
+    /// Idle connections, the longest idle first.
     idle: RefCell<Vec<IdleConnection>>,
 }
 
@@ -58,11 +58,11 @@
 
     fn add_idle(&self, connection: BackendConnection) {
         if self.incarnation.get() == connection.incarnation {
-            self.idle.borrow_mut().push(IdleConnection { connection, since: Instant::now() });
+            self.idle.borrow_mut().push(IdleConnection { connection, idle_since: Instant::now() });
         }
     }
 
-    /// Makes a connection available for reuse once it accepts another request.
+    /// Returns a connection to the pool once it accepts another request.
     fn release(self: &Rc<Self>, mut connection: BackendConnection) {
         if connection.sender.is_ready() {
             return self.add_idle(connection);
@@ -76,20 +76,20 @@
         });
     }
 
-    /// Closes the idle connections, and keeps those in use from being reused.
+    /// Closes the idle connections, and prevents the reuse of connections that are in use.
     fn end_incarnation(&self) {
         self.incarnation.set(self.incarnation.get() + 1);
         self.idle.borrow_mut().clear();
     }
 
-    /// Ends all use of a removed backend, except for attempts that have started.
+    /// Ends all use of a removed backend, except by attempts that have already started.
     fn remove(&self) {
         self.is_ready.set(false);
         self.end_incarnation();
     }
 }
 
-/// All listed backends and the connections to them.
+/// All listed backends, and the connections to them.
 pub struct BackendPool {
     backends: RefCell<FxHashMap<BackendId, Rc<PooledBackend>>>,
     open_sockets: Rc<Cell<usize>>,
@@ -100,8 +100,9 @@
 }
 
 impl BackendPool {
-    /// An empty pool of up to `max_sockets` connections. `connect_timeout` and `backend_idle_timeout` (how long backends keep
-    /// an idle connection open) are in microseconds; `report_fields` are the fields of a load report in the balancer's order.
+    /// An empty pool of at most `max_sockets` connections. `connect_timeout` and `backend_idle_timeout` (the
+    /// time for which backends keep an idle connection open) are in microseconds. `report_fields` are the
+    /// fields of a load report in the balancer's order.
     #[must_use]
     pub fn new(
         max_sockets: usize,
@@ -119,13 +120,13 @@
         })
     }
 
-    /// Replaces the timeouts (microseconds), also for connections that are idle already.
+    /// Replaces the timeouts (microseconds). They also apply to connections that are already idle.
     pub fn set_timeouts(&self, connect_timeout: Micros, backend_idle_timeout: Micros) {
         self.connect_timeout.set(Duration::from_micros(connect_timeout));
         self.idle_limit.set(idle_limit(backend_idle_timeout));
     }
 
-    /// Applies discovery's entry of one backend.
+    /// Applies a list entry: adds, changes or removes one backend.
     pub fn update(
         &self,
         id: BackendId,
@@ -135,20 +136,20 @@
     ) {
         let mut backends = self.backends.borrow_mut();
         if readiness == Readiness::Removed {
-            // Attempts in flight keep a reference; a later backend with this id is another one.
+            // Attempts in flight keep a reference. A later backend with this id is a different one.
             return backends.remove(&id).iter().for_each(|backend| backend.remove());
         }
         let backend = backends.entry(id).or_insert_with(|| PooledBackend::new(address, started_at));
         backend.is_ready.set(readiness == Readiness::Ready);
         let has_restarted = backend.started_at.replace(started_at) != started_at;
         let has_moved = backend.address.replace(address) != address;
-        // The connections of the old process are dead, or will end in a reset.
+        // Connections to the previous process are closed or will be reset.
         if has_restarted || has_moved {
             backend.end_incarnation();
         }
     }
 
-    /// Applies a snapshot: removes the backends that it does not list.
+    /// Removes the backends that a snapshot does not list.
     pub fn retain(&self, is_listed: impl Fn(BackendId) -> bool) {
         self.backends.borrow_mut().retain(|&id, backend| {
             let listed = is_listed(id);
@@ -159,20 +160,20 @@
         });
     }
 
-    /// Closes the idle connections to a backend.
+    /// Closes the idle connections to a backend, if it is listed.
     pub fn close_idle(&self, id: BackendId) {
         if let Some(backend) = self.backend(id) {
             backend.idle.borrow_mut().clear();
         }
     }
 
-    /// The backend with this id, if it is listed.
+    /// The backend with this id; `None` if it is not listed.
     #[must_use]
     pub fn backend(&self, id: BackendId) -> Option<Rc<PooledBackend>> {
         self.backends.borrow().get(&id).cloned()
     }
 
-    /// The address of a backend, if it is listed as ready.
+    /// The address of a backend; `None` unless it is listed as ready.
     #[must_use]
     pub fn address(&self, id: BackendId) -> Option<SocketAddr> {
         let backends = self.backends.borrow();
@@ -190,10 +191,10 @@
     }
 
     fn is_usable(&self, idle: &IdleConnection) -> bool {
-        !idle.connection.sender.is_closed() && idle.since.elapsed() < self.idle_limit.get()
+        !idle.connection.sender.is_closed() && idle.idle_since.elapsed() < self.idle_limit.get()
     }
 
-    /// Replaces the maximum number of connections, and closes idle ones beyond it.
+    /// Replaces the maximum number of connections, and closes idle ones that exceed it.
     pub fn set_max_sockets(&self, max_sockets: usize) {
         self.max_sockets.set(max_sockets);
         while self.open_sockets.get() > max_sockets && self.close_longest_idle() {}
@@ -201,17 +202,18 @@
 
     fn take_idle(&self, backend: &PooledBackend) -> Option<BackendConnection> {
         let mut all = backend.idle.borrow_mut();
-        while let Some(index) = select_idle(all.iter().map(|idle| idle.since.elapsed())) {
+        while let Some(index) = select_idle(all.iter().map(|idle| idle.idle_since.elapsed())) {
             let idle = all.remove(index);
             let connection = &idle.connection;
-            if self.is_usable(&idle) && connection.sender.is_ready() && connection.socket.is_quiet() {
+            if self.is_usable(&idle) && connection.sender.is_ready() && connection.socket.is_input_empty() {
                 return Some(idle.connection);
             }
         }
         None
     }
 
-    /// Makes a socket available, by closing an idle connection if necessary; false if all sockets are in use.
+    /// Makes a socket available, if necessary by closing an idle connection. Returns false if all sockets are
+    /// in use.
     fn reserve_socket(&self) -> bool {
         if self.open_sockets.get() < self.max_sockets.get() {
             return true;
@@ -221,8 +223,8 @@
 
     fn close_longest_idle(&self) -> bool {
         let backends = self.backends.borrow();
-        let oldest = backends.values().filter_map(|b| Some((b.idle.borrow().first()?.since, b)));
-        let Some((_, backend)) = oldest.min_by_key(|(since, _)| *since) else { return false };
+        let oldest = backends.values().filter_map(|b| Some((b.idle.borrow().first()?.idle_since, b)));
+        let Some((_, backend)) = oldest.min_by_key(|(idle_since, _)| *idle_since) else { return false };
         backend.idle.borrow_mut().remove(0);
         true
     }
--- a/crates/http-proxy/src/backend_pool/attempt.rs
+++ b/crates/http-proxy/src/backend_pool/attempt.rs
@@ -1,7 +1,7 @@
-//! Attempts of requests.
+//! Attempts of requests on backends.
 //!
-//! An attempt writes its request once. Whether the request may be retried is decided by the balancer, which has to know
-//! whether the complete request was written.
+//! An attempt writes its request once. The balancer decides about retries; for this it has to know whether
+//! the complete request was written.
 
 use super::connect::ConnectError;
 use super::connection::BackendConnection;
@@ -15,15 +15,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The shortest time that an attempt may have left at its start.
+/// The minimum time that has to be left when an attempt starts.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
-/// How often the progress of a streamed upload is checked.
+/// The interval at which the progress of a streamed upload is checked.
 const UPLOAD_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the runtime polls until a response that the kernel has reaches the attempt: sockets, head, body, and one in
-/// reserve. Takes microseconds.
+/// The number of polls by the runtime until a response that the kernel has received reaches the attempt:
+/// sockets, head, body, and one in reserve. They take microseconds.
 const FINAL_POLLS: u32 = 4;
 
-/// An attempt that may write its request.
+/// An attempt that has a connection and may write its request.
 struct StartedAttempt {
     connection: BackendConnection,
     started_at: Instant,
@@ -31,8 +31,8 @@
 }
 
 impl BackendPool {
-    /// Makes an attempt of a request on a backend. Ends at `times.give_up_at` (later for a streamed upload, whose time counts
-    /// from its last byte), or when it is cancelled.
+    /// Makes an attempt of a request on a backend. It ends at `times.give_up_at` or when it is cancelled. The
+    /// time limit of a streamed upload counts from its last byte, so that its attempt may end later.
     pub async fn attempt(
         self: Rc<Self>,
         backend: Rc<PooledBackend>,
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Gets a connection and checks that the attempt may still start; otherwise returns its outcome.
+    /// Gets a connection and checks that the attempt may still start. Otherwise returns the outcome of the
+    /// attempt.
     async fn start(
         self: &Rc<Self>,
         backend: &Rc<PooledBackend>,
@@ -54,23 +55,25 @@
         times: &AttemptTimes,
         cancellation: &CancellationSignal,
     ) -> Result<StartedAttempt, Outcome> {
-        // The client may have disconnected in the same poll of the runtime.
-        if cancellation.is_start_cancelled() || request.is_abandoned().await {
+        // The client may have disconnected during the same poll of the runtime.
+        if cancellation.is_start_cancelled() || request.has_client_disconnected().await {
             return Err(Outcome::NotSent);
         }
         let connection = self.connect_unless_cancelled(backend, times.give_up_at, cancellation).await?;
-        // Rule 3: while connecting, the backend may have started to drain or have been replaced.
+        // During the connect the backend may have started to drain, or may have been replaced: it must not
+        // get further requests.
         if !backend.is_ready.get() || connection.incarnation != backend.incarnation.get() {
             return Err(Outcome::NotSent);
         }
-        // While connecting, the client may have disconnected, which nothing here has noticed yet.
-        if request.is_abandoned().await {
+        // During the connect the client may have disconnected, which has not been noticed yet.
+        if request.has_client_disconnected().await {
             backend.release(connection);
             return Err(Outcome::NotSent);
         }
         let started_at = Instant::now();
         let time_left = times.give_up_at.saturating_duration_since(started_at).min(request.timeout);
-        // Rule 2: while connecting, the time in which a retry may start may have ended.
+        // During the connect the time in which a retry may start may have passed: a later retry could be
+        // executed twice.
         let is_late = times.start_by.is_some_and(|start_by| started_at >= start_by);
         if is_late || time_left < MIN_TIME_LEFT || request.body.is_consumed() {
             backend.release(connection);
@@ -113,7 +116,8 @@
         let head_end = written_before + min_head_size(&outbound);
         let cancelled = async {
             cancellation.start_cancelled().await;
-            // Once written in part, the request continues without its client unless the balancer cancels the attempt.
+            // Once a part of it is written, the request continues without its client unless the balancer
+            // cancels the attempt.
             if socket.written() > written_before {
                 cancellation.cancelled().await;
             }
@@ -122,15 +126,16 @@
             biased;
             exchanged = exchange(&mut connection.sender, outbound) => exchanged,
             () = cancelled => Err(ExchangeError::Cancelled),
-            () = time_over_and_responses_polled(request, give_up_at) => Err(ExchangeError::TimedOut),
+            () = wait_for_deadline_and_final_polls(request, give_up_at) => Err(ExchangeError::TimedOut),
         };
-        // Rule 2: a request that the socket did not take completely can't be executed; otherwise nothing is certain. Between
-        // reading the count and dropping the connection nothing is awaited, so nothing more is written.
+        // A request that the socket has not accepted completely can't be executed, so that a retry is safe;
+        // otherwise it may have been executed. Nothing is awaited between reading the count and dropping the
+        // connection, so nothing more is written.
         let body_size = request.body.min_wire_size();
-        let all_written = body_size.is_some_and(|size| connection.socket.written() >= head_end + size);
+        let is_fully_written = body_size.is_some_and(|size| connection.socket.written() >= head_end + size);
         let mut end = match exchanged {
             Ok(response) => self.response_end(response, backend, connection),
-            Err(error) => failure_outcome(error, all_written, &request.body).into(),
+            Err(error) => failure_outcome(error, is_fully_written, &request.body).into(),
         };
         if let RequestBody::Streamed(upload) = &request.body {
             let upload_end = upload.completed_at().unwrap_or_else(Instant::now);
@@ -142,45 +147,46 @@
 }
 
 /// The outcome of an attempt without a response.
-fn failure_outcome(error: ExchangeError, all_written: bool, body: &RequestBody) -> Outcome {
+fn failure_outcome(error: ExchangeError, is_fully_written: bool, body: &RequestBody) -> Outcome {
     let is_upload_incomplete = || {
         matches!(body, RequestBody::Streamed(upload)
             if upload.has_client_failed() || upload.completed_at().is_none())
     };
     match error {
-        // Also before the complete request was written: the meaning of an early response is unknown.
+        // Also if the request was not written completely: the meaning of an early response is unknown.
         ExchangeError::Malformed => Outcome::Malformed,
-        ExchangeError::Cancelled if all_written => Outcome::Cancelled,
-        ExchangeError::TimedOut if all_written => Outcome::Timeout,
-        ExchangeError::ConnectionFailed if all_written => Outcome::Reset,
+        ExchangeError::Cancelled if is_fully_written => Outcome::Cancelled,
+        ExchangeError::TimedOut if is_fully_written => Outcome::Timeout,
+        ExchangeError::ConnectionFailed if is_fully_written => Outcome::Reset,
         ExchangeError::Cancelled => Outcome::NotSent,
-        // The client aborted the upload, or was too slow: not the backend's fault.
+        // The client aborted the upload or was too slow: not a failure of the backend.
         _ if is_upload_incomplete() => Outcome::NotSent,
         _ => Outcome::ConnectFailed,
     }
 }
 
-/// Waits until the time of an attempt is over and everything that its backend has sent by then was read: after a stall the
-/// runtime runs timers before it polls sockets.
-async fn time_over_and_responses_polled(request: &ForwardedRequest, give_up_at: Instant) {
-    time_over(request, give_up_at).await;
+/// Waits until the time limit of an attempt has passed and everything that its backend has sent by then is
+/// read: after a stall the runtime runs timers before it polls sockets.
+async fn wait_for_deadline_and_final_polls(request: &ForwardedRequest, give_up_at: Instant) {
+    wait_for_deadline(request, give_up_at).await;
     for _ in 0..FINAL_POLLS {
         tokio::task::yield_now().await;
     }
 }
 
-/// Waits until the time of an attempt is over. That of a streamed upload counts from its last byte; until then its client has
-/// to reach the minimum transfer rate.
-async fn time_over(request: &ForwardedRequest, give_up_at: Instant) {
+/// Waits until the time limit of an attempt has passed. For a streamed upload it counts from the last byte;
+/// until then the client has to reach the minimum transfer rate.
+async fn wait_for_deadline(request: &ForwardedRequest, give_up_at: Instant) {
     let RequestBody::Streamed(upload) = &request.body else { return sleep_until(give_up_at).await };
     let started_at = Instant::now();
     let completed_at = loop {
         if let Some(completed_at) = upload.completed_at() {
             break completed_at;
         }
-        let silence_end = upload.last_chunk_at().max(started_at) + min_transfer_rate::SILENCE_TIMEOUT;
-        let rate_end = started_at + min_transfer_rate::timeout_after(upload.forwarded_bytes());
-        if Instant::now() > rate_end.min(silence_end) {
+        let inactivity_deadline =
+            upload.last_chunk_at().max(started_at) + min_transfer_rate::INACTIVITY_TIMEOUT;
+        let rate_deadline = started_at + min_transfer_rate::timeout_after(upload.forwarded_bytes());
+        if Instant::now() > rate_deadline.min(inactivity_deadline) {
             return;
         }
         sleep(UPLOAD_CHECK_INTERVAL).await;
--- a/crates/http-proxy/src/backend_pool/connect.rs
+++ b/crates/http-proxy/src/backend_pool/connect.rs
@@ -12,12 +12,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 pub(super) enum ConnectError {
-    /// The backend did not accept it.
+    /// The backend did not accept the connection.
     Backend,
-    /// This machine lacks descriptors, ports or memory, or has no route. Not counted against the backend: healthy ones would
-    /// be ejected.
+    /// This machine lacks descriptors, ports or memory, or has no route. This is not counted as a failure of
+    /// the backend, since healthy backends would be ejected.
     Local,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl BackendPool {
-    /// An idle connection, or else a new one, opened until `deadline` at the latest.
+    /// Takes an idle connection, or opens one before `deadline`.
     pub(super) async fn take_or_connect(
         &self,
         backend: &PooledBackend,
@@ -75,7 +75,7 @@
         let handshake = http1::Builder::new().max_buf_size(MAX_RESPONSE_HEAD_BYTES).handshake(io).await;
         let (sender, connection) = handshake.map_err(|_| ConnectError::Backend)?;
         let task = tokio::task::spawn_local(async move {
-            // Its error shows in the exchange on the connection.
+            // The exchange on the connection reports the error.
             let _ = connection.await;
         });
         Ok(BackendConnection { sender, socket, task, incarnation, _open_socket: open_socket })
--- a/crates/http-proxy/src/backend_pool/connection.rs
+++ b/crates/http-proxy/src/backend_pool/connection.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Counts an open socket until it is dropped.
+/// Counts as an open socket until it is dropped.
 pub(super) struct OpenSocket(Rc<Cell<usize>>);
 
 impl OpenSocket {
@@ -24,12 +24,12 @@
     }
 }
 
-/// A connection to a backend. Dropping it closes it, with any request on it.
+/// A connection to a backend. Dropping it closes the connection and aborts a request on it.
 pub(super) struct BackendConnection {
     pub(super) sender: SendRequest<OutboundBody>,
     pub(super) socket: Rc<CountingSocket>,
     pub(super) task: JoinHandle<()>,
-    /// The incarnation of the backend that it was opened to.
+    /// The incarnation of the backend at the time of the connect.
     pub(super) incarnation: u64,
     pub(super) _open_socket: OpenSocket,
 }
@@ -40,8 +40,8 @@
     }
 }
 
-/// A connection that can be reused.
+/// A connection that is available for reuse.
 pub(super) struct IdleConnection {
     pub(super) connection: BackendConnection,
-    pub(super) since: Instant,
+    pub(super) idle_since: Instant,
 }
--- a/crates/http-proxy/src/backend_pool/health_check.rs
+++ b/crates/http-proxy/src/backend_pool/health_check.rs
@@ -10,11 +10,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a health check may take once it has a connection.
+/// The time limit for a health check, counted from an established connection.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl BackendPool {
-    /// Checks a backend's health; `with_load_report` requests its load report as well.
+    /// Checks the health of a backend. `with_load_report` requests a load report as well, which may be in a
+    /// header or in the body.
     pub async fn check_health(
         self: Rc<Self>,
         backend: Rc<PooledBackend>,
--- a/crates/http-proxy/src/backend_pool/idle_selection.rs
+++ b/crates/http-proxy/src/backend_pool/idle_selection.rs
@@ -1,24 +1,26 @@
-//! Which idle connection is reused, and for how long. Pure: no I/O, no clock.
+//! Selects the idle connection to reuse, and limits how long connections are reused. Pure: no I/O, no clock.
 
 use balancer::api::Micros;
 use std::time::Duration;
 
-/// How long before a backend's idle timeout a connection is no longer reused: the backend's timer started earlier.
-const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// After this time a backend's close following its response has been received: a round trip within a region, and the
-/// scheduling of its process.
+/// A connection is no longer reused when less than this is left of its backend's idle timeout: the backend's
+/// timer started earlier.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
+/// Within this time after a response, the close with which a backend follows it has arrived: a round trip
+/// within a region, and the scheduling of the backend's process.
 const CLOSE_DETECTION_TIME: Duration = Duration::from_millis(5);
 
-/// How long a connection may be idle and still be reused, where backends keep it open for `backend_idle_timeout`
-/// (microseconds).
+/// The maximum idle time of a connection that is reused, if backends keep idle connections open for
+/// `backend_idle_timeout` (microseconds).
 pub(super) fn idle_limit(backend_idle_timeout: Micros) -> Duration {
     let timeout = Duration::from_micros(backend_idle_timeout);
-    timeout.saturating_sub(IDLE_MARGIN).max(timeout / 2)
+    timeout.saturating_sub(IDLE_TIMEOUT_MARGIN).max(timeout / 2)
 }
 
-/// Selects an idle connection by how long each has been idle, the longest first. Prefers the most recently used one, so that
-/// the others expire. One whose response was just received is taken only where all are: its backend may be closing it, and a
-/// request written before the close arrives would be lost.
+/// Selects an idle connection. `idle_times` are in the order of the connections, the longest idle first.
+/// Prefers the most recently used connection, so that the others expire. A connection whose response was
+/// received within [`CLOSE_DETECTION_TIME`] is selected only if there is no other: its backend may be closing
+/// it, and a request written before the close arrives would be lost.
 pub(super) fn select_idle(
     idle_times: impl DoubleEndedIterator<Item = Duration> + ExactSizeIterator,
 ) -> Option<usize> {
--- a/crates/http-proxy/src/backend_pool/idle_selection/tests.rs
+++ b/crates/http-proxy/src/backend_pool/idle_selection/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn selects_a_just_used_connection_only_if_all_are() {
+fn selects_a_connection_that_was_just_used_only_if_there_is_no_other() {
     let select = |ms: &[u64]| select_idle(ms.iter().map(|&ms| Duration::from_millis(ms)));
     assert_eq!(select(&[]), None);
     assert_eq!(select(&[900, 40, 5]), Some(2), "the most recently used one");
-    assert_eq!(select(&[900, 40, 4]), Some(1), "the backend of the last may be closing it");
+    assert_eq!(select(&[900, 40, 4]), Some(1), "the backend of the last one may be closing it");
     assert_eq!(select(&[4, 3, 0]), Some(2));
     assert_eq!(select(&[5, 4, 4]), Some(0));
 }
 
-/// A margin of a second, or of half the backend's timeout where that is less.
+/// The margin is one second, or half of the backend's idle timeout if that is less.
 #[test]
 fn never_reuses_a_connection_close_to_the_backends_idle_timeout() {
     for (ms, limit_ms) in
--- a/crates/http-proxy/src/backend_pool/response.rs
+++ b/crates/http-proxy/src/backend_pool/response.rs
@@ -1,4 +1,4 @@
-//! What a backend's response means, and what happens to its connection.
+//! Derives the outcome of an attempt from the backend's response, and releases or closes the connection.
 
 use super::connection::BackendConnection;
 use super::{AttemptEnd, BackendPool, PooledBackend};
@@ -9,13 +9,14 @@
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName};
 use std::rc::Rc;
 
-/// Marks a response to a request that the backend has not processed.
+/// Has the value `1` if the backend has not processed the request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
-/// Carries a load report.
-const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
+/// Contains a load report.
+const LOAD_REPORT: HeaderName = HeaderName::from_static("x-backend-load");
 
 impl BackendPool {
-    /// The end of an attempt with this response. The connection is released once its body is complete.
+    /// The end of an attempt with this response. The connection returns to the pool once the body is
+    /// complete.
     pub(super) fn response_end(
         &self,
         response: ReceivedResponse,
@@ -23,14 +24,14 @@
         connection: BackendConnection,
     ) -> AttemptEnd {
         let outcome = outcome(response.status, &response.headers);
-        let report = response.headers.get(LOAD).and_then(|v| v.to_str().ok());
+        let report = response.headers.get(LOAD_REPORT).and_then(|v| v.to_str().ok());
         let load_report = report.map(|text| self.parse_load_report(text)).unwrap_or_default();
         let body = match response.body {
             ReceivedBody::Complete(bytes) => {
                 backend.release(connection);
                 Some(ResponseBody::buffered(bytes))
             }
-            // The rest of a response that is not forwarded is not worth reading: its connection closes.
+            // The remaining body is not forwarded and therefore not read: its connection closes.
             ReceivedBody::Partial(_) if outcome != Outcome::Ok => None,
             ReceivedBody::Partial(PartialBody { received, remaining, length }) => {
                 let on_complete: OnComplete = Box::new(move || backend.release(connection));
@@ -44,7 +45,8 @@
         AttemptEnd { outcome, response, load_report, client_wait: 0 }
     }
 
-    /// Parses a load report (`name=value,...`) into the order of the settings; a missing value is NaN.
+    /// Parses a load report (`name=value,...`). The values are in the order of the settings; a missing or
+    /// malformed one is NaN.
     pub(super) fn parse_load_report(&self, text: &str) -> Vec<f32> {
         let value = |field: &String| {
             let mut pairs = text.split(',').filter_map(|pair| pair.split_once('='));
--- a/crates/http-proxy/src/body.rs
+++ b/crates/http-proxy/src/body.rs
@@ -24,45 +24,45 @@
 /// Why forwarding a body failed.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The connection that it is read from failed.
-    #[error("its connection failed: {0}")]
+    /// The connection that the body is read from failed.
+    #[error("connection failed: {0}")]
     Connection(#[from] hyper::Error),
-    /// The sender paused for too long.
-    #[error("nothing came for too long")]
+    /// The sender paused for longer than allowed.
+    #[error("no data received within the time limit")]
     Stalled,
-    /// It exceeds [`MAX_BODY_BYTES`].
-    #[error("more than {MAX_BODY_BYTES} bytes")]
+    /// The body exceeds [`MAX_BODY_BYTES`].
+    #[error("body exceeds {MAX_BODY_BYTES} bytes")]
     TooLarge,
 }
 
-/// The result of polling a body for its next frame; `None` at its end.
+/// The result of polling a body for its next frame; `None` at the end of the body.
 pub type FramePoll = Poll<Option<Result<Frame<Bytes>, BodyError>>>;
 
 /// A body that is forwarded while it arrives.
 pub trait StreamedBody: Unpin {
-    /// Polls for the next frame, as [`Body::poll_frame`] does.
+    /// Polls for the next frame, like [`Body::poll_frame`].
     fn poll_frame(&mut self, cx: &mut Context<'_>) -> FramePoll;
 
-    /// The length of the complete body in bytes, where its head gives it.
+    /// The length of the complete body in bytes, if its head gives it.
     fn length(&self) -> Option<u64>;
 }
 
-/// A body that is sent on to a backend or a client.
+/// A body that is forwarded to a backend or a client.
 #[derive(Debug)]
 pub enum ForwardedBody<S> {
-    /// Held in memory.
+    /// Buffered in memory.
     Buffered(Full<Bytes>),
     /// Forwarded while it arrives.
     Streamed(S),
 }
 
-/// The body of a request to a backend; a buffered one can be sent again.
+/// The body of a request to a backend. Only a buffered one can be sent more than once.
 pub type OutboundBody = ForwardedBody<Rc<StreamedUpload>>;
 /// The body of a response to a client.
 pub type ResponseBody = ForwardedBody<Box<StreamedResponse>>;
 
 impl<S> ForwardedBody<S> {
-    /// A body of these bytes.
+    /// A body in memory that consists of these bytes.
     #[must_use]
     pub fn buffered(bytes: Bytes) -> Self {
         Self::Buffered(Full::new(bytes))
@@ -95,13 +95,13 @@
     }
 }
 
-/// The exact length of a body in bytes, where its head gives one.
+/// The length of a body in bytes, if its head gives one.
 #[must_use]
 pub fn exact_size(body: &Incoming, headers: &HeaderMap) -> Option<u64> {
     body.size_hint().exact().filter(|_| !headers.contains_key(TRANSFER_ENCODING))
 }
 
-/// Reads the next chunk of a body; `None` at its end. Trailers are skipped.
+/// Reads the next chunk of a body; `None` at the end of the body. Trailers are skipped.
 ///
 /// # Errors
 /// The connection failed, or its framing is invalid.
--- a/crates/http-proxy/src/body/memory_budget.rs
+++ b/crates/http-proxy/src/body/memory_budget.rs
@@ -1,13 +1,13 @@
-//! The memory that buffered bodies above the usual size may take in total.
+//! Bounds the memory that buffered bodies above the usual size take in total.
 
 use bytes::Bytes;
 use std::mem::ManuallyDrop;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The bytes that are still available to buffered bodies over
-/// [`MAX_BUFFERED_BODY_BYTES`](crate::size_limits::MAX_BUFFERED_BODY_BYTES). Smaller bodies are bounded by the number of
-/// connections instead.
+/// The number of bytes that are still available to buffered bodies over
+/// [`MAX_BUFFERED_BODY_BYTES`](crate::size_limits::MAX_BUFFERED_BODY_BYTES). Smaller bodies are bounded by
+/// the number of connections instead.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget(Arc<AtomicUsize>);
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// A part of a [`MemoryBudget`], returned on drop.
+/// A reserved part of a [`MemoryBudget`], returned to it on drop.
 #[derive(Debug)]
 pub struct MemoryReservation {
     bytes: usize,
@@ -35,14 +35,15 @@
 }
 
 impl MemoryReservation {
-    /// Reserves this many bytes more. Returns false, and changes nothing, if fewer are available.
+    /// Reserves this many additional bytes. Returns false, and changes nothing, if fewer are available.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let Some(additional) = self.budget.reserve(bytes) else { return false };
         self.bytes += ManuallyDrop::new(additional).bytes;
         true
     }
 
-    /// Ties the reservation to a body: it is returned once the last reference to the bytes is dropped.
+    /// Ties the reservation to a body: the memory is returned once the last reference to the bytes is
+    /// dropped.
     #[must_use]
     pub fn attach_to(self, body: Bytes) -> Bytes {
         Bytes::from_owner(ReservedBytes { body, _reservation: self })
--- a/crates/http-proxy/src/body/streamed_response.rs
+++ b/crates/http-proxy/src/body/streamed_response.rs
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// The longest pause of a backend within a streamed response.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The maximum time for which a backend may send nothing within a streamed response.
+const INACTIVITY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Called once a response is complete, to release its connection.
+/// Called once a response is complete, to release the backend connection.
 pub type OnComplete = Box<dyn FnOnce()>;
 
-/// A response body that is not buffered.
+/// The body of a response that is too large to be buffered.
 pub struct StreamedResponse {
     received: VecDeque<Bytes>,
     remaining: Incoming,
     length: Option<u64>,
     forwarded_bytes: u64,
-    silence_timer: Pin<Box<Sleep>>,
+    inactivity_timer: Pin<Box<Sleep>>,
     on_complete: Option<OnComplete>,
 }
 
@@ -37,9 +37,9 @@
 }
 
 impl StreamedResponse {
-    /// A body of which `received` has arrived and `remaining` has not; `length` is that of the complete body in bytes, where
-    /// it is known. `on_complete` is called when the last byte has arrived; if it is dropped instead, it closes the
-    /// connection.
+    /// A body of which `received` has arrived and `remaining` has not. `length` is that of the complete body
+    /// in bytes, if it is known. `on_complete` is called when the last byte has arrived. If it is dropped
+    /// without being called, it closes the backend connection.
     #[must_use]
     pub fn new(
         received: VecDeque<Bytes>,
@@ -52,7 +52,7 @@
             remaining,
             length,
             forwarded_bytes: 0,
-            silence_timer: Box::pin(sleep(SILENCE_TIMEOUT)),
+            inactivity_timer: Box::pin(sleep(INACTIVITY_TIMEOUT)),
             on_complete: Some(on_complete),
         }
     }
@@ -76,7 +76,7 @@
                     if self.forwarded_bytes > MAX_BODY_BYTES {
                         return Poll::Ready(Some(Err(BodyError::TooLarge)));
                     }
-                    self.silence_timer.as_mut().reset(Instant::now() + SILENCE_TIMEOUT);
+                    self.inactivity_timer.as_mut().reset(Instant::now() + INACTIVITY_TIMEOUT);
                     return Poll::Ready(Some(Ok(Frame::data(chunk))));
                 }
                 Poll::Ready(Some(Err(error))) => return Poll::Ready(Some(Err(error.into()))),
@@ -87,7 +87,7 @@
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
-                    ready!(self.silence_timer.as_mut().poll(cx));
+                    ready!(self.inactivity_timer.as_mut().poll(cx));
                     return Poll::Ready(Some(Err(BodyError::Stalled)));
                 }
             }
--- a/crates/http-proxy/src/body/streamed_upload.rs
+++ b/crates/http-proxy/src/body/streamed_upload.rs
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll, ready};
 use tokio::time::Instant;
 
-/// A request body that is not buffered: it can be sent to one backend only, and only once.
+/// A request body that is not buffered. It can be sent only once, to a single backend.
 #[derive(Debug)]
 pub struct StreamedUpload {
     received: RefCell<VecDeque<Bytes>>,
@@ -25,8 +25,8 @@
 }
 
 impl StreamedUpload {
-    /// A body of which `received` has arrived, under `reservation`, and `remaining` has not. `length` is that of the complete
-    /// body in bytes, where the client gave one.
+    /// A body of which `received` has arrived, with `reservation` for its memory, and `remaining` has not.
+    /// `length` is that of the complete body in bytes, if the client gave one.
     #[must_use]
     pub fn new(
         received: VecDeque<Bytes>,
@@ -46,31 +46,31 @@
         })
     }
 
-    /// When the last byte was forwarded.
+    /// The time at which the last byte was forwarded; `None` before that.
     #[must_use]
     pub fn completed_at(&self) -> Option<Instant> {
         self.completed_at.get()
     }
 
-    /// Whether the body failed on the client's side.
+    /// Whether reading the body from the client failed.
     #[must_use]
     pub fn has_client_failed(&self) -> bool {
         self.client_failed.get()
     }
 
-    /// When the last chunk arrived.
+    /// The time at which the last chunk arrived.
     #[must_use]
     pub fn last_chunk_at(&self) -> Instant {
         self.last_chunk_at.get()
     }
 
-    /// The bytes that were forwarded so far.
+    /// The number of bytes that were forwarded so far.
     #[must_use]
     pub fn forwarded_bytes(&self) -> u64 {
         self.forwarded_bytes.get()
     }
 
-    /// Whether a part of it was forwarded, so that it can't be sent again.
+    /// Whether a part of it was forwarded, so that it can't be sent in another attempt.
     #[must_use]
     pub fn is_consumed(&self) -> bool {
         self.forwarded_bytes.get() > 0 || self.completed_at.get().is_some()
--- a/crates/http-proxy/src/body/tracked_response.rs
+++ b/crates/http-proxy/src/body/tracked_response.rs
@@ -1,4 +1,4 @@
-//! A response body that marks its client connection as free when it ends.
+//! A response body that ends the open request of its client connection when it is dropped.
 
 use super::{BodyError, FramePoll, ResponseBody};
 use crate::client_connection::ClientConnection;
@@ -9,14 +9,14 @@
 use std::task::Context;
 use tokio::time::Instant;
 
-/// The response to the open request of a client connection. Dropping it ends that request.
+/// The body of the response to the open request of a client connection. Dropping it ends that request.
 pub struct TrackedResponse {
     body: ResponseBody,
     connection: Rc<ClientConnection>,
 }
 
 impl TrackedResponse {
-    /// The response to the request that is open on this connection.
+    /// Wraps the response to the request that is open on this connection.
     #[must_use]
     pub fn new(body: ResponseBody, connection: Rc<ClientConnection>) -> Self {
         Self { body, connection }
--- a/crates/http-proxy/src/class_registry.rs
+++ b/crates/http-proxy/src/class_registry.rs
@@ -1,34 +1,34 @@
-//! The request classes that clients may name, including those of the previous settings for a grace period. Pure: no I/O, no
-//! clock.
+//! The request classes that clients may name. The classes of the previous settings are included for a grace
+//! period. Pure: no I/O, no clock.
 
-use crate::idempotency_claim::ClaimTerms;
+use crate::idempotency_claim::ClaimPolicy;
 use balancer::api::{Class, DedupScope, Idempotency, Micros, Settings};
 use hyper::Method;
 use rustc_hash::FxHashMap;
 
-/// How long a removed or changed class is still served as it was, in microseconds. Clients apply new settings 1.2 s after
-/// the proxies.
-const PREVIOUS_CLASS_GRACE: Micros = 3_000_000;
+/// How long the previous version of a removed or changed class still applies, in microseconds. Clients apply
+/// new settings 1.2 s later than the proxies.
+const PREVIOUS_CLASS_GRACE_PERIOD: Micros = 3_000_000;
 
-/// What requests of a class have to look like, and its position among the balancer's classes.
+/// The requirements for requests of a class, and the index of the class in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestClass {
-    /// Its position in the settings.
+    /// The index of the class in the settings.
     pub index: u8,
-    /// How long a client waits in total, in microseconds.
+    /// The response deadline of a request, as a duration from its arrival in microseconds.
     pub deadline: Micros,
     idempotency: Idempotency,
     method: Method,
 }
 
-/// Why a request matches no class.
+/// Why a request does not match a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassMismatch {
-    /// No class has this name.
+    /// No class with this name exists.
     UnknownClass,
-    /// The class does not allow this method.
+    /// The class requires another method.
     MethodNotAllowed,
-    /// The class requires an idempotency key.
+    /// The class is keyed, and the request has no idempotency key.
     MissingKey,
 }
 
@@ -42,8 +42,9 @@
         })
     }
 
-    /// How freely its requests may be retried: in how wide a scope, the narrowest first, and for how long.
-    fn retry_freedom(&self) -> (u8, Micros) {
+    /// A rank of how freely requests of the class may be retried: by the scope of retries (a higher number
+    /// for a wider scope), then by the time in which the idempotency key is valid.
+    fn retry_permissiveness(&self) -> (u8, Micros) {
         match self.idempotency {
             Idempotency::NonIdempotent => (0, 0),
             Idempotency::Keyed { scope: DedupScope::Cell, ttl } => (1, ttl),
@@ -57,7 +58,7 @@
         if self.method != method {
             return Err(ClassMismatch::MethodNotAllowed);
         }
-        // Without its key a retry would not be deduplicated.
+        // Without a key the backends could not deduplicate a retry.
         if matches!(self.idempotency, Idempotency::Keyed { .. }) && !has_key {
             return Err(ClassMismatch::MissingKey);
         }
@@ -68,13 +69,14 @@
 #[derive(Debug)]
 struct PreviousClass {
     class: RequestClass,
-    /// Its combination with the current version, where neither is the stricter one in all respects.
+    /// The combination with the current version; `None` if there is no current version, or if one of the two
+    /// versions is stricter in all respects.
     combined: Option<RequestClass>,
     served_until: Micros,
 }
 
 impl PreviousClass {
-    /// The version before `current` in these settings.
+    /// The version that precedes `current` in these settings.
     fn new(
         class: RequestClass,
         current: Option<&RequestClass>,
@@ -86,7 +88,7 @@
     }
 }
 
-/// The combination of two versions of a class; the settings list it beside them.
+/// The combination of two versions of a class, which the settings contain as a class of its own.
 fn combined_class(
     previous: &RequestClass,
     current: &RequestClass,
@@ -108,19 +110,20 @@
 #[derive(Debug, Default)]
 pub struct ClassRegistry {
     classes: FxHashMap<String, ClassVersions>,
-    /// By the class's position.
-    claim_terms: Vec<ClaimTerms>,
+    /// By the index of the class in the settings.
+    claim_policies: Vec<ClaimPolicy>,
 }
 
 impl ClassRegistry {
-    /// Applies new settings at `now` (microseconds). `names` gives each name with its class's position in the settings.
+    /// Applies new settings at `now` (microseconds). `names` yields the index of each class in the settings
+    /// together with its name.
     pub fn update<'a>(
         &mut self,
         now: Micros,
         settings: &Settings,
         names: impl Iterator<Item = (usize, &'a str)>,
     ) {
-        let served_until = now.saturating_add(PREVIOUS_CLASS_GRACE);
+        let served_until = now.saturating_add(PREVIOUS_CLASS_GRACE_PERIOD);
         let mut old_classes = std::mem::take(&mut self.classes);
         for (index, name) in names {
             let current = settings.classes.get(index).and_then(|class| RequestClass::new(index, class));
@@ -140,14 +143,14 @@
                 self.classes.insert(name, ClassVersions { current: None, previous });
             }
         }
-        self.claim_terms = settings.classes.iter().map(ClaimTerms::of).collect();
+        self.claim_policies = settings.classes.iter().map(ClaimPolicy::of).collect();
     }
 
-    /// The class of a request at `now` (microseconds). Within the grace period the stricter of two versions applies, or
-    /// what is stricter of each, since the client may know either.
+    /// The class of a request at `now` (microseconds). Within the grace period the client may know either
+    /// version. The stricter one then applies, or a combination of the stricter parts of both.
     ///
     /// # Errors
-    /// The request matches no class.
+    /// The request does not match the class of this name, or there is no such class.
     pub fn find(
         &self,
         now: Micros,
@@ -163,7 +166,9 @@
         let current = current.and_then(|class| class.check(method, has_key));
         match (current, previous, combined) {
             (Ok(_), Some(_), Some(combined)) => Ok(combined),
-            (Ok(current), Some(previous), None) if previous.retry_freedom() < current.retry_freedom() => {
+            (Ok(current), Some(previous), None)
+                if previous.retry_permissiveness() < current.retry_permissiveness() =>
+            {
                 Ok(previous)
             }
             (Err(_), Some(previous), _) => Ok(previous),
@@ -171,10 +176,10 @@
         }
     }
 
-    /// How requests of the class at this position are registered; `None` if there is no such class.
+    /// The registration policy for requests of the class with this index; `None` if there is no such class.
     #[must_use]
-    pub fn claim_terms(&self, index: u8) -> Option<ClaimTerms> {
-        self.claim_terms.get(usize::from(index)).copied()
+    pub fn claim_policy(&self, index: u8) -> Option<ClaimPolicy> {
+        self.claim_policies.get(usize::from(index)).copied()
     }
 }
 
--- a/crates/http-proxy/src/class_registry/tests.rs
+++ b/crates/http-proxy/src/class_registry/tests.rs
@@ -14,7 +14,8 @@
     settings
 }
 
-/// Clients apply new settings 1.2 s later: until then a request may be meant under either version.
+/// Clients apply new settings 1.2 s later than the proxy. Until then a request may have been sent under
+/// either version of its class.
 #[test]
 fn applies_the_stricter_version_within_the_grace_period() {
     let keyed = |scope, ttl| Idempotency::Keyed { scope, ttl };
@@ -26,7 +27,7 @@
         classes.update(100, &settings(&[previous, current]), std::iter::once((1, "lift")));
         let index = |at| classes.find(at, "lift", &Method::POST, true).map(|class| class.index);
         assert_eq!(index(100), Ok(expected), "{previous:?} {current:?}");
-        assert_eq!(index(100 + PREVIOUS_CLASS_GRACE), Ok(1), "{previous:?} {current:?}");
+        assert_eq!(index(100 + PREVIOUS_CLASS_GRACE_PERIOD), Ok(1), "{previous:?} {current:?}");
     }
 }
 
@@ -41,11 +42,11 @@
     assert_eq!(index(&classes, 0, "read", Method::POST, false), Err(ClassMismatch::MethodNotAllowed));
     assert_eq!(index(&classes, 0, "lift", Method::POST, false), Err(ClassMismatch::MissingKey));
     assert_eq!(index(&classes, 0, "none", Method::GET, false), Err(ClassMismatch::UnknownClass));
-    // "read" becomes non-idempotent at another position, "lift" is removed, "view" is new.
+    // "read" becomes non-idempotent and gets another index, "lift" is removed, "view" is added.
     let changed =
         settings(&[Idempotency::Idempotent, KEYED, Idempotency::NonIdempotent, Idempotency::Idempotent]);
     classes.update(100, &changed, [(2, "read"), (3, "view")].into_iter());
-    let grace_end = 100 + PREVIOUS_CLASS_GRACE - 1;
+    let grace_end = 100 + PREVIOUS_CLASS_GRACE_PERIOD - 1;
     for now in [100, grace_end] {
         assert_eq!(index(&classes, now, "read", Method::GET, false), Ok(0), "the previous version");
         assert_eq!(index(&classes, now, "read", Method::POST, false), Ok(2), "the current version");
@@ -55,14 +56,14 @@
     let after = grace_end + 1;
     assert_eq!(index(&classes, after, "read", Method::GET, false), Err(ClassMismatch::MethodNotAllowed));
     assert_eq!(index(&classes, after, "lift", Method::POST, true), Err(ClassMismatch::UnknownClass));
-    // Applying the same settings once more changes nothing and drops what has expired.
+    // Applying the same settings once more changes nothing and drops expired versions.
     classes.update(after, &changed, [(2, "read"), (3, "view")].into_iter());
     assert_eq!(classes.classes.len(), 2);
     assert_eq!(index(&classes, after, "read", Method::POST, false), Ok(2));
 }
 
-/// Guards against an effect that comes twice: the retry stays in the narrower scope, but goes on for the longer time, although
-/// backends of the other version have forgotten the key.
+/// Guards against a duplicate effect: a retry stays within the narrower scope of the two versions, but
+/// continues for the longer time, although backends that use the other version have already dropped the key.
 #[test]
 fn applies_the_narrower_scope_and_the_shorter_ttl_of_two_versions() {
     let keyed = |scope, ttl| Idempotency::Keyed { scope, ttl };
@@ -80,10 +81,10 @@
             let class = classes.find(at, "lift", &Method::POST, true).expect("a class");
             second.classes[usize::from(class.index)].idempotency
         };
-        let grace_end = 100 + PREVIOUS_CLASS_GRACE;
+        let grace_end = 100 + PREVIOUS_CLASS_GRACE_PERIOD;
         assert_eq!(applied(&classes, 100), keyed(DedupScope::Cell, 5), "{previous:?} {current:?}");
         assert_eq!(applied(&classes, grace_end), current, "{previous:?} {current:?}");
-        // The same settings once more, as a second signal brings them, change nothing.
+        // The same settings, which a second reload signal applies once more, change nothing.
         let third = indices.renew(&second, &settings(&[current]), &names).expect("good settings");
         classes.update(200, &third, indices.named());
         assert_eq!(third.classes, second.classes);
--- a/crates/http-proxy/src/client_connection.rs
+++ b/crates/http-proxy/src/client_connection.rs
@@ -1,5 +1,5 @@
-//! The state of a client connection: whether it is idle, a head is arriving or a request is open, and since when. Timeouts
-//! and eviction are decided here from times that are passed in.
+//! The state of a client connection: whether it is idle, a head is arriving or a request is open, and since
+//! when. Timeouts and eviction are derived from times that are passed in.
 
 mod framing;
 mod presence;
@@ -12,7 +12,7 @@
 
 use self::framing::Framing;
 use self::read_ahead_buffer::ReadAheadBuffer;
-use self::socket_state::{is_quiet, is_read_closed};
+use self::socket_state::{is_input_empty, is_read_closed};
 use crate::size_limits::MAX_REQUEST_HEAD_BYTES;
 use crate::stall_detector::StallDetector;
 use socket_io::time_since_last_data;
@@ -27,54 +27,55 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a connection may be idle, from connecting or from its last response on.
+/// The maximum idle time of a connection, counted from its accept or its last response.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a head may take from its first byte on. Slow clients are promised 2 s.
+/// The maximum time for a head, counted from its first byte. Slow clients are promised 2 s.
 pub const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// After this time a head exceeds what clients are promised, and its connection may be evicted.
+/// After this time a head has taken longer than clients are promised, and its connection may be evicted.
 const PROMISED_HEAD_TIME: Duration = Duration::from_millis(2_100);
 /// A new connection is expected to send its first request within this time.
-const JUST_CONNECTED_TIME: Duration = Duration::from_millis(50);
-/// How long a client may read nothing of a response that waits for it.
+const NEW_CONNECTION_TIME: Duration = Duration::from_millis(50);
+/// The maximum time for which a client may read nothing of a response that is ready to be sent.
 pub const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a new connection may take for its first request during shutdown. Shorter than the minimum time that a shutdown
-/// takes.
+/// The maximum time until the first request of a new connection during shutdown. It is shorter than the
+/// minimum time that a shutdown takes.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
-/// The bytes that are read ahead while a request is open, to see the client's close behind them.
+/// The maximum number of bytes that are read ahead while a request is open, to detect a close by the client
+/// behind them.
 const MAX_READ_AHEAD_BYTES: usize = MAX_REQUEST_HEAD_BYTES;
-/// The bytes that are read ahead at a time.
+/// The number of bytes that are read ahead at a time.
 const READ_AHEAD_CHUNK_BYTES: usize = 2_048;
 
-/// What a connection is doing.
+/// The activity of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
-    /// No byte of a request has arrived since the last response.
+    /// No byte of a request has arrived since the connection was accepted or its last response ended.
     Idle,
-    /// A part of a head has arrived.
+    /// A part of a request's head has arrived.
     ReadingHead,
-    /// A request is open.
+    /// A request is open: its head is complete and its response has not ended.
     Serving,
 }
 
 /// How suitable a connection is for eviction, the most suitable first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionClass {
-    /// It is idle.
+    /// It is idle and not new.
     Idle,
-    /// Its head takes longer than clients are promised.
+    /// Its head is taking longer than clients are promised.
     HeadOverdue,
-    /// It was just opened.
+    /// It was just accepted and is expected to send its first request.
     JustConnected,
-    /// A head is arriving.
+    /// A head is arriving within the promised time.
     ReadingHead,
 }
 
-/// The order in which connections are evicted; `since` breaks ties, the oldest first.
+/// The rank of a connection in the order of eviction, lowest first; `since` breaks ties, the oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionRank {
-    /// How suitable the connection is.
+    /// The main criterion.
     pub class: EvictionClass,
-    /// When its present activity began.
+    /// The start of its present activity.
     pub since: Instant,
 }
 
@@ -83,21 +84,21 @@
 pub struct ClientConnection {
     activity: Cell<Activity>,
     activity_since: Cell<Instant>,
-    /// Since when bytes wait that the client does not read.
+    /// The time since which bytes are ready to be sent that the client does not read.
     write_stalled_since: Cell<Option<Instant>>,
     framing: RefCell<Framing>,
     last_byte_at: Cell<Instant>,
     stall_detector: Rc<StallDetector>,
     had_request: Cell<bool>,
     had_response: Cell<bool>,
-    /// What arrives now does not belong to the open request.
+    /// Bytes that arrive now do not belong to the open request.
     request_is_complete: Cell<bool>,
     read_ahead: RefCell<ReadAheadBuffer>,
-    /// When the kernel was last asked whether the client has disconnected.
+    /// The time at which the kernel was last asked whether the client has disconnected.
     presence_checked_at: Cell<Option<Instant>>,
     disconnected: Cell<bool>,
     disconnect: Notify,
-    /// Asks the connection to close in favour of another one.
+    /// Notified to ask this connection to close in favour of another one.
     pub eviction: Notify,
 }
 
@@ -123,7 +124,7 @@
         })
     }
 
-    /// What it is doing.
+    /// Its present activity.
     #[must_use]
     pub fn activity(&self) -> Activity {
         self.activity.get()
@@ -143,14 +144,15 @@
         self.framing.borrow_mut().receive(bytes);
     }
 
-    /// The earliest moment at which bytes may have arrived that were just read.
+    /// The earliest moment at which the bytes that were just read may have arrived.
     fn earliest_arrival(&self, stream: &TcpStream) -> Instant {
         let now = Instant::now();
         let earliest = self.stall_detector.earliest(now);
         if self.had_response.get() {
             return earliest;
         }
-        // The connection may have waited in the listener's queue with them. Only the kernel knows for how long.
+        // The connection may have been in the listener's accept queue together with these bytes. Only the
+        // kernel knows for how long.
         let age = time_since_last_data(stream).unwrap_or_default();
         now.checked_sub(age).map_or(earliest, |received_at| received_at.min(earliest))
     }
@@ -178,7 +180,8 @@
         self.set_activity(activity, now);
     }
 
-    /// Records that the open request was received completely. Until then nothing is read ahead.
+    /// Records that the open request was received completely. Until then nothing is read ahead, since bytes
+    /// that arrive belong to its body.
     pub fn mark_request_complete(&self) {
         self.request_is_complete.set(true);
     }
@@ -195,7 +198,8 @@
         self.disconnect.notify_one();
     }
 
-    /// Whether the client has closed its connection or only its sending side: the two can't be told apart.
+    /// Whether the client has closed its connection or only its sending side; the two cannot be
+    /// distinguished.
     #[must_use]
     pub fn has_disconnected(&self) -> bool {
         self.disconnected.get()
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Reads ahead what the kernel has, whether or not the runtime has polled the socket.
+    /// Reads ahead the bytes that the kernel has, whether or not the runtime has polled the socket.
     pub fn read_ahead(&self, stream: &TcpStream) {
         while self.can_read_ahead() {
             if self.read_ahead_chunk(stream).is_err() {
@@ -218,17 +222,17 @@
         }
     }
 
-    /// Reads ahead while a request is open, to see the client's close: the HTTP library does not read while it has bytes of a
-    /// pipelined request.
+    /// Reads ahead while a request is open, to detect a close by the client: the HTTP library does not read
+    /// while it has bytes of a pipelined request.
     pub fn poll_read_ahead(&self, stream: &TcpStream, cx: &mut Context<'_>) {
         while self.can_read_ahead() && stream.poll_read_ready(cx).is_ready() {
-            // With nothing to read, the next iteration registers for readiness.
+            // If there is nothing to read, the next iteration registers for readiness.
             let _ = stream.try_io(Interest::READABLE, || self.read_ahead_chunk(stream));
         }
     }
 
-    /// Detects the close of a client whose bytes are not read ahead, since they belong to the open request or are too many:
-    /// the kernel reports the close even behind unread bytes.
+    /// Detects the close by a client whose bytes are not read ahead, either because they belong to the open
+    /// request or because they are too many. The kernel reports the close even behind unread bytes.
     pub fn check_closed_behind_unread(&self, stream: &TcpStream) {
         let may_be_unnoticed =
             self.activity() == Activity::Serving && !self.can_read_ahead() && !self.has_disconnected();
@@ -252,25 +256,27 @@
         Ok(())
     }
 
-    /// Whether no unanswered byte has arrived, neither read ahead nor in the kernel.
+    /// Whether no byte beyond the open request has arrived, neither read ahead nor in the kernel.
     #[must_use]
-    pub fn is_quiet(&self, stream: &TcpStream) -> bool {
-        self.read_ahead.borrow().is_empty() && is_quiet(stream)
+    pub fn is_input_empty(&self, stream: &TcpStream) -> bool {
+        self.read_ahead.borrow().is_empty() && is_input_empty(stream)
     }
 
-    /// Whether bytes beyond the open request have arrived, which need a response as well.
+    /// Whether bytes beyond the open request have arrived. They are part of another request, which needs a
+    /// response as well.
     #[must_use]
     pub fn has_pipelined_bytes(&self, stream: &TcpStream) -> bool {
-        self.framing.borrow().has_pipelined_bytes() || !self.is_quiet(stream)
+        self.framing.borrow().has_pipelined_bytes() || !self.is_input_empty(stream)
     }
 
-    /// Whether the head has both a length and a transfer encoding. The HTTP library drops the length silently.
+    /// Whether the head has both a Content-Length and a Transfer-Encoding header. The HTTP library drops the
+    /// length silently.
     #[must_use]
     pub fn has_length_and_encoding(&self) -> bool {
         self.framing.borrow().has_length_and_encoding()
     }
 
-    /// Whether its present activity has timed out.
+    /// Whether its present activity has timed out at `now`.
     #[must_use]
     pub fn has_timed_out(&self, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.activity_since.get());
@@ -285,13 +291,14 @@
         }
     }
 
-    /// Its place in the order of eviction; `None` while a request is open, which is never evicted.
+    /// Its rank in the order of eviction; `None` while a request is open, since such a connection is never
+    /// evicted.
     #[must_use]
     pub fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
         let since = self.activity_since.get();
         let elapsed = now.saturating_duration_since(since);
         let class = match self.activity() {
-            Activity::Idle if elapsed >= JUST_CONNECTED_TIME => EvictionClass::Idle,
+            Activity::Idle if elapsed >= NEW_CONNECTION_TIME => EvictionClass::Idle,
             Activity::ReadingHead if elapsed >= PROMISED_HEAD_TIME => EvictionClass::HeadOverdue,
             Activity::Idle => EvictionClass::JustConnected,
             Activity::ReadingHead => EvictionClass::ReadingHead,
@@ -304,13 +311,14 @@
         self.activity() == Activity::Idle && self.write_stalled_since.get().is_none()
     }
 
-    /// Whether it may be evicted: no request is open.
+    /// Whether it may be evicted, which requires that no request is open.
     #[must_use]
     pub fn can_be_evicted(&self) -> bool {
         self.activity() == Activity::ReadingHead || self.is_idle()
     }
 
-    /// Whether it may close during shutdown: it is idle, and a new connection had time for its first request.
+    /// Whether it may close during shutdown: it is idle, and if it is new, it has had enough time for its
+    /// first request.
     #[must_use]
     pub fn can_close(&self, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.activity_since.get());
--- a/crates/http-proxy/src/client_connection/framing.rs
+++ b/crates/http-proxy/src/client_connection/framing.rs
@@ -1,29 +1,29 @@
-//! Splits the bytes of a client connection into requests, as far as the proxy needs it: which head is being served, and
-//! whether bytes beyond the open request have arrived. Pure: no I/O, no clock.
+//! Splits the bytes of a client connection into requests, as far as the proxy needs it: to find the head of
+//! the open request, and to detect bytes beyond that request. Pure: no I/O, no clock.
 
 use crate::size_limits::MAX_REQUEST_HEAD_BYTES;
 
-/// What is missing of the open request's body.
+/// The part of the open request's body that has not arrived yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum RemainingBody {
     #[default]
     Nothing,
     Bytes(u64),
-    /// Only the HTTP library can find its end.
+    /// Only the HTTP library can find the end of the body.
     Unknown,
 }
 
-/// The received bytes.
+/// The framing of the bytes that were received.
 #[derive(Debug, Default)]
 pub struct Framing {
     /// The head of the open request.
     head: Vec<u8>,
     body: RemainingBody,
-    /// What follows the open request, up to [`MAX_REQUEST_HEAD_BYTES`].
+    /// The bytes that follow the open request, up to [`MAX_REQUEST_HEAD_BYTES`].
     pipelined: Vec<u8>,
 }
 
-/// Where a head ends: after its first empty line.
+/// The end of a head, which is after its first empty line.
 fn head_end(bytes: &[u8]) -> Option<usize> {
     let crlf = bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|at| at + 4);
     let lf = bytes.windows(2).position(|window| window == b"\n\n").map(|at| at + 2);
@@ -39,7 +39,7 @@
     })
 }
 
-fn body_of(head: &[u8]) -> RemainingBody {
+fn expected_body(head: &[u8]) -> RemainingBody {
     if header_value(head, b"transfer-encoding").is_some() {
         return RemainingBody::Unknown;
     }
@@ -49,7 +49,7 @@
 }
 
 impl Framing {
-    /// Appends received bytes.
+    /// Records received bytes, in the order of their arrival.
     pub fn receive(&mut self, mut bytes: &[u8]) {
         if let RemainingBody::Bytes(remaining) = self.body {
             let body_bytes = usize::try_from(remaining).unwrap_or(usize::MAX).min(bytes.len());
@@ -67,14 +67,14 @@
         let empty_lines = self.pipelined.iter().take_while(|byte| b"\r\n".contains(byte)).count();
         self.pipelined.drain(..empty_lines);
         let Some(end) = head_end(&self.pipelined) else {
-            // The head exceeds the buffer.
+            // The buffer does not contain the complete head.
             self.head = std::mem::take(&mut self.pipelined);
             self.body = RemainingBody::Unknown;
             return;
         };
         let rest = self.pipelined.split_off(end);
         self.head = std::mem::take(&mut self.pipelined);
-        self.body = body_of(&self.head);
+        self.body = expected_body(&self.head);
         self.receive(&rest);
     }
 
@@ -84,13 +84,14 @@
         self.body = RemainingBody::Nothing;
     }
 
-    /// Whether bytes beyond the open request have arrived, as far as that is known.
+    /// Whether bytes beyond the open request have arrived; false if that is unknown.
     #[must_use]
     pub fn has_pipelined_bytes(&self) -> bool {
         self.pipelined.iter().any(|byte| !b"\r\n".contains(byte))
     }
 
-    /// Whether the head has both a length and a transfer encoding. The HTTP library drops the length silently.
+    /// Whether the head has both a Content-Length and a Transfer-Encoding header. The HTTP library drops the
+    /// length silently.
     #[must_use]
     pub fn has_length_and_encoding(&self) -> bool {
         let head = if self.head.is_empty() { &self.pipelined } else { &self.head };
--- a/crates/http-proxy/src/client_connection/framing/tests.rs
+++ b/crates/http-proxy/src/client_connection/framing/tests.rs
@@ -43,7 +43,8 @@
     assert!(!framing.has_pipelined_bytes());
 }
 
-/// A server that relies on the length finds another request within the body.
+/// Guards against request smuggling: a server that relies on the length finds another request within the
+/// body.
 #[test]
 fn detects_length_and_encoding_in_the_head_of_a_pipelined_request() {
     let both = b"POST /lift HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
--- a/crates/http-proxy/src/client_connection/presence.rs
+++ b/crates/http-proxy/src/client_connection/presence.rs
@@ -1,4 +1,4 @@
-//! Whether the client of an open request is still connected.
+//! Checks whether the client of an open request is still connected.
 
 use super::ClientConnection;
 use std::cell::RefCell;
@@ -7,11 +7,12 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How long a check that found the client connected remains valid. Saves a system call for the first attempt, which starts
-/// right after its request was checked. A twentieth of the time after which an attempt may no longer start.
+/// The time for which a check that found the client connected remains valid. It saves a system call for the
+/// first attempt, which starts right after its request was checked. It is a twentieth of the time after which
+/// an attempt may no longer start.
 const CHECK_VALIDITY: Duration = Duration::from_millis(5);
 
-/// The client of an open request. Does not extend the life of the socket.
+/// The client of an open request. Does not keep its socket open.
 #[derive(Debug)]
 pub struct ClientPresence {
     connection: Rc<ClientConnection>,
@@ -25,8 +26,9 @@
         Self { connection: Rc::clone(connection), stream: Rc::downgrade(stream) }
     }
 
-    /// Whether the client has disconnected by now. Asks the kernel, since the runtime may not have polled the socket: after a
-    /// stall it runs timers first, and a new backend connection is used in the same poll that reports the client's close.
+    /// Whether the client has disconnected by now. Asks the kernel, since the runtime may not have polled the
+    /// socket: after a stall it runs timers first, and a new backend connection is used during the same poll
+    /// that reports the client's close.
     pub async fn has_disconnected(&self) -> bool {
         let connection = &self.connection;
         let was_just_checked =
@@ -39,7 +41,8 @@
             Some(stream) => connection.read_ahead(&stream.borrow()),
         }
         if !connection.can_read_ahead() {
-            // Only the runtime learns of a close behind unread bytes: it polls the kernel before this task runs again.
+            // Only the runtime can see a close behind unread bytes: it polls the kernel before this task runs
+            // again.
             tokio::task::yield_now().await;
             match self.stream.upgrade() {
                 None => return true,
--- a/crates/http-proxy/src/client_connection/read_ahead_buffer.rs
+++ b/crates/http-proxy/src/client_connection/read_ahead_buffer.rs
@@ -1,25 +1,26 @@
-//! The bytes that were read beyond the open request, with the times at which they may have arrived. Pure: no I/O, no clock.
+//! Stores the bytes that were read beyond the open request, with the times at which they may have arrived.
+//! Pure: no I/O, no clock.
 
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Bytes of one read.
+/// Bytes that arrived in one read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadAheadBytes {
-    /// The bytes.
+    /// The bytes in the order of their arrival.
     pub bytes: Vec<u8>,
     /// The earliest moment at which they may have arrived.
     pub arrived_at: Instant,
 }
 
-/// What is left of one read.
+/// The part of one read that was not taken yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingRead {
     byte_count: usize,
     arrived_at: Instant,
 }
 
-/// Bytes in the order in which they arrived.
+/// Bytes of several reads in the order of their arrival.
 #[derive(Debug, Default)]
 pub struct ReadAheadBuffer {
     bytes: VecDeque<u8>,
@@ -27,19 +28,19 @@
 }
 
 impl ReadAheadBuffer {
-    /// The number of bytes.
+    /// The number of bytes that were not taken yet.
     #[must_use]
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether there are no bytes.
+    /// Whether all bytes were taken.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Appends the bytes of one read.
+    /// Appends the bytes of one read, which arrived at `arrived_at` at the earliest.
     pub fn push(&mut self, bytes: &[u8], arrived_at: Instant) {
         if !bytes.is_empty() {
             self.bytes.extend(bytes);
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes bytes of the oldest read, `max_bytes` at the most; `None` if there are none.
+    /// Takes up to `max_bytes` bytes of the oldest read; `None` if there are none.
     pub fn take(&mut self, max_bytes: usize) -> Option<ReadAheadBytes> {
         let read = self.reads.front_mut()?;
         let (count, arrived_at) = (max_bytes.min(read.byte_count), read.arrived_at);
--- a/crates/http-proxy/src/client_connection/read_ahead_buffer/tests.rs
+++ b/crates/http-proxy/src/client_connection/read_ahead_buffer/tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 #[test]
-fn keeps_the_arrival_time_of_each_read() {
+fn retains_the_arrival_time_of_each_read() {
     let first = Instant::now();
     let second = first + Duration::from_secs(1);
     let read = |bytes: &[u8], arrived_at| Some(ReadAheadBytes { bytes: bytes.to_vec(), arrived_at });
--- a/crates/http-proxy/src/client_connection/socket_state.rs
+++ b/crates/http-proxy/src/client_connection/socket_state.rs
@@ -1,4 +1,4 @@
-//! What the kernel knows of a socket, whether or not the runtime has polled it yet.
+//! Asks the kernel for the state of a socket, whether or not the runtime has polled it yet.
 
 use socket2::SockRef;
 use std::io;
@@ -7,9 +7,9 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Whether nothing is unread in the kernel: no bytes, no close and no error.
+/// Whether the kernel has nothing to report for reading: no bytes, no close and no error.
 #[must_use]
-pub fn is_quiet(stream: &TcpStream) -> bool {
+pub fn is_input_empty(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     let peeked = SockRef::from(stream).peek(&mut byte);
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/crates/http-proxy/src/client_connection/stream.rs
+++ b/crates/http-proxy/src/client_connection/stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket, as the HTTP library reads and writes it.
+//! The socket of a client, as the HTTP library reads and writes it.
 
 use super::ClientConnection;
 use std::cell::RefCell;
@@ -10,14 +10,14 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A client's socket that keeps the state of its connection up to date.
+/// The socket of a client. Its reads and writes update the state of the connection.
 pub struct ClientStream {
     stream: Rc<RefCell<TcpStream>>,
     connection: Rc<ClientConnection>,
 }
 
 impl ClientStream {
-    /// The socket of this connection.
+    /// Wraps the socket of this connection.
     #[must_use]
     pub fn new(stream: Rc<RefCell<TcpStream>>, connection: Rc<ClientConnection>) -> Self {
         Self { stream, connection }
--- a/crates/http-proxy/src/client_connection/tests.rs
+++ b/crates/http-proxy/src/client_connection/tests.rs
@@ -10,7 +10,7 @@
     let connection = connection(began);
     let at = |ms: u64| began + Duration::from_millis(ms);
     assert!(!connection.has_timed_out(at(2_400)) && connection.has_timed_out(at(2_500)));
-    // After 2.4 s idle it has the complete time for a head.
+    // After 2.4 s in idle state the complete time for a head is available.
     connection.receive(b"GE", at(2_400), at(2_400));
     connection.receive(b"T /", at(4_000), at(4_000));
     assert_eq!(connection.activity(), Activity::ReadingHead);
--- a/crates/http-proxy/src/clients.rs
+++ b/crates/http-proxy/src/clients.rs
@@ -1,4 +1,4 @@
-//! The client side: accepts connections, passes requests to the engine and writes the responses.
+//! The client side of the proxy: accepts connections, passes requests to the engine and writes the responses.
 
 mod accept;
 mod admission;
@@ -30,42 +30,42 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// A single large body may take this part of the memory budget of all of them.
-const LARGE_BODY_PART: usize = 4;
+/// The maximum size of a single large body is the memory budget for all large bodies, divided by this number.
+const LARGE_BODY_BUDGET_DIVISOR: usize = 4;
 
-/// How far the shutdown has come.
+/// The phases of a shutdown, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// No shutdown.
+    /// No shutdown has begun.
     Running,
     /// Requests are served, and each response closes its connection.
     Draining,
-    /// Idle connections close as well.
+    /// Idle connections close as well, without a request.
     Closing,
 }
 
-/// What [`ClientConnections`] needs at its start.
+/// The parameters of [`ClientConnections`].
 pub struct ClientConnectionsOptions<'a> {
-    /// The engine that requests are handed to.
+    /// The engine that receives the requests.
     pub handle: Handle,
-    /// The engine's clock.
+    /// The clock of the engine.
     pub clock: Clock,
     /// The request classes that clients may name.
     pub classes: ClassRegistry,
-    /// The tenants that clients may name.
+    /// The name index, whose tenants clients may name.
     pub names: &'a NameIndex,
-    /// Whether a backend list is available, so that the proxy reports itself as up.
+    /// True once a backend list is available; until then the proxy does not report itself as up.
     pub has_backend_list: Rc<Cell<bool>>,
-    /// How far the shutdown has come.
+    /// The present phase of the shutdown.
     pub phase: watch::Receiver<ShutdownPhase>,
-    /// The maximum number of open connections.
+    /// The maximum number of open client connections.
     pub max_connections: usize,
-    /// The bytes that buffered request bodies over
-    /// [`MAX_BUFFERED_BODY_BYTES`](crate::size_limits::MAX_BUFFERED_BODY_BYTES) may take in total.
+    /// The maximum total size of buffered request bodies that exceed
+    /// [`MAX_BUFFERED_BODY_BYTES`](crate::size_limits::MAX_BUFFERED_BODY_BYTES), in bytes.
     pub large_body_bytes: usize,
-    /// The idempotency registry that the gRPC front end shares; `None` where there is no such front end.
+    /// The idempotency registry that is shared with the gRPC front end; `None` without such a front end.
     pub idempotency_registry: Option<idempotency::SharedRegistry>,
-    /// Bounds how long ago bytes that are read now may have arrived.
+    /// Bounds how long ago the bytes that are read now may have arrived.
     pub stall_detector: Rc<StallDetector>,
 }
 
@@ -74,7 +74,7 @@
     handle: Handle,
     clock: Clock,
     classes: RefCell<ClassRegistry>,
-    /// Positions in the settings; empty if tenants are not checked.
+    /// Indices in the settings by name; empty if the tenant of a request is not checked.
     tenants: FxHashMap<String, u16>,
     has_backend_list: Rc<Cell<bool>>,
     phase: watch::Receiver<ShutdownPhase>,
@@ -93,7 +93,7 @@
 }
 
 impl ClientConnections {
-    /// A front end without connections.
+    /// A front end without open connections.
     #[must_use]
     pub fn new(options: ClientConnectionsOptions<'_>) -> Rc<Self> {
         Rc::new(Self {
@@ -108,7 +108,7 @@
             connection_closed: Notify::new(),
             connections: RefCell::default(),
             large_body_budget: MemoryBudget::new(options.large_body_bytes),
-            max_large_body_bytes: options.large_body_bytes / LARGE_BODY_PART,
+            max_large_body_bytes: options.large_body_bytes / LARGE_BODY_BUDGET_DIVISOR,
             last_accept_at: Cell::new(Instant::now()),
             stall_detector: options.stall_detector,
             accept_failures: FailureLog::of("accept"),
@@ -135,7 +135,7 @@
         self.connection_closed.notify_waiters();
     }
 
-    /// The time since a connection was last accepted.
+    /// The time since a connection was last accepted, or since the start.
     #[must_use]
     pub fn time_since_accept(&self) -> Duration {
         self.last_accept_at.get().elapsed()
--- a/crates/http-proxy/src/clients/accept.rs
+++ b/crates/http-proxy/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and evicts some where connections or descriptors run out.
+//! Accepts client connections, and evicts some if connections or descriptors run out.
 
 use super::ClientConnections;
 use crate::client_connection::EvictionClass;
@@ -10,19 +10,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout};
 
-/// How long an evicted connection may take to close before the next one is evicted.
+/// The time that an evicted connection has to close before the next one is evicted.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
-/// The delay after a failed accept, unless a connection closes before.
+/// The delay after a failed accept; it ends early if a connection closes.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the listener's accept queue contained.
+/// The result of accepting everything in the listener's accept queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BacklogDrain {
-    /// Nothing.
+    /// The queue was empty, or the limit of connections is reached.
     Empty,
-    /// Connections, which are served now.
+    /// The queue contained connections, which are served now.
     Accepted,
-    /// Unknown: a system call failed.
+    /// A system call failed; the queue may contain connections.
     Failed,
 }
 
@@ -30,19 +30,21 @@
     /// Accepts connections until the process ends.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
-            // Beyond the limit clients stay in the kernel's accept queue and take no descriptors from backend connections.
-            // Connections without an open request are evicted, so that the queue does not wait for them.
+            // Beyond the limit, clients remain in the kernel's accept queue and take no descriptors from
+            // backend connections. Connections without an open request are evicted to accept the clients in
+            // the queue.
             while self.open_connections.get() >= self.max_connections.get() {
                 self.evict_one(EvictionClass::ReadingHead);
                 let _ = timeout(EVICTION_TIMEOUT, self.connection_closed.notified()).await;
             }
             match listener.accept().await {
                 Ok((stream, _)) => self.spawn_connection(stream),
-                // Out of descriptors, or the client has disconnected already.
+                // Descriptors are exhausted, or the client has already disconnected.
                 Err(error) => {
                     self.accept_failures.note(&error);
                     if retry::is_exhausted(&error) {
-                        // A temporary lack of system resources is no reason to evict connections that were just opened.
+                        // A temporary lack of system resources is no reason to evict connections that were
+                        // just accepted.
                         self.evict_one(EvictionClass::HeadOverdue);
                     }
                     let _ = timeout(ACCEPT_RETRY_DELAY, self.connection_closed.notified()).await;
@@ -57,7 +59,8 @@
         tokio::task::spawn_local(Rc::clone(self).serve_connection(stream));
     }
 
-    /// Accepts the connections in the kernel's accept queue, whether or not the runtime has polled the listener.
+    /// Accepts the connections in the kernel's accept queue, up to the limit of connections, whether or not
+    /// the runtime has polled the listener.
     pub fn drain_backlog(self: &Rc<Self>, listener: &TcpListener) -> BacklogDrain {
         let mut drain = BacklogDrain::Empty;
         while self.open_connections.get() < self.max_connections.get() {
@@ -67,7 +70,7 @@
                     self.spawn_connection(stream);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                // Further connections may be queued behind the failed one.
+                // The queue may contain connections behind the failed one.
                 Err(error) => {
                     self.accept_failures.note(&error);
                     return BacklogDrain::Failed;
@@ -77,7 +80,8 @@
         drain
     }
 
-    /// Asks the connection that is most suitable for eviction to close, if one is in `max_class` or before.
+    /// Asks the connection that is most suitable for eviction to close, if its class is `max_class` or
+    /// precedes it.
     fn evict_one(&self, max_class: EvictionClass) {
         let now = Instant::now();
         let connections = self.connections.borrow();
--- a/crates/http-proxy/src/clients/admission.rs
+++ b/crates/http-proxy/src/clients/admission.rs
@@ -16,11 +16,11 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// When a client may retry after a limit of this proxy was reached, in microseconds.
+/// The delay after which a client may retry when a limit of this proxy was reached, in microseconds.
 const OVERLOAD_RETRY_DELAY: Micros = 1_000_000;
 
 impl ClientConnections {
-    /// Submits a request and waits for its outcome.
+    /// Submits a request to the engine and waits for its response.
     pub(super) async fn submit(
         &self,
         parsed: ParsedRequest,
@@ -31,7 +31,8 @@
             return Ok(overload_response(0));
         }
         let ParsedRequest { request, correlation_id } = parsed;
-        // Rule 2: a second request with the same id could be a duplicate of the first.
+        // A second request with the same id could be a duplicate of the first, and must not be executed
+        // beside it.
         let Some(open_id) = OpenRequestId::acquire(&self.open_request_ids, correlation_id) else {
             return Err(RejectedRequest::new(StatusCode::CONFLICT, "a request of this id is open\n"));
         };
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Hands a request to the engine, waits for its outcome and settles its claim.
+    /// Submits a request, waits for its final outcome and settles its claim.
     async fn await_outcome(
         &self,
         request: IncomingRequest<Rc<ForwardedRequest>>,
@@ -65,7 +66,8 @@
         let outcome = tokio::select! {
             biased;
             outcome = outcome => outcome,
-            // The guard notifies the engine. A client that closed only its sending side still gets a final response.
+            // The dropped guard notifies the engine. A client that closed only its sending side still gets a
+            // final response.
             () = connection.disconnected() => return failure_response(),
         };
         guard.disarm();
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Claims a request in the idempotency registry, where the gRPC front end shares one.
+    /// Claims a request in the idempotency registry, if one is shared with the gRPC front end.
     fn claim(
         &self,
         request: &IncomingRequest<Rc<ForwardedRequest>>,
@@ -90,9 +92,9 @@
             return Ok(None);
         };
         let key = forwarded.headers.get(IDEMPOTENCY_KEY).map(HeaderValue::as_bytes);
-        let Some(terms) = self.classes.borrow().claim_terms(request.class) else { return Ok(None) };
+        let Some(policy) = self.classes.borrow().claim_policy(request.class) else { return Ok(None) };
         let identity = RequestIdentity { id: correlation_id.as_bytes(), class: request.class, key };
-        IdempotencyClaim::acquire(registry, self.clock, identity, terms)
+        IdempotencyClaim::acquire(registry, self.clock, identity, policy)
     }
 }
 
--- a/crates/http-proxy/src/clients/closing.rs
+++ b/crates/http-proxy/src/clients/closing.rs
@@ -1,4 +1,4 @@
-//! How a client connection is closed.
+//! Closes client connections.
 
 use crate::size_limits::MAX_BUFFERED_BODY_BYTES;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a closing connection is read, so that the kernel does not respond to late bytes with a reset, which would destroy
-/// a response in transit.
+/// The maximum time for which a closing connection is read. The kernel responds to unread late bytes with a
+/// reset, which would destroy a response in transit.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The number of bytes that are read in that time.
+/// The maximum number of bytes that are read in that time.
 const MAX_LINGER_BYTES: usize = 4 * MAX_BUFFERED_BODY_BYTES;
 
 /// How a client connection has to be closed.
@@ -17,24 +17,25 @@
 pub(super) enum CloseMode {
     /// A response may be in transit: late bytes are read, so that no reset destroys it.
     Linger,
-    /// The connection was idle. A request that crosses the close stays unread, so that its client can safely send it to
-    /// another server.
+    /// The connection was idle. A request that arrives during the close remains unread, so that its client
+    /// can safely send it to another server.
     Idle,
     /// A response was truncated: the connection is reset.
     Reset,
-    /// Evicted: its descriptor is released at once.
+    /// The connection was evicted: its descriptor is released immediately.
     Immediate,
 }
 
-/// Closes the sending side of an idle connection and waits for the client to close its own. A request that crosses this stays
-/// unread, so that the kernel resets the connection and the client knows that the request was not processed.
+/// Closes the sending side of an idle connection and waits for the client to close its own. A request that
+/// arrives during this time remains unread, so that the kernel resets the connection and the client knows
+/// that the request was not processed.
 pub(super) async fn close_idle(mut stream: TcpStream) {
     if stream.shutdown().await.is_ok() {
         let _ = timeout(LINGER_TIMEOUT, stream.peek(&mut [0])).await;
     }
 }
 
-/// Closes the sending side and reads late bytes for a while.
+/// Closes the sending side, then reads and discards late bytes up to the limits.
 pub(super) async fn close_with_linger(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
--- a/crates/http-proxy/src/clients/closing/tests.rs
+++ b/crates/http-proxy/src/clients/closing/tests.rs
@@ -2,7 +2,7 @@
 use socket2::SockRef;
 use tokio::net::TcpListener;
 
-/// Both ends of a connection.
+/// Both ends of a TCP connection.
 async fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -10,10 +10,10 @@
     (client.expect("connected"), accepted.expect("accepted").0)
 }
 
-/// A request that crosses the close of an idle connection stays unread, which the client sees from the reset. After a response
-/// it is read, so that no reset destroys the response.
+/// A request that arrives during the close of an idle connection remains unread, which the client detects
+/// from the reset. During the close after a response it is read, so that no reset destroys the response.
 #[tokio::test]
-async fn only_the_close_of_an_idle_connection_leaves_a_crossing_request_unread() {
+async fn only_the_close_of_an_idle_connection_leaves_a_late_request_unread() {
     for is_idle in [true, false] {
         let (mut client, server) = connected_pair().await;
         client.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("sent");
--- a/crates/http-proxy/src/clients/forwarded_head.rs
+++ b/crates/http-proxy/src/clients/forwarded_head.rs
@@ -1,11 +1,11 @@
-//! The part of a request's head that is forwarded to backends.
+//! Derives the target and headers that are forwarded to backends.
 
 use super::read_request::{CORRELATION_ID, IDEMPOTENCY_KEY};
 use hyper::Uri;
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Headers of a single connection or of a message's framing.
-const HOP_BY_HOP: [HeaderName; 10] = [
+/// Headers that apply to a single connection or to a message's framing.
+const HOP_BY_HOP_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -18,7 +18,8 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Path and query of a target in any form: backends are no proxies. `None` if it has neither.
+/// Path and query of a target in any form, since backends may not accept the forms meant for proxies. `None`
+/// if the target has neither.
 pub(super) fn origin_form(target: Uri) -> Option<Uri> {
     match target.scheme() {
         None => Some(target),
@@ -26,7 +27,7 @@
     }
 }
 
-/// Removes the hop-by-hop headers, those named by `Connection` included.
+/// Removes the hop-by-hop headers, including those that `Connection` names.
 pub(super) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     let listed = headers.get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
     let listed: Vec<HeaderName> =
@@ -36,7 +37,7 @@
     }
     // Few heads have any of them, and a lookup is cheaper than a removal.
     let hop_by_hop: Vec<HeaderName> =
-        headers.keys().filter(|name| HOP_BY_HOP.contains(name)).cloned().collect();
+        headers.keys().filter(|name| HOP_BY_HOP_HEADERS.contains(name)).cloned().collect();
     for name in hop_by_hop {
         headers.remove(name);
     }
--- a/crates/http-proxy/src/clients/guards.rs
+++ b/crates/http-proxy/src/clients/guards.rs
@@ -1,4 +1,4 @@
-//! Guards that end with an open request.
+//! Guards whose scope is an open request.
 
 use crate::transport::Handle;
 use balancer::api::RequestId;
@@ -6,8 +6,8 @@
 use rustc_hash::FxHashSet;
 use std::cell::RefCell;
 
-/// Notifies the engine when a client disconnects while its request is open: the connection then drops the future of the
-/// response, and this guard with it.
+/// Notifies the engine if a client disconnects while its request is open: the connection then drops the
+/// future of the response, and this guard with it.
 pub(super) struct DisconnectGuard<'a> {
     handle: &'a Handle,
     request: RequestId,
@@ -19,7 +19,7 @@
         Self { handle, request, is_armed: true }
     }
 
-    /// The request has its outcome.
+    /// Called when the request has its final outcome.
     pub(super) fn disarm(mut self) {
         self.is_armed = false;
     }
@@ -40,7 +40,7 @@
 }
 
 impl<'a> OpenRequestId<'a> {
-    /// Registers an id; `None` if a request with this id is open.
+    /// Registers an id; `None` if another request with this id is open.
     pub(super) fn acquire(open_ids: &'a RefCell<FxHashSet<HeaderValue>>, id: HeaderValue) -> Option<Self> {
         let is_new = open_ids.borrow_mut().insert(id.clone());
         is_new.then(|| Self { open_ids, id })
--- a/crates/http-proxy/src/clients/local_responses.rs
+++ b/crates/http-proxy/src/clients/local_responses.rs
@@ -1,4 +1,4 @@
-//! Responses that the proxy generates itself.
+//! Responses that the proxy generates itself, without a backend.
 
 use crate::body::ResponseBody;
 use balancer::api::Micros;
@@ -46,7 +46,7 @@
     text_response(StatusCode::BAD_GATEWAY, "failed\n")
 }
 
-/// The response to a request that was shed; `retry_after` is in microseconds, 0 for no hint.
+/// The response to a request that was shed. `retry_after` is in microseconds; 0 omits the header.
 pub(super) fn overload_response(retry_after: Micros) -> Response<ResponseBody> {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
     if retry_after > 0
--- a/crates/http-proxy/src/clients/read_body.rs
+++ b/crates/http-proxy/src/clients/read_body.rs
@@ -4,7 +4,7 @@
 use super::local_responses::RejectedRequest;
 use crate::body::{MemoryReservation, StreamedUpload, next_chunk};
 use crate::exchange::{RequestBody, concatenate};
-use crate::min_transfer_rate::{SILENCE_TIMEOUT, timeout_after};
+use crate::min_transfer_rate::{INACTIVITY_TIMEOUT, timeout_after};
 use crate::size_limits::MAX_BUFFERED_BODY_BYTES;
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, timeout_at};
 
 impl ClientConnections {
-    /// Buffers a body if it is small or the memory budget allows it; otherwise the rest is streamed. `length` is that of the
-    /// complete body in bytes, where it is known.
+    /// Buffers a body if it is small or if the memory budget allows it; otherwise the part that has not
+    /// arrived is streamed. `length` is that of the complete body in bytes, if it is known.
     pub(super) async fn read_body(
         &self,
         mut body: Incoming,
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Reserves memory for a large body of which `size` bytes have arrived, the last `chunk_size` of them just now. False if
-    /// it has to be streamed. Reserves twice the size, since the chunks are copied into one buffer at the end.
+    /// Reserves memory for a large body of which `size` bytes have arrived, including the `chunk_size` bytes
+    /// of the latest chunk. Returns false if the body has to be streamed. Twice the size is reserved, since
+    /// the chunks are copied into one buffer at the end.
     fn reserve_for_body(
         &self,
         reservation: &mut Option<MemoryReservation>,
@@ -69,14 +70,15 @@
     }
 }
 
-/// The next chunk of a body of which `received` bytes have arrived since `started_at`; `None` at its end.
+/// The next chunk of a body of which `received` bytes have arrived since `started_at`; `None` at the end of
+/// the body.
 async fn next_chunk_in_time(
     body: &mut Incoming,
     started_at: Instant,
     received: usize,
 ) -> Result<Option<Bytes>, RejectedRequest> {
-    let rate_end = started_at + timeout_after(received as u64);
-    let deadline = rate_end.min(Instant::now() + SILENCE_TIMEOUT);
+    let rate_deadline = started_at + timeout_after(received as u64);
+    let deadline = rate_deadline.min(Instant::now() + INACTIVITY_TIMEOUT);
     let chunk = timeout_at(deadline, next_chunk(body)).await;
     let chunk = chunk.map_err(|_| RejectedRequest::new(StatusCode::REQUEST_TIMEOUT, "the body is late\n"))?;
     chunk.map_err(|_| RejectedRequest::bad_request("the body is broken\n"))
--- a/crates/http-proxy/src/clients/read_request.rs
+++ b/crates/http-proxy/src/clients/read_request.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a client's request, and translates it to the engine's terms.
+//! Reads and checks a client's request, and converts it to the engine's form.
 
 use super::ClientConnections;
 use super::forwarded_head::{end_to_end_headers, origin_form};
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The largest valid remaining time, in milliseconds.
+/// The maximum valid remaining time, in milliseconds.
 const MAX_TIME_LEFT_MS: u64 = 3_600_000;
 
 pub(super) const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
@@ -29,28 +29,29 @@
 const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
 const RETRY: HeaderName = HeaderName::from_static("x-repeat");
 const EXPECTED_WORK: HeaderName = HeaderName::from_static("x-weight-hint");
-/// The headers that may occur only once: of two values the proxy and a backend could use different ones.
-const UNIQUE: [HeaderName; 5] = [CORRELATION_ID, SERVICE_CLASS, ACCOUNT, TIME_LEFT, IDEMPOTENCY_KEY];
+/// Headers that may occur only once: of two values the proxy and a backend could use different ones.
+const SINGLE_VALUE_HEADERS: [HeaderName; 5] =
+    [CORRELATION_ID, SERVICE_CLASS, ACCOUNT, TIME_LEFT, IDEMPOTENCY_KEY];
 
-/// A checked request.
+/// A request that has passed all checks.
 pub(super) struct ParsedRequest {
-    /// The request in the engine's terms.
+    /// The request in the form that the engine accepts.
     pub(super) request: IncomingRequest<Rc<ForwardedRequest>>,
     /// Its correlation id.
     pub(super) correlation_id: HeaderValue,
 }
 
-/// What the head of a request gives.
+/// The parameters that the head of a request gives.
 struct RequestParameters {
     class: RequestClass,
     correlation_id: HeaderValue,
     tenant: u16,
-    /// How long the client waits, in microseconds.
+    /// The time for which the client waits for its response, in microseconds.
     timeout: Micros,
 }
 
 impl ClientConnections {
-    /// Reads the body of a request and checks its head.
+    /// Checks the head of a request and reads its body.
     pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -61,11 +62,12 @@
         check_framing(&head.headers, &body, connection)?;
         let RequestParameters { class, correlation_id, tenant, timeout } = self.parameters(&head)?;
         let key = head.uri.query().and_then(request_key);
-        let expected_work = text(&head.headers, &EXPECTED_WORK).and_then(|v| v.trim().parse().ok());
-        let is_retry = text(&head.headers, &RETRY) == Some("1");
+        let expected_work = header_text(&head.headers, &EXPECTED_WORK).and_then(|v| v.trim().parse().ok());
+        let is_retry = header_text(&head.headers, &RETRY) == Some("1");
         let length = exact_size(&body, &head.headers);
         let body = self.read_body(body, length).await?;
-        // The time of a request counts from its last byte. The end of a streamed body is still to come.
+        // The response deadline counts from the last byte of the request. The end of a streamed body is still
+        // to come.
         let arrived_at = self.clock.at(connection.last_byte_at());
         let headers = end_to_end_headers(head.headers);
         let target =
@@ -101,7 +103,7 @@
         let class = self.request_class(head)?;
         let correlation_id = headers
             .get(CORRELATION_ID)
-            .filter(|_| text(headers, &CORRELATION_ID).is_some_and(|id| !id.is_empty()))
+            .filter(|_| header_text(headers, &CORRELATION_ID).is_some_and(|id| !id.is_empty()))
             .cloned()
             .ok_or(RejectedRequest::bad_request("X-Correlation-Id is missing\n"))?;
         let tenant = self.tenant(headers)?;
@@ -112,10 +114,10 @@
     fn request_class(&self, head: &Parts) -> Result<RequestClass, RejectedRequest> {
         let headers = &head.headers;
         let name = head.uri.path().split('/').nth(1).unwrap_or_default();
-        if headers.contains_key(SERVICE_CLASS) && text(headers, &SERVICE_CLASS) != Some(name) {
+        if headers.contains_key(SERVICE_CLASS) && header_text(headers, &SERVICE_CLASS) != Some(name) {
             return Err(RejectedRequest::bad_request("the class of the header is not that of the path\n"));
         }
-        let has_key = text(headers, &IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty());
+        let has_key = header_text(headers, &IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty());
         let class = self.classes.borrow().find(self.clock.now(), name, &head.method, has_key).cloned();
         class.map_err(|mismatch| match mismatch {
             ClassMismatch::UnknownClass => RejectedRequest::bad_request("unknown class\n"),
@@ -130,46 +132,48 @@
         if self.tenants.is_empty() {
             return Ok(0);
         }
-        let tenant = text(headers, &ACCOUNT).and_then(|account| self.tenants.get(account));
+        let tenant = header_text(headers, &ACCOUNT).and_then(|account| self.tenants.get(account));
         tenant.copied().ok_or(RejectedRequest::bad_request("unknown account\n"))
     }
 }
 
-/// The value of a header that is visible ASCII.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// The value of a header, if it consists of visible ASCII.
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Rejects heads that a backend could frame or route differently than this proxy, and bodies that are too large.
+/// Rejects heads that a backend could frame or route differently than this proxy, and bodies that are too
+/// large.
 fn check_framing(
     headers: &HeaderMap,
     body: &Incoming,
     connection: &ClientConnection,
 ) -> Result<(), RejectedRequest> {
-    // Rule 2: a server that relies on the length may find another request within the body.
+    // A server that relies on the length may find another request within the body, and execute it.
     if headers.contains_key(TRANSFER_ENCODING) && connection.has_length_and_encoding() {
         return Err(RejectedRequest::bad_request("Content-Length beside Transfer-Encoding\n"));
     }
     if body.size_hint().lower() > MAX_BODY_BYTES {
         return Err(RejectedRequest::BODY_TOO_LARGE);
     }
-    if UNIQUE.iter().any(|name| headers.get_all(name).iter().nth(1).is_some()) {
+    if SINGLE_VALUE_HEADERS.iter().any(|name| headers.get_all(name).iter().nth(1).is_some()) {
         return Err(RejectedRequest::bad_request("a header comes twice\n"));
     }
     Ok(())
 }
 
-/// The time that the client still waits, in microseconds.
+/// The remaining time for which the client waits, in microseconds.
 fn time_left(headers: &HeaderMap) -> Result<Micros, RejectedRequest> {
-    // The integer's own parser would accept a sign.
-    let digits = text(headers, &TIME_LEFT).filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
+    // The integer parser would also accept a sign.
+    let digits = header_text(headers, &TIME_LEFT).filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let millis = digits.and_then(|v| v.parse::<u64>().ok()).filter(|&ms| ms <= MAX_TIME_LEFT_MS);
     let millis =
         millis.ok_or(RejectedRequest::bad_request("X-Time-Left-Ms is missing or makes no sense\n"))?;
     Ok(millis * 1_000)
 }
 
-/// How long a streamed upload may take, in microseconds.
+/// The maximum time of a streamed upload, in microseconds. `length` is that of the body in bytes, if it is
+/// known.
 fn max_upload_time(length: Option<u64>) -> Micros {
     let max_time = min_transfer_rate::timeout_after(length.unwrap_or(MAX_BODY_BYTES));
     u64::try_from(max_time.as_micros()).unwrap_or(u64::MAX)
--- a/crates/http-proxy/src/clients/serve.rs
+++ b/crates/http-proxy/src/clients/serve.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of one client connection, one after another.
+//! Serves the requests of a client connection, one after another.
 
 use super::closing::{CloseMode, close_idle, close_with_linger};
 use super::local_responses::{RejectedRequest, add_connection_close, rejection_response, text_response};
@@ -23,9 +23,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// How often the timeouts of a connection are checked.
+/// The interval at which the timeouts of a connection are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The same while idle connections close during shutdown.
+/// The same interval while idle connections close during shutdown.
 const CLOSING_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 type SharedStream = Rc<RefCell<TcpStream>>;
@@ -51,7 +51,7 @@
         self.connection_closed.notify_waiters();
     }
 
-    /// Serves requests until the connection has to close, and returns how.
+    /// Serves requests until the connection has to close, and returns how to close it.
     async fn serve_requests(
         self: &Rc<Self>,
         stream: &SharedStream,
@@ -68,7 +68,8 @@
         });
         let io = TokioIo::new(ClientStream::new(Rc::clone(stream), Rc::clone(connection)));
         let mut builder = http1::Builder::new();
-        // The close of a client's sending side is detected by `ClientConnection`; its open request gets a final response.
+        // `ClientConnection` detects that a client closes its sending side; the open request still gets a
+        // final response.
         let mut http =
             builder.max_buf_size(MAX_REQUEST_HEAD_BYTES).half_close(true).serve_connection(io, service);
         let mut poll_http = |cx: &mut Context<'_>| {
@@ -85,15 +86,16 @@
             tokio::select! {
                 biased;
                 ended = std::future::poll_fn(&mut poll_http) => return match ended {
-                    // A response was truncated: a client that relies on the close must not take it for complete.
+                    // A response was truncated: a client that relies on the close must not consider it
+                    // complete.
                     Err(error) if error.is_user() => CloseMode::Reset,
-                    // A client that has disconnected was reported by its `DisconnectGuard`.
+                    // If the client has disconnected, its `DisconnectGuard` has notified the engine.
                     Ok(()) | Err(_) => CloseMode::Linger,
                 },
                 Ok(()) = phase.changed() => {}
                 () = connection.eviction.notified() => {
                     // Unread bytes may be a request, which the close would lose.
-                    if connection.can_be_evicted() && connection.is_quiet(&stream.borrow()) {
+                    if connection.can_be_evicted() && connection.is_input_empty(&stream.borrow()) {
                         return CloseMode::Immediate;
                     }
                 }
@@ -118,7 +120,7 @@
             let responded = self.process(request, connection, stream).await;
             responded.unwrap_or_else(|rejected| {
                 let mut response = rejection_response(&rejected);
-                // What follows an invalid request may be a part of it.
+                // Bytes that follow an invalid request may be a part of it.
                 add_connection_close(&mut response);
                 response
             })
@@ -129,8 +131,8 @@
         response
     }
 
-    /// During shutdown and close to the limit each response closes its connection, unless a pipelined request has arrived,
-    /// which the close would leave without a response.
+    /// During shutdown and close to the connection limit, each response closes its connection. The exception
+    /// is a connection with a pipelined request, which would be left without a response.
     fn closes_after_response(&self, connection: &ClientConnection, stream: &SharedStream) -> bool {
         let is_near_limit = self.open_connections.get() * 8 >= self.max_connections.get() * 7;
         let closes = self.phase() != ShutdownPhase::Running || is_near_limit;
@@ -150,7 +152,8 @@
         if !is_streamed {
             connection.mark_request_complete();
         }
-        // The client may have disconnected while the connection was in the accept queue or the process was stalled.
+        // The client may have disconnected while the connection was in the accept queue or while the process
+        // was stalled.
         connection.read_ahead(&stream.borrow());
         connection.check_closed_behind_unread(&stream.borrow());
         self.submit(parsed, connection).await
@@ -165,7 +168,7 @@
     }
 }
 
-/// How a connection has to close now, by its timeouts or because of the shutdown; `None` if it stays open.
+/// How a connection has to close now because of its timeouts or the shutdown; `None` if it stays open.
 fn due_close(connection: &ClientConnection, stream: &TcpStream, is_closing: bool) -> Option<CloseMode> {
     let now = Instant::now();
     connection.check_closed_behind_unread(stream);
@@ -173,10 +176,12 @@
     match connection.activity() {
         Activity::Serving if has_timed_out => Some(CloseMode::Linger),
         // Unread bytes may be a request, which the close would lose.
-        Activity::ReadingHead if has_timed_out && connection.is_quiet(stream) => Some(CloseMode::Linger),
+        Activity::ReadingHead if has_timed_out && connection.is_input_empty(stream) => {
+            Some(CloseMode::Linger)
+        }
         Activity::Idle
             if (has_timed_out || (is_closing && connection.can_close(now)))
-                && connection.is_quiet(stream) =>
+                && connection.is_input_empty(stream) =>
         {
             Some(CloseMode::Idle)
         }
--- a/crates/http-proxy/src/config.rs
+++ b/crates/http-proxy/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: the file that `EDGE_CONFIG` names, and environment variables for what it leaves out.
+//! The configuration: the file whose path is in `EDGE_CONFIG`, and environment variables for keys that the
+//! file omits.
 
 use crate::name_index::NameIndex;
 use crate::size_limits::{MAX_BUFFERED_BODY_BYTES, MAX_REQUEST_HEAD_BYTES, MAX_RESPONSE_HEAD_BYTES};
@@ -13,19 +14,21 @@
 use std::{env, fs, io};
 use thiserror::Error;
 
-/// Descriptors that are used by neither clients nor backends: standard streams, the runtime, the listener, discovery.
+/// Descriptors that neither client nor backend connections use: standard streams, the runtime, the listener,
+/// discovery.
 const RESERVED_SOCKETS: usize = 24;
-/// Descriptors that the operators' console takes beyond these: its listener and connections, lock files and snapshots.
+/// Descriptors that the operators' console uses in addition: its listener and connections, lock files and
+/// snapshots.
 const CONSOLE_SOCKETS: usize = MAX_CONNECTIONS + 8;
 const DEFAULT_SOCKETS: usize = 1_024;
 const DEFAULT_MEMORY_MB: usize = 192;
-/// In microseconds.
+/// The time limit for connecting to a backend if the configuration gives none, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
-/// Why a configuration can't be used.
+/// Why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// An environment variable is missing.
+    /// This environment variable is not set.
     #[error("{0} is not set")]
     Missing(&'static str),
     /// The file can't be read.
@@ -34,45 +37,46 @@
     /// The file is not JSON of the expected form.
     #[error("malformed configuration: {0}")]
     Malformed(serde_json::Error),
-    /// An address is missing or can't be parsed: the key and its value.
+    /// An address is missing or can't be parsed; contains the key and the given text.
     #[error("`{0}` is no address: `{1}`")]
     Address(&'static str, String),
     /// A setting is invalid.
     #[error("{0}")]
     Settings(SettingsError),
-    /// It can't replace the configuration in force.
+    /// It is valid, but can't replace the configuration in force.
     #[error("{0}")]
     Reload(ReloadError),
 }
 
-/// A checked configuration.
+/// A valid configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The proxy's name.
+    /// The name of this proxy; may be empty.
     pub name: String,
-    /// Where clients connect.
+    /// The address of the listener for clients.
     pub listen: SocketAddr,
-    /// Where discovery is called.
+    /// The address of the discovery agent or service.
     pub discovery: SocketAddr,
-    /// Where operators connect, if at all. Only a proxy with a console supports process replacement.
+    /// The address of the operators' console, if there is one. Only a proxy with a console supports process
+    /// replacement.
     pub console: Option<SocketAddr>,
-    /// Seed of the random numbers.
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
     /// The last known backend list, in discovery's format.
     pub known_backends: Value,
     /// The balancer's settings.
     pub settings: Settings,
-    /// The names in the settings.
+    /// The names that the settings define.
     pub names: NameIndex,
-    /// The complete file except for its backend list, to compare it with a reloaded one.
+    /// The content of the file without its backend list, for comparison with a reloaded one.
     pub shape: Value,
-    /// How long connecting to a backend may take, in microseconds.
+    /// The time limit for connecting to a backend, in microseconds.
     pub connect_timeout: Micros,
     /// The maximum number of open client connections.
     pub client_sockets: usize,
-    /// The maximum number of open backend connections, idle ones included.
+    /// The maximum number of open backend connections, including idle ones.
     pub backend_sockets: usize,
-    /// The bytes that buffered request bodies over [`MAX_BUFFERED_BODY_BYTES`] may take in total.
+    /// The maximum total size of buffered request bodies that exceed [`MAX_BUFFERED_BODY_BYTES`], in bytes.
     pub large_body_bytes: usize,
 }
 
@@ -109,7 +113,7 @@
     name: String,
 }
 
-/// The part of the settings that only the front end uses.
+/// The part of the settings that the front end uses and the balancer does not.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RawNames {
@@ -141,7 +145,7 @@
 }
 
 impl Config {
-    /// Reads the file that `EDGE_CONFIG` names.
+    /// Reads the file whose path is in `EDGE_CONFIG`.
     ///
     /// # Errors
     /// What is missing or invalid, in one line.
@@ -150,17 +154,19 @@
         Self::from_file(&path)
     }
 
-    /// Reads the file that `EDGE_CONFIG` names to replace a configuration of this shape.
+    /// Reads the file whose path is in `EDGE_CONFIG`, to replace a configuration with this
+    /// [`shape`](Config::shape).
     ///
     /// # Errors
-    /// What is missing or invalid, or a key that the replaced configuration has and this one lacks, in one line.
+    /// The text names, in one line, what is missing or invalid, or a key that the replaced configuration has
+    /// and this one lacks.
     pub fn reload(shape: &Value) -> Result<Self, ConfigError> {
         let config = Self::from_env()?;
         has_all_keys(shape, &config.shape).map_err(ConfigError::Reload)?;
         Ok(config)
     }
 
-    /// Reads this file; environment variables supply what it leaves out.
+    /// Reads the file at this path; environment variables supply keys that the file omits.
     ///
     /// # Errors
     /// What is missing or invalid, in one line.
@@ -169,7 +175,8 @@
         Self::parse(&text, |name| env::var(name).ok())
     }
 
-    /// Reads the configuration from JSON text; `variable` supplies what the text leaves out.
+    /// Parses a configuration in JSON; `variable` looks up the environment variables that supply keys that
+    /// the text omits.
     ///
     /// # Errors
     /// What is missing or invalid, in one line.
@@ -194,7 +201,7 @@
             listen: address("listen", raw.listen, "EDGE_LISTEN")?,
             discovery: address("discovery", raw.discovery, "EDGE_DISCOVERY")?,
             console,
-            seed: seed(&raw.seed),
+            seed: parse_seed(&raw.seed),
             known_backends: raw.known_backends,
             settings: parse_settings(&settings).map_err(ConfigError::Settings)?,
             names: NameIndex {
@@ -217,7 +224,7 @@
     }
 }
 
-/// The connections and buffered bodies that fit into the process's limits.
+/// The numbers of connections and the size of buffered bodies that fit into the limits of the process.
 #[derive(Clone, Copy, Debug)]
 struct Capacity {
     client_sockets: usize,
@@ -226,21 +233,22 @@
 }
 
 impl Capacity {
-    /// Divides the memory in fifths: two for the heads and bodies of requests, one for those of responses, one for large
-    /// bodies, and one for everything else.
+    /// Divides the memory into fifths: two for the heads and bodies of requests, one for those of responses,
+    /// one for large bodies, and one for everything else.
     fn new(limits: &RawLimits, has_console: bool) -> Self {
         let reserved = RESERVED_SOCKETS + if has_console { CONSOLE_SOCKETS } else { 0 };
         let free = limits.sockets.unwrap_or(DEFAULT_SOCKETS).max(2 * reserved) - reserved;
         let fifth = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).saturating_mul(1 << 20) / 5;
-        // A client connection may carry a request that waits for a backend connection, so clients get the larger part.
+        // A client connection may wait for a backend connection with its request, so clients get the larger
+        // part.
         let clients = (free * 3 / 5).min(2 * fifth / (MAX_REQUEST_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES));
         let backends = (free - free * 3 / 5).min(fifth / (MAX_RESPONSE_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES));
         Self { client_sockets: clients.max(1), backend_sockets: backends.max(1), large_body_bytes: fifth }
     }
 }
 
-/// The seed is hexadecimal text or a number; without one it is drawn at random.
-fn seed(value: &Value) -> u64 {
+/// Parses the seed, which is hexadecimal text or a number; without one the seed is random.
+fn parse_seed(value: &Value) -> u64 {
     let text = value.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
     text.or_else(|| value.as_u64()).unwrap_or_else(|| fastrand::Rng::new().u64(..))
 }
--- a/crates/http-proxy/src/config/tests.rs
+++ b/crates/http-proxy/src/config/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Operators see these texts.
+/// Operators see these texts, and their tools may match them.
 #[test]
 fn errors_keep_their_texts() {
     let unreadable = ConfigError::Unreadable("/a/b".into(), io::Error::other("cause"));
--- a/crates/http-proxy/src/counting_socket.rs
+++ b/crates/http-proxy/src/counting_socket.rs
@@ -1,6 +1,6 @@
-//! A backend socket that counts the bytes that the kernel accepted.
+//! A backend socket that counts the bytes that the kernel has accepted for sending.
 
-use crate::client_connection::socket_state::is_quiet;
+use crate::client_connection::socket_state::is_input_empty;
 use socket2::SockRef;
 use std::cell::Cell;
 use std::io;
@@ -11,31 +11,31 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket with a count of the bytes that were written to it. The count decides whether a backend can have received a
-/// complete request (rule 2).
+/// A socket that counts the bytes that were written to it. The count decides whether a backend may have
+/// received, and executed, the complete request, and thus whether a retry is safe.
 pub struct CountingSocket {
     stream: TcpStream,
     written: Cell<u64>,
 }
 
 impl CountingSocket {
-    /// A socket that nothing was written to.
+    /// Wraps a socket to which nothing was written yet.
     #[must_use]
     pub fn new(stream: TcpStream) -> Rc<Self> {
         Rc::new(Self { stream, written: Cell::new(0) })
     }
 
-    /// The bytes that were written so far.
+    /// The number of bytes that were written so far.
     #[must_use]
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Whether nothing has arrived since the last response: neither the backend's close nor stray bytes. Asks the kernel,
-    /// since the runtime may not have polled the socket yet.
+    /// Whether nothing has arrived since the last response: neither the backend's close nor unexpected bytes.
+    /// Asks the kernel, since the runtime may not have polled the socket yet.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
-        is_quiet(&self.stream)
+    pub fn is_input_empty(&self) -> bool {
+        is_input_empty(&self.stream)
     }
 
     fn poll_counted(
@@ -48,7 +48,7 @@
     }
 }
 
-/// The reading and writing side of a [`CountingSocket`], for the HTTP library.
+/// Implements the runtime's I/O traits for a [`CountingSocket`], as the HTTP library requires.
 pub struct CountingSocketIo(pub Rc<CountingSocket>);
 
 impl AsyncRead for CountingSocketIo {
--- a/crates/http-proxy/src/exchange.rs
+++ b/crates/http-proxy/src/exchange.rs
@@ -17,21 +17,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The header that gives a backend the remaining time in milliseconds.
+/// The header that gives a backend the remaining time of its request in milliseconds.
 const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
 
 /// The body of a request.
 #[derive(Clone, Debug)]
 pub enum RequestBody {
-    /// In memory, for any number of attempts.
+    /// Buffered in memory and available to any number of attempts.
     Buffered(Bytes),
     /// Forwarded while it arrives, in a single attempt.
     Streamed(Rc<StreamedUpload>),
 }
 
 impl RequestBody {
-    /// The minimum number of bytes that a connection has taken once the complete body is written; `None` while that is not
-    /// known.
+    /// The minimum number of bytes that the socket has accepted once the complete body is written; `None` as
+    /// long as that is unknown.
     #[must_use]
     pub fn min_wire_size(&self) -> Option<u64> {
         match self {
@@ -40,33 +40,33 @@
         }
     }
 
-    /// Whether it can't be sent any more.
+    /// Whether it can no longer be sent, since a part of it was forwarded already.
     #[must_use]
     pub fn is_consumed(&self) -> bool {
         matches!(self, Self::Streamed(upload) if upload.is_consumed())
     }
 }
 
-/// A request to a backend, the same in every attempt.
+/// A request to a backend. All of its attempts send the same method, target, headers and body.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The client's method.
+    /// The method of the client's request.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// Path and query of the client's request.
     pub target: Uri,
-    /// The client's end-to-end headers.
+    /// The headers of the client's request without the hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body, unchanged.
+    /// The body of the client's request.
     pub body: RequestBody,
-    /// How long the client waits from the last byte of its request on.
+    /// The time limit for the response, counted from the last byte of the request.
     pub timeout: Duration,
-    /// The client; a health check has none.
+    /// The client that waits for the response; `None` for a health check.
     pub client: Option<ClientPresence>,
 }
 
 impl ForwardedRequest {
-    /// Whether its client has disconnected. Checked right before an attempt starts.
-    pub async fn is_abandoned(&self) -> bool {
+    /// Whether its client has disconnected. Checked immediately before an attempt starts.
+    pub async fn has_client_disconnected(&self) -> bool {
         match &self.client {
             Some(client) => client.has_disconnected().await,
             None => false,
@@ -77,64 +77,67 @@
 /// A backend's response with status 200.
 #[derive(Debug)]
 pub struct BackendResponse {
-    /// Its body, unchanged.
+    /// The body as the backend sent it.
     pub body: ResponseBody,
-    /// Its content type, unchanged.
+    /// The content type as the backend sent it.
     pub content_type: Option<HeaderValue>,
 }
 
-/// The part of a response body that was received.
+/// The body of a response, as far as it was received.
 pub enum ReceivedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
     /// The beginning of a body that is too large to be buffered.
     Partial(PartialBody),
 }
 
-/// The beginning of a response body.
+/// A response body that was received in part.
 pub struct PartialBody {
-    /// The chunks that have arrived.
+    /// The chunks that have arrived, in order.
     pub received: VecDeque<Bytes>,
-    /// The rest.
+    /// The chunks that are still to arrive.
     pub remaining: Incoming,
-    /// The length of the complete body in bytes, where the head gives it.
+    /// The length of the complete body in bytes, if the head gives it.
     pub length: Option<u64>,
 }
 
 /// A response of any status.
 pub struct ReceivedResponse {
-    /// Its status.
+    /// The status code as the backend sent it.
     pub status: StatusCode,
-    /// Its headers.
+    /// All headers, hop-by-hop headers included.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, complete or in part.
     pub body: ReceivedBody,
 }
 
 /// Why an exchange gave no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// The connection failed.
+    /// The connection failed before the response was received.
     ConnectionFailed,
     /// The response is malformed or can't be forwarded.
     Malformed,
-    /// The time of the attempt is over.
+    /// The time limit of the attempt has passed.
     TimedOut,
-    /// The attempt was cancelled.
+    /// The attempt was cancelled before the response was received.
     Cancelled,
 }
 
 impl From<&hyper::Error> for ExchangeError {
     fn from(error: &hyper::Error) -> Self {
-        // A malformed chunked body shows only in the kind of the cause.
+        // For a malformed chunked body only the kind of the causing I/O error shows that the response is
+        // invalid.
         let cause = error.source().and_then(|cause| cause.downcast_ref::<io::Error>()).map(io::Error::kind);
         let is_invalid = matches!(cause, Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData));
         if error.is_parse() || is_invalid { Self::Malformed } else { Self::ConnectionFailed }
     }
 }
 
-/// Writes a request and reads its response. A small body is read completely, so that a broken response never reaches the
-/// client and another attempt can follow; of a larger one the first [`MAX_BUFFERED_BODY_BYTES`] are read.
+/// Writes a request and reads its response. A small body is read completely, so that a truncated or malformed
+/// response never reaches the client and another attempt can follow. Of a larger body nothing is read yet if
+/// the head gives its length; otherwise its first chunks are read until they exceed
+/// [`MAX_BUFFERED_BODY_BYTES`].
 ///
 /// # Errors
 /// The connection failed, or the response is malformed or too large.
@@ -164,7 +167,7 @@
     Ok(ReceivedBody::Partial(PartialBody { received, remaining, length }))
 }
 
-/// Chunks as one buffer; a single chunk, the usual case, is not copied.
+/// Joins chunks into one buffer. A single chunk, the usual case, is not copied.
 #[must_use]
 pub fn concatenate(mut chunks: VecDeque<Bytes>) -> Bytes {
     if chunks.len() <= 1 {
@@ -177,9 +180,9 @@
     buffer.freeze()
 }
 
-/// Whether the head allows a complete response that can be forwarded. Otherwise failing at once leaves time for another
-/// attempt: a response of gigabytes would be read in vain, and one that ends only with its connection, without announcing the
-/// close, could not be told from a truncated one.
+/// Whether the head announces a response that can be forwarded completely. Rejecting others at this point
+/// leaves time for another attempt. A response that is too large would be read in vain. A response that ends
+/// only with its connection, without announcing the close, cannot be distinguished from a truncated one.
 fn can_be_forwarded(response: &Response<Incoming>) -> bool {
     let (length, headers) = (response.body().size_hint(), response.headers());
     let announces_close = || {
@@ -195,7 +198,7 @@
         && response.status() != StatusCode::SWITCHING_PROTOCOLS
 }
 
-/// Builds the request to a backend at `address`, with `time_left` for it.
+/// Builds the request to a backend at `address`. `time_left` is the time that the backend has for it.
 #[must_use]
 pub fn build_request(
     forwarded: &ForwardedRequest,
@@ -224,8 +227,8 @@
     request
 }
 
-/// The minimum number of bytes of a request's head on the wire. With fewer bytes written than this and the body, a backend
-/// can't have started to process the request.
+/// The minimum number of bytes of a request's head on the wire. As long as fewer bytes than this and the body
+/// are written, the backend can't have the complete request and can't have executed it.
 #[must_use]
 pub fn min_head_size(request: &Request<OutboundBody>) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |t| t.as_str().len());
--- a/crates/http-proxy/src/idempotency_claim.rs
+++ b/crates/http-proxy/src/idempotency_claim.rs
@@ -1,4 +1,5 @@
-//! Claims of clients' requests in the idempotency registry that the HTTP and the gRPC front end share (rule 2).
+//! Claims of clients' requests in the idempotency registry, which the HTTP and the gRPC front end share: a
+//! request that is not idempotent must not be executed twice because it arrives over both.
 
 use crate::exchange::BackendResponse;
 use balancer::api::{Class, Idempotency, Micros};
@@ -9,31 +10,32 @@
     SharedRegistry,
 };
 
-/// When a client may retry a request that another caller has in flight, in microseconds.
+/// The delay after which a client may retry a request that another caller has in flight, in microseconds.
 const IN_FLIGHT_RETRY_DELAY: Micros = 1_000_000;
 
 /// Why a request must not be sent to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimRejection {
-    /// It has not run here; the client may retry after this delay in microseconds.
+    /// It was not executed through this front end; the client may retry after this delay in microseconds.
     RetryAfter(Micros),
-    /// Another caller has completed it, or it conflicts with an earlier request. The text is the response's body.
+    /// Another caller has completed it, or it conflicts with an earlier request. The text is the body of the
+    /// response.
     Conflict(&'static str),
-    /// It can't be registered. The text is the response's body.
+    /// Its id or key is invalid, so that it can't be registered. The text is the body of the response.
     Invalid(&'static str),
 }
 
-/// How the requests of a class are registered.
+/// How requests of a class are registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClaimTerms {
+pub struct ClaimPolicy {
     /// Whether requests with the same idempotency key are retries of one another.
     keyed: bool,
     /// How long the final status is retained, in microseconds.
     retention: Micros,
 }
 
-impl ClaimTerms {
-    /// The terms of a class.
+impl ClaimPolicy {
+    /// The policy that follows from the idempotency of a class.
     #[must_use]
     pub fn of(class: &Class) -> Self {
         match class.idempotency {
@@ -47,15 +49,16 @@
 /// What identifies a request in the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// The correlation id.
+    /// The correlation id that the client chose.
     pub id: &'a [u8],
-    /// Position of its class in the settings.
+    /// The index of its class in the settings.
     pub class: u8,
-    /// The idempotency key, if it has one.
+    /// The idempotency key, if the request has one.
     pub key: Option<&'a [u8]>,
 }
 
-/// A request that the HTTP front end has in flight. Dropped unsettled, it counts as possibly executed.
+/// A request that is registered as in flight in the HTTP front end. If the claim is dropped before it is
+/// settled, the request counts as possibly executed.
 pub struct IdempotencyClaim<'a> {
     registry: &'a SharedRegistry,
     clock: Clock,
@@ -65,23 +68,24 @@
 }
 
 impl<'a> IdempotencyClaim<'a> {
-    /// Registers a request. `None` if this front end completed it before: the backends then deduplicate the retry, as they
-    /// do without a gRPC front end.
+    /// Registers a request. Returns `None` if this front end completed it before: the backends then
+    /// deduplicate the retry, as they do without a gRPC front end.
     ///
     /// # Errors
-    /// Another caller has it, the registry is full, or its names are invalid.
+    /// Another caller has the request in flight or has completed it, the registry is full, or the id or key
+    /// is invalid.
     pub fn acquire(
         registry: &'a SharedRegistry,
         clock: Clock,
         request: RequestIdentity<'_>,
-        terms: ClaimTerms,
+        policy: ClaimPolicy,
     ) -> Result<Option<Self>, ClaimRejection> {
         let now = clock.now();
-        let key = request.key.filter(|_| terms.keyed);
+        let key = request.key.filter(|_| policy.keyed);
         let claimed = registry.borrow_mut().claim(now, request.id, request.class, key);
         match claimed {
             Ok(ClaimStatus::New(id)) => {
-                Ok(Some(Self { registry, clock, id, retention: terms.retention, settled: false }))
+                Ok(Some(Self { registry, clock, id, retention: policy.retention, settled: false }))
             }
             Ok(ClaimStatus::Completed(CompletedRequest { front_end: FrontEnd::Proxied, .. })) => Ok(None),
             Ok(ClaimStatus::InFlight { .. }) | Err(ClaimError::Full(_)) => {
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Records the final outcome; `None` if there will be none.
+    /// Records the final outcome of the request; `None` if there is none, which counts as a failure.
     pub fn settle(mut self, outcome: Option<&FinalOutcome<BackendResponse>>) {
         self.settled = true;
         let now = self.clock.now();
--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! The HTTP/1.1 front end: client connections, backend connections, and the discovery client.
 //!
-//! It carries out what the [engine](request_engine::engine) decides and reports the results; it never selects backends,
-//! retries, queues or sheds requests by itself.
+//! It carries out the decisions of the [engine](request_engine::engine) and reports their results. It never
+//! selects a backend, and never retries, queues or sheds a request on its own.
 
 pub mod backend_list;
 pub mod backend_pool;
--- a/crates/http-proxy/src/log.rs
+++ b/crates/http-proxy/src/log.rs
@@ -1,5 +1,5 @@
-//! The process's log on standard error: bounded in rate and size, and written by a thread of its own, so that a slow reader
-//! of the log does not delay requests.
+//! The log of the process on standard error. It is bounded in rate and size, and written by a separate
+//! thread, so that a slow reader of the log does not delay requests.
 
 use std::cell::Cell;
 use std::fmt::{self, Arguments, Display};
@@ -9,46 +9,47 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that are written in a second; further ones are dropped and counted.
+/// The maximum number of lines in one second; further ones are dropped and counted.
 const MAX_LINES_PER_SECOND: u32 = 100;
-/// Lines that are queued for the writer; further ones are dropped.
+/// The maximum number of lines that are queued for the writer; further ones are dropped.
 const MAX_QUEUED_LINES: usize = 256;
-/// The longest line, in bytes.
+/// The maximum length of a line, in bytes.
 const MAX_LINE_BYTES: usize = 4_096;
-/// The stack of the writer thread, in bytes.
+/// The stack size of the writer thread, in bytes.
 const WRITER_STACK_BYTES: usize = 64 << 10;
-/// How often repeated failures of one kind are logged, as a sum.
+/// The minimum time between two lines about failures of one kind.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 thread_local! {
-    static CURRENT_SECOND: Cell<LineCount> = const { Cell::new(LineCount { began: None, lines: 0 }) };
+    static CURRENT_SECOND: Cell<LineCount> = const { Cell::new(LineCount { started_at: None, lines: 0 }) };
 }
 
-/// The lines of one second of the log.
+/// The number of lines in the current second of the log.
 #[derive(Clone, Copy, Debug, Default)]
 struct LineCount {
-    began: Option<Instant>,
+    started_at: Option<Instant>,
     lines: u32,
 }
 
 enum WriterMessage {
     Line(String),
-    /// Answered once all lines before it have been written.
+    /// The sender is notified once all lines before this message have been written.
     Flush(SyncSender<()>),
 }
 
-/// Admits a line at `now` unless its second is full. Returns how many lines were dropped in the second before it.
-fn admit(now: Instant, count: &Cell<LineCount>) -> Option<u32> {
-    let LineCount { began, lines } = count.get();
-    if began.is_none_or(|began| now.saturating_duration_since(began).as_secs() >= 1) {
-        count.set(LineCount { began: Some(now), lines: 1 });
+/// Checks whether a line at `now` is within the rate limit. If it is, returns how many lines were dropped in
+/// the previous second; otherwise `None`.
+fn allow_line(now: Instant, count: &Cell<LineCount>) -> Option<u32> {
+    let LineCount { started_at, lines } = count.get();
+    if started_at.is_none_or(|started_at| now.saturating_duration_since(started_at).as_secs() >= 1) {
+        count.set(LineCount { started_at: Some(now), lines: 1 });
         return Some(lines.saturating_sub(MAX_LINES_PER_SECOND));
     }
-    count.set(LineCount { began, lines: lines.saturating_add(1) });
+    count.set(LineCount { started_at, lines: lines.saturating_add(1) });
     (lines < MAX_LINES_PER_SECOND).then_some(0)
 }
 
-fn write_all(messages: &Receiver<WriterMessage>) {
+fn write_messages(messages: &Receiver<WriterMessage>) {
     while let Ok(message) = messages.recv() {
         match message {
             WriterMessage::Line(line) => drop(writeln!(std::io::stderr(), "{line}")),
@@ -57,21 +58,22 @@
     }
 }
 
-/// The queue of the writer thread, which starts with the first line; `None` if the thread could not be started.
+/// The queue of the writer thread, which is started for the first line; `None` if the thread could not be
+/// started.
 fn writer() -> Option<&'static SyncSender<WriterMessage>> {
     static WRITER: OnceLock<Option<SyncSender<WriterMessage>>> = OnceLock::new();
     let start = || {
         let (sender, messages) = sync_channel(MAX_QUEUED_LINES);
         let thread = thread::Builder::new().name("log".into()).stack_size(WRITER_STACK_BYTES);
-        thread.spawn(move || write_all(&messages)).ok().map(|_| sender)
+        thread.spawn(move || write_messages(&messages)).ok().map(|_| sender)
     };
     WRITER.get_or_init(start).as_ref()
 }
 
-fn put(line: &Arguments<'_>) {
+fn enqueue(line: &Arguments<'_>) {
     let mut text = line.to_string();
     if text.len() > MAX_LINE_BYTES {
-        // A character takes four bytes at the most.
+        // In UTF-8 a character has at most four bytes.
         text = text.chars().take(MAX_LINE_BYTES / 4).collect();
     }
     match writer() {
@@ -81,16 +83,17 @@
     }
 }
 
-/// Writes a line to the log. Beyond 100 lines in a second it is dropped, and the number of dropped lines is logged later.
+/// Writes a line to the log. Beyond 100 lines in a second lines are dropped, and their number is logged with
+/// the next line that is not.
 pub fn log(line: Arguments<'_>) {
-    let Some(dropped) = CURRENT_SECOND.with(|count| admit(Instant::now(), count)) else { return };
+    let Some(dropped) = CURRENT_SECOND.with(|count| allow_line(Instant::now(), count)) else { return };
     if dropped > 0 {
-        put(&format_args!("({dropped} lines left out)"));
+        enqueue(&format_args!("({dropped} log lines dropped)"));
     }
-    put(&line);
+    enqueue(&line);
 }
 
-/// Waits until all logged lines have been written, or until the timeout. For the end of a process.
+/// Waits until all lines logged so far have been written, or until the timeout. For the end of a process.
 pub fn flush(timeout: Duration) {
     let Some(writer) = writer() else { return };
     let (done, wait) = sync_channel(1);
@@ -99,8 +102,8 @@
     }
 }
 
-/// Logs failures of one kind that may happen hundreds of times a second: the first one at once, later ones as a sum every
-/// 10 s.
+/// Logs failures of one kind that may happen hundreds of times a second: the first one immediately, later
+/// ones as a sum every 10 s.
 pub struct FailureLog {
     kind: &'static str,
     logged_at: Cell<Option<Instant>>,
@@ -114,13 +117,14 @@
 }
 
 impl FailureLog {
-    /// A log without failures; `kind` begins each of its lines.
+    /// A log without recorded failures. `kind` is the prefix of each of its lines.
     #[must_use]
     pub const fn of(kind: &'static str) -> Self {
         Self { kind, logged_at: Cell::new(None), unlogged: Cell::new(0) }
     }
 
-    /// Counts a failure. Returns the number of failures to log now, this one included, if a line is due.
+    /// Counts a failure at `now`. If a line is due, returns the number of failures since the last line,
+    /// including this one.
     fn count(&self, now: Instant) -> Option<u32> {
         let failures = self.unlogged.get().saturating_add(1);
         if self.logged_at.get().is_some_and(|at| now.saturating_duration_since(at) < SUMMARY_INTERVAL) {
@@ -132,11 +136,11 @@
         Some(failures)
     }
 
-    /// Records a failure.
+    /// Records a failure, and logs it unless a line of this kind was logged within the last 10 s.
     pub fn note(&self, error: &dyn Display) {
         match self.count(Instant::now()) {
             Some(1) => log(format_args!("{}: {error}", self.kind)),
-            Some(failures) => log(format_args!("{}: {failures} times, the last: {error}", self.kind)),
+            Some(failures) => log(format_args!("{}: {failures} failures, the last one: {error}", self.kind)),
             None => {}
         }
     }
--- a/crates/http-proxy/src/log/tests.rs
+++ b/crates/http-proxy/src/log/tests.rs
@@ -3,10 +3,10 @@
 #[test]
 fn drops_and_counts_lines_beyond_the_rate_limit() {
     let (count, began) = (Cell::default(), Instant::now());
-    let written = (0..250).filter(|_| admit(began, &count).is_some()).count();
-    assert_eq!(written as u32, MAX_LINES_PER_SECOND);
-    assert_eq!(admit(began + Duration::from_secs(2), &count), Some(150));
-    assert_eq!(admit(began + Duration::from_secs(2), &count), Some(0));
+    let allowed = (0..250).filter(|_| allow_line(began, &count).is_some()).count();
+    assert_eq!(allowed as u32, MAX_LINES_PER_SECOND);
+    assert_eq!(allow_line(began + Duration::from_secs(2), &count), Some(150));
+    assert_eq!(allow_line(began + Duration::from_secs(2), &count), Some(0));
 }
 
 #[test]
--- a/crates/http-proxy/src/name_index.rs
+++ b/crates/http-proxy/src/name_index.rs
@@ -1,16 +1,17 @@
-//! The names that the protocols use, in the order of the settings.
+//! The names by which HTTP requests and discovery refer to parts of the settings, in the order of the
+//! settings.
 
-/// Names by position: the balancer identifies each of these by its index.
+/// Names by index: the balancer identifies each of these entities by its index.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
-    /// Request classes.
+    /// The names of the request classes.
     pub classes: Vec<String>,
-    /// Tenants; may be empty.
+    /// The names of the tenants. If empty, the tenant of a request is not checked.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// The names of the machine kinds.
     pub kinds: Vec<String>,
-    /// Fields of a load report.
+    /// The names of the fields of a load report.
     pub report: Vec<String>,
 }
--- a/crates/http-proxy/src/transport.rs
+++ b/crates/http-proxy/src/transport.rs
@@ -14,16 +14,16 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// The message types of the HTTP front end.
+/// The message types that the engine exchanges with the HTTP front end.
 #[derive(Debug)]
-pub struct Http;
+pub struct HttpMessages;
 
-/// Where a final outcome is delivered.
+/// The recipient of a final outcome.
 #[derive(Debug)]
 pub enum Responder {
-    /// To a client's connection.
+    /// The connection of a client that waits for its response.
     HttpClient(oneshot::Sender<FinalOutcome<BackendResponse>>),
-    /// To the gRPC front end, whose callers make their attempts under leases.
+    /// The gRPC front end, whose callers make their attempts under leases.
     LeaseHolder(RequestHandle),
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-impl MessageTypes for Http {
+impl MessageTypes for HttpMessages {
     type OutboundRequest = Rc<ForwardedRequest>;
     type Responder = Responder;
     type Response = BackendResponse;
@@ -43,23 +43,24 @@
     }
 }
 
-/// The handle of the engine.
+/// The handle of an engine with this proxy's transport.
 pub type Handle = driver::Handle<ProxyTransport>;
 
-/// The transport over this proxy's own connections.
+/// Executes attempts and health checks over this proxy's own connections.
 pub struct ProxyTransport {
-    /// The backends and the connections to them.
+    /// The listed backends, and the connections to them.
     pub backend_pool: Rc<BackendPool>,
-    /// Requests a subscription from discovery, where that is a shared service.
+    /// Receives a message when the balancer requests a subscription to changes, which matters only if
+    /// discovery is a shared service.
     pub subscribe: mpsc::UnboundedSender<()>,
-    /// Whether load reports come with health checks only.
+    /// Whether backends send load reports only with health checks.
     pub report_by_health_check: bool,
-    /// Events for the holders of leases; unused without a gRPC front end.
+    /// The queue of events for lease holders; unused without a gRPC front end.
     pub lease_events: Rc<LeaseEventQueue>,
 }
 
 impl Transport for ProxyTransport {
-    type Messages = Http;
+    type Messages = HttpMessages;
 
     fn start_attempt(
         &self,
@@ -93,7 +94,7 @@
 
     fn respond(&self, responder: Responder, outcome: FinalOutcome<BackendResponse>) {
         match responder {
-            // The engine learns of a client that has disconnected from its `DisconnectGuard`.
+            // If the client has disconnected, its `DisconnectGuard` notifies the engine.
             Responder::HttpClient(sender) => drop(sender.send(outcome)),
             Responder::LeaseHolder(request) => {
                 let outcome = match outcome {
@@ -111,9 +112,9 @@
             Some(&Responder::LeaseHolder(request)) => {
                 self.lease_events.push(LeaseEvent::Granted(request, grant));
             }
-            // HTTP clients request no leases; such a lease expires.
+            // HTTP clients do not request leases. Such a lease expires.
             Some(Responder::HttpClient(_)) | None => {
-                log(format_args!("lease {} was granted without a holder", grant.lease));
+                log(format_args!("lease {} was granted to no caller and will expire", grant.lease));
             }
         }
     }
@@ -137,20 +138,21 @@
     }
 }
 
-/// What a list of backends contains.
+/// What an update of the backend list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Changed entries.
+    /// The entries that have changed.
     Delta,
-    /// The complete list.
+    /// All entries, as discovery lists them now.
     Snapshot,
-    /// The last known complete list.
+    /// The last known complete list, which may be outdated.
     CachedSnapshot,
-    /// Nothing: a call to discovery failed.
+    /// No entries: a call to discovery failed.
     Failed,
 }
 
-/// Applies a list to the connection pool and then to the engine, so that an attempt that the list triggers finds its backend.
+/// Applies a list to the connection pool and then to the engine, so that an attempt that the list triggers
+/// finds its backend in the pool.
 pub fn update_backends(handle: &Handle, kind: UpdateKind, entries: &[ListedBackend]) {
     let backend_pool = &handle.transport().backend_pool;
     if matches!(kind, UpdateKind::Snapshot | UpdateKind::CachedSnapshot) {
--- a/crates/http-proxy/tests/golden.rs
+++ b/crates/http-proxy/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden file of the proxy's configuration in JSON: every key with a value of its own, and what each of them becomes.
+//! Golden files of the proxy's configuration in JSON. The input has each key with a distinct value; the
+//! golden files contain the values that the configuration has after parsing.
 
 use golden_files::GoldenFiles;
 use http_proxy::config::Config;
@@ -47,9 +48,9 @@
     golden().assert_lines("config.txt", &[describe(&parse(&text))]);
 }
 
-/// The environment fills in what the file leaves out.
+/// Environment variables supply the keys that the file omits.
 #[test]
-fn variables_of_the_environment_keep_their_names() {
+fn environment_variables_keep_their_names() {
     let mut value: Value = serde_json::from_slice(&golden().read("config.json")).expect("JSON");
     let object = value.as_object_mut().expect("an object");
     for key in ["name", "listen", "discovery", "console", "limits", "known"] {
