--- a/crates/control-plane/src/codec.rs
+++ b/crates/control-plane/src/codec.rs
@@ -1,4 +1,5 @@
-//! Framing and encoding of messages: the length in four bytes, big-endian, then the message encoded with postcard.
+//! Framing and encoding of messages: a length prefix of four bytes, big-endian, then the message encoded with
+//! postcard.
 
 use crate::message::{MAX_MESSAGE_BYTES, Message, PROTOCOL_VERSION};
 use crate::record::Backend;
@@ -9,21 +10,22 @@
 
 /// Size of the length prefix, bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// The most that is read at a time, bytes: a length prefix alone never makes the reader allocate more.
+/// Maximum size of one read, bytes: a length prefix without data never makes the reader allocate more.
 const MAX_READ_BYTES: usize = 16 << 10;
-/// Read buffer of an idle connection, bytes: usual messages fit, and thousands of connections take few megabytes.
+/// Read buffer of an idle connection, bytes: large enough for common messages, and a few megabytes for
+/// thousands of connections.
 const IDLE_BUFFER_BYTES: usize = 1 << 10;
-/// The variant numbers of [`Message::Hello`] and [`Message::Welcome`]. In every protocol version both begin with the
-/// version, so that a mismatch is reported as such.
+/// Variant numbers of [`Message::Hello`] and [`Message::Welcome`]. In every protocol version both begin with
+/// the version, so that a mismatch is reported as such instead of as a decoding error.
 const VERSIONED_VARIANTS: [u32; 2] = [0, 1];
 
 /// Why bytes could not be encoded or decoded.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum EncodingError {
-    /// The bytes are not of this type.
+    /// The bytes are not a valid encoding of the type.
     #[error("{0}")]
     Postcard(#[from] postcard::Error),
-    /// There are bytes after the value.
+    /// The value is followed by this number of bytes.
     #[error("{0} bytes are left over")]
     TrailingBytes(usize),
 }
@@ -34,15 +36,15 @@
     /// The connection ended within a message.
     #[error("the connection ended after {received} bytes of a message; a message is sent whole")]
     Truncated {
-        /// The bytes received, length prefix included.
+        /// Number of bytes received of the message, length prefix included.
         received: usize,
     },
-    /// A message beyond [`MAX_MESSAGE_BYTES`]; nothing of it was read or written.
+    /// A message longer than [`MAX_MESSAGE_BYTES`]; none of its content was read or written.
     #[error("a message of {bytes} bytes is too long, {max} bytes at most are taken; send it in parts")]
     TooLong {
-        /// The length.
+        /// Length of the message, bytes.
         bytes: usize,
-        /// The greatest accepted length.
+        /// Maximum accepted length, bytes.
         max: usize,
     },
     /// Bytes that are not an encoded message.
@@ -51,7 +53,7 @@
         PROTOCOL_VERSION
     )]
     Malformed {
-        /// The length.
+        /// Length of the message, bytes.
         bytes: usize,
         /// The decoding error.
         problem: EncodingError,
@@ -62,18 +64,18 @@
         PROTOCOL_VERSION
     )]
     ProtocolMismatch {
-        /// The version of the other side.
+        /// The protocol version of the other side.
         theirs: u16,
     },
     /// Reading or writing the connection failed.
-    #[error("the connection broke: {0}")]
+    #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
 }
 
 /// Encodes a message with its length prefix.
 ///
 /// # Errors
-/// [`CodecError::TooLong`].
+/// [`CodecError::TooLong`] if the message is longer than [`MAX_MESSAGE_BYTES`].
 pub fn encode(message: &Message) -> Result<Vec<u8>, CodecError> {
     let malformed = |error: postcard::Error| CodecError::Malformed { bytes: 0, problem: error.into() };
     let mut frame = postcard::to_extend(message, vec![0; LENGTH_PREFIX_BYTES]).map_err(malformed)?;
@@ -90,8 +92,8 @@
 /// Decodes a message without its length prefix.
 ///
 /// # Errors
-/// [`CodecError::ProtocolMismatch`] where a [`Message::Hello`] or [`Message::Welcome`] has another version, regardless of the
-/// rest; [`CodecError::Malformed`] where the bytes are not exactly one message.
+/// [`CodecError::ProtocolMismatch`] if a [`Message::Hello`] or [`Message::Welcome`] has another version,
+/// regardless of its other content; [`CodecError::Malformed`] if the bytes are not exactly one message.
 pub fn decode(bytes: &[u8]) -> Result<Message, CodecError> {
     if let Ok(((variant, theirs), _)) = postcard::take_from_bytes::<(u32, u16)>(bytes)
         && VERSIONED_VARIANTS.contains(&variant)
@@ -107,7 +109,7 @@
     Err(CodecError::Malformed { bytes: bytes.len(), problem })
 }
 
-/// Reads messages from a stream.
+/// Reads length-prefixed messages from a stream.
 #[derive(Debug)]
 pub struct FrameReader<R> {
     inner: R,
@@ -116,27 +118,28 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// A reader at the beginning of a stream.
+    /// Creates a reader; the stream has to be at the beginning of a message.
     pub fn new(inner: R) -> Self {
         Self { inner, buffer: BytesMut::new(), bytes_read: 0 }
     }
 
-    /// Bytes read so far.
+    /// Number of bytes read so far, length prefixes and incomplete messages included.
     pub fn bytes_read(&self) -> u64 {
         self.bytes_read
     }
 
-    /// Discards input until the connection ends, at the most the length of the longest message.
+    /// Discards input until the connection ends, but at most [`MAX_MESSAGE_BYTES`].
     pub async fn drain(self) {
         let mut rest = self.inner.take(MAX_MESSAGE_BYTES as u64);
-        // The connection is dropped in any case.
+        // Errors do not matter: the connection is dropped in any case.
         let _ = tokio::io::copy(&mut rest, &mut tokio::io::sink()).await;
     }
 
-    /// The next message; `None` once the other side has closed the connection after a complete one. Cancel safe.
+    /// Reads the next message; `None` if the other side has closed the connection after a complete one.
+    /// Cancel safe.
     ///
     /// # Errors
-    /// See [`CodecError`]; the connection can't be used any more.
+    /// See [`CodecError`]; the connection can't be used afterwards.
     pub async fn read(&mut self) -> Result<Option<Message>, CodecError> {
         loop {
             let frame_bytes = self.frame_bytes()?;
@@ -155,7 +158,8 @@
         }
     }
 
-    /// The length of the next frame as far as it is known, length prefix included.
+    /// Length of the next frame, length prefix included; before the prefix is complete, the length of the
+    /// prefix.
     fn frame_bytes(&self) -> Result<usize, CodecError> {
         let Some(prefix) = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(LENGTH_PREFIX_BYTES);
@@ -167,19 +171,19 @@
         Ok(LENGTH_PREFIX_BYTES + bytes)
     }
 
-    /// Decodes the first frame of the buffer and removes it.
+    /// Removes the first frame from the buffer and decodes it.
     fn take_frame(&mut self, frame_bytes: usize) -> Result<Message, CodecError> {
         let message = decode(&self.buffer[LENGTH_PREFIX_BYTES..frame_bytes]);
         self.buffer.advance(frame_bytes);
         if self.buffer.is_empty() && frame_bytes > IDLE_BUFFER_BYTES {
-            // Releases the memory of a long message.
+            // Releases the memory that a long message took.
             self.buffer = BytesMut::new();
         }
         message
     }
 }
 
-/// Writes messages to a stream.
+/// Writes length-prefixed messages to a stream.
 #[derive(Debug)]
 pub struct FrameWriter<W> {
     inner: W,
@@ -187,20 +191,20 @@
 }
 
 impl<W: AsyncWrite + Unpin> FrameWriter<W> {
-    /// A writer at the beginning of a stream.
+    /// Creates a writer; the stream has to be at the beginning of a message.
     pub fn new(inner: W) -> Self {
         Self { inner, bytes_written: 0 }
     }
 
-    /// Bytes written so far.
+    /// Number of bytes of completely written messages, length prefixes included.
     pub fn bytes_written(&self) -> u64 {
         self.bytes_written
     }
 
-    /// Writes a message. Not cancel safe: a dropped call may have written a part of it.
+    /// Writes a message. Not cancel safe: a cancelled call may have written a part of it.
     ///
     /// # Errors
-    /// A message beyond the bound, of which nothing is written, or a failed connection.
+    /// The message is too long, in which case nothing is written, or the connection failed.
     pub async fn write(&mut self, message: &Message) -> Result<(), CodecError> {
         let frame = encode(message)?;
         self.inner.write_all(&frame).await?;
@@ -208,9 +212,9 @@
         Ok(())
     }
 
-    /// Shuts down the sending side; written messages are still delivered.
+    /// Shuts down the sending side of the connection; messages already written are still delivered.
     pub async fn shutdown(&mut self) {
-        // A failed connection is shut down as well.
+        // An error means that the connection has failed, which has the same effect.
         let _ = self.inner.shutdown().await;
     }
 }
@@ -218,27 +222,27 @@
 /// Why a body is not a valid [`Backend`].
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum BodyError {
-    /// Bytes that are not an encoded backend.
-    #[error("a body of {bytes} bytes is no backend ({problem})")]
+    /// The bytes are not exactly one encoded backend.
+    #[error("a body of {bytes} bytes is not a valid backend ({problem})")]
     Malformed {
-        /// The length.
+        /// Length of the body, bytes.
         bytes: usize,
         /// The decoding error.
         problem: EncodingError,
     },
-    /// A size that is not finite and above 0.
-    #[error("`size` is {0}, must be finite and above 0")]
+    /// A size that is not finite or not greater than 0.
+    #[error("`size` is {0}, must be finite and greater than 0")]
     InvalidSize(f64),
 }
 
-/// Encodes the body of a backend's record.
+/// Encodes the body of a record of [`Kind::Backend`](crate::record::Kind::Backend).
 #[must_use]
 pub fn encode_backend_body(backend: &Backend) -> Arc<[u8]> {
-    // Encoding a plain structure to memory does not fail.
+    // Encoding a plain structure to memory can't fail.
     postcard::to_stdvec(backend).unwrap_or_default().into()
 }
 
-/// Decodes the body of a backend's record.
+/// Decodes the body of a record of [`Kind::Backend`](crate::record::Kind::Backend).
 ///
 /// # Errors
 /// See [`BodyError`].
--- a/crates/control-plane/src/config/settings.rs
+++ b/crates/control-plane/src/config/settings.rs
@@ -7,106 +7,106 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The complete file.
+/// The whole configuration file. Each process needs only its own section.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The section of a source of truth.
+    /// Settings of a source of truth.
     pub source: Option<SourceConfig>,
-    /// The section of a relay.
+    /// Settings of a relay.
     pub relay: Option<RelayConfig>,
-    /// The section of an agent.
+    /// Settings of an agent.
     pub agent: Option<AgentConfig>,
-    /// Rate limits of each connection.
+    /// Rate limits, which apply to each connection separately.
     #[serde(default, rename = "pace")]
     pub rate_limit: RateLimitConfig,
 }
 
-/// The section of a source of truth.
+/// Settings of a source of truth.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SourceConfig {
-    /// Its number, unique among all sources.
+    /// Number of the source, unique among all sources.
     pub id: SourceId,
-    /// Its name, for logs.
+    /// Name of the process, for logs.
     pub name: String,
-    /// Address for relays and writers.
+    /// Address on which it listens for relays and writers.
     pub listen: SocketAddr,
-    /// The file in which its records are persisted.
+    /// File in which the records are persisted.
     pub snapshot: PathBuf,
-    /// Interval between snapshots, milliseconds; skipped without changes.
+    /// Interval at which changed records are persisted, milliseconds. Without changes nothing is written.
     #[serde(default = "default_snapshot_interval_ms", rename = "snapshot_every_ms")]
     pub snapshot_interval_ms: u64,
-    /// Open connections at the most.
+    /// Maximum number of open connections from downstream, writers included.
     #[serde(default = "default_source_connections")]
     pub connections: usize,
 }
 
-/// The section of a relay.
+/// Settings of a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelayConfig {
-    /// Its name, for logs.
+    /// Name of the process, for logs.
     pub name: String,
-    /// Address for agents.
+    /// Address on which it listens for agents.
     pub listen: SocketAddr,
-    /// All sources.
+    /// The sources to replicate, which should be all of them.
     pub sources: Vec<SourceAddress>,
-    /// Open connections at the most.
+    /// Maximum number of open connections from agents.
     #[serde(default = "default_relay_connections")]
     pub connections: usize,
 }
 
-/// The address of a source.
+/// A source in the configuration of a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SourceAddress {
-    /// Its number.
+    /// Number of the source.
     pub id: SourceId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
 }
 
-/// The section of an agent.
+/// Settings of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentConfig {
-    /// Its name, which decides which relay it prefers; unique among all agents.
+    /// Name of the agent, unique among all agents; it determines the preferred relay.
     pub name: String,
-    /// Address of the discovery protocol, for the proxy.
+    /// Address on which it serves the discovery protocol to the proxy.
     pub listen: SocketAddr,
-    /// The services of the proxy.
+    /// The services to which the proxy sends requests.
     pub services: BTreeSet<ServiceId>,
-    /// The sources of these services; discovery is served once the records of each are complete.
+    /// The sources of these services. Discovery is served once the records of all of them are complete.
     pub sources: BTreeSet<SourceId>,
-    /// All relays.
+    /// The relays to choose from.
     pub relays: Vec<RelayAddress>,
-    /// Open discovery connections at the most.
+    /// Maximum number of open connections of the discovery protocol.
     #[serde(default = "default_agent_connections")]
     pub connections: usize,
 }
 
-/// The address of a relay.
+/// A relay in the configuration of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelayAddress {
-    /// Its name, the same at all agents.
+    /// Name of the relay; has to be the same in the configurations of all agents.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
 }
 
-/// Rate limits of each connection.
+/// Rate limits, which apply to each connection separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RateLimitConfig {
-    /// Sustained rate of a relay to an agent, bytes per second.
+    /// Sustained rate from a relay to each agent, bytes per second.
     pub agent_bytes_per_s: u32,
-    /// Burst of a relay to an agent, bytes.
+    /// Burst from a relay to each agent, bytes.
     pub agent_burst: u32,
-    /// Sustained rate of a source to a relay, bytes per second.
+    /// Sustained rate from a source to each relay, bytes per second.
     pub relay_bytes_per_s: u32,
-    /// Burst of a source to a relay, bytes.
+    /// Burst from a source to each relay, bytes.
     pub relay_burst: u32,
 }
 
@@ -123,13 +123,13 @@
 }
 
 impl RateLimitConfig {
-    /// The limit of a relay to each agent.
+    /// The rate limit from a relay to each agent.
     #[must_use]
     pub fn agent_limit(&self) -> RateLimit {
         RateLimit { bytes_per_s: self.agent_bytes_per_s, burst: self.agent_burst }
     }
 
-    /// The limit of a source to each relay.
+    /// The rate limit from a source to each relay.
     #[must_use]
     pub fn relay_limit(&self) -> RateLimit {
         RateLimit { bytes_per_s: self.relay_bytes_per_s, burst: self.relay_burst }
@@ -137,7 +137,7 @@
 }
 
 impl AgentConfig {
-    /// The services that it subscribes to.
+    /// The scope of its subscription: the configured services.
     #[must_use]
     pub fn scope(&self) -> Scope {
         Scope::Services(self.services.clone())
--- a/crates/control-plane/src/config/validation.rs
+++ b/crates/control-plane/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Bounds of the configuration's values.
+//! Validation of the configuration's values.
 
 use super::settings::{AgentConfig, Config, RateLimitConfig, RelayConfig, SourceConfig};
 use crate::session::{MAX_SCOPE, MAX_SOURCES};
@@ -6,53 +6,54 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// The longest name, bytes.
+/// Maximum length of a name, bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Relays in one list at the most.
+/// Maximum number of relays in the configuration of an agent.
 const MAX_RELAYS: usize = 1_024;
 /// Accepted intervals between snapshots, milliseconds.
 const SNAPSHOT_INTERVAL_MS: RangeInclusive<u64> = 10..=3_600_000;
-/// Accepted bounds of open connections.
+/// Accepted limits of open connections.
 const CONNECTIONS: RangeInclusive<u64> = 1..=65_536;
 /// Accepted rates, bytes per second.
 const RATE: RangeInclusive<u64> = 1_000..=1_000_000_000;
-/// Accepted bursts, bytes. Batches and parts of snapshots have 64 KB at the most; a smaller burst is overdrawn each time.
+/// Accepted bursts, bytes. Batches and parts of snapshots have up to 64 KB; a burst below their size is
+/// overdrawn each time.
 const BURST: RangeInclusive<u64> = 1_000..=1_000_000_000;
 
-/// A value that is not accepted.
+/// Why a value is not accepted.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum InvalidValue {
     /// A number out of its range.
     #[error("is {value}, must lie in {min}..={max}")]
     OutOfRange {
-        /// The value.
+        /// The configured value.
         value: u64,
-        /// The least accepted value.
+        /// Minimum accepted value.
         min: u64,
-        /// The greatest accepted value.
+        /// Maximum accepted value.
         max: u64,
     },
     /// An empty name.
     #[error("is empty; give it a name of its own")]
     EmptyName,
-    /// A name beyond its bound.
+    /// A name that exceeds the maximum length.
     #[error("has {bytes} bytes, {MAX_NAME_BYTES} at most")]
     NameTooLong {
-        /// The length.
+        /// Length of the name, bytes.
         bytes: usize,
     },
     /// An empty list.
     #[error("is empty; name one at the least")]
     EmptyList,
-    /// A list beyond its bound.
+    /// A list with too many entries.
     #[error("names {count}, {max} at most")]
     TooManyEntries {
-        /// The number of entries.
+        /// Number of entries.
         count: usize,
-        /// The greatest accepted number.
+        /// Maximum accepted number of entries.
         max: usize,
     },
-    /// A value that has to be unique within its list.
+    /// A value that occurs twice in a list, where it has to be unique.
     #[error("`{0}` stands there twice; each its own")]
     Duplicate(String),
     /// A path without a file name.
@@ -63,9 +64,8 @@
 /// A key with a value that is not accepted.
 #[derive(Debug)]
 pub(super) struct KeyProblem {
-    /// The path of the key.
+    /// Path of the key, from the root of the document.
     pub key: String,
-    /// The problem.
     pub problem: InvalidValue,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Checks all values.
+/// Checks the values of all sections.
 ///
 /// # Errors
 /// The first value that is not accepted.
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,9 +1,9 @@
-//! Distribution of control state by scope and by change: each change at a source reaches the subscribers that have its
-//! service in scope, and no others.
+//! Distributes control state (backends, configuration, routes, tenants) from sources of truth to subscribers.
+//! A change is sent as a delta, and only to subscribers that have its service in scope.
 //!
-//! [`record`] and [`message`] define the data model and the protocol. [`store`], [`publisher`], [`replica`], [`source`],
-//! [`relay`], [`subscriber`] and [`failover`] are state machines without I/O or clocks: each call passes the current time.
-//! [`runtime`] connects them to sockets and files.
+//! [`record`] and [`message`] define the data model and the protocol. [`store`], [`publisher`], [`replica`],
+//! [`source`], [`relay`], [`subscriber`] and [`failover`] are state machines without I/O or clocks: each call
+//! passes the current time. [`runtime`] connects them to sockets and files.
 #![forbid(unsafe_code)]
 
 pub mod codec;
@@ -23,5 +23,5 @@
 mod subscription_cursor;
 pub mod upstream;
 
-/// Milliseconds on a monotonic clock; one state machine is always given times of the same clock.
+/// Milliseconds on a monotonic clock. All times passed to one state machine come from the same clock.
 pub type Millis = u64;
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,4 +1,5 @@
-//! The control plane's program: arguments, signals and exit code of source, relay, agent and the operators' commands.
+//! The control plane's executable: arguments, signals and exit codes of the source, relay and agent processes
+//! and of the operators' commands.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -16,12 +17,13 @@
 
 /// Distribution of control state: a source of truth for each region, relays, and an agent beside each proxy.
 ///
-/// Each reads its own section of the configuration (deploy/control.toml shows all keys). SIGTERM ends them with code 0; a
-/// source keeps its records first.
+/// Each reads its own section of the configuration (deploy/control.toml shows all keys). SIGTERM ends them
+/// with code 0; a source keeps its records first.
 #[derive(Parser)]
 #[command(name = "control-plane", version)]
 struct Arguments {
-    /// What the log says, on standard error: `warn`, `info`, `debug`, or by module as in `info,control_plane::runtime=debug`.
+    /// What the log says, on standard error: `warn`, `info`, `debug`, or by module as in
+    /// `info,control_plane::runtime=debug`.
     #[arg(
         long,
         global = true,
@@ -70,10 +72,10 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// The configuration can't be used.
+    /// The configuration is missing or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A process could not start or continue.
+    /// The source, relay or agent could not start or continue.
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
     /// The async runtime or a signal handler could not be created.
@@ -82,7 +84,7 @@
     /// The file of changes can't be read.
     #[error("cannot read {path}: {error}", path = path.display())]
     UnreadableChanges { path: PathBuf, error: io::Error },
-    /// The file of changes can't be used.
+    /// The file of changes is invalid.
     #[error("{path}: {error}", path = path.display())]
     InvalidChanges { path: PathBuf, error: ChangeFileError },
     /// The changes were not applied, or may not have been.
@@ -90,11 +92,12 @@
     Writer(#[from] WriterError),
 }
 
-/// Runs a command on one thread; a process that serves ends with SIGTERM or SIGINT.
+/// Runs a command on a single-threaded runtime. Source, relay and agent run until SIGTERM or SIGINT.
 fn run(command: &Command) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        // Until the handlers are installed a signal ends the process at once, so this comes first.
+        // The handlers are installed first: before that, a signal terminates the process without an orderly
+        // shutdown.
         let shutdown = shutdown_signal()?;
         match command {
             Command::Source(ConfigFile { config: path }) => {
@@ -116,7 +119,7 @@
     })
 }
 
-/// Installs handlers of SIGTERM and SIGINT. Returns a future that completes with the first of them.
+/// Installs handlers for SIGTERM and SIGINT. Returns a future that completes when the first signal arrives.
 fn shutdown_signal() -> io::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -128,7 +131,8 @@
     })
 }
 
-/// Writes the changes in a file to a source; `in_parts`: in parts that fit into one message each.
+/// Applies the changes in a file at a source: in one atomic request, or with `in_parts` in several requests
+/// that each fit into one message.
 async fn write(source: SocketAddr, in_parts: bool, path: &Path) -> Result<(), CommandError> {
     let text = std::fs::read(path)
         .map_err(|error| CommandError::UnreadableChanges { path: path.to_owned(), error })?;
@@ -143,14 +147,14 @@
     Ok(())
 }
 
-/// Validates a configuration and prints a summary of it.
+/// Validates a configuration and prints its summary.
 fn check(path: &Path) -> Result<(), CommandError> {
     let config = Config::from_file(path)?;
     println!("{}: good", path.display());
     if let Some(source) = &config.source {
         println!("  source `{}` (number {}) listens on {}", source.name, source.id, source.listen);
         println!(
-            "  keeps its records in {} each {} ms",
+            "  persists its records in {} every {} ms",
             source.snapshot.display(),
             source.snapshot_interval_ms
         );
@@ -169,7 +173,7 @@
     }
     let limits = &config.rate_limit;
     println!(
-        "  to an agent {} bytes a second and {} at once, to a relay {} and {}",
+        "  rate limits: to an agent {} bytes/s, burst {} bytes; to a relay {} bytes/s, burst {} bytes",
         limits.agent_bytes_per_s, limits.agent_burst, limits.relay_bytes_per_s, limits.relay_burst
     );
     Ok(())
--- a/crates/control-plane/src/message.rs
+++ b/crates/control-plane/src/message.rs
@@ -1,62 +1,64 @@
-//! The messages of the protocol. The node that provides records (a source, or a relay) is *upstream*, the other one
-//! *downstream*.
+//! The messages of the protocol. On each connection, the node that provides records (a source or a relay) is
+//! *upstream* and the node that receives them (a relay or an agent) is *downstream*.
 //!
-//! Messages are encoded with postcard, so the order of variants and fields is the wire format.
+//! Messages are encoded with postcard, so the order of variants and fields is part of the wire format.
 
 use crate::record::{Change, Cursor, Epoch, Kind, Record, Scope, ServiceId, SourceId, Version, varint_size};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The version of the protocol; nodes of different versions close the connection with an error.
+/// The version of the protocol. Nodes with different versions close the connection with an error.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// The longest encoded message, bytes; a longer one ends its connection. A batch or a part of a service snapshot is cut to
-/// a quarter of it, so that one large record (a configuration, for example) may take the rest.
+/// Maximum length of an encoded message, bytes; a longer one ends the connection. Batches and parts of
+/// service snapshots are limited to a quarter of it, so that the rest is available for a single large record,
+/// such as a configuration.
 pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
-/// Services in one [`Message::SnapshotRequest`] at the most.
+/// Maximum number of services in one [`Message::SnapshotRequest`].
 pub(crate) const MAX_REQUESTED_SERVICES: usize = 4_096;
-/// An upper bound of what a message takes beside its records, bytes: two cursors (120 at the most), a digest, numbers.
+/// Upper bound of the size of a message without its records, bytes: two cursors (at most 120), a digest and
+/// numbers.
 pub(crate) const MESSAGE_OVERHEAD_BYTES: usize = 192;
 
 /// The position of a replica in the change log of one source.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaPosition {
-    /// The source.
+    /// The source whose records are replicated.
     pub source: SourceId,
     /// The latest known incarnation of the source.
     pub epoch: Epoch,
-    /// The position.
+    /// All changes up to and including these versions were received.
     pub cursor: Cursor,
 }
 
-/// A range of service numbers, both ends included.
+/// A range of service numbers; both bounds are inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRange {
-    /// The first service.
+    /// The lowest service number in the range.
     pub first: ServiceId,
-    /// The last service.
+    /// The highest service number in the range.
     pub last: ServiceId,
 }
 
-/// The digest of all live records of one service.
+/// The digest of all live records of one service, for comparing replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDigest {
-    /// The service.
+    /// The service whose records are compared.
     pub service: ServiceId,
-    /// Its digest; 0 where it has no live records.
+    /// Wrapping sum of the hashes of its live records; 0 if it has none.
     pub digest: u64,
 }
 
-/// A bound of a key range within one service.
+/// A bound of a key range within one service, ordered by kind, then by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyBound {
-    /// The kind.
+    /// Kind of the record at the bound.
     pub kind: Kind,
-    /// The name.
+    /// Name of the record at the bound.
     pub name: Arc<str>,
 }
 
 impl KeyBound {
-    /// An upper bound of its encoded size, bytes.
+    /// Upper bound of the encoded size, bytes.
     fn encoded_size_bound(&self) -> usize {
         /// Kind and the length of the name.
         const FIXED_BYTES: usize = 1 + 3;
@@ -64,116 +66,120 @@
     }
 }
 
-/// A message on a connection. The encoded length is bounded by [`MAX_MESSAGE_BYTES`].
+/// A message of the protocol. The encoded length is limited to [`MAX_MESSAGE_BYTES`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Downstream, first: identity, scope and positions.
+    /// From downstream, as its first message: identity, scope and positions.
     Hello {
-        /// [`PROTOCOL_VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         protocol: u16,
-        /// The node's name, for logs.
+        /// Name of the node, for logs.
         name: String,
-        /// The services that it follows.
+        /// The services that it subscribes to.
         scope: Scope,
-        /// Its position in each source that it knows.
+        /// Its position for each source of which it has records.
         positions: Vec<ReplicaPosition>,
     },
-    /// Upstream, the response to [`Message::Hello`].
+    /// From upstream, in response to [`Message::Hello`].
     Welcome {
-        /// [`PROTOCOL_VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         protocol: u16,
-        /// The node's name, for logs.
+        /// Name of the node, for logs.
         name: String,
     },
-    /// Upstream: sent when nothing else was for a while, so that downstream can detect a lost connection.
+    /// From upstream, if it has sent nothing else for a while, so that downstream can detect a lost
+    /// connection.
     Heartbeat,
-    /// Upstream: changes in scope, the most urgent first. Without records it only advances the position.
+    /// From upstream: changes in scope, the most urgent first. A batch without records only advances the
+    /// position.
     Batch {
-        /// The source of the records.
+        /// The source that wrote the records.
         source: SourceId,
-        /// The incarnation of the source that upstream follows.
+        /// Incarnation of the source to which the records of upstream belong.
         epoch: Epoch,
-        /// The expected position of downstream; if it is ahead of the actual one, a message was lost.
+        /// The position that upstream assumes downstream has. If it is ahead of the actual one, a message was
+        /// lost.
         from: Cursor,
         /// The position of downstream after this message.
         to: Cursor,
-        /// The records.
+        /// The changed records, tombstones included; empty if only the position advances.
         records: Vec<Record>,
-        /// The sum of the digests of all services in scope, where downstream now has all of them.
+        /// Wrapping sum of the digests of all services in scope, if downstream now has all their records.
         scope_digest: Option<u64>,
     },
-    /// Upstream: digests of the services in scope within a range. Services without records are left out.
+    /// From upstream: digests of the services in scope within a range. Services without records are omitted.
     DigestSummary {
-        /// The source of the records.
+        /// The source that wrote the records.
         source: SourceId,
-        /// The incarnation of the source that upstream follows.
+        /// Incarnation of the source to which the records of upstream belong.
         epoch: Epoch,
-        /// The services that this part covers.
+        /// The services that this part of the summary covers.
         range: ServiceRange,
         /// The position of downstream once all differences are repaired.
         to: Cursor,
         /// The digests, ordered by service.
         digests: Vec<ServiceDigest>,
     },
-    /// Upstream: all records of a service within a key range. A downstream record in the range that is neither listed nor
-    /// newer than `as_of` has been removed. Upstream may know single changes beyond `as_of`; their tombstones are included.
+    /// From upstream: all records of a service within a key range. A downstream record in the range that is
+    /// neither listed nor newer than `as_of` has been removed at the source. Upstream may have received some
+    /// changes beyond `as_of`; their tombstones are included.
     ServiceSnapshot {
-        /// The source of the records.
+        /// The source that wrote the records.
         source: SourceId,
-        /// The incarnation of the source that upstream follows.
+        /// Incarnation of the source to which the records of upstream belong.
         epoch: Epoch,
         /// The version up to which upstream was complete when it sent this.
         as_of: Version,
-        /// The service.
+        /// The service to which the records belong.
         service: ServiceId,
-        /// The range begins after this key; `None`: at the first.
+        /// Exclusive lower bound of the range; `None`: from the first key of the service.
         after: Option<KeyBound>,
-        /// The range ends with this key; `None`: with the last key of the service.
+        /// Inclusive upper bound of the range; `None`: up to the last key of the service.
         through: Option<KeyBound>,
         /// The live records and the tombstones newer than `as_of`, ordered by key.
         records: Vec<Record>,
     },
-    /// Downstream: its position, after a loss was detected.
+    /// From downstream, after it detected a lost message: the positions from which upstream continues.
     Resume {
-        /// As in [`Message::Hello`].
+        /// One position for each source concerned, as in [`Message::Hello`].
         positions: Vec<ReplicaPosition>,
     },
-    /// Downstream: requests the digests of a source, because a digest did not match.
+    /// From downstream: requests the digests of a source, because a scope digest did not match.
     DigestRequest {
-        /// The source.
+        /// The source whose services are compared.
         source: SourceId,
     },
-    /// Downstream: requests complete snapshots of services; replaces an earlier request.
+    /// From downstream: requests complete snapshots of services; replaces an earlier request.
     SnapshotRequest {
-        /// The source.
+        /// The source of the services.
         source: SourceId,
-        /// The services.
+        /// At most `MAX_REQUESTED_SERVICES`; services out of scope are ignored.
         services: Vec<ServiceId>,
     },
-    /// To a source: changes to apply, all or none.
+    /// From a writer to a source: changes to apply atomically.
     Write {
-        /// Repeated in the response.
+        /// Identifies the request; returned in the response.
         id: u64,
-        /// The changes.
+        /// The changes, applied in this order; all of them or none.
         changes: Vec<Change>,
     },
-    /// The response of a source to [`Message::Write`].
+    /// From a source to a writer, in response to [`Message::Write`].
     Written {
-        /// The id of the request.
+        /// The `id` of the request.
         id: u64,
-        /// The version of the last change, or why none was applied.
+        /// The version of the last change, or the reason why no change was applied.
         result: Result<Version, String>,
     },
-    /// Either side, last: the reason for closing the connection.
+    /// From either side, as its last message: the reason for closing the connection.
     Close {
-        /// What happened, where, and what would be right.
+        /// What happened, and what would have been accepted.
         reason: String,
     },
 }
 
 impl Message {
-    /// The message's name in errors and counters. The texts reach other nodes and operators, so they keep the names that
-    /// were current when the protocol was defined.
+    /// Name of the message in errors and counters. Other nodes and operators see these texts, so they keep
+    /// the names from the original definition of the protocol, also where the variant has another name now.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -192,12 +198,12 @@
         }
     }
 
-    /// An upper bound of the encoded size, bytes, close enough for rate limiting what upstream sends.
+    /// Upper bound of the encoded size, bytes; close enough to rate limit what upstream sends.
     #[must_use]
     pub fn encoded_size_bound(&self) -> usize {
-        /// The length prefix and the variant.
+        /// Length prefix and variant number.
         const HEADER_BYTES: usize = 4 + 1;
-        /// The source and the length of the list.
+        /// Source number and length of the list.
         const SOURCE_AND_LENGTH_BYTES: usize = 3 + 3;
         match self {
             Self::Heartbeat => HEADER_BYTES,
@@ -215,7 +221,7 @@
             Self::DigestSummary { epoch, range, to, digests, .. } => {
                 let range = varint_size(range.first.into()) + varint_size(range.last.into());
                 let digests =
-                    digests.iter().map(|one| varint_size(one.service.into()) + varint_size(one.digest));
+                    digests.iter().map(|entry| varint_size(entry.service.into()) + varint_size(entry.digest));
                 HEADER_BYTES
                     + SOURCE_AND_LENGTH_BYTES
                     + varint_size(*epoch)
--- a/crates/control-plane/src/publisher.rs
+++ b/crates/control-plane/src/publisher.rs
@@ -1,5 +1,6 @@
-//! Publishes records to subscribers. Each subscriber has a cursor and no queue, so that a slow one gets the newest version
-//! of each record and takes no memory. Sending is rate limited; drains go before additions, additions before the rest.
+//! Publishes records to subscribers. Each subscriber has a cursor instead of a queue, so that a slow
+//! subscriber receives only the newest version of each record and needs no memory for a backlog. Sending is
+//! rate limited; drains are sent before additions, and additions before all other changes.
 
 use crate::Millis;
 use crate::message::{MAX_REQUESTED_SERVICES, Message, PROTOCOL_VERSION, ReplicaPosition};
@@ -9,15 +10,16 @@
 use crate::subscription_cursor::{NextMessage, SendPriority, StoreView, SubscriptionCursor};
 use std::collections::{BTreeMap, HashMap};
 
-/// A connection from downstream, as numbered by the runtime.
+/// Number of a connection from downstream, assigned by the runtime.
 pub type SubscriberId = u64;
 
-/// Subscribers of one node at the most: all agents of a region, should every other relay fail.
+/// Default limit of subscribers of one node: enough for all agents of a region if every other relay fails.
 pub const MAX_SUBSCRIBERS: usize = 8_192;
-/// A subscriber that was sent nothing for this long is sent a heartbeat, milliseconds.
+/// A subscriber to which nothing was sent for this time is sent a heartbeat, milliseconds.
 pub const HEARTBEAT_INTERVAL: Millis = 1_000;
 
-/// A repair may contain drains that were missed, so it goes before additions; its size is bounded by the scope.
+/// The order in which classes of messages are sent. A repair may contain missed drains, so it is sent before
+/// additions; its size is limited by the scope.
 const SEND_ORDER: [SendPriority; 6] = [
     SendPriority::Changes(Urgency::Drain),
     SendPriority::DigestSummary,
@@ -27,27 +29,27 @@
     SendPriority::Progress,
 ];
 
-/// The next action on a connection.
+/// The next action for the connection of a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublisherAction {
     /// Send this message, then request the next action as soon as the connection accepts more.
     Send(Message),
-    /// Wait until this time, or until a record changes.
+    /// Wait until this time or until a record changes, then request the next action.
     WaitUntil(Millis),
 }
 
-/// One subscriber.
+/// The state of one subscriber.
 #[derive(Debug)]
 struct Subscription {
     scope: Scope,
     bucket: TokenBucket,
     cursors: BTreeMap<SourceId, SubscriptionCursor>,
     last_sent_at: Millis,
-    /// The source that is considered first, rotated so that no source starves another.
+    /// Index of the source that is considered first; rotated so that no source starves another.
     first_source: usize,
 }
 
-/// All subscribers of a node.
+/// The subscribers of a node, and what each is sent next.
 #[derive(Debug)]
 pub struct Publisher {
     /// The node's name, sent in [`Message::Welcome`].
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Adds a subscriber; its bucket pays for the welcome.
+    /// Adds a subscriber. The welcome counts towards its rate limit.
     fn subscribe(
         &mut self,
         subscriber: SubscriberId,
@@ -135,7 +137,8 @@
         self.subscriptions.len()
     }
 
-    /// The number of items retained for a subscriber: services in its scope, sources, services of its snapshot requests.
+    /// Number of items in memory for a subscriber: services in its scope, sources, and services of its
+    /// snapshot request.
     pub(crate) fn retained_items(&self, subscriber: SubscriberId) -> usize {
         let Some(subscription) = self.subscriptions.get(&subscriber) else { return 0 };
         let scope = match &subscription.scope {
@@ -190,7 +193,7 @@
 }
 
 impl Subscription {
-    /// The cursor of a source.
+    /// The cursor of a source, created if it is new.
     fn cursor(&mut self, source: SourceId, now: Millis) -> Result<&mut SubscriptionCursor, SessionError> {
         if !self.cursors.contains_key(&source) {
             check_limit("sources", self.cursors.len() + 1, MAX_SOURCES)?;
@@ -203,7 +206,7 @@
         let heartbeat_at = self.last_sent_at + HEARTBEAT_INTERVAL;
         for view in views {
             let cursor = self.cursors.entry(view.store.source());
-            cursor.or_insert_with(|| SubscriptionCursor::new(now)).observe(*view);
+            cursor.or_insert_with(|| SubscriptionCursor::new(now)).schedule_summary(*view);
         }
         let next_at = match self.next_message(views, heartbeat_at, now) {
             Ok(message) => return self.send(message, now),
@@ -215,7 +218,10 @@
         PublisherAction::WaitUntil(next_at.max(now + 1))
     }
 
-    /// The message of the highest priority. Where there is none: the time of the next one, at the latest `latest`.
+    /// The message with the highest priority that may be sent now.
+    ///
+    /// # Errors
+    /// If there is none: the time at which to check again, at the latest `latest`.
     fn next_message(
         &mut self,
         views: &[StoreView<'_>],
--- a/crates/control-plane/src/rate_limit.rs
+++ b/crates/control-plane/src/rate_limit.rs
@@ -1,13 +1,14 @@
-//! Rate limiting of what a subscriber is sent: a token bucket in bytes.
+//! Rate limiting of the messages to a subscriber: a token bucket in bytes.
 
 use crate::Millis;
 
-/// Bytes reserved for heartbeats, so that a large message never delays one.
+/// Bytes reserved for heartbeats, so that a large message never delays a heartbeat.
 const HEARTBEAT_RESERVE_BYTES: i64 = 64;
-/// Tokens per byte: with thousandths, a rate in bytes per second is the same number in tokens per millisecond.
+/// Tokens per byte. With thousandths of a byte, a rate in bytes per second is the same number in tokens per
+/// millisecond.
 const TOKENS_PER_BYTE: i64 = 1_000;
 
-/// The limit of one connection.
+/// Rate limit of the data sent on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
     /// Sustained rate, bytes per second.
@@ -17,21 +18,21 @@
 }
 
 impl Default for RateLimit {
-    /// At most 240 KB in ten seconds, of which 120 KB may come at once: 24 KB per second in the worst ten seconds.
+    /// At most 240 KB in any ten seconds, of which 120 KB may be sent at once: 24 KB/s averaged over the
+    /// worst ten seconds.
     fn default() -> Self {
         Self { bytes_per_s: 12_000, burst: 120_000 }
     }
 }
 
 impl RateLimit {
-    /// As fast as the connection accepts data.
+    /// A limit that does not restrict sending: the connection is used as fast as it accepts data.
     #[must_use]
     pub fn unbounded() -> Self {
         Self { bytes_per_s: u32::MAX, burst: u32::MAX }
     }
 }
 
-/// A token bucket.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     limit: RateLimit,
@@ -40,7 +41,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket. The limit is raised to one that carries at least the heartbeats.
+    /// Returns a full bucket. A limit that is too low for heartbeats is raised.
     pub(crate) fn new(limit: RateLimit, now: Millis) -> Self {
         let limit = RateLimit {
             bytes_per_s: limit.bytes_per_s.max(HEARTBEAT_RESERVE_BYTES as u32),
@@ -49,7 +50,7 @@
         Self { limit, tokens: i64::from(limit.burst) * TOKENS_PER_BYTE, refilled_at: now }
     }
 
-    /// Adds the tokens of the time since the last call.
+    /// Adds the tokens earned since the last call.
     pub(crate) fn refill(&mut self, now: Millis) {
         let elapsed = i64::try_from(now.saturating_sub(self.refilled_at)).unwrap_or(i64::MAX);
         let added = elapsed.saturating_mul(i64::from(self.limit.bytes_per_s));
@@ -61,12 +62,12 @@
         i64::from(self.limit.burst) * TOKENS_PER_BYTE
     }
 
-    /// How many bytes may be sent now.
+    /// The number of bytes that may be sent now.
     pub(crate) fn available_bytes(&self) -> usize {
         usize::try_from(self.tokens / TOKENS_PER_BYTE - HEARTBEAT_RESERVE_BYTES).unwrap_or(0)
     }
 
-    /// Whether this many bytes may be sent now: the tokens suffice, or the bucket is full.
+    /// Checks whether this many bytes may be sent now: the tokens suffice, or the bucket is full.
     ///
     /// # Errors
     /// The time from which they may be sent.
@@ -81,7 +82,7 @@
         Err(self.refilled_at + u64::try_from((missing + rate - 1) / rate).unwrap_or(1))
     }
 
-    /// Removes the tokens of bytes that are sent; the balance may become negative.
+    /// Removes the tokens for sent bytes; the balance may become negative.
     pub(crate) fn spend(&mut self, bytes: usize) {
         self.tokens -= i64::try_from(bytes).unwrap_or(i64::MAX).saturating_mul(TOKENS_PER_BYTE);
     }
--- a/crates/control-plane/src/record.rs
+++ b/crates/control-plane/src/record.rs
@@ -1,49 +1,51 @@
-//! Records: the latest known state of one object, with the version at which its source wrote it.
+//! The data model. A record is the latest known state of one object, with the version at which its source
+//! wrote it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// A source of truth, one for each region. A service belongs to one source.
+/// Number of a source of truth. There is one source for each region, and a service belongs to one source.
 pub type SourceId = u16;
-/// The incarnation of a source: greater at each of its starts, at least 1.
+/// Incarnation of a source: at least 1, and greater after each start of the source.
 pub type Epoch = u64;
-/// Number of a change at its source, from 1; it continues across restarts from the last persisted change.
+/// Number of a change at its source, counted from 1; after a restart it continues from the last persisted
+/// change.
 pub type Revision = u64;
-/// A service.
+/// Number of a service, the unit of subscription.
 pub type ServiceId = u32;
 
-/// When a record was written, ordered by epoch, then by revision.
+/// The change that wrote a record; ordered by epoch, then by revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The incarnation of the source.
     pub epoch: Epoch,
-    /// The change.
+    /// Number of the change.
     pub revision: Revision,
 }
 
-/// What a record describes. Records of all kinds are distributed alike.
+/// The type of object that a record describes. Records of all kinds are distributed in the same way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// A backend of the service: the body is a [`Backend`].
     Backend,
-    /// The service's configuration.
+    /// A configuration of the service; the body is opaque here.
     Configuration,
-    /// A route to the service.
+    /// A route to the service; the body is opaque here.
     Route,
-    /// A tenant of the service.
+    /// A tenant of the service; the body is opaque here.
     Tenant,
 }
 
 /// The identity of a record, unique within one source.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// The service.
+    /// The service to which the object belongs.
     pub service: ServiceId,
-    /// The kind.
+    /// The type of the object.
     pub kind: Kind,
-    /// The name, unique within service and kind.
+    /// Name of the object, unique within service and kind.
     pub name: Arc<str>,
 }
 
@@ -52,7 +54,7 @@
 pub enum State {
     /// In service.
     Active,
-    /// Finishes its open work and accepts nothing new.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
     /// Removed: the record is a tombstone with an empty body, retained for a bounded time.
     Gone,
@@ -61,7 +63,7 @@
 /// Send priority of a record, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
-    /// An object drains or was removed.
+    /// An object of any kind is draining or was removed.
     Drain,
     /// A backend was added or changed.
     Addition,
@@ -70,25 +72,26 @@
 }
 
 impl Urgency {
-    /// All urgencies, the most urgent first. A [`Cursor`] has one version for each, in this order.
+    /// All values, the most urgent first. A [`Cursor`] has one version for each, in this order.
     pub const ALL: [Self; 3] = [Self::Drain, Self::Addition, Self::Other];
 }
 
 /// The state of one object at one version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Identity.
+    /// Identity of the object.
     pub key: Key,
-    /// The version that wrote it.
+    /// The change at the source that wrote this state.
     pub version: Version,
-    /// State of the object.
+    /// Whether the object is in service, draining or removed.
     pub state: State,
-    /// Content, in the encoding of its kind.
+    /// Content, in the encoding that its kind defines; empty in a tombstone.
     pub body: Arc<[u8]>,
 }
 
 impl Record {
-    /// The urgency with which it is sent.
+    /// The urgency with which the record is sent: drains and removals first, then active backends, then the
+    /// rest.
     #[must_use]
     pub fn urgency(&self) -> Urgency {
         match (self.state, self.key.kind) {
@@ -98,10 +101,10 @@
         }
     }
 
-    /// An upper bound of its size within a message, in bytes.
+    /// Upper bound of the size within a message, bytes.
     #[must_use]
     pub fn encoded_size_bound(&self) -> usize {
-        /// Kind and state.
+        /// One byte each for kind and state.
         const FIXED_BYTES: usize = 1 + 1;
         let numbers = [self.key.service.into(), self.version.epoch, self.version.revision];
         let lengths = [self.key.name.len() as u64, self.body.len() as u64];
@@ -112,7 +115,7 @@
     }
 }
 
-/// The size of an integer in a message, in bytes: a varint holds seven bits per byte.
+/// Encoded size of an integer, bytes: a varint has seven bits per byte.
 pub(crate) fn varint_size(number: u64) -> usize {
     (64 - (number | 1).leading_zeros() as usize).div_ceil(7)
 }
@@ -120,34 +123,34 @@
 /// A requested change: a record to which the source has not assigned a version yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The record to change.
+    /// Identity of the record to create, change or remove.
     pub key: Key,
-    /// Its new state.
+    /// New state; [`State::Gone`] removes the record.
     pub state: State,
-    /// Its new content; empty where the state is [`State::Gone`].
+    /// New content; empty if the state is [`State::Gone`].
     pub body: Arc<[u8]>,
 }
 
-/// A position in a source's change log, for each urgency in the order of [`Urgency::ALL`]: the effect of all changes of
-/// that urgency up to and including the version is known.
+/// A position in a source's change log: one version for each urgency, in the order of [`Urgency::ALL`]. The
+/// effect of all changes of that urgency up to and including the version is known.
 pub type Cursor = [Version; 3];
 
-/// The greater version of each urgency.
+/// The maximum of both versions for each urgency.
 pub(crate) fn merge_cursors(left: Cursor, right: Cursor) -> Cursor {
     std::array::from_fn(|urgency| left[urgency].max(right[urgency]))
 }
 
-/// The services that a subscriber follows.
+/// The services that a subscriber follows: it is sent the records of these only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// All services.
+    /// All services, as a relay needs them.
     All,
-    /// These services.
+    /// Only these services.
     Services(BTreeSet<ServiceId>),
 }
 
 impl Scope {
-    /// Whether the service is in scope.
+    /// Whether records of the service are in scope.
     #[must_use]
     pub fn contains(&self, service: ServiceId) -> bool {
         match self {
@@ -160,16 +163,16 @@
 /// The body of a record of [`Kind::Backend`]; the fields correspond to those of the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Where it listens.
+    /// Address on which the backend listens.
     pub address: SocketAddrV4,
-    /// Zone name.
+    /// Name of the zone.
     pub locality: String,
-    /// Machine type.
+    /// Machine kind.
     pub flavor: String,
-    /// Cell number.
+    /// Number of the cell.
     pub cell: u16,
-    /// Capacity relative to other backends; finite and above 0.
+    /// Capacity relative to other backends; finite and greater than 0.
     pub size: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// When the backend last started, Unix time in milliseconds; 0: long ago.
     pub up_since_ms: u64,
 }
--- a/crates/control-plane/src/relay.rs
+++ b/crates/control-plane/src/relay.rs
@@ -1,4 +1,5 @@
-//! A relay: replicates the records of all sources, and publishes to each subscriber those in its scope.
+//! State machine of a relay: replicates the records of all sources, and publishes those in its scope to each
+//! subscriber.
 
 use crate::Millis;
 use crate::message::{Message, PROTOCOL_VERSION};
@@ -13,16 +14,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A request to a source that is due to be sent again.
+/// A request to a source that is due to be retried.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceRequest {
-    /// The source.
+    /// The source to send it to.
     pub source: SourceId,
-    /// The request.
+    /// The request, a message from downstream.
     pub message: Message,
 }
 
-/// A relay.
+/// A relay: a downstream replica of each source, and the publisher for its subscribers.
 #[derive(Debug)]
 pub struct Relay {
     replicas: BTreeMap<SourceId, Replica>,
@@ -30,7 +31,7 @@
 }
 
 impl Relay {
-    /// An empty relay of these sources; `rate_limit` applies to each subscriber.
+    /// Creates a relay of these sources, without records; `rate_limit` applies to each subscriber.
     #[must_use]
     pub fn new(name: &str, sources: &[SourceId], rate_limit: RateLimit) -> Self {
         let scope = Arc::new(Scope::All);
@@ -39,14 +40,14 @@
         Self { replicas, publisher: Publisher::new(name, rate_limit) }
     }
 
-    /// The same relay with another bound for the tombstones of each source.
+    /// Replaces the limit of tombstones, which applies to each source separately.
     #[must_use]
     pub fn with_max_tombstones(mut self, max: usize) -> Self {
         self.replicas.values_mut().for_each(|replica| replica.set_max_tombstones(max));
         self
     }
 
-    /// The first message on a connection to a source.
+    /// The [`Message::Hello`] for a new connection to a source.
     #[must_use]
     pub fn hello(&self, source: SourceId) -> Message {
         let positions = self.replicas.get(&source).and_then(Replica::position).into_iter().collect();
@@ -54,10 +55,10 @@
         Message::Hello { protocol: PROTOCOL_VERSION, name, scope: Scope::All, positions }
     }
 
-    /// Handles a message from a source. Returns the responses.
+    /// Handles a message from a source. Returns the responses to send to it.
     ///
     /// # Errors
-    /// The connection to the source has to end.
+    /// The message is not acceptable, and the connection to the source has to be closed.
     pub fn on_source_message(
         &mut self,
         source: SourceId,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Returns the requests to send again, because no response arrived in time.
+    /// Returns the requests to retry because no response arrived in time. To be called periodically.
     pub fn tick(&mut self, now: Millis) -> Vec<SourceRequest> {
         let request = |(source, replica): (&SourceId, &mut Replica)| {
             Some(SourceRequest { source: *source, message: replica.tick(now)? })
@@ -95,7 +96,7 @@
         self.replicas.iter_mut().filter_map(request).collect()
     }
 
-    /// The records of a source.
+    /// The replicated records of a source; `None` if it is not one of the relay's sources.
     #[must_use]
     pub fn store(&self, source: SourceId) -> Option<&VersionedStore> {
         self.replicas.get(&source).map(Replica::store)
--- a/crates/control-plane/src/replica/mod.rs
+++ b/crates/control-plane/src/replica/mod.rs
@@ -1,10 +1,12 @@
-//! A downstream replica of one source's records: applies batches, detects gaps, and repairs differences by digests.
+//! A downstream replica of the records of one source: applies batches, detects gaps, and repairs differences
+//! by digests.
 //!
-//! Why it is correct for any order of messages: all records of one incarnation of the source belong to one history. A record
-//! of a stored key is applied if it is newer. A record of a key that is not stored is applied if it lies beyond the cursor of
-//! its urgency: everything up to the cursor was received, so an older record was superseded by one whose tombstone has been
-//! dropped. Tombstones are therefore retained until all cursors have reached them. A [`Message::ServiceSnapshot`] covers
-//! everything up to its `as_of`: a stored record that is not newer and not listed has been removed.
+//! It is correct for messages in any order, because all records of one incarnation of the source belong to
+//! one history. A record whose key is stored is applied if it is newer. A record whose key is not stored is
+//! applied if its version is beyond the cursor of its urgency: all changes up to the cursor were received, so
+//! an older record was superseded by one whose tombstone has been dropped. Tombstones are therefore retained
+//! until all cursors have reached them. A [`Message::ServiceSnapshot`] covers all changes up to its `as_of`:
+//! a stored record that is neither newer nor listed has been removed.
 
 mod repair;
 mod request;
@@ -20,16 +22,17 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A record that took effect.
+/// A received record that changed the live records of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppliedRecord {
-    /// The record; a tombstone where it was removed (by a repair: with the version of the repair).
+    /// The new record; a tombstone if it was removed. If a repair removed it, the version is that of the
+    /// snapshot.
     pub record: Record,
-    /// The live record that it replaced.
+    /// The live record that it replaced; `None` if there was none.
     pub previous: Option<Record>,
 }
 
-/// A part of a service's records as upstream has them; see [`Message::ServiceSnapshot`].
+/// The content of a [`Message::ServiceSnapshot`].
 struct SnapshotPart {
     as_of: Version,
     service: ServiceId,
@@ -48,7 +51,7 @@
     }
 }
 
-/// A batch; see [`Message::Batch`].
+/// The content of a [`Message::Batch`].
 struct Batch {
     from: Cursor,
     to: Cursor,
@@ -56,36 +59,38 @@
     scope_digest: Option<u64>,
 }
 
-/// The replica of one source.
+/// A replica of the records of one source.
 #[derive(Debug)]
 pub(crate) struct Replica {
     scope: Arc<Scope>,
     store: VersionedStore,
-    /// The latest known incarnation of the source. The store belongs to a former one until a repair has finished.
+    /// The latest known incarnation of the source. The records belong to a former one until a repair has
+    /// finished.
     epoch: Epoch,
     repair: Option<Repair>,
-    /// A batch began beyond the cursor.
+    /// Whether a batch started beyond the cursor, so that a message was lost.
     has_gap: bool,
-    /// A digest did not match, or there is a new incarnation of the source.
-    is_suspect: bool,
+    /// Whether digests have to be requested: a digest did not match, or there is a new incarnation of the
+    /// source.
+    needs_digests: bool,
     pending: Option<PendingRequest>,
-    /// The services of the last request for snapshots.
+    /// The services of the last snapshot request.
     requested_services: BTreeSet<ServiceId>,
-    /// Whether records are published to others, so that tombstones are retained.
+    /// Whether a relay publishes the records to subscribers, so that tombstones have to be retained.
     is_publishing: bool,
 }
 
 impl Replica {
-    /// An empty replica; `is_publishing`: whether a relay publishes its records.
+    /// Creates an empty replica; `is_publishing`: whether a relay publishes its records.
     pub(crate) fn new(source: SourceId, scope: Arc<Scope>, is_publishing: bool) -> Self {
-        let store = VersionedStore::unknown(source);
+        let store = VersionedStore::unsynchronized(source);
         Self {
             scope,
             store: if is_publishing { store } else { store.without_logs() },
             epoch: 0,
             repair: None,
             has_gap: false,
-            is_suspect: false,
+            needs_digests: false,
             pending: None,
             requested_services: BTreeSet::new(),
             is_publishing,
@@ -100,17 +105,18 @@
         &self.store
     }
 
-    /// Whether the records are of one incarnation of the source, so that changes may be published.
+    /// Whether all records belong to the latest known incarnation of the source, so that changes may be
+    /// published.
     pub(crate) fn is_publishable(&self) -> bool {
         self.epoch != 0 && self.store.epoch() == self.epoch
     }
 
-    /// Whether no difference to the source is known, so that digests and snapshots may be published.
+    /// Whether no difference from the source is known, so that digests and snapshots may be published.
     pub(crate) fn is_consistent(&self) -> bool {
-        self.is_publishable() && self.repair.is_none() && !self.has_gap && !self.is_suspect
+        self.is_publishable() && self.repair.is_none() && !self.has_gap && !self.needs_digests
     }
 
-    /// The position; `None` before the first repair.
+    /// The position to report upstream; `None` before the first repair has finished.
     pub(crate) fn position(&self) -> Option<ReplicaPosition> {
         (self.store.epoch() != 0).then(|| ReplicaPosition {
             source: self.store.source(),
@@ -119,14 +125,16 @@
         })
     }
 
-    /// Handles a new connection: a request that is still needed is sent again.
+    /// Handles a new connection. Returns the request that is needed, even if it was sent on the former
+    /// connection.
     pub(crate) fn on_connected(&mut self, now: Millis) -> Option<Message> {
         self.pending = None;
         self.has_gap = false;
         self.next_request(now)
     }
 
-    /// Handles a message about this source. Returns the next request, and appends the records that took effect to `applied`.
+    /// Handles a message with records or digests of this source. Returns the next request, and appends the
+    /// records that took effect to `applied`.
     pub(crate) fn on_message(
         &mut self,
         message: Message,
@@ -139,7 +147,7 @@
             | Message::ServiceSnapshot { epoch, .. } => *epoch,
             _ => return None,
         };
-        // Epochs are counted from 1.
+        // Epochs start at 1, so 0 is invalid.
         if epoch < self.epoch.max(1) {
             return None;
         }
@@ -147,7 +155,7 @@
             Message::DigestSummary { range, to, digests, .. } if epoch == self.epoch || range.first == 0 => {
                 self.apply_digest_summary(epoch, range, to, &digests, now);
             }
-            _ if epoch > self.epoch => self.is_suspect = true,
+            _ if epoch > self.epoch => self.needs_digests = true,
             Message::Batch { from, to, records, scope_digest, .. } => {
                 self.apply_batch(Batch { from, to, records, scope_digest }, applied);
             }
@@ -161,7 +169,7 @@
         self.next_request(now)
     }
 
-    /// The pending request, if it is due to be sent again.
+    /// Returns the pending request if it is due to be sent again.
     pub(crate) fn tick(&mut self, now: Millis) -> Option<Message> {
         let pending = self.pending.as_mut().filter(|pending| pending.is_due(now))?;
         pending.retry(now);
@@ -176,15 +184,16 @@
         let has_gap = from.iter().zip(reached).any(|(from, reached)| *from > reached);
         for record in records {
             if self.scope.contains(record.key.service) && self.is_newer(&record, &cursor) {
-                // A record before the cursor is not found by subscribers that follow the log.
+                // Subscribers that have passed this position do not find the record in the log.
                 if record.version <= cursor[record.urgency() as usize] {
                     self.store.advance_generation();
                 }
                 self.apply(record, applied);
             }
         }
-        // During a repair only a batch from after the summary advances the cursor: the summary rejected none of its
-        // records. While the store is of a former incarnation there is no such batch: all that it has precedes the summary.
+        // During a repair, only a batch that starts at or after the summary advances the cursor: none of its
+        // records were rejected because of the summary. There is no such batch while the records belong to a
+        // former incarnation, since all of them precede the summary.
         let base = self.repair.as_ref().map_or(Version::default(), |repair| repair.base);
         let is_contiguous = from.iter().zip(cursor).all(|(from, known)| (base..=known).contains(from));
         if is_contiguous {
@@ -192,27 +201,28 @@
             self.prune_tombstones();
         }
         match &mut self.repair {
-            // After the repair the next batch shows the gap.
+            // A gap during the repair is detected by the next batch after it.
             Some(repair) if !has_gap => repair.reached = merge_cursors(reached, to),
             Some(_) => {}
             None if has_gap => self.has_gap = true,
             None => {
                 self.has_gap = false;
                 let matches = scope_digest.is_none_or(|digest| digest == self.store.total_digest());
-                self.is_suspect |= !matches && self.store.cursor() == to;
+                self.needs_digests |= !matches && self.store.cursor() == to;
             }
         }
     }
 
-    /// Whether a record of a batch is newer than what was received.
+    /// Whether a record of a batch is newer than the state that was received so far.
     fn is_newer(&self, record: &Record, cursor: &Cursor) -> bool {
-        // What a summary has compared is correct as of its base, also where nothing is stored.
+        // What a summary has compared is correct as of its base, including the absence of records.
         let compared = self.repair.as_ref().map_or(Version::default(), |repair| repair.base);
         let is_beyond = record.version > cursor[record.urgency() as usize].max(compared);
         match self.store.get(&record.key) {
             Some(stored) if record.version > stored.version => true,
-            // A repair wrote a tombstone later than the change that it represents. A log needs the change at its own
-            // position: a subscriber that is sent everything up to there would miss it.
+            // A repair gives a tombstone a later version than that of the removal. The log needs the removal
+            // at its own position, or else a subscriber that is sent all changes up to that position would
+            // miss it.
             Some(stored) => {
                 self.is_publishing && is_beyond && [stored.state, record.state] == [State::Gone; 2]
             }
@@ -231,7 +241,7 @@
         if range.first == 0 {
             self.epoch = epoch;
             self.has_gap = false;
-            self.is_suspect = false;
+            self.needs_digests = false;
             let changed = self.repair.as_ref().is_some_and(|repair| repair.changed);
             self.repair = Some(Repair::new(to, changed));
             self.pending = Some(PendingRequest::new(Request::Digests, now));
@@ -245,7 +255,7 @@
     }
 
     fn apply_snapshot_part(&mut self, part: SnapshotPart, now: Millis, applied: &mut Vec<AppliedRecord>) {
-        // A snapshot from before the summary could restore records that the summary found to be removed.
+        // A snapshot older than the summary could restore records that the summary has shown to be removed.
         let is_outdated = self.repair.as_ref().is_some_and(|repair| part.as_of < repair.base);
         if is_outdated || !self.scope.contains(part.service) {
             return;
@@ -267,7 +277,7 @@
         }
     }
 
-    /// Removes the records that a snapshot covers and does not list. Returns whether there were any.
+    /// Removes the records that a snapshot covers but does not list. Returns whether there were any.
     fn remove_unlisted(&mut self, part: &SnapshotPart, applied: &mut Vec<AppliedRecord>) -> bool {
         let listed: BTreeSet<&Key> = part.records.iter().map(|record| &record.key).collect();
         let stored = self.store.range(part.service, part.after.as_ref(), part.through.as_ref());
@@ -289,10 +299,12 @@
         let mut changed = false;
         for record in part.records.iter().filter(|record| part.covers(&record.key)) {
             let is_accepted = match self.store.get(&record.key) {
-                // Upstream is complete up to `as_of`: a different stored record is of a lost past, or damaged.
+                // Upstream is complete up to `as_of`, so a different stored record is from a lost history, or
+                // is damaged.
                 Some(stored) if stored.version <= part.as_of => stored != record,
                 Some(stored) => record.version > stored.version,
-                // A tombstone that was dropped here is not newer than any cursor, so upstream would have it.
+                // A tombstone that was dropped here is not newer than any cursor, so upstream must have
+                // received it.
                 None => {
                     part.as_of >= self.store.complete_through()
                         || record.version > cursor[record.urgency() as usize]
@@ -306,7 +318,7 @@
         changed
     }
 
-    /// Stores a record, and reports it where it changes a live record.
+    /// Stores a record, and reports it if the live records change.
     fn apply(&mut self, record: Record, applied: &mut Vec<AppliedRecord>) {
         let previous = self.store.insert(record.clone()).filter(|previous| previous.state != State::Gone);
         if previous.is_some() || record.state != State::Gone {
@@ -314,10 +326,10 @@
         }
     }
 
-    /// Ends the repair where nothing is missing any more.
+    /// Ends the repair if the summary and all snapshots were received.
     fn finish_repair(&mut self) {
         let Some(repair) = self.repair.take_if(|repair| repair.is_finished()) else { return };
-        // Cursors of a former incarnation of the source are older than all of this one.
+        // Cursors of a former incarnation of the source are older than any of this one.
         self.store.advance_to(merge_cursors(self.store.cursor(), repair.reached));
         self.store.finish_repair(self.epoch, repair.base, repair.changed);
         self.prune_tombstones();
@@ -347,8 +359,9 @@
 
     fn needed_request(&self) -> Option<Request> {
         match &self.repair {
-            // There may be a new incarnation of the source, which makes the repair pointless.
-            _ if self.is_suspect => Some(Request::Digests),
+            // There may be a new incarnation of the source, which would make the repair in progress
+            // pointless.
+            _ if self.needs_digests => Some(Request::Digests),
             Some(repair) if repair.next_service.is_some() => Some(Request::Digests),
             Some(_) => Some(Request::Snapshots),
             None if self.has_gap => Some(Request::Resume),
@@ -359,7 +372,7 @@
     /// Whether all snapshots of the last request were received, so that the next ones have to be requested.
     fn requested_snapshots_received(&self) -> bool {
         let is_requested = |service| self.requested_services.contains(service);
-        self.repair.as_ref().is_some_and(|repair| !repair.missing.keys().any(is_requested))
+        self.repair.as_ref().is_some_and(|repair| !repair.pending_snapshots.keys().any(is_requested))
     }
 
     fn request_message(&mut self, request: Request) -> Option<Message> {
@@ -368,8 +381,8 @@
             Request::Resume => self.position().map(|position| Message::Resume { positions: vec![position] }),
             Request::Digests => Some(Message::DigestRequest { source }),
             Request::Snapshots => {
-                let missing = self.repair.as_ref()?.missing.keys().copied();
-                self.requested_services = missing.take(MAX_REQUESTED_SERVICES).collect();
+                let differing = self.repair.as_ref()?.pending_snapshots.keys().copied();
+                self.requested_services = differing.take(MAX_REQUESTED_SERVICES).collect();
                 let services = self.requested_services.iter().copied().collect();
                 Some(Message::SnapshotRequest { source, services })
             }
--- a/crates/control-plane/src/replica/request.rs
+++ b/crates/control-plane/src/replica/request.rs
@@ -1,13 +1,13 @@
-//! Requests to upstream and their retries.
+//! Requests from a replica to upstream, and their retries.
 
 use crate::Millis;
 
-/// A request without a response is sent again after this delay, which doubles with each retry, milliseconds.
+/// Delay after which a request without a response is retried, milliseconds; it doubles with each retry.
 const RETRY_DELAY: Millis = 2_000;
-/// The longest retry delay, milliseconds: the largest message takes 22 s at a subscriber's rate limit.
+/// Maximum retry delay, milliseconds: the largest message takes 22 s at a subscriber's rate limit.
 const MAX_RETRY_DELAY: Millis = 32_000;
 
-/// What is requested from upstream.
+/// Kinds of requests. At most one is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Request {
     Resume,
@@ -15,7 +15,7 @@
     Snapshots,
 }
 
-/// A request without a response yet.
+/// A request that was sent and has no complete response yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRequest {
     pub request: Request,
@@ -29,12 +29,12 @@
         Self { request, sent_at: now, retry_delay: RETRY_DELAY }
     }
 
-    /// Whether the response is overdue.
+    /// Whether the response is overdue, so that the request has to be retried.
     pub(super) fn is_due(&self, now: Millis) -> bool {
         now >= self.sent_at + self.retry_delay
     }
 
-    /// Notes that the request is sent again, and doubles the delay.
+    /// Records a retry, and doubles the delay of the next one.
     pub(super) fn retry(&mut self, now: Millis) {
         self.sent_at = now;
         self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
--- a/crates/control-plane/src/runtime/agent.rs
+++ b/crates/control-plane/src/runtime/agent.rs
@@ -1,5 +1,5 @@
-//! The process of an agent beside a proxy: subscribes to relays, and serves the backends of its services to the proxy over
-//! the discovery protocol.
+//! The process of an agent beside a proxy: subscribes to relays, and serves the backends of its services to
+//! the proxy over the discovery protocol.
 
 use super::discovery::{DiscoveryState, serve};
 use super::discovery_list::DiscoveryList;
--- a/crates/control-plane/src/runtime/discovery.rs
+++ b/crates/control-plane/src/runtime/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery protocol as served to the proxy on the same machine: the complete list, and watches for changes.
+//! The discovery protocol as served to the proxy on the same machine: the complete list, and watches for
+//! changes.
 
 use super::accept;
 use super::discovery_list::DiscoveryList;
@@ -32,7 +33,8 @@
 pub struct DiscoveryState {
     /// The list.
     pub list: Rc<RefCell<DiscoveryList>>,
-    /// Whether the list has been complete. Before that it is not served: a proxy would treat missing backends as removed.
+    /// Whether the list has been complete. Before that it is not served: a proxy would treat missing backends
+    /// as removed.
     pub is_ready: Rc<Cell<bool>>,
     /// Notified when the list has changed.
     pub changed: watch::Sender<()>,
@@ -128,7 +130,8 @@
     }
 }
 
-/// Serves for as long as the process runs, `max_connections` at a time; connections beyond that are closed at once.
+/// Serves for as long as the process runs, `max_connections` at a time; connections beyond that are closed at
+/// once.
 pub async fn serve(listener: TcpListener, state: DiscoveryState, max_connections: usize) -> Infallible {
     let open_connections = Rc::new(Cell::new(0));
     loop {
--- a/crates/control-plane/src/runtime/discovery_list.rs
+++ b/crates/control-plane/src/runtime/discovery_list.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Removed entries that are still listed among changes. A request for changes from before the oldest dropped one gets the
-/// complete list.
+/// Removed entries that are still listed among changes. A request for changes from before the oldest dropped
+/// one gets the complete list.
 pub const MAX_REMOVED_ENTRIES: usize = 8_192;
 
 /// The state of a backend in the discovery protocol.
@@ -72,7 +72,8 @@
 /// The list.
 #[derive(Debug)]
 pub struct DiscoveryList {
-    /// With one service ids are names; with several the service is part of the id, since names are only unique within one.
+    /// With one service ids are names; with several the service is part of the id, since names are only
+    /// unique within one.
     has_single_service: bool,
     revision: u64,
     /// Changes after this revision are known.
@@ -85,9 +86,9 @@
 }
 
 impl DiscoveryList {
-    /// An empty list. Revisions count from `start`: Unix time in milliseconds, so that the revisions of a former process are
-    /// lower and are answered with the complete list (it would have to change a thousand entries a second to overtake the
-    /// clock).
+    /// An empty list. Revisions count from `start`: Unix time in milliseconds, so that the revisions of a
+    /// former process are lower and are answered with the complete list (it would have to change a thousand
+    /// entries a second to overtake the clock).
     #[must_use]
     pub fn new(has_single_service: bool, start: u64) -> Self {
         Self {
@@ -109,7 +110,8 @@
     /// Applies a record; kinds other than backends are ignored. Returns whether the list changed.
     ///
     /// # Errors
-    /// The body is not a valid backend. An existing entry stays, in [`Phase::Leaving`] if the record is draining.
+    /// The body is not a valid backend. An existing entry stays, in [`Phase::Leaving`] if the record is
+    /// draining.
     pub fn apply(&mut self, applied: &AppliedRecord) -> Result<bool, BodyError> {
         let Record { key, state, body, .. } = &applied.record;
         if key.kind != Kind::Backend {
--- a/crates/control-plane/src/runtime/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets, files and signals around the state machines. Each process serves on one thread; a source writes its snapshots on
-//! another.
+//! Sockets, files and signals around the state machines. Each process serves on one thread; a source writes
+//! its snapshots on another.
 
 pub mod agent;
 pub mod change_file;
--- a/crates/control-plane/src/runtime/relay.rs
+++ b/crates/control-plane/src/runtime/relay.rs
@@ -22,8 +22,8 @@
 /// Interval between log lines about the number of records.
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Repeated requests to connected sources, until the link to the source sends them. Requests without a response are
-/// repeated, so there are few; those to a connection that ended are dropped.
+/// Repeated requests to connected sources, until the link to the source sends them. Requests without a
+/// response are repeated, so there are few; those to a connection that ended are dropped.
 type SendQueues = Rc<RefCell<BTreeMap<SourceId, Vec<Message>>>>;
 
 /// The link to one source.
--- a/crates/control-plane/src/runtime/server.rs
+++ b/crates/control-plane/src/runtime/server.rs
@@ -1,5 +1,6 @@
-//! The upstream end of connections: accepts them, handles their messages, and sends each subscriber its next message. One
-//! message at a time is in flight on a connection; the next one is determined when that one has been written.
+//! The upstream end of connections: accepts them, handles their messages, and sends each subscriber its next
+//! message. One message at a time is in flight on a connection; the next one is determined when that one has
+//! been written.
 
 use super::{Clock, accept, loggable};
 use crate::codec::{CodecError, FrameReader, FrameWriter};
@@ -28,8 +29,8 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for the other side to read a close notice and close, before unread input may reset the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay between a change and the notification of all connections: a burst of writes wakes each connection once, and a
-/// change has four seconds to reach all agents.
+/// Delay between a change and the notification of all connections: a burst of writes wakes each connection
+/// once, and a change has four seconds to reach all agents.
 const COALESCE_DELAY: Duration = Duration::from_millis(10);
 /// The socket's send buffer, bytes: its content is stale to a slow subscriber, and it takes kernel memory.
 const SEND_BUFFER_BYTES: usize = 128 << 10;
@@ -250,8 +251,8 @@
         }
     }
 
-    /// Handles a message and sends the responses before the next one is read, so that a peer that does not read its
-    /// responses can't send more requests.
+    /// Handles a message and sends the responses before the next one is read, so that a peer that does not
+    /// read its responses can't send more requests.
     async fn on_message(&mut self, message: Option<Message>) -> Result<(), DisconnectReason> {
         let message = match message.ok_or(DisconnectReason::Closed)? {
             Message::Close { reason } => return Err(DisconnectReason::CloseNotice(loggable(&reason))),
@@ -280,8 +281,8 @@
     }
 }
 
-/// Sends a close notice, shuts down the sending side and discards input: closing with unread input would reset the
-/// connection, and the notice would be lost.
+/// Sends a close notice, shuts down the sending side and discards input: closing with unread input would
+/// reset the connection, and the notice would be lost.
 async fn close(reader: FrameReader<OwnedReadHalf>, mut writer: FrameWriter<OwnedWriteHalf>, reason: String) {
     let written = timeout(CLOSE_TIMEOUT, writer.write(&Message::Close { reason })).await;
     if matches!(written, Ok(Ok(()))) {
--- a/crates/control-plane/src/runtime/source.rs
+++ b/crates/control-plane/src/runtime/source.rs
@@ -1,4 +1,5 @@
-//! The process of a source of truth: accepts changes from writers, publishes them to relays, and persists its records.
+//! The process of a source of truth: accepts changes from writers, publishes them to relays, and persists its
+//! records.
 
 use super::server::{ChangeNotifier, Server};
 use super::snapshot::{Snapshot, SnapshotWriter, lock, read};
@@ -18,8 +19,8 @@
 /// Runs a source until `shutdown` completes; its records are persisted then.
 ///
 /// # Errors
-/// The process can't start (a snapshot that is damaged or belongs to another source is not overwritten), or the last
-/// snapshot can't be written.
+/// The process can't start (a snapshot that is damaged or belongs to another source is not overwritten), or
+/// the last snapshot can't be written.
 pub async fn run(
     config: &SourceConfig,
     rate_limit: &RateLimitConfig,
@@ -27,8 +28,8 @@
 ) -> Result<(), RuntimeError> {
     let _lock = lock(&config.snapshot)?;
     let store = restore(config)?;
-    // The epoch is persisted before it is published, so that none is used twice; this also reports a path that can't be
-    // written.
+    // The epoch is persisted before it is published, so that none is used twice; this also reports a path
+    // that can't be written.
     snapshot(config, &store).write(&config.snapshot)?;
     let listener = listen(config.listen).await?;
     let address = listener.local_addr()?;
@@ -44,7 +45,8 @@
         never = persist_changes(config, &source, &writer, persisted) => match never {},
         () = shutdown => {}
     }
-    // The final snapshot is written after one in progress, and on this thread: there are no connections left to serve.
+    // The final snapshot is written after one in progress, and on this thread: there are no connections left
+    // to serve.
     drop(writer);
     snapshot(config, source.borrow().store()).write(&config.snapshot)?;
     let count = source.borrow().store().live_count();
--- a/crates/control-plane/src/runtime/upstream_link.rs
+++ b/crates/control-plane/src/runtime/upstream_link.rs
@@ -1,6 +1,6 @@
-//! The downstream end of a connection: connects to relays (or a source) in the order that [`Failover`] decides, and passes
-//! messages between the connection and a [`DownstreamNode`]. Used by an agent, by a relay's connection to a source, and by
-//! thousands of subscribers in one process.
+//! The downstream end of a connection: connects to relays (or a source) in the order that [`Failover`]
+//! decides, and passes messages between the connection and a [`DownstreamNode`]. Used by an agent, by a
+//! relay's connection to a source, and by thousands of subscribers in one process.
 
 use super::{Clock, loggable};
 use crate::Millis;
@@ -23,14 +23,16 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval of [`DownstreamNode::tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for upstream to accept a message. Downstream sends little, so a longer time means that upstream has stopped.
+/// Time for upstream to accept a message. Downstream sends little, so a longer time means that upstream has
+/// stopped.
 const WRITE_TIMEOUT: Duration = READ_TIMEOUT;
 /// Time for the next message of upstream.
 const READ_TIMEOUT: Duration = Duration::from_millis(SILENCE_TIMEOUT);
 
 /// A node that follows relays or a source over changing connections.
 pub trait DownstreamNode {
-    /// The first message on a connection, which may be a probe of the preferred relay beside a working connection.
+    /// The first message on a connection, which may be a probe of the preferred relay beside a working
+    /// connection.
     fn hello(&mut self) -> Message;
 
     /// Handles a message from upstream. Returns the responses.
@@ -42,8 +44,8 @@
     /// Called periodically on a welcomed connection. Returns the messages to send.
     fn tick(&mut self, now: Millis) -> Vec<Message>;
 
-    /// Upstream of this name has sent its welcome. It may replace another upstream, whose connection is closed then without
-    /// [`DownstreamNode::on_lost`].
+    /// Upstream of this name has sent its welcome. It may replace another upstream, whose connection is
+    /// closed then without [`DownstreamNode::on_lost`].
     fn on_connected(&mut self, _upstream: &str) {}
 
     /// The connection ended, or was not established.
@@ -216,7 +218,8 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut silent_at = Instant::now() + READ_TIMEOUT;
         loop {
-            // Reading goes first: after this process was suspended, the messages of that time are still unread.
+            // Reading goes first: after this process was suspended, the messages of that time are still
+            // unread.
             tokio::select! {
                 biased;
                 message = connection.receive() => {
@@ -231,7 +234,7 @@
                 (relay, result) = probe_result(&mut probe) => {
                     probe = None;
                     if let Ok(welcomed) = result {
-                        self.failover.on_moved(self.clock.now());
+                        self.failover.on_probe_succeeded(self.clock.now());
                         return Err(ConnectionEnd::Moved(relay, Box::new(welcomed)));
                     }
                     self.failover.on_probe_failed(self.clock.now());
@@ -264,7 +267,8 @@
         Ok(())
     }
 
-    /// Connects to a relay and runs the connection, and those that replace it. Returns how the last one was lost.
+    /// Connects to a relay and runs the connection, and those that replace it. Returns how the last one was
+    /// lost.
     async fn connect(&mut self, mut relay: usize) -> LostConnection {
         let mut connection = match Connection::open(self.relays[relay].address).await {
             Ok(connection) => connection,
@@ -314,8 +318,8 @@
     }
 }
 
-/// Follows one of these relays at a time, for as long as the process runs. `name` and `seed` decide the failover order and
-/// the jitter. The node is borrowed only within its own calls.
+/// Follows one of these relays at a time, for as long as the process runs. `name` and `seed` decide the
+/// failover order and the jitter. The node is borrowed only within its own calls.
 pub async fn follow<N: DownstreamNode>(
     node: Rc<RefCell<N>>,
     relays: Vec<UpstreamAddress>,
--- a/crates/control-plane/src/runtime/writer.rs
+++ b/crates/control-plane/src/runtime/writer.rs
@@ -1,4 +1,5 @@
-//! A client that writes changes to a source: used by the operators' tool, or by a system that detects backends.
+//! A client that writes changes to a source: used by the operators' tool, or by a system that detects
+//! backends.
 
 use crate::codec::{CodecError, FrameReader, FrameWriter};
 use crate::message::{MAX_MESSAGE_BYTES, Message};
@@ -91,8 +92,8 @@
         response.await.map_err(|_| WriterError::ResponseTimeout(self.address))?
     }
 
-    /// Applies any number of changes in parts; each part is applied completely or not at all. Returns the version of the
-    /// last change; `None` without changes.
+    /// Applies any number of changes in parts; each part is applied completely or not at all. Returns the
+    /// version of the last change; `None` without changes.
     ///
     /// # Errors
     /// As [`Writer::write`], for the first part that was not applied; those before it were.
--- a/crates/control-plane/src/session.rs
+++ b/crates/control-plane/src/session.rs
@@ -1,42 +1,42 @@
-//! The rules that both ends of a connection apply to messages, and the errors that end a connection.
+//! Checks of received messages that upstream and downstream share, and the errors that end a connection.
 
 use crate::message::PROTOCOL_VERSION;
 
-/// Services in a scope at the most, unless the scope is all services.
+/// Maximum number of services in a scope, unless the scope is all services.
 pub const MAX_SCOPE: usize = 4_096;
-/// Sources that one node follows at the most.
+/// Maximum number of sources that one node follows.
 pub const MAX_SOURCES: usize = 256;
 
-/// Why a connection has to end; the text is sent in [`Message::Close`](crate::message::Message::Close).
+/// Why a connection has to be closed. The text is sent in [`Message::Close`](crate::message::Message::Close).
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum SessionError {
     /// The other side uses another protocol version.
     #[error("protocol {theirs} is not spoken here, {ours} is; bring both parties to one version")]
     ProtocolMismatch {
-        /// The version of the other side.
+        /// The protocol version of the other side.
         theirs: u16,
-        /// The version of this side.
+        /// The protocol version of this side.
         ours: u16,
     },
-    /// A message that this node does not accept now.
+    /// A message that this node does not accept in the current state of the connection.
     #[error("`{message}` makes no sense here: {expected}")]
     UnexpectedMessage {
-        /// The message.
+        /// Name of the received message.
         message: &'static str,
-        /// What would be accepted.
+        /// Which messages would be accepted.
         expected: &'static str,
     },
-    /// A count beyond its bound.
+    /// A count that exceeds its limit.
     #[error("{count} {items}, {max} at most")]
     LimitExceeded {
         /// What was counted.
         items: &'static str,
-        /// The count.
+        /// The received count.
         count: usize,
-        /// The greatest accepted count.
+        /// Maximum accepted count.
         max: usize,
     },
-    /// The bound of subscribers is reached.
+    /// The limit of subscribers, or of connections, is reached; contains the limit.
     #[error("{0} subscribers are connected, no more are taken; try another relay")]
     TooManySubscribers(usize),
 }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Checks a count against its bound.
+/// Checks a count against its limit, `max`.
 ///
 /// # Errors
 /// [`SessionError::LimitExceeded`].
--- a/crates/control-plane/src/source.rs
+++ b/crates/control-plane/src/source.rs
@@ -1,4 +1,4 @@
-//! A source of truth: applies changes and publishes them to its subscribers.
+//! State machine of a source of truth: applies changes and publishes them to its subscribers.
 
 use crate::Millis;
 use crate::message::Message;
@@ -10,7 +10,7 @@
 use crate::subscription_cursor::StoreView;
 use crate::upstream::Upstream;
 
-/// A source.
+/// A source: the authoritative records, and the publisher for its subscribers.
 #[derive(Debug)]
 pub struct Source {
     store: VersionedStore,
@@ -18,19 +18,19 @@
 }
 
 impl Source {
-    /// A source with these records; `rate_limit` applies to each subscriber.
+    /// Creates a source with these records; `rate_limit` applies to each subscriber.
     #[must_use]
     pub fn new(name: &str, store: VersionedStore, rate_limit: RateLimit) -> Self {
         Self { store, publisher: Publisher::new(name, rate_limit) }
     }
 
-    /// The records.
+    /// The authoritative records.
     #[must_use]
     pub fn store(&self) -> &VersionedStore {
         &self.store
     }
 
-    /// Applies all changes or none.
+    /// Validates all changes before the first one is applied, so that either all or none take effect.
     fn write(&mut self, changes: Vec<Change>) -> Result<Version, WriteError> {
         changes.iter().try_for_each(validate_change)?;
         for change in changes {
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! The records of one source as far as one node has them: records by key, a change log by urgency, digests by service.
+//! The records of one source that a node has: records by key, a change log for each urgency, and digests by
+//! service.
 
 mod service_records;
 mod validation;
@@ -14,10 +15,11 @@
 use std::sync::Arc;
 use twox_hash::XxHash3_64;
 
-/// Tombstones retained at the most, the oldest are dropped first: about 8 MB, 15 minutes at 70 removals per second.
+/// Maximum number of retained tombstones; the oldest are dropped first. They take about 8 MB and last for 15
+/// minutes at 70 removals per second.
 pub const MAX_TOMBSTONES: usize = 65_536;
 
-/// An entry of a change log, ordered by version, then by key.
+/// An entry of a change log; ordered by version, then by key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LogEntry {
     version: Version,
@@ -30,22 +32,23 @@
     }
 }
 
-/// The records of one source.
+/// The records of one source, with tombstones, change logs and digests.
 #[derive(Debug)]
 pub struct VersionedStore {
     source: SourceId,
     epoch: Epoch,
     head: Version,
-    /// The position up to which this store is complete, by urgency: the head at the source itself, the received position
+    /// The position up to which this store is complete: the head at the source itself, the received position
     /// downstream.
     cursor: Cursor,
-    /// Tombstones up to this version may be missing: a subscriber before it can't be served from the log.
+    /// Tombstones up to this version may be missing, so a subscriber before it can't be updated from the log.
     tombstone_floor: Version,
-    /// Counts changes that the log doesn't show: a new incarnation of the source, or a repair that changed records.
+    /// Counts changes that are not in the log: a new incarnation of the source, or a repair that changed
+    /// records.
     generation: u64,
     services: BTreeMap<ServiceId, ServiceRecords>,
-    /// By urgency: each stored record under its version, so a log never has more than the newest change of each key.
-    /// Empty in a store without logs.
+    /// A log for each urgency. It has an entry for each stored record, so at most the newest change of each
+    /// key. Empty in a store without logs.
     logs: [BTreeSet<LogEntry>; 3],
     has_logs: bool,
     tombstones: BTreeSet<LogEntry>,
@@ -53,29 +56,30 @@
     /// The wrapping sum of the digests of all services.
     total_digest: u64,
     live_count: usize,
-    /// Input of the hash; reused to spare an allocation for each record.
+    /// Input of the hash function; reused to avoid an allocation for each record.
     hash_buffer: Vec<u8>,
-    /// The first key in the order of keys, to begin a range over versions with.
+    /// The lowest possible key, for the lower bound of a range of versions.
     first_key: Key,
-    /// The body of lookup probes, shared to spare an allocation for each.
+    /// The body of lookup keys, shared to avoid an allocation for each.
     empty_body: Arc<[u8]>,
 }
 
 impl VersionedStore {
-    /// An empty store of this incarnation of the source. Epochs are counted from 1.
+    /// Creates an empty store for this incarnation of the source. Epochs start at 1; 0 is raised to 1.
     #[must_use]
     pub fn new(source: SourceId, epoch: Epoch) -> Self {
-        let mut store = Self::unknown(source);
+        let mut store = Self::unsynchronized(source);
         store.start_at(Version { epoch: epoch.max(1), revision: 0 });
         store
     }
 
-    /// The store of a source after a restart: the persisted `records`, and `head`, the last persisted change. Records keep
-    /// their versions; new changes get the new epoch. The head becomes a version of the new epoch with the old revision, so
-    /// that all changes of former incarnations are older, including those that were not persisted.
+    /// Creates the store of a source after a restart, from the persisted `records` and `head`, the last
+    /// persisted change. Records keep their versions; new changes get the new epoch. The head becomes a
+    /// version of the new epoch with the old revision, so that all changes of former incarnations are older,
+    /// including those that were not persisted.
     #[must_use]
     pub fn restore(source: SourceId, epoch: Epoch, head: Version, records: Vec<Record>) -> Self {
-        let mut store = Self::unknown(source);
+        let mut store = Self::unsynchronized(source);
         let revision = records.iter().map(|record| record.version.revision).fold(head.revision, u64::max);
         for record in records {
             store.insert(record);
@@ -85,7 +89,7 @@
         store
     }
 
-    /// Makes the store complete up to `head`.
+    /// Sets the head, and marks the store as complete up to it.
     fn start_at(&mut self, head: Version) {
         self.epoch = head.epoch;
         self.head = head;
@@ -93,8 +97,8 @@
         self.tombstone_floor = head;
     }
 
-    /// A store that has received nothing: epoch 0, at the zero cursor.
-    pub(crate) fn unknown(source: SourceId) -> Self {
+    /// Creates the store of a replica that has received nothing yet: epoch 0, at the zero cursor.
+    pub(crate) fn unsynchronized(source: SourceId) -> Self {
         Self {
             source,
             epoch: 0,
@@ -115,13 +119,13 @@
         }
     }
 
-    /// The same store without logs, for a node that serves no subscribers.
+    /// Disables the logs, for a node that has no subscribers.
     pub(crate) fn without_logs(mut self) -> Self {
         self.has_logs = false;
         self
     }
 
-    /// The same store with another bound for tombstones.
+    /// Replaces the limit of tombstones, [`MAX_TOMBSTONES`] by default.
     #[must_use]
     pub fn with_max_tombstones(mut self, max: usize) -> Self {
         self.set_max_tombstones(max);
@@ -133,10 +137,10 @@
         self.prune_tombstones();
     }
 
-    /// Applies a change at the source itself and assigns the next version to it.
+    /// Applies a change at the source itself, and assigns the next version to it.
     ///
     /// # Errors
-    /// The change exceeds a bound; the store is unchanged then.
+    /// See [`validate_change`]; the store is unchanged then.
     pub fn write(&mut self, change: Change) -> Result<Record, WriteError> {
         validate_change(&change)?;
         let version = Version { epoch: self.epoch, revision: self.head.revision + 1 };
@@ -147,55 +151,57 @@
         Ok(record)
     }
 
-    /// The source.
+    /// The source to which the records belong.
     #[must_use]
     pub fn source(&self) -> SourceId {
         self.source
     }
 
-    /// The incarnation of the source; 0: unknown.
+    /// The incarnation of the source to which the records belong; 0 before a replica's first repair has
+    /// finished.
     #[must_use]
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The newest known version, in scope or not.
+    /// The newest known version, whether in scope or not.
     #[must_use]
     pub fn head(&self) -> Version {
         self.head
     }
 
-    /// The position up to which the store is complete, by urgency.
+    /// The position up to which the store is complete, for each urgency.
     #[must_use]
     pub fn cursor(&self) -> Cursor {
         self.cursor
     }
 
-    /// The version up to which the store is complete in every urgency.
+    /// The version up to which the store is complete for every urgency.
     #[must_use]
     pub fn complete_through(&self) -> Version {
         self.cursor.into_iter().min().unwrap_or_default()
     }
 
-    /// Tombstones up to this version may be missing.
+    /// The version up to which tombstones may have been dropped.
     #[must_use]
     pub fn tombstone_floor(&self) -> Version {
         self.tombstone_floor
     }
 
-    /// Counts changes that the log doesn't show.
+    /// Number of changes that are not in the log: new incarnations of the source, and repairs that changed
+    /// records.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The number of live records.
+    /// Number of records without tombstones.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// The number of retained tombstones.
+    /// Number of retained tombstones.
     #[must_use]
     pub fn tombstone_count(&self) -> usize {
         self.tombstones.len()
@@ -207,19 +213,19 @@
         self.services.get(&key.service)?.get(key, &self.empty_body)
     }
 
-    /// The live records of a service, ordered by key.
+    /// The records of a service without tombstones, ordered by key.
     pub fn service(&self, service: ServiceId) -> impl Iterator<Item = &Record> {
         self.range(service, None, None).filter(|record| record.state != State::Gone)
     }
 
-    /// All live records, ordered by key.
+    /// The records of all services without tombstones, ordered by key.
     pub fn live_records(&self) -> impl Iterator<Item = &Record> {
         let records = self.services.values().flat_map(ServiceRecords::iter);
         records.filter(|record| record.state != State::Gone)
     }
 
-    /// The digest of a service: the wrapping sum of the hashes of its live records, independent of their order; 0 without
-    /// records.
+    /// The digest of a service: the wrapping sum of the hashes of its live records, independent of their
+    /// order; 0 if it has none.
     #[must_use]
     pub fn digest(&self, service: ServiceId) -> u64 {
         self.services.get(&service).map_or(0, |service| service.digest)
@@ -236,12 +242,11 @@
         }
     }
 
-    /// The wrapping sum of the digests of all services.
     pub(crate) fn total_digest(&self) -> u64 {
         self.total_digest
     }
 
-    /// The records of a service after one key (excluded) up to another (included), tombstones as well.
+    /// The records of a service, tombstones included, from `after` (exclusive) to `through` (inclusive).
     pub(crate) fn range<'a>(
         &'a self,
         service: ServiceId,
@@ -252,28 +257,28 @@
         records.map(|records| records.range(after, through, &self.empty_body)).into_iter().flatten()
     }
 
-    /// The digests that are not 0, from this service on.
+    /// The nonzero digests of all services from `first` on.
     pub(crate) fn digests(&self, first: ServiceId) -> impl Iterator<Item = ServiceDigest> {
         self.services
             .range(first..)
             .map(|(service, records)| ServiceDigest { service: *service, digest: records.digest })
-            .filter(|one| one.digest != 0)
+            .filter(|entry| entry.digest != 0)
     }
 
-    /// The digests of services in scope that are not 0, from `first` on, `max` at the most.
+    /// The nonzero digests of the services in scope from `first` on, at most `max`.
     pub(crate) fn digests_in_scope(&self, scope: &Scope, first: ServiceId, max: usize) -> Vec<ServiceDigest> {
         match scope {
             Scope::All => self.digests(first).take(max).collect(),
             Scope::Services(services) => services
                 .range(first..)
                 .map(|service| ServiceDigest { service: *service, digest: self.digest(*service) })
-                .filter(|one| one.digest != 0)
+                .filter(|entry| entry.digest != 0)
                 .take(max)
                 .collect(),
         }
     }
 
-    /// The log's entries after one version up to and including another, the oldest first.
+    /// The entries of a log from `after` (exclusive) to `through` (inclusive), the oldest first.
     pub(crate) fn log(
         &self,
         urgency: Urgency,
@@ -282,13 +287,13 @@
     ) -> impl Iterator<Item = (Version, &Key)> {
         let version = Version { revision: after.revision.saturating_add(1), ..after };
         let first = LogEntry { version, key: self.first_key.clone() };
-        // A range whose end lies before its beginning would panic, so the end is checked entry by entry.
+        // A range whose end is before its start would panic, so the end is checked for each entry.
         let entries =
             self.logs[urgency as usize].range(first..).take_while(move |entry| entry.version <= through);
         entries.map(|entry| (entry.version, &entry.key))
     }
 
-    /// Replaces the record of a key, whatever its version. Returns the former record.
+    /// Replaces the record of a key regardless of its version. Returns the former record.
     pub(crate) fn insert(&mut self, record: Record) -> Option<Record> {
         let previous = self.remove(&record.key);
         self.head = self.head.max(record.version);
@@ -309,7 +314,7 @@
         previous
     }
 
-    /// Removes the record of a key without a tombstone.
+    /// Removes the record of a key without leaving a tombstone. Returns the record.
     fn remove(&mut self, key: &Key) -> Option<Record> {
         let record = self.services.get_mut(&key.service)?.remove(key, &self.empty_body)?;
         let entry = LogEntry::of(&record);
@@ -331,8 +336,8 @@
         Some(record)
     }
 
-    /// Drops the oldest tombstones beyond the bound. Tombstones beyond the complete position are retained: until then an
-    /// older change of the same key could still arrive.
+    /// Drops the oldest tombstones beyond the limit. Those newer than the position up to which the store is
+    /// complete are retained, because an older change of the same key may still arrive.
     pub(crate) fn prune_tombstones(&mut self) {
         let complete = self.complete_through();
         while self.tombstones.len() > self.max_tombstones {
@@ -345,7 +350,7 @@
         }
     }
 
-    /// Drops all tombstones up to a version; subscribers before it have to be repaired by digests.
+    /// Drops all tombstones up to a version. Subscribers before it have to be repaired by digests.
     pub(crate) fn drop_tombstones(&mut self, through: Version) {
         while let Some(LogEntry { version, key }) =
             self.tombstones.first().cloned().filter(|entry| entry.version <= through)
@@ -355,13 +360,14 @@
         }
     }
 
-    /// Sets the position up to which the store is complete.
+    /// Sets the position up to which the store is complete, and raises the head accordingly.
     pub(crate) fn advance_to(&mut self, cursor: Cursor) {
         self.cursor = cursor;
         self.head = cursor.into_iter().fold(self.head, Version::max);
     }
 
-    /// Ends a repair: the store belongs to this incarnation of the source, and has no tombstones up to `through`.
+    /// Ends a repair: from now on the records belong to this incarnation of the source; tombstones up to
+    /// `through` are dropped. `changed`: whether the repair changed records.
     pub(crate) fn finish_repair(&mut self, epoch: Epoch, through: Version, changed: bool) {
         self.generation += u64::from(changed || epoch != self.epoch);
         self.epoch = epoch;
@@ -369,12 +375,12 @@
         self.drop_tombstones(through);
     }
 
-    /// Records a change that the log doesn't show.
+    /// Counts a change that is not in the log.
     pub(crate) fn advance_generation(&mut self) {
         self.generation += 1;
     }
 
-    /// The hash of a record; 0 of a tombstone.
+    /// The hash of a record; 0 for a tombstone.
     fn hash(&mut self, record: &Record) -> u64 {
         if record.state == State::Gone {
             return 0;
--- a/crates/control-plane/src/store/service_records.rs
+++ b/crates/control-plane/src/store/service_records.rs
@@ -1,4 +1,4 @@
-//! The records of one service, ordered by key.
+//! The records of one service, ordered by kind and name.
 
 use crate::message::KeyBound;
 use crate::record::{Key, Kind, Record, State, Version};
@@ -15,7 +15,8 @@
     records: BTreeSet<KeyOrdered>,
 }
 
-/// A record ordered by its key within the service: a set of these takes a third less memory than a map by key.
+/// A record, compared by its key within the service. A set of these takes a third less memory than a map from
+/// keys to records.
 #[derive(Debug)]
 struct KeyOrdered(Record);
 
@@ -24,8 +25,8 @@
         (self.0.key.kind, &self.0.key.name)
     }
 
-    /// A record that only serves to look up a key.
-    fn probe(kind: Kind, name: &Arc<str>, empty_body: &Arc<[u8]>) -> Self {
+    /// Creates a record that serves only to look up a key.
+    fn lookup_key(kind: Kind, name: &Arc<str>, empty_body: &Arc<[u8]>) -> Self {
         let key = Key { service: 0, kind, name: Arc::clone(name) };
         Self(Record { key, version: Version::default(), state: State::Gone, body: Arc::clone(empty_body) })
     }
@@ -56,9 +57,9 @@
         self.records.is_empty()
     }
 
-    /// The record of a key. `empty_body` is shared by all lookups to spare an allocation for each.
+    /// The record of a key. `empty_body` is shared by all lookups to avoid an allocation for each.
     pub(super) fn get(&self, key: &Key, empty_body: &Arc<[u8]>) -> Option<&Record> {
-        self.records.get(&KeyOrdered::probe(key.kind, &key.name, empty_body)).map(|stored| &stored.0)
+        self.records.get(&KeyOrdered::lookup_key(key.kind, &key.name, empty_body)).map(|stored| &stored.0)
     }
 
     pub(super) fn insert(&mut self, record: Record) {
@@ -66,21 +67,21 @@
     }
 
     pub(super) fn remove(&mut self, key: &Key, empty_body: &Arc<[u8]>) -> Option<Record> {
-        self.records.take(&KeyOrdered::probe(key.kind, &key.name, empty_body)).map(|stored| stored.0)
+        self.records.take(&KeyOrdered::lookup_key(key.kind, &key.name, empty_body)).map(|stored| stored.0)
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = &Record> {
         self.records.iter().map(|stored| &stored.0)
     }
 
-    /// The records after one key (excluded) up to another (included).
+    /// The records from `after` (exclusive) to `through` (inclusive).
     pub(super) fn range<'a>(
         &'a self,
         after: Option<&KeyBound>,
         through: Option<&KeyBound>,
         empty_body: &Arc<[u8]>,
     ) -> impl Iterator<Item = &'a Record> + use<'a> {
-        let first = after.map(|bound| KeyOrdered::probe(bound.kind, &bound.name, empty_body));
+        let first = after.map(|bound| KeyOrdered::lookup_key(bound.kind, &bound.name, empty_body));
         let lower = first.as_ref().map_or(Bound::Unbounded, Bound::Excluded);
         let through = through.cloned();
         let records = self.records.range((lower, Bound::Unbounded));
--- a/crates/control-plane/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! A subscriber: replicates the records of its scope from all sources, over any relay.
+//! State machine of a subscriber: replicates the records in its scope from all sources, through any relay.
 
 use crate::Millis;
 use crate::message::{Message, PROTOCOL_VERSION};
@@ -9,16 +9,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The result of handling a message.
+/// The result of handling a message from a relay.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct MessageOutcome {
-    /// Messages to send to the relay.
+    /// Responses to send to the relay.
     pub replies: Vec<Message>,
-    /// Records that took effect, in this order.
+    /// Records that took effect, in the order in which they were applied.
     pub applied: Vec<AppliedRecord>,
 }
 
-/// A subscriber. It retains its records while it is disconnected.
+/// A subscriber. It keeps its records while it is disconnected.
 #[derive(Debug)]
 pub struct Subscriber {
     name: String,
@@ -27,13 +27,13 @@
 }
 
 impl Subscriber {
-    /// A subscriber without records.
+    /// Creates a subscriber without records; `name` appears in the logs of relays.
     #[must_use]
     pub fn new(name: &str, scope: Scope) -> Self {
         Self { name: name.to_owned(), scope: Arc::new(scope), replicas: BTreeMap::new() }
     }
 
-    /// The first message on a connection to any relay.
+    /// The [`Message::Hello`] for a new connection to any relay.
     #[must_use]
     pub fn hello(&self) -> Message {
         let positions = self.replicas.values().filter_map(Replica::position).collect();
@@ -44,7 +44,7 @@
     /// Handles a message from the relay.
     ///
     /// # Errors
-    /// The connection has to end.
+    /// The message is not acceptable, and the connection has to be closed.
     pub fn on_message(&mut self, message: Message, now: Millis) -> Result<MessageOutcome, SessionError> {
         let mut outcome = MessageOutcome::default();
         match message {
@@ -77,12 +77,12 @@
         Ok(self.replicas.entry(source).or_insert_with(create))
     }
 
-    /// Returns the requests to send again, because no response arrived in time.
+    /// Returns the requests to retry because no response arrived in time. To be called periodically.
     pub fn tick(&mut self, now: Millis) -> Vec<Message> {
         self.replicas.values_mut().filter_map(|replica| replica.tick(now)).collect()
     }
 
-    /// The records, by source.
+    /// The replicated records of each source from which messages were received.
     pub fn stores(&self) -> impl Iterator<Item = (SourceId, &VersionedStore)> {
         self.replicas.iter().map(|(source, replica)| (*source, replica.store()))
     }
--- a/crates/control-plane/src/subscription_cursor/mod.rs
+++ b/crates/control-plane/src/subscription_cursor/mod.rs
@@ -1,4 +1,4 @@
-//! Send state of one subscriber and one source: the position already sent, and the next message due.
+//! Send state for one subscriber and one source: the position already sent, and the next message to send.
 
 mod next_message;
 
@@ -12,20 +12,23 @@
 use crate::record::{Cursor, Epoch, Record, Scope, ServiceId, State, Urgency, Version, merge_cursors};
 use crate::store::VersionedStore;
 
-/// Interval between digests of the scope to a subscriber that has everything, milliseconds.
+/// Interval between scope digests to a subscriber that has all records, milliseconds.
 pub const DIGEST_INTERVAL: Millis = 10_000;
-/// Least interval between messages that only advance the position past changes out of scope, milliseconds.
+/// Minimum interval between messages that only advance the position past changes out of scope, milliseconds.
 const PROGRESS_INTERVAL: Millis = 1_000;
-/// Size at which a batch, a summary or a part of a snapshot is cut, bytes; a single record may be longer.
+/// Maximum size of a batch, a part of a summary or a part of a snapshot, bytes; a single record may be
+/// longer.
 const MAX_PART_BYTES: usize = MAX_MESSAGE_BYTES / 4;
-/// Least size to cut to when tokens are short, bytes; with less, message headers would take most of the rate.
+/// Minimum size to which these are reduced when few tokens are available, bytes: with smaller ones, message
+/// headers would use up most of the rate limit.
 const MIN_PART_BYTES: usize = 1 << 10;
-/// Records of one version (those that a repair removed) are sent in one batch up to this size, bytes.
+/// Maximum size of the records of one version, bytes, up to which they are sent in one batch. Several records
+/// have the same version if a repair removed them.
 const MAX_SAME_VERSION_BYTES: usize = MAX_MESSAGE_BYTES / 4 * 3;
-/// Size of a digest in a summary at the most, bytes.
+/// Maximum encoded size of one digest in a summary, bytes.
 const MAX_DIGEST_BYTES: usize = 5 + 10;
 
-/// A summary of which parts are still to be sent.
+/// A summary of which some parts have not been sent yet.
 #[derive(Debug)]
 struct SummaryInProgress {
     next_service: ServiceId,
@@ -34,42 +37,45 @@
     generation: u64,
 }
 
-/// Records for a batch.
+/// The records of one batch.
 struct ChangeSet {
     records: Vec<Record>,
     /// The version up to which the records are complete.
     through: Version,
 }
 
-/// The send state of one subscriber and one source.
+/// Send state for one subscriber and one source.
 #[derive(Debug)]
 pub(crate) struct SubscriptionCursor {
-    /// The incarnation of the source that the subscriber follows; 0: none.
+    /// The incarnation of the source to which the subscriber's records belong; 0: it has none.
     epoch: Epoch,
-    /// The last store generation that the subscriber has; `None`: all up to the first observation.
+    /// The store's generation up to which the subscriber is repaired; `None`: the store's generation when
+    /// first seen.
     generation: Option<u64>,
-    /// The position that was sent to the subscriber.
+    /// The position of the subscriber after the messages sent so far.
     sent_cursor: Cursor,
-    /// The position up to which the logs have nothing in scope; never before `sent_cursor`.
+    /// The position up to which the logs have no unsent changes in scope; never before `sent_cursor`.
     scanned_cursor: Cursor,
     summary: Option<SummaryInProgress>,
-    /// Services of which a snapshot was requested, the last one first.
+    /// Services of which a snapshot was requested, in descending order, so that the next one is popped from
+    /// the end.
     requested_snapshots: Vec<ServiceId>,
-    /// The key up to which the first of them was sent.
+    /// The key up to which the snapshot of the last element of `requested_snapshots` was sent.
     snapshot_position: Option<KeyBound>,
     digest_due_at: Millis,
     progress_due_at: Millis,
-    /// Digests were requested, or a summary is due for another reason.
+    /// Whether a summary is due because the subscriber requested digests, or because records of one version
+    /// exceed a batch.
     digests_requested: bool,
 }
 
-/// The size to which a message may be cut now, beside its overhead, bytes.
+/// Maximum size of the content of the next message, without its overhead, bytes.
 fn part_size(bucket: &TokenBucket) -> usize {
     MAX_PART_BYTES.min(bucket.available_bytes().max(MIN_PART_BYTES)).saturating_sub(MESSAGE_OVERHEAD_BYTES)
 }
 
 impl SubscriptionCursor {
-    /// A subscriber without records of the source.
+    /// The state for a subscriber without records of the source.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             epoch: 0,
@@ -85,13 +91,13 @@
         }
     }
 
-    /// A subscriber at a position.
+    /// The state for a subscriber that reports a position.
     pub(crate) fn at(position: &ReplicaPosition, now: Millis) -> Self {
         let cursor = position.cursor;
         Self { epoch: position.epoch, sent_cursor: cursor, scanned_cursor: cursor, ..Self::new(now) }
     }
 
-    /// Continues from a position after a loss.
+    /// Continues from a position that the subscriber reports after a lost message.
     pub(crate) fn resume(&mut self, position: &ReplicaPosition, now: Millis) {
         self.epoch = position.epoch;
         self.sent_cursor = position.cursor;
@@ -100,13 +106,13 @@
         self.summary = None;
     }
 
-    /// Makes a new summary due.
+    /// Schedules a new summary.
     pub(crate) fn request_digests(&mut self) {
         self.digests_requested = true;
         self.summary = None;
     }
 
-    /// Requests snapshots of these services in place of those requested before.
+    /// Schedules snapshots of these services, in place of those requested before.
     pub(crate) fn request_snapshots(&mut self, mut services: Vec<ServiceId>) {
         services.sort_unstable_by(|left, right| right.cmp(left));
         services.dedup();
@@ -115,15 +121,15 @@
         self.snapshot_position = None;
     }
 
-    /// The number of services of which a snapshot is requested.
+    /// Number of services of which a snapshot is requested and not completely sent.
     pub(crate) fn requested_snapshots(&self) -> usize {
         self.requested_snapshots.len()
     }
 
-    /// Decides whether the store's log suffices for this subscriber; else a summary becomes due.
-    pub(crate) fn observe(&mut self, view: StoreView<'_>) {
+    /// Schedules a summary if the store's log does not suffice to update this subscriber.
+    pub(crate) fn schedule_summary(&mut self, view: StoreView<'_>) {
         let (epoch, generation) = (view.store.epoch(), view.store.generation());
-        // A subscriber that follows a later incarnation waits until this store has caught up.
+        // A subscriber that has seen a later incarnation waits until this store has caught up.
         if epoch < self.epoch {
             self.summary = None;
             return;
@@ -146,7 +152,7 @@
         }
     }
 
-    /// The next message of a class.
+    /// The next message of a class, as the rate limit allows.
     pub(crate) fn next_message(
         &mut self,
         priority: SendPriority,
@@ -173,14 +179,16 @@
         }
     }
 
-    /// Advances `scanned_cursor` past what is not in scope. Returns whether something in scope is left.
+    /// Advances `scanned_cursor` past changes out of scope. Returns whether there are unsent changes in
+    /// scope.
     fn has_changes_in_scope(&mut self, urgency: Urgency, view: StoreView<'_>, scope: &Scope) -> bool {
         let index = urgency as usize;
         let end = view.store.cursor()[index];
         if self.scanned_cursor[index] >= end {
             return false;
         }
-        // Records of one version belong together, so the scan stops before the version of the one in scope.
+        // Records of one version are sent together, so the scan stops before the version of the first record
+        // in scope.
         let mut last = self.scanned_cursor[index];
         let mut before_last = last;
         for (version, key) in view.store.log(urgency, last, end) {
@@ -210,9 +218,10 @@
         let Some(ChangeSet { records, through }) =
             self.collect_changes(urgency, view.store, scope, part_size(bucket))
         else {
-            // More records of one version than fit into a message are repaired by digests.
+            // Records of one version that exceed a message are transferred by a summary and snapshots
+            // instead.
             self.digests_requested = true;
-            self.observe(view);
+            self.schedule_summary(view);
             return NextMessage::NotBefore(now + 1);
         };
         let size = records.iter().map(Record::encoded_size_bound).sum::<usize>();
@@ -232,8 +241,8 @@
         NextMessage::Send(self.batch(view, to, records, None, now))
     }
 
-    /// The oldest unsent records of an urgency, about `part_size` bytes; records of one version are never split. `None`:
-    /// the records of one version exceed [`MAX_SAME_VERSION_BYTES`].
+    /// The oldest unsent records of an urgency, up to about `part_size` bytes; records of one version are
+    /// never split. `None`: the records of one version exceed [`MAX_SAME_VERSION_BYTES`].
     fn collect_changes(
         &self,
         urgency: Urgency,
@@ -245,7 +254,8 @@
         let end = store.cursor()[index];
         let mut records: Vec<Record> = Vec::new();
         let mut size = 0;
-        // The last position where a cut does not split records of one version: the number of records, and their version.
+        // The last position at which the batch may end without splitting records of one version: the number
+        // of records and the version of the last one.
         let mut last_cut: Option<(usize, Version)> = None;
         let mut last_version = None;
         let in_scope = store
@@ -273,7 +283,7 @@
         Some(ChangeSet { records, through: end })
     }
 
-    /// A batch, after which the subscriber is at `to`.
+    /// Creates a batch, and advances the position of the subscriber to `to`.
     fn batch(
         &mut self,
         view: StoreView<'_>,
@@ -302,7 +312,7 @@
         now: Millis,
     ) -> NextMessage {
         let store_cursor = view.store.cursor();
-        // A subscriber that received more from another relay can't be compared, and needs no position.
+        // The digest can't be compared with a subscriber that has received later changes from another relay.
         let is_ahead = self.sent_cursor.iter().zip(store_cursor).any(|(sent, stored)| *sent > stored);
         let sends_digest = view.is_consistent && !is_ahead;
         let has_progress = merge_cursors(self.sent_cursor, store_cursor) != self.sent_cursor;
@@ -337,7 +347,7 @@
         if let Err(at) = bucket.check_available(MESSAGE_OVERHEAD_BYTES + digests.len() * MAX_DIGEST_BYTES) {
             return NextMessage::RateLimited(at);
         }
-        let last = digests.last().filter(|_| has_more).map_or(ServiceId::MAX, |one| one.service);
+        let last = digests.last().filter(|_| has_more).map_or(ServiceId::MAX, |entry| entry.service);
         let (first, to) = (summary.next_service, summary.to);
         match last.checked_add(1) {
             Some(next) if has_more => summary.next_service = next,
@@ -360,7 +370,7 @@
         let part_size = part_size(bucket);
         let mut records: Vec<Record> = Vec::new();
         let (mut size, mut through) = (0, None);
-        // Tombstones newer than `as_of` are included: without one, a removed record would stay downstream.
+        // Tombstones newer than `as_of` are included: without them, removed records would remain downstream.
         let stored = store.range(service, self.snapshot_position.as_ref(), None);
         for record in stored.filter(|record| record.state != State::Gone || record.version > as_of) {
             if size + record.encoded_size_bound() > part_size
--- a/crates/control-plane/src/subscription_cursor/next_message.rs
+++ b/crates/control-plane/src/subscription_cursor/next_message.rs
@@ -1,4 +1,5 @@
-//! The interface between a publisher and its cursors: what may be sent, and in which class.
+//! The interface between a publisher and its cursors: the records to send, classes of messages, and the next
+//! message.
 
 use crate::Millis;
 use crate::message::Message;
@@ -8,20 +9,19 @@
 /// The records of one source as a node publishes them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StoreView<'a> {
-    /// The records.
     pub store: &'a VersionedStore,
-    /// Whether digests and snapshots may be sent; changes always may.
+    /// Whether digests and snapshots may be sent; changes may always be sent.
     pub is_consistent: bool,
 }
 
-/// Classes of messages; a publisher sends them by class, over all sources.
+/// Classes of messages. A publisher sends them in order of priority, across all sources.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum SendPriority {
-    /// Changed records of an urgency.
+    /// Changed records of one urgency.
     Changes(Urgency),
-    /// Digests, to find what differs.
+    /// Digests, to find the services that differ.
     DigestSummary,
-    /// Requested snapshots.
+    /// Snapshots that the subscriber has requested.
     ServiceSnapshot,
     /// Positions and scope digests without records.
     Progress,
@@ -29,12 +29,12 @@
 
 /// The next message of one class.
 pub(crate) enum NextMessage {
-    /// None.
+    /// There is none.
     Idle,
-    /// None before this time.
+    /// There is none before this time.
     NotBefore(Millis),
     /// One is due, but the rate limit does not allow it before this time.
     RateLimited(Millis),
-    /// This one.
+    /// This message may be sent now.
     Send(Message),
 }
--- a/crates/control-plane/src/upstream.rs
+++ b/crates/control-plane/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What sources and relays have in common: both accept subscribers and publish records to them.
+//! The interface that sources and relays have in common: both accept subscribers and publish records to them.
 
 use crate::Millis;
 use crate::message::Message;
@@ -7,16 +7,16 @@
 
 /// A node that serves subscribers: a source or a relay.
 pub trait Upstream {
-    /// The subscribers.
+    /// The publisher that serves the subscribers.
     fn publisher(&self) -> &Publisher;
 
-    /// The subscribers, to change them.
+    /// Mutable access to the publisher, for the methods of this trait.
     fn publisher_mut(&mut self) -> &mut Publisher;
 
-    /// Handles a message from a subscriber or, at a source, from a writer. Returns the responses.
+    /// Handles a message from a subscriber or, at a source, from a writer. Returns the responses to send.
     ///
     /// # Errors
-    /// The connection has to end.
+    /// The message is not acceptable, and the connection has to be closed.
     fn on_message(
         &mut self,
         from: SubscriberId,
@@ -24,25 +24,26 @@
         now: Millis,
     ) -> Result<Vec<Message>, SessionError>;
 
-    /// The next action for a subscriber. A connection without a [`Message::Hello`] only waits.
+    /// The next action for a subscriber. A connection that has not sent a [`Message::Hello`] only waits.
     fn next_action(&mut self, subscriber: SubscriberId, now: Millis) -> PublisherAction;
 
-    /// Removes the subscriber of a connection that ended.
+    /// Removes the subscriber of a connection that has ended.
     fn disconnect(&mut self, subscriber: SubscriberId) {
         self.publisher_mut().disconnect(subscriber);
     }
 
-    /// The number of connected subscribers.
+    /// Number of connections that have subscribed with a [`Message::Hello`].
     fn subscriber_count(&self) -> usize {
         self.publisher().subscriber_count()
     }
 
-    /// The number of items retained for a subscriber: services in its scope, sources, services of its snapshot requests.
+    /// Number of items in memory for a subscriber: services in its scope, sources, and services of its
+    /// snapshot request.
     fn retained_items(&self, subscriber: SubscriberId) -> usize {
         self.publisher().retained_items(subscriber)
     }
 
-    /// The same node with another bound for subscribers.
+    /// Replaces the limit of subscribers, [`MAX_SUBSCRIBERS`](crate::publisher::MAX_SUBSCRIBERS) by default.
     #[must_use]
     fn with_max_subscribers(mut self, max: usize) -> Self
     where
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -91,7 +91,7 @@
         let second = failover.probe_at().expect("still connected to another relay");
         assert!(second >= first + 60_000, "a failed probe doubles the delay");
         assert_eq!(failover.next_probe(second), Some(0));
-        failover.on_moved(second);
+        failover.on_probe_succeeded(second);
         assert_eq!(failover.probe_at(), None);
         return_times.push(first);
     }
