--- a/crates/control-plane/src/config/settings.rs
+++ b/crates/control-plane/src/config/settings.rs
@@ -33,13 +33,14 @@
     /// Address on which it listens for relays and writers.
     pub listen: SocketAddr,
     /// File in which the records are persisted.
-    pub snapshot: PathBuf,
+    #[serde(rename = "snapshot")]
+    pub snapshot_path: PathBuf,
     /// Interval at which changed records are persisted, milliseconds. Without changes nothing is written.
     #[serde(default = "default_snapshot_interval_ms", rename = "snapshot_every_ms")]
     pub snapshot_interval_ms: u64,
     /// Maximum number of open connections from downstream, writers included.
-    #[serde(default = "default_source_connections")]
-    pub connections: usize,
+    #[serde(default = "default_source_connections", rename = "connections")]
+    pub max_connections: usize,
 }
 
 /// Settings of a relay.
@@ -53,8 +54,8 @@
     /// The sources to replicate, which should be all of them.
     pub sources: Vec<SourceAddress>,
     /// Maximum number of open connections from agents.
-    #[serde(default = "default_relay_connections")]
-    pub connections: usize,
+    #[serde(default = "default_relay_connections", rename = "connections")]
+    pub max_connections: usize,
 }
 
 /// A source in the configuration of a relay.
@@ -82,8 +83,8 @@
     /// The relays to choose from.
     pub relays: Vec<RelayAddress>,
     /// Maximum number of open connections of the discovery protocol.
-    #[serde(default = "default_agent_connections")]
-    pub connections: usize,
+    #[serde(default = "default_agent_connections", rename = "connections")]
+    pub max_connections: usize,
 }
 
 /// A relay in the configuration of an agent.
@@ -103,11 +104,13 @@
     /// Sustained rate from a relay to each agent, bytes per second.
     pub agent_bytes_per_s: u32,
     /// Burst from a relay to each agent, bytes.
-    pub agent_burst: u32,
+    #[serde(rename = "agent_burst")]
+    pub agent_burst_bytes: u32,
     /// Sustained rate from a source to each relay, bytes per second.
     pub relay_bytes_per_s: u32,
     /// Burst from a source to each relay, bytes.
-    pub relay_burst: u32,
+    #[serde(rename = "relay_burst")]
+    pub relay_burst_bytes: u32,
 }
 
 impl Default for RateLimitConfig {
@@ -115,9 +118,9 @@
         let agent = RateLimit::default();
         Self {
             agent_bytes_per_s: agent.bytes_per_s,
-            agent_burst: agent.burst,
+            agent_burst_bytes: agent.burst_bytes,
             relay_bytes_per_s: 4_000_000,
-            relay_burst: 1_000_000,
+            relay_burst_bytes: 1_000_000,
         }
     }
 }
@@ -126,13 +129,13 @@
     /// The rate limit from a relay to each agent.
     #[must_use]
     pub fn agent_limit(&self) -> RateLimit {
-        RateLimit { bytes_per_s: self.agent_bytes_per_s, burst: self.agent_burst }
+        RateLimit { bytes_per_s: self.agent_bytes_per_s, burst_bytes: self.agent_burst_bytes }
     }
 
     /// The rate limit from a source to each relay.
     #[must_use]
     pub fn relay_limit(&self) -> RateLimit {
-        RateLimit { bytes_per_s: self.relay_bytes_per_s, burst: self.relay_burst }
+        RateLimit { bytes_per_s: self.relay_bytes_per_s, burst_bytes: self.relay_burst_bytes }
     }
 }
 
--- a/crates/control-plane/src/config/validation.rs
+++ b/crates/control-plane/src/config/validation.rs
@@ -1,7 +1,7 @@
 //! Validation of the configuration's values.
 
 use super::settings::{AgentConfig, Config, RateLimitConfig, RelayConfig, SourceConfig};
-use crate::session::{MAX_SCOPE, MAX_SOURCES};
+use crate::session::{MAX_SCOPE_SERVICES, MAX_SOURCES};
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -13,12 +13,12 @@
 /// Accepted intervals between snapshots, milliseconds.
 const SNAPSHOT_INTERVAL_MS: RangeInclusive<u64> = 10..=3_600_000;
 /// Accepted limits of open connections.
-const CONNECTIONS: RangeInclusive<u64> = 1..=65_536;
+const MAX_CONNECTIONS: RangeInclusive<u64> = 1..=65_536;
 /// Accepted rates, bytes per second.
-const RATE: RangeInclusive<u64> = 1_000..=1_000_000_000;
+const RATE_BYTES_PER_S: RangeInclusive<u64> = 1_000..=1_000_000_000;
 /// Accepted bursts, bytes. Batches and parts of snapshots have up to 64 KB; a burst below their size is
 /// overdrawn each time.
-const BURST: RangeInclusive<u64> = 1_000..=1_000_000_000;
+const BURST_BYTES: RangeInclusive<u64> = 1_000..=1_000_000_000;
 
 /// Why a value is not accepted.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -87,18 +87,18 @@
 }
 
 fn validate_rate_limits(limits: &RateLimitConfig) -> Result<(), KeyProblem> {
-    check_range("pace.agent_bytes_per_s", limits.agent_bytes_per_s.into(), &RATE)?;
-    check_range("pace.agent_burst", limits.agent_burst.into(), &BURST)?;
-    check_range("pace.relay_bytes_per_s", limits.relay_bytes_per_s.into(), &RATE)?;
-    check_range("pace.relay_burst", limits.relay_burst.into(), &BURST)
+    check_range("pace.agent_bytes_per_s", limits.agent_bytes_per_s.into(), &RATE_BYTES_PER_S)?;
+    check_range("pace.agent_burst", limits.agent_burst_bytes.into(), &BURST_BYTES)?;
+    check_range("pace.relay_bytes_per_s", limits.relay_bytes_per_s.into(), &RATE_BYTES_PER_S)?;
+    check_range("pace.relay_burst", limits.relay_burst_bytes.into(), &BURST_BYTES)
 }
 
 fn validate_source(source: &SourceConfig) -> Result<(), KeyProblem> {
     check_name("source.name", &source.name)?;
     check_range("source.snapshot_every_ms", source.snapshot_interval_ms, &SNAPSHOT_INTERVAL_MS)?;
-    check_range("source.connections", source.connections as u64, &CONNECTIONS)?;
-    if source.snapshot.file_name().is_none() {
-        let problem = InvalidValue::NoFileName(source.snapshot.clone());
+    check_range("source.connections", source.max_connections as u64, &MAX_CONNECTIONS)?;
+    if source.snapshot_path.file_name().is_none() {
+        let problem = InvalidValue::NoFileName(source.snapshot_path.clone());
         return Err(KeyProblem::new("source.snapshot", problem));
     }
     Ok(())
@@ -106,7 +106,7 @@
 
 fn validate_relay(relay: &RelayConfig) -> Result<(), KeyProblem> {
     check_name("relay.name", &relay.name)?;
-    check_range("relay.connections", relay.connections as u64, &CONNECTIONS)?;
+    check_range("relay.connections", relay.max_connections as u64, &MAX_CONNECTIONS)?;
     check_count("relay.sources", relay.sources.len(), MAX_SOURCES)?;
     let ids = relay.sources.iter().map(|source| source.id.to_string());
     check_unique("relay.sources", "id", ids)
@@ -114,8 +114,8 @@
 
 fn validate_agent(agent: &AgentConfig) -> Result<(), KeyProblem> {
     check_name("agent.name", &agent.name)?;
-    check_range("agent.connections", agent.connections as u64, &CONNECTIONS)?;
-    check_count("agent.services", agent.services.len(), MAX_SCOPE)?;
+    check_range("agent.connections", agent.max_connections as u64, &MAX_CONNECTIONS)?;
+    check_count("agent.services", agent.services.len(), MAX_SCOPE_SERVICES)?;
     check_count("agent.sources", agent.sources.len(), MAX_SOURCES)?;
     check_count("agent.relays", agent.relays.len(), MAX_RELAYS)?;
     for (index, relay) in agent.relays.iter().enumerate() {
--- a/crates/control-plane/src/failover.rs
+++ b/crates/control-plane/src/failover.rs
@@ -11,7 +11,7 @@
 pub enum Action {
     /// Connect now to the relay with this index in the list given to [`Failover::new`].
     Connect(usize),
-    /// Wait until this time, then request the next action again.
+    /// Wait until this time, then request the next action.
     WaitUntil(Millis),
 }
 
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -155,7 +155,7 @@
         println!("  source `{}` (number {}) listens on {}", source.name, source.id, source.listen);
         println!(
             "  persists its records in {} every {} ms",
-            source.snapshot.display(),
+            source.snapshot_path.display(),
             source.snapshot_interval_ms
         );
     }
@@ -174,7 +174,10 @@
     let limits = &config.rate_limit;
     println!(
         "  rate limits: to an agent {} bytes/s, burst {} bytes; to a relay {} bytes/s, burst {} bytes",
-        limits.agent_bytes_per_s, limits.agent_burst, limits.relay_bytes_per_s, limits.relay_burst
+        limits.agent_bytes_per_s,
+        limits.agent_burst_bytes,
+        limits.relay_bytes_per_s,
+        limits.relay_burst_bytes
     );
     Ok(())
 }
--- a/crates/control-plane/src/publisher.rs
+++ b/crates/control-plane/src/publisher.rs
@@ -6,7 +6,7 @@
 use crate::message::{MAX_REQUESTED_SERVICES, Message, PROTOCOL_VERSION, ReplicaPosition};
 use crate::rate_limit::{RateLimit, TokenBucket};
 use crate::record::{Scope, SourceId, Urgency};
-use crate::session::{MAX_SCOPE, MAX_SOURCES, SessionError, check_limit, check_protocol_version};
+use crate::session::{MAX_SCOPE_SERVICES, MAX_SOURCES, SessionError, check_limit, check_protocol_version};
 use crate::subscription_cursor::{NextMessage, SendPriority, StoreView, SubscriptionCursor};
 use std::collections::{BTreeMap, HashMap};
 
@@ -115,7 +115,7 @@
             return Err(SessionError::TooManySubscribers(self.subscriptions.len()));
         }
         if let Scope::Services(services) = &scope {
-            check_limit("services in the scope", services.len(), MAX_SCOPE)?;
+            check_limit("services in the scope", services.len(), MAX_SCOPE_SERVICES)?;
         }
         check_limit("sources that it has", positions.len(), MAX_SOURCES)?;
         let mut bucket = TokenBucket::new(self.rate_limit, now);
--- a/crates/control-plane/src/rate_limit.rs
+++ b/crates/control-plane/src/rate_limit.rs
@@ -14,14 +14,14 @@
     /// Sustained rate, bytes per second.
     pub bytes_per_s: u32,
     /// Capacity of the bucket, bytes.
-    pub burst: u32,
+    pub burst_bytes: u32,
 }
 
 impl Default for RateLimit {
     /// At most 240 KB in any ten seconds, of which 120 KB may be sent at once: 24 KB/s averaged over the
     /// worst ten seconds.
     fn default() -> Self {
-        Self { bytes_per_s: 12_000, burst: 120_000 }
+        Self { bytes_per_s: 12_000, burst_bytes: 120_000 }
     }
 }
 
@@ -29,7 +29,7 @@
     /// A limit that does not restrict sending: the connection is used as fast as it accepts data.
     #[must_use]
     pub fn unbounded() -> Self {
-        Self { bytes_per_s: u32::MAX, burst: u32::MAX }
+        Self { bytes_per_s: u32::MAX, burst_bytes: u32::MAX }
     }
 }
 
@@ -45,9 +45,9 @@
     pub(crate) fn new(limit: RateLimit, now: Millis) -> Self {
         let limit = RateLimit {
             bytes_per_s: limit.bytes_per_s.max(HEARTBEAT_RESERVE_BYTES as u32),
-            burst: limit.burst.max(2 * HEARTBEAT_RESERVE_BYTES as u32),
+            burst_bytes: limit.burst_bytes.max(2 * HEARTBEAT_RESERVE_BYTES as u32),
         };
-        Self { limit, tokens: i64::from(limit.burst) * TOKENS_PER_BYTE, refilled_at: now }
+        Self { limit, tokens: i64::from(limit.burst_bytes) * TOKENS_PER_BYTE, refilled_at: now }
     }
 
     /// Adds the tokens earned since the last call.
@@ -59,7 +59,7 @@
     }
 
     fn capacity(&self) -> i64 {
-        i64::from(self.limit.burst) * TOKENS_PER_BYTE
+        i64::from(self.limit.burst_bytes) * TOKENS_PER_BYTE
     }
 
     /// The number of bytes that may be sent now.
--- a/crates/control-plane/src/replica/mod.rs
+++ b/crates/control-plane/src/replica/mod.rs
@@ -169,7 +169,7 @@
         self.next_request(now)
     }
 
-    /// Returns the pending request if it is due to be sent again.
+    /// Returns the pending request if it is due to be retried.
     pub(crate) fn tick(&mut self, now: Millis) -> Option<Message> {
         let pending = self.pending.as_mut().filter(|pending| pending.is_due(now))?;
         pending.retry(now);
--- a/crates/control-plane/src/runtime/agent.rs
+++ b/crates/control-plane/src/runtime/agent.rs
@@ -1,5 +1,5 @@
-//! The process of an agent beside a proxy: subscribes to relays, and serves the backends of its services to
-//! the proxy over the discovery protocol.
+//! The agent process, which runs on the machine of a proxy: subscribes to a relay, and serves the backends of
+//! its services to the proxy over the discovery protocol.
 
 use super::discovery::{DiscoveryState, serve};
 use super::discovery_list::DiscoveryList;
@@ -17,22 +17,23 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// A subscriber that maintains the discovery list.
+/// A subscriber that maintains the list of backends for discovery.
 #[derive(Debug)]
 struct Agent {
     subscriber: Subscriber,
-    /// Sources whose records are not complete yet.
+    /// Configured sources whose records have not been complete yet.
     incomplete_sources: BTreeSet<SourceId>,
     discovery: DiscoveryState,
-    /// Failed connections since the last welcome of a relay.
+    /// Number of connections lost or failed since the last welcome of a relay.
     failures: u32,
 }
 
 impl Agent {
-    /// Whether the records of all configured sources have been complete.
-    fn is_complete(&mut self) -> bool {
+    /// Updates `incomplete_sources`. Returns whether the records of all configured sources have been
+    /// complete.
+    fn update_completeness(&mut self) -> bool {
         for (source, store) in self.subscriber.stores() {
-            // A store has an epoch once all of its digests have matched.
+            // A store has an epoch as soon as its first repair has finished.
             if store.epoch() != 0 {
                 self.incomplete_sources.remove(&source);
             }
@@ -40,7 +41,7 @@
         self.incomplete_sources.is_empty()
     }
 
-    /// Applies a record to the discovery list. Returns whether the list may have changed.
+    /// Applies a record to the list of backends. Returns whether the list may have changed.
     fn apply(&self, applied: &AppliedRecord) -> bool {
         match self.discovery.list.borrow_mut().apply(applied) {
             Ok(changed) => changed,
@@ -64,7 +65,7 @@
         for applied in &outcome.applied {
             changed |= self.apply(applied);
         }
-        if !self.discovery.is_ready.get() && self.is_complete() {
+        if !self.discovery.is_ready.get() && self.update_completeness() {
             self.discovery.is_ready.set(true);
             let backends = self.discovery.list.borrow().snapshot().members.len();
             info!("the list is complete, {backends} backends; serving discovery");
@@ -85,7 +86,8 @@
     }
 
     fn on_lost(&mut self, upstream: &str, cause: &LinkError) {
-        // Only the first failure is logged; while no relay is available the others would fill the log.
+        // Only the first failure in a row is logged, so that the log does not fill up while no relay is
+        // available.
         if self.failures == 0 {
             warn!("lost relay `{upstream}`: {cause}; serving the replicated records, trying other relays");
         }
@@ -96,7 +98,7 @@
 /// Runs an agent until `shutdown` completes.
 ///
 /// # Errors
-/// The process can't start.
+/// The listener can't be opened.
 pub async fn run(config: &AgentConfig, shutdown: impl Future<Output = ()>) -> Result<(), RuntimeError> {
     let listener = listen(config.listen).await?;
     let address = listener.local_addr()?;
@@ -117,7 +119,7 @@
         relays.len()
     );
     tokio::select! {
-        never = serve(listener, discovery, config.connections) => match never {},
+        never = serve(listener, discovery, config.max_connections) => match never {},
         never = follow(agent, relays, &config.name, random_seed(), Clock::start()) => match never {},
         () = shutdown => Ok(()),
     }
--- a/crates/control-plane/src/runtime/change_file.rs
+++ b/crates/control-plane/src/runtime/change_file.rs
@@ -1,4 +1,4 @@
-//! Changes in a JSON file, as operators write them (docs/operators/control.md).
+//! Parses the JSON files in which operators write changes (format: docs/operators/control.md).
 
 use crate::codec::encode_backend_body;
 use crate::record::{Backend, Change, Key, Kind, ServiceId, State};
@@ -8,23 +8,23 @@
 /// Why a file of changes can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeFileError {
-    /// The text is not JSON, or a key is missing, unknown, or of another type.
+    /// The text is not JSON, a key is missing or unknown, or its value has the wrong type.
     #[error("`{key}`: {error}")]
     Malformed {
-        /// The path of the key.
+        /// Path of the key, from the root of the document.
         key: String,
-        /// The cause.
+        /// The error of the JSON parser.
         error: serde_json::Error,
     },
-    /// Text after the list.
+    /// There is text after the list of changes.
     #[error(transparent)]
     TrailingText(serde_json::Error),
-    /// An entry contradicts itself.
+    /// The fields of an entry contradict each other.
     #[error("`[{index}]`: {error}")]
     InvalidEntry {
-        /// Its index in the list.
+        /// Index of the entry in the list, from 0.
         index: usize,
-        /// The cause.
+        /// Why the entry is invalid.
         error: EntryError,
     },
 }
@@ -32,26 +32,26 @@
 /// Why an entry of a file of changes can't be used.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum EntryError {
-    /// A tombstone with content.
+    /// A tombstone with content; contains the name of the entry.
     #[error("`{0}` is gone; leave out `backend` and `body`")]
     TombstoneWithContent(String),
-    /// A size that is not finite and above 0.
+    /// A size that is not finite or not greater than 0.
     #[error("`backend.size` of `{name}` is {size}, must be above 0")]
     InvalidSize {
-        /// The name of the entry.
+        /// Name of the entry.
         name: String,
-        /// The size.
+        /// The size of the backend.
         size: f64,
     },
-    /// A backend without `backend`, or with `body`.
+    /// A backend without `backend`, or with `body`; contains the name of the entry.
     #[error("`{0}` is a backend; give `backend` and no `body`")]
     BackendExpected(String),
-    /// Another kind without `body`, or with `backend`.
-    #[error("`{0}` is no backend; give `body` and no `backend`")]
+    /// A record of another kind without `body`, or with `backend`; contains the name of the entry.
+    #[error("`{0}` is not a backend; give `body` and no `backend`")]
     BodyExpected(String),
 }
 
-/// An entry of the file.
+/// An entry of the file: one change.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Entry {
@@ -84,10 +84,10 @@
     Gone,
 }
 
-/// Parses a JSON list of changes.
+/// Parses a JSON list of changes, in the order in which they are to be applied.
 ///
 /// # Errors
-/// The first entry or key that is wrong.
+/// The first entry or key that is invalid.
 pub fn parse_changes(text: &[u8]) -> Result<Vec<Change>, ChangeFileError> {
     let mut deserializer = serde_json::Deserializer::from_slice(text);
     let entries: Vec<Entry> = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
--- a/crates/control-plane/src/runtime/discovery.rs
+++ b/crates/control-plane/src/runtime/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery protocol as served to the proxy on the same machine: the complete list, and watches for
-//! changes.
+//! HTTP server of the discovery protocol for the proxy on the same machine: the complete list of backends,
+//! and watches (long polls) for changes.
 
 use super::accept;
 use super::discovery_list::DiscoveryList;
@@ -21,36 +21,36 @@
 use tokio::time::{Instant, timeout_at};
 use tracing::{debug, warn};
 
-/// The longest wait of a watch in the protocol, milliseconds.
+/// Maximum wait of a watch in the protocol, milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
-/// Time for the head of a request, which also bounds how long a connection may be idle.
+/// Timeout for receiving the head of a request, which also limits how long a connection may be idle.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// The only path.
+/// The only path that is served.
 const PATH: &str = "/discovery/hosts";
 
-/// The state shared by the connections of the server and the agent.
+/// State that the agent shares with all connections of the server.
 #[derive(Clone, Debug)]
 pub struct DiscoveryState {
-    /// The list.
+    /// The list of backends.
     pub list: Rc<RefCell<DiscoveryList>>,
-    /// Whether the list has been complete. Before that it is not served: a proxy would treat missing backends
-    /// as removed.
+    /// Whether the list has been complete. It is not served before that, since a proxy would treat missing
+    /// backends as removed.
     pub is_ready: Rc<Cell<bool>>,
-    /// Notified when the list has changed.
+    /// Notified whenever the list has changed.
     pub changed: watch::Sender<()>,
 }
 
 impl DiscoveryState {
-    /// The state of a list that is not complete yet.
+    /// The initial state, with a list that is not complete yet.
     #[must_use]
     pub fn new(list: DiscoveryList) -> Self {
         Self { list: Rc::new(RefCell::new(list)), is_ready: Rc::default(), changed: watch::Sender::new(()) }
     }
 
-    /// Waits until the list is newer than a revision, at the longest until `deadline`.
+    /// Waits until the revision of the list differs from `after`, but not beyond `deadline`.
     async fn wait_for_changes(&self, after: u64, deadline: Instant) {
         let mut changed = self.changed.subscribe();
-        while !self.list.borrow().is_newer(after) {
+        while !self.list.borrow().differs_from(after) {
             if timeout_at(deadline, changed.changed()).await.is_err() {
                 return;
             }
@@ -58,16 +58,16 @@
     }
 }
 
-/// The query of a request.
+/// The query parameters of a request.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct DiscoveryQuery {
-    /// Only changes after this revision are requested; `None`: the complete list.
+    /// Requests only the changes after this revision; `None`: the complete list.
     after: Option<u64>,
-    /// How long to wait for a change, milliseconds.
+    /// Maximum time to wait for a change, milliseconds.
     wait_ms: u64,
 }
 
-/// Why a query can't be answered.
+/// Why query parameters are invalid. The texts are sent in responses.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 enum QueryError {
     #[error("`{key}={value}`: must be a whole number")]
@@ -106,14 +106,17 @@
         return text_response(StatusCode::NOT_FOUND, format!("only {PATH} is here"));
     }
     if request.method() != Method::GET {
-        return text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered".into());
+        return text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is supported".into());
     }
     let query = match DiscoveryQuery::parse(request.uri().query()) {
         Ok(query) => query,
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     if !state.is_ready.get() {
-        return text_response(StatusCode::SERVICE_UNAVAILABLE, "no whole list was heard yet".into());
+        return text_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the list of backends is not complete yet".into(),
+        );
     }
     if let Some(after) = query.after {
         state.wait_for_changes(after, Instant::now() + Duration::from_millis(query.wait_ms)).await;
@@ -130,8 +133,8 @@
     }
 }
 
-/// Serves for as long as the process runs, `max_connections` at a time; connections beyond that are closed at
-/// once.
+/// Serves discovery requests until the future is dropped, with at most `max_connections` open connections;
+/// others are closed immediately. Has to run within a [`LocalSet`](tokio::task::LocalSet).
 pub async fn serve(listener: TcpListener, state: DiscoveryState, max_connections: usize) -> Infallible {
     let open_connections = Rc::new(Cell::new(0));
     loop {
--- a/crates/control-plane/src/runtime/discovery_list.rs
+++ b/crates/control-plane/src/runtime/discovery_list.rs
@@ -1,4 +1,5 @@
-//! The list of backends that an agent serves over the discovery protocol, with a bounded log of its changes.
+//! The list of backends that an agent serves over the discovery protocol, with a log of changes that is
+//! limited in size.
 
 use crate::codec::{BodyError, decode_backend_body};
 use crate::record::{Backend, Key, Kind, Record, State};
@@ -6,41 +7,41 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Removed entries that are still listed among changes. A request for changes from before the oldest dropped
-/// one gets the complete list.
+/// Maximum number of removed entries that are retained to report them as changes. A request for changes from
+/// before the last dropped one is answered with the complete list.
 pub const MAX_REMOVED_ENTRIES: usize = 8_192;
 
-/// The state of a backend in the discovery protocol.
+/// State of a backend in the discovery protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
     /// In service.
     Active,
-    /// Finishes its open work and accepts nothing new.
+    /// Finishes its requests in flight and accepts no new ones.
     Leaving,
     /// Removed.
     Left,
 }
 
-/// An entry in the discovery protocol.
+/// A backend in the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Member {
-    /// Its id, the same at every agent with as many services.
+    /// Identifies the backend: its name, preceded by the service if the agent has several services.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the backend listens, as `ip:port`.
     #[serde(rename = "host_port")]
     pub address: String,
-    /// Zone name.
+    /// Name of the zone.
     pub locality: String,
-    /// Machine type.
+    /// Machine kind.
     pub flavor: String,
-    /// Cell number.
+    /// Number of the cell.
     pub cell: u16,
-    /// Its state.
+    /// Whether the backend is in service, draining or removed.
     pub phase: Phase,
     /// Capacity relative to other backends.
     pub size: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// When the backend last started, Unix time in milliseconds; 0: long ago.
     pub up_since_ms: u64,
 }
 
@@ -54,41 +55,41 @@
 /// A response of the discovery protocol.
 #[derive(Debug, PartialEq, Serialize)]
 pub struct DiscoveryResponse<'a> {
-    /// The list's revision.
+    /// Revision of the list as of this response.
     pub revision: u64,
-    /// Whether these are all entries, instead of those that changed.
+    /// Whether `members` are all backends, instead of those that changed.
     pub complete: bool,
-    /// The entries.
+    /// The backends; removed ones only among changes.
     pub members: Vec<&'a Member>,
 }
 
-/// An entry with the revision of its last change.
+/// A backend with the revision of its last change.
 #[derive(Debug)]
 struct Entry {
     revision: u64,
     member: Member,
 }
 
-/// The list.
+/// The list of backends, removed ones included for a while.
 #[derive(Debug)]
 pub struct DiscoveryList {
-    /// With one service ids are names; with several the service is part of the id, since names are only
-    /// unique within one.
+    /// With a single service, ids are names. With several, ids include the service, since names are unique
+    /// only within a service.
     has_single_service: bool,
     revision: u64,
-    /// Changes after this revision are known.
+    /// Changes after this revision are in the log.
     log_floor: u64,
     entries: BTreeMap<Key, Entry>,
     /// All entries by the revision of their last change.
     log: BTreeMap<u64, Key>,
-    /// The removed entries, likewise.
+    /// The removed entries, also by the revision of their last change.
     removed: BTreeMap<u64, Key>,
 }
 
 impl DiscoveryList {
-    /// An empty list. Revisions count from `start`: Unix time in milliseconds, so that the revisions of a
-    /// former process are lower and are answered with the complete list (it would have to change a thousand
-    /// entries a second to overtake the clock).
+    /// Creates an empty list. Revisions are counted from `start`, the Unix time in milliseconds. Revisions of
+    /// a former process are therefore lower, and are answered with the complete list (a process would have to
+    /// change a thousand entries per second to overtake the clock).
     #[must_use]
     pub fn new(has_single_service: bool, start: u64) -> Self {
         Self {
@@ -101,16 +102,16 @@
         }
     }
 
-    /// The revision.
+    /// The revision, which increases by 1 with each change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Applies a record; kinds other than backends are ignored. Returns whether the list changed.
+    /// Applies a record; records of other kinds than backends are ignored. Returns whether the list changed.
     ///
     /// # Errors
-    /// The body is not a valid backend. An existing entry stays, in [`Phase::Leaving`] if the record is
+    /// The body is not a valid backend. An existing entry remains, in [`Phase::Leaving`] if the record is
     /// draining.
     pub fn apply(&mut self, applied: &AppliedRecord) -> Result<bool, BodyError> {
         let Record { key, state, body, .. } = &applied.record;
@@ -170,13 +171,13 @@
         }
     }
 
-    /// Whether a watch after this revision has a response.
+    /// Whether a watch after this revision has to be answered: the list has another revision.
     #[must_use]
-    pub fn is_newer(&self, after: u64) -> bool {
+    pub fn differs_from(&self, after: u64) -> bool {
         after != self.revision
     }
 
-    /// The complete list.
+    /// The complete list, without removed backends.
     #[must_use]
     pub fn snapshot(&self) -> DiscoveryResponse<'_> {
         let members = self.entries.values().map(|entry| &entry.member);
@@ -184,7 +185,7 @@
         DiscoveryResponse { revision: self.revision, complete: true, members }
     }
 
-    /// The changes after a revision; the complete list where they are not known.
+    /// The changes after a revision, or the complete list if the log does not reach back to it.
     #[must_use]
     pub fn changes_after(&self, after: u64) -> DiscoveryResponse<'_> {
         if after < self.log_floor || after > self.revision {
--- a/crates/control-plane/src/runtime/mod.rs
+++ b/crates/control-plane/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets, files and signals around the state machines. Each process serves on one thread; a source writes
-//! its snapshots on another.
+//! The I/O around the state machines: sockets, files, timers and clocks. Each process serves all connections
+//! on one thread; a source writes its snapshots on a second one.
 
 pub mod agent;
 pub mod change_file;
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep};
 use tracing::debug;
 
-/// Delay before `accept` is retried, for example without free file descriptors.
+/// Delay before `accept` is retried after an error, for example because no file descriptors are available.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Accepts the next connection; errors are retried.
@@ -36,68 +36,67 @@
 /// Why a process could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
-    /// The listener could not be opened.
-    #[error("cannot listen on {address}: {error}; is another process there?")]
+    /// The listener could not be bound to its address.
+    #[error("cannot listen on {address}: {error}; check that no other process uses the address")]
     Listen {
-        /// The listener's address.
+        /// The configured address.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The snapshot could not be read or written.
     #[error(transparent)]
     Snapshot(#[from] snapshot::SnapshotError),
     /// A signal handler, a thread or the async runtime could not be created.
-    #[error("the system refused: {0}")]
+    #[error("operating system error: {0}")]
     System(#[from] std::io::Error),
 }
 
-/// The monotonic clock of a process, from which its state machines are given the time.
+/// The monotonic clock of a process, which provides the time for its state machines.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that begins at zero.
+    /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Self {
         Self(Instant::now())
     }
 
-    /// The time since the start, milliseconds.
+    /// The time since [`Clock::start`], milliseconds.
     #[must_use]
     pub fn now(&self) -> Millis {
         Millis::try_from(self.0.elapsed().as_millis()).unwrap_or(Millis::MAX)
     }
 
-    /// The instant of a time of this clock, a day ahead at the most.
+    /// Converts a time of this clock to an instant for timers, at most one day ahead.
     #[must_use]
     pub fn instant(&self, at: Millis) -> Instant {
-        /// A day, milliseconds; a task that wakes up early recomputes its deadline.
+        /// One day, milliseconds. A task that wakes up before its deadline computes a new one.
         const MAX_AHEAD: Millis = 86_400_000;
         let now = self.now();
         Instant::now() + Duration::from_millis(at.saturating_sub(now).min(MAX_AHEAD))
     }
 }
 
-/// Opens a listener.
 async fn listen(address: SocketAddr) -> Result<TcpListener, RuntimeError> {
     TcpListener::bind(address).await.map_err(|error| RuntimeError::Listen { address, error })
 }
 
-/// Unix time, milliseconds.
+/// The current Unix time, milliseconds; 0 if the clock is set to a time before 1970.
 fn unix_time_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// A seed for jitter, different at each start.
+/// A seed for jitter, different for each start of a process.
 fn random_seed() -> u64 {
     fastrand::u64(..)
 }
 
-/// Makes text from another node safe for one log line: control characters escaped, length bounded.
-fn loggable(text: &str) -> String {
-    /// Characters at the most.
+/// Makes text from another node safe for a log line: escapes control characters and limits the length.
+fn escape_for_log(text: &str) -> String {
+    /// Maximum number of characters, before escaping.
     const MAX_CHARS: usize = 200;
     let mut line: String = text.chars().take(MAX_CHARS).flat_map(char::escape_debug).collect();
     if text.chars().nth(MAX_CHARS).is_some() {
--- a/crates/control-plane/src/runtime/relay.rs
+++ b/crates/control-plane/src/runtime/relay.rs
@@ -1,4 +1,4 @@
-//! The process of a relay: replicates all sources and serves subscribers.
+//! The relay process: replicates the records of all sources, and serves subscribers.
 
 use super::server::{ChangeNotifier, Server};
 use super::upstream_link::{DownstreamNode, LinkError, UpstreamAddress, follow};
@@ -19,20 +19,20 @@
 use tokio::time::interval;
 use tracing::{info, warn};
 
-/// Interval between log lines about the number of records.
-const REPORT_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval at which the number of records and connections is logged.
+const STATISTICS_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Repeated requests to connected sources, until the link to the source sends them. Requests without a
-/// response are repeated, so there are few; those to a connection that ended are dropped.
+/// Requests to retry, for each connected source, until its link sends them. There are few, since only
+/// requests without a response are retried. Those for a connection that ended are dropped.
 type SendQueues = Rc<RefCell<BTreeMap<SourceId, Vec<Message>>>>;
 
-/// The link to one source.
+/// The downstream end of the connection to one source.
 struct SourceLink {
     relay: Rc<RefCell<Relay>>,
     source: SourceId,
     notifier: ChangeNotifier,
     send_queues: SendQueues,
-    /// Failed connections in a row.
+    /// Number of connections lost or failed since the last welcome.
     failures: u32,
 }
 
@@ -78,7 +78,7 @@
 /// Runs a relay until `shutdown` completes.
 ///
 /// # Errors
-/// The process can't start.
+/// The listener can't be opened.
 pub async fn run(
     config: &RelayConfig,
     rate_limit: &RateLimitConfig,
@@ -88,21 +88,21 @@
     let address = listener.local_addr()?;
     let sources: Vec<_> = config.sources.iter().map(|source| source.id).collect();
     let state = Relay::new(&config.name, &sources, rate_limit.agent_limit());
-    let relay = Rc::new(RefCell::new(state.with_max_subscribers(config.connections)));
+    let relay = Rc::new(RefCell::new(state.with_max_subscribers(config.max_connections)));
     let (notifier, clock) = (ChangeNotifier::default(), Clock::start());
     spawn_source_links(config, &relay, &notifier, clock);
     info!("relay `{}` listens on {address}, {} sources", config.name, sources.len());
-    let server = Server::new(Rc::clone(&relay), notifier, clock, config.connections);
+    let server = Server::new(Rc::clone(&relay), notifier, clock, config.max_connections);
     let open_connections = server.open_connections();
     tokio::select! {
         () = server.run(listener) => {}
-        never = report(&sources, &relay, &open_connections) => match never {},
+        never = log_statistics(&sources, &relay, &open_connections) => match never {},
         () = shutdown => {}
     }
     Ok(())
 }
 
-/// Starts a task for the link to each source.
+/// Starts a task for the connection to each source.
 fn spawn_source_links(
     config: &RelayConfig,
     relay: &Rc<RefCell<Relay>>,
@@ -126,9 +126,12 @@
     }
 }
 
-/// Logs the number of records and connections at each interval.
-async fn report(sources: &[SourceId], relay: &RefCell<Relay>, open_connections: &Cell<usize>) -> Infallible {
-    let mut ticks = interval(REPORT_INTERVAL);
+async fn log_statistics(
+    sources: &[SourceId],
+    relay: &RefCell<Relay>,
+    open_connections: &Cell<usize>,
+) -> Infallible {
+    let mut ticks = interval(STATISTICS_INTERVAL);
     // The first tick completes immediately.
     ticks.tick().await;
     loop {
--- a/crates/control-plane/src/runtime/server.rs
+++ b/crates/control-plane/src/runtime/server.rs
@@ -1,8 +1,8 @@
-//! The upstream end of connections: accepts them, handles their messages, and sends each subscriber its next
-//! message. One message at a time is in flight on a connection; the next one is determined when that one has
+//! The upstream end of connections: accepts them, handles received messages, and sends each subscriber its
+//! next message. Each connection has one outgoing message at a time; the next one is determined after it has
 //! been written.
 
-use super::{Clock, accept, loggable};
+use super::{Clock, accept, escape_for_log};
 use crate::codec::{CodecError, FrameReader, FrameWriter};
 use crate::message::Message;
 use crate::publisher::{PublisherAction, SubscriberId};
@@ -21,25 +21,28 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tracing::{debug, info, warn};
 
-/// Time for the first message of a connection.
+/// Timeout for the first message on a connection.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for the connection to accept a message; a subscriber that stalls longer has to reconnect and resume.
+/// Timeout for writing a message. A subscriber that stalls for longer has to reconnect and resume.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for writing a close notice.
+/// Timeout for writing a close notice.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for the other side to read a close notice and close, before unread input may reset the connection.
+/// Time for the other side to read a close notice and to close. After that, unread input may reset the
+/// connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay between a change and the notification of all connections: a burst of writes wakes each connection
-/// once, and a change has four seconds to reach all agents.
+/// Delay between a change and the notification of all connections, so that a burst of writes wakes each
+/// connection once. It is short compared with the four seconds within which a change has to reach all agents.
 const COALESCE_DELAY: Duration = Duration::from_millis(10);
-/// The socket's send buffer, bytes: its content is stale to a slow subscriber, and it takes kernel memory.
+/// Size of a socket's send buffer, bytes. It is limited because its content becomes stale for a slow
+/// subscriber, and because it takes kernel memory.
 const SEND_BUFFER_BYTES: usize = 128 << 10;
-/// Rejected connections that are sent a close notice at a time; others are just closed.
+/// Maximum number of rejected connections that are sent a close notice at the same time; others are closed
+/// without one.
 const MAX_CLOSE_NOTICES: usize = 16;
-/// File descriptors that are not connections from downstream: files, links to sources, the async runtime.
+/// Number of file descriptors reserved for files, connections to sources and the async runtime.
 const RESERVED_DESCRIPTORS: usize = 64;
 
-/// Notifies all connections of changes, once for all changes within 10 ms.
+/// Notifies all connections of changes, once for all changes within `COALESCE_DELAY`.
 #[derive(Clone, Debug)]
 pub struct ChangeNotifier {
     pending: Rc<Notify>,
@@ -53,7 +56,7 @@
 }
 
 impl ChangeNotifier {
-    /// Reports a change.
+    /// Reports that records may have changed. Does not block.
     pub fn notify(&self) {
         self.pending.notify_one();
     }
@@ -67,7 +70,7 @@
     }
 }
 
-/// Why a connection ended; the texts are sent in close notices.
+/// Why a connection ended. The texts are sent in close notices.
 #[derive(Debug, thiserror::Error)]
 enum DisconnectReason {
     #[error("closed by the other side")]
@@ -85,7 +88,7 @@
 }
 
 impl DisconnectReason {
-    /// Whether the other side is sent a close notice.
+    /// Whether to send a close notice: the connection works, and the other side may not know the reason.
     fn needs_close_notice(&self) -> bool {
         match self {
             Self::Closed | Self::CloseNotice(_) | Self::WriteTimeout | Self::Codec(CodecError::Io(_)) => {
@@ -96,13 +99,13 @@
     }
 }
 
-/// A server for subscribers and writers.
+/// Serves the connections of subscribers and writers of a source or relay.
 pub struct Server<U> {
     upstream: Rc<RefCell<U>>,
     notifier: ChangeNotifier,
     clock: Clock,
     open_connections: Rc<Cell<usize>>,
-    /// Rejected connections that are being sent a close notice.
+    /// Number of rejected connections to which a close notice is being sent.
     close_notices: Rc<Cell<usize>>,
     max_connections: usize,
 }
@@ -120,7 +123,7 @@
     }
 }
 
-/// The number of connections for which the process has file descriptors, `configured` at the most.
+/// The number of connections for which the process has file descriptors, at most `configured`.
 fn limit_by_descriptors(configured: usize) -> usize {
     let limit = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
     let limit = limit.map_or(usize::MAX, |(soft, _)| usize::try_from(soft).unwrap_or(usize::MAX));
@@ -135,7 +138,8 @@
 }
 
 impl<U: Upstream + 'static> Server<U> {
-    /// A server that accepts `max_connections` at a time.
+    /// Creates a server with at most `max_connections` open connections, or fewer if the process may not open
+    /// enough file descriptors.
     #[must_use]
     pub fn new(
         upstream: Rc<RefCell<U>>,
@@ -153,13 +157,14 @@
         }
     }
 
-    /// The number of open connections.
+    /// A live counter of open connections.
     #[must_use]
     pub fn open_connections(&self) -> Rc<Cell<usize>> {
         Rc::clone(&self.open_connections)
     }
 
-    /// Accepts connections for as long as the process runs.
+    /// Accepts and serves connections until the future is dropped. Has to run within a
+    /// [`LocalSet`](tokio::task::LocalSet).
     pub async fn run(self, listener: TcpListener) {
         spawn_local(self.notifier.clone().run());
         let mut next_id: SubscriberId = 1;
@@ -180,7 +185,7 @@
         }
     }
 
-    /// Closes a connection beyond the bound.
+    /// Closes a connection that exceeds the limit, with a close notice if possible.
     fn reject(&self, stream: TcpStream, address: SocketAddr) {
         let reason = SessionError::TooManySubscribers(self.max_connections);
         warn!(%address, "connection rejected: {reason}");
@@ -217,7 +222,6 @@
     }
 }
 
-/// One accepted connection.
 struct Connection<'a, U> {
     server: &'a Server<U>,
     id: SubscriberId,
@@ -232,7 +236,7 @@
         let first = timeout(FIRST_MESSAGE_TIMEOUT, self.reader.read()).await;
         self.on_message(first.map_err(|_| DisconnectReason::FirstMessageTimeout)??).await?;
         loop {
-            // Only changes after this point wake the connection.
+            // Only later changes wake the connection; `next_action` takes account of all earlier ones.
             changed.mark_unchanged();
             let action = self.server.upstream.borrow_mut().next_action(self.id, self.server.clock.now());
             let wake_at = match action {
@@ -251,17 +255,17 @@
         }
     }
 
-    /// Handles a message and sends the responses before the next one is read, so that a peer that does not
-    /// read its responses can't send more requests.
+    /// Handles a message. The responses are sent before the next message is read, so that a peer that does
+    /// not read its responses can't send further requests.
     async fn on_message(&mut self, message: Option<Message>) -> Result<(), DisconnectReason> {
         let message = match message.ok_or(DisconnectReason::Closed)? {
-            Message::Close { reason } => return Err(DisconnectReason::CloseNotice(loggable(&reason))),
+            Message::Close { reason } => return Err(DisconnectReason::CloseNotice(escape_for_log(&reason))),
             message => message,
         };
         if let Message::Hello { name, .. } = &message
             && !std::mem::replace(&mut self.has_subscribed, true)
         {
-            info!(id = self.id, "subscribed: {}", loggable(name));
+            info!(id = self.id, "subscribed: {}", escape_for_log(name));
         }
         let is_write = matches!(message, Message::Write { .. });
         let now = self.server.clock.now();
@@ -281,8 +285,8 @@
     }
 }
 
-/// Sends a close notice, shuts down the sending side and discards input: closing with unread input would
-/// reset the connection, and the notice would be lost.
+/// Sends a close notice, shuts down the sending side and discards input: closing a socket with unread input
+/// would reset the connection, and the notice would be lost.
 async fn close(reader: FrameReader<OwnedReadHalf>, mut writer: FrameWriter<OwnedWriteHalf>, reason: String) {
     let written = timeout(CLOSE_TIMEOUT, writer.write(&Message::Close { reason })).await;
     if matches!(written, Ok(Ok(()))) {
--- a/crates/control-plane/src/runtime/snapshot.rs
+++ b/crates/control-plane/src/runtime/snapshot.rs
@@ -1,4 +1,5 @@
-//! Persistence of a source's records: one file, replaced atomically, written on a thread of its own.
+//! Persistence of a source's records: a single file that is replaced atomically, written on a separate
+//! thread.
 
 use crate::record::{Epoch, Record, SourceId, Version};
 use serde::{Deserialize, Serialize};
@@ -10,9 +11,9 @@
 use tokio::sync::oneshot;
 use twox_hash::XxHash3_64;
 
-/// The first bytes of the file; another format gets another number.
+/// The first bytes of the file. They contain the version of the format.
 const MAGIC: &[u8] = b"haventrack-control snapshot 1\n";
-/// Size of the hash at the end, over everything before it, bytes.
+/// Size of the hash at the end of the file, bytes. It covers all bytes before it.
 const HASH_BYTES: usize = 8;
 
 /// Why the content of a file is not a snapshot.
@@ -22,72 +23,73 @@
     #[error("too short")]
     TooShort,
     /// The file does not begin with the magic bytes.
-    #[error("it does not begin as a snapshot does")]
+    #[error("not the format of a snapshot")]
     WrongMagic,
     /// The hash does not match the content.
-    #[error("its hash does not agree")]
+    #[error("hash mismatch")]
     HashMismatch,
     /// The content can't be encoded or decoded.
     #[error("{0}")]
     Encoding(#[from] postcard::Error),
 }
 
-/// Why records could not be read or persisted.
+/// Why a snapshot could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// A file system call failed.
+    /// An operation on this path failed.
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
-    /// The file is not a snapshot, or is incomplete.
+    /// The content of the file is not a valid snapshot, or can't be encoded.
     #[error(
-        "{0} is damaged ({1}) and was left as it is; put a good copy in its place, or move it away to begin with no records"
+        "{0} is damaged ({1}) and was left as it is; replace it with an intact copy, or move it away to start without records"
     )]
     Damaged(PathBuf, DamageCause),
-    /// The file belongs to another source.
-    #[error("{path} is of source {theirs}, this is source {ours}; each source has a file of its own")]
+    /// The snapshot was written by another source.
+    #[error("{path} is of source {theirs}, this is source {ours}; use a separate file for each source")]
     OtherSource {
-        /// The file.
+        /// The path of the snapshot.
         path: PathBuf,
-        /// The source that wrote it.
+        /// The source that wrote the snapshot.
         theirs: SourceId,
-        /// The source that reads it.
+        /// The source that reads the snapshot.
         ours: SourceId,
     },
-    /// Another process holds the lock.
+    /// Another process has locked this file.
     #[error("{0} is held by another process; a source runs once")]
     Locked(PathBuf),
-    /// The writer thread has ended.
-    #[error("snapshots are no longer written")]
+    /// The thread that writes snapshots has ended.
+    #[error("the thread that writes snapshots has ended")]
     WriterEnded,
-    /// A write is in progress and another one is queued.
+    /// A snapshot is being written, and another one is queued.
     #[error("an earlier snapshot is still being written")]
     WriterBusy,
 }
 
-/// The persisted state of a source. Encoded with postcard, so the order of fields is the file format.
+/// The persisted state of a source. It is encoded with postcard, so the order of the fields is part of the
+/// file format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The source.
+    /// The source that wrote the snapshot.
     pub source: SourceId,
-    /// The incarnation of the source that wrote it.
+    /// The incarnation of the source that wrote the snapshot.
     pub epoch: Epoch,
-    /// The last change that it includes.
+    /// The last change that the records include.
     pub head: Version,
-    /// The live records.
+    /// The live records; tombstones are not persisted.
     pub records: Vec<Record>,
 }
 
-/// The path of a file beside another one, with `suffix` appended to its name.
+/// Appends `suffix` to the file name.
 fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(suffix);
     name.into()
 }
 
-/// Locks the file beside `path`, until the result is dropped.
+/// Locks the file `path` + `.lock`, until the returned file is dropped. Creates it if it does not exist.
 ///
 /// # Errors
-/// Another process holds the lock, or the file can't be created.
+/// [`SnapshotError::Locked`] if another process has locked it; [`SnapshotError::Io`] if it can't be created.
 pub fn lock(path: &Path) -> Result<File, SnapshotError> {
     let path = with_suffix(path, ".lock");
     let file = OpenOptions::new().create(true).append(true).open(&path);
@@ -99,10 +101,10 @@
     }
 }
 
-/// Reads a snapshot; `None` without a file.
+/// Reads the snapshot of the source `ours`; `None` if there is no file.
 ///
 /// # Errors
-/// The file can't be read, is damaged, or belongs to another source. It is not changed.
+/// The file can't be read, is damaged, or belongs to another source. It is left unchanged.
 pub fn read(path: &Path, ours: SourceId) -> Result<Option<Snapshot>, SnapshotError> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
@@ -124,10 +126,12 @@
 }
 
 impl Snapshot {
-    /// Replaces the file atomically and durably: a reader finds the old or the new snapshot.
+    /// Replaces the file atomically and durably: after a crash it contains either the old or the new
+    /// snapshot.
     ///
     /// # Errors
-    /// A file system call failed; the old file is unchanged then.
+    /// A file system operation failed. The old file is unchanged, unless only the directory could not be
+    /// synced.
     pub fn write(&self, path: &Path) -> Result<(), SnapshotError> {
         let bytes = self.encode(path)?;
         let temporary = with_suffix(path, ".new");
@@ -138,13 +142,13 @@
         let mut file = File::create(&temporary).map_err(io_error(&temporary))?;
         file.write_all(&bytes).and_then(|()| file.sync_all()).map_err(io_error(&temporary))?;
         fs::rename(&temporary, path).map_err(io_error(path))?;
-        // The rename is durable only once the directory has been synced.
+        // The rename is durable only after the directory has been synced.
         let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
         let directory = directory.unwrap_or(Path::new("."));
         File::open(directory).and_then(|opened| opened.sync_all()).map_err(io_error(directory))
     }
 
-    /// The bytes of the file; `path` is for errors.
+    /// Encodes the content of the file; `path` is used in errors only.
     fn encode(&self, path: &Path) -> Result<Vec<u8>, SnapshotError> {
         let damaged = |error: postcard::Error| SnapshotError::Damaged(path.into(), error.into());
         let mut bytes = postcard::to_extend(self, MAGIC.to_vec()).map_err(damaged)?;
@@ -154,13 +158,13 @@
     }
 }
 
-/// A snapshot to write, with the sender of the result.
+/// A snapshot to write, and the channel for the result.
 struct WriteRequest {
     snapshot: Snapshot,
     result: oneshot::Sender<Result<(), SnapshotError>>,
 }
 
-/// A thread that writes snapshots. Dropping it waits for the write in progress.
+/// A thread that writes snapshots. Dropping it waits until queued snapshots have been written.
 #[derive(Debug)]
 pub struct SnapshotWriter {
     requests: Option<SyncSender<WriteRequest>>,
@@ -168,7 +172,7 @@
 }
 
 impl SnapshotWriter {
-    /// Starts the thread; it writes to `path`.
+    /// Starts the thread, which writes all snapshots to `path`.
     ///
     /// # Errors
     /// The thread can't be created.
@@ -183,10 +187,10 @@
         Ok(Self { requests: Some(requests), thread: Some(thread) })
     }
 
-    /// Writes a snapshot without blocking the calling thread, one at a time.
+    /// Writes a snapshot without blocking the calling thread, and waits for the result.
     ///
     /// # Errors
-    /// The write failed, or another one is queued.
+    /// The write failed, the thread has ended, or another snapshot is queued already.
     pub async fn write(&self, snapshot: Snapshot) -> Result<(), SnapshotError> {
         let (result, written) = oneshot::channel();
         let requests = self.requests.as_ref().ok_or(SnapshotError::WriterEnded)?;
@@ -202,7 +206,7 @@
     fn drop(&mut self) {
         self.requests = None;
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread has been printed by its hook.
+            // If the thread has panicked, the panic hook has printed the message.
             let _ = thread.join();
         }
     }
--- a/crates/control-plane/src/runtime/upstream_link.rs
+++ b/crates/control-plane/src/runtime/upstream_link.rs
@@ -1,8 +1,8 @@
 //! The downstream end of a connection: connects to relays (or a source) in the order that [`Failover`]
-//! decides, and passes messages between the connection and a [`DownstreamNode`]. Used by an agent, by a
-//! relay's connection to a source, and by thousands of subscribers in one process.
+//! determines, and passes messages between the connection and a [`DownstreamNode`]. Used by agents, by relays
+//! for each source, and by the testbed with thousands of subscribers in one process.
 
-use super::{Clock, loggable};
+use super::{Clock, escape_for_log};
 use crate::Millis;
 use crate::codec::{CodecError, FrameReader, FrameWriter};
 use crate::failover::{Action, Failover, SILENCE_TIMEOUT};
@@ -19,108 +19,108 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until, timeout};
 
-/// Time for a connection to be established: a millisecond within one network, never with an isolated machine.
+/// Timeout for establishing a connection. It takes a millisecond within one network, and never completes if
+/// the other machine is isolated.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval of [`DownstreamNode::tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for upstream to accept a message. Downstream sends little, so a longer time means that upstream has
-/// stopped.
+/// Timeout for writing a message. Downstream sends little, so a longer delay means that upstream has stopped
+/// reading.
 const WRITE_TIMEOUT: Duration = READ_TIMEOUT;
-/// Time for the next message of upstream.
+/// Timeout for the next message from upstream.
 const READ_TIMEOUT: Duration = Duration::from_millis(SILENCE_TIMEOUT);
 
-/// A node that follows relays or a source over changing connections.
+/// The state machine that [`follow`] drives: a node that replicates records from relays or a source.
 pub trait DownstreamNode {
-    /// The first message on a connection, which may be a probe of the preferred relay beside a working
-    /// connection.
+    /// The [`Message::Hello`] for a new connection, which may be a probe of the preferred relay while another
+    /// connection is open.
     fn hello(&mut self) -> Message;
 
-    /// Handles a message from upstream. Returns the responses.
+    /// Handles a message from upstream. Returns the responses to send.
     ///
     /// # Errors
-    /// The connection has to end; the error's text is sent to upstream.
+    /// The message is not acceptable. The connection is closed, and the text of the error is sent upstream.
     fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError>;
 
-    /// Called periodically on a welcomed connection. Returns the messages to send.
+    /// Called periodically once upstream has sent its welcome. Returns the messages to send.
     fn tick(&mut self, now: Millis) -> Vec<Message>;
 
-    /// Upstream of this name has sent its welcome. It may replace another upstream, whose connection is
-    /// closed then without [`DownstreamNode::on_lost`].
+    /// Called when the upstream node with this name has sent its welcome. It may replace another one, whose
+    /// connection is then closed without a call of [`DownstreamNode::on_lost`].
     fn on_connected(&mut self, _upstream: &str) {}
 
-    /// The connection ended, or was not established.
+    /// Called when the connection ended, or was not established.
     fn on_lost(&mut self, _upstream: &str, _cause: &LinkError) {}
 
-    /// Bytes received and sent since the last call.
+    /// Called with the number of bytes received and sent since the last call, on whichever connection.
     fn on_transferred(&mut self, _received: u64, _sent: u64) {}
 }
 
 /// A relay or source to connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamAddress {
-    /// Its name, which decides its position in the failover order.
+    /// Its name, which determines its position in the failover order.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
 }
 
 /// Why a connection ended or was not established.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// It was not established.
-    #[error("no connection: {0}")]
+    /// The connection could not be established.
+    #[error("cannot connect: {0}")]
     NotConnected(std::io::Error),
-    /// It was not established in time.
-    #[error("no connection within {} ms", CONNECT_TIMEOUT.as_millis())]
+    /// The connection was not established in time.
+    #[error("connection not established within {} ms", CONNECT_TIMEOUT.as_millis())]
     ConnectTimeout,
-    /// Upstream sent nothing for too long.
-    #[error("nothing heard for {SILENCE_TIMEOUT} ms")]
+    /// Upstream sent no message for too long.
+    #[error("no message received for {SILENCE_TIMEOUT} ms")]
     ReadTimeout,
-    /// Upstream does not read.
-    #[error("a message was not taken within {} ms", WRITE_TIMEOUT.as_millis())]
+    /// Upstream did not accept a message in time.
+    #[error("a message could not be written within {} ms", WRITE_TIMEOUT.as_millis())]
     WriteTimeout,
-    /// Upstream closed it.
+    /// Upstream closed the connection without a notice.
     #[error("closed by the other side")]
     Closed,
-    /// Upstream closed it with a close notice.
-    #[error("ended by the other side: {0}")]
+    /// Upstream closed the connection with this close notice.
+    #[error("closed by the other side: {0}")]
     CloseNotice(String),
     /// A message could not be read or written.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// Upstream sent an unexpected message.
+    /// Upstream sent a message that is not acceptable.
     #[error(transparent)]
     Session(#[from] SessionError),
     /// The connection was replaced by one to the preferred relay.
     #[error("left for the relay that it prefers")]
-    Moved,
+    Replaced,
 }
 
-/// A connection to upstream.
 struct Connection {
     reader: FrameReader<OwnedReadHalf>,
     writer: FrameWriter<OwnedWriteHalf>,
-    /// Bytes received and sent up to the last report.
+    /// Number of bytes received and sent as of the last call of [`DownstreamNode::on_transferred`].
     reported_received: u64,
     reported_sent: u64,
 }
 
-/// A connection on which upstream has sent its welcome, which is not handled yet.
+/// A connection on which upstream has sent its welcome, which the node has not handled yet.
 struct WelcomedConnection {
     connection: Connection,
     welcome: Message,
 }
 
-/// A probe of the preferred relay beside a working connection.
+/// A probe of the preferred relay while the connection to another one remains open.
 struct Probe {
-    /// The index of the relay.
+    /// Index of the relay.
     relay: usize,
     result: Pin<Box<dyn Future<Output = Result<WelcomedConnection, LinkError>>>>,
 }
 
-/// A connection that was lost or not established.
+/// The last connection, which was lost or not established.
 struct LostConnection {
-    /// The index of the relay.
+    /// Index of the relay.
     relay: usize,
     cause: LinkError,
 }
@@ -129,8 +129,8 @@
 enum ConnectionEnd {
     /// The connection failed.
     Failed(LinkError),
-    /// The relay of this index, the preferred one, has sent its welcome on another connection.
-    Moved(usize, Box<WelcomedConnection>),
+    /// The preferred relay, which has this index, has sent its welcome on another connection.
+    Replaced(usize, Box<WelcomedConnection>),
 }
 
 impl From<LinkError> for ConnectionEnd {
@@ -163,7 +163,7 @@
 
     async fn receive(&mut self) -> Result<Message, LinkError> {
         match self.reader.read().await?.ok_or(LinkError::Closed)? {
-            Message::Close { reason } => Err(LinkError::CloseNotice(loggable(&reason))),
+            Message::Close { reason } => Err(LinkError::CloseNotice(escape_for_log(&reason))),
             message => Ok(message),
         }
     }
@@ -181,11 +181,11 @@
         }
     }
 
-    /// Sends a close notice, where upstream may not know the reason.
+    /// Sends a close notice if upstream may not know the reason.
     async fn close(&mut self, error: &LinkError) {
         let has_failed = matches!(error, LinkError::Codec(CodecError::Io(_)));
-        if !has_failed && matches!(error, LinkError::Codec(_) | LinkError::Session(_) | LinkError::Moved) {
-            // The connection is dropped whether or not upstream reads the notice.
+        if !has_failed && matches!(error, LinkError::Codec(_) | LinkError::Session(_) | LinkError::Replaced) {
+            // Errors do not matter: the connection is dropped in any case.
             let _ = self.send(&[Message::Close { reason: error.to_string() }]).await;
         }
     }
@@ -206,7 +206,7 @@
         connection.send(&replies).await
     }
 
-    /// Runs a connection until it fails or is replaced by one to the preferred relay.
+    /// Serves a connection until it fails or is replaced by one to the preferred relay.
     async fn run_connection(
         &mut self,
         connection: &mut Connection,
@@ -218,8 +218,8 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut silent_at = Instant::now() + READ_TIMEOUT;
         loop {
-            // Reading goes first: after this process was suspended, the messages of that time are still
-            // unread.
+            // Reading has priority over the timeout: if this process was suspended, messages of that time are
+            // still unread.
             tokio::select! {
                 biased;
                 message = connection.receive() => {
@@ -235,7 +235,7 @@
                     probe = None;
                     if let Ok(welcomed) = result {
                         self.failover.on_probe_succeeded(self.clock.now());
-                        return Err(ConnectionEnd::Moved(relay, Box::new(welcomed)));
+                        return Err(ConnectionEnd::Replaced(relay, Box::new(welcomed)));
                     }
                     self.failover.on_probe_failed(self.clock.now());
                 }
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Sends what the node has to send, and starts a probe when it is due.
+    /// Sends the node's periodic messages, and starts a probe if it is due.
     async fn tick(
         &mut self,
         connection: &mut Connection,
@@ -267,7 +267,7 @@
         Ok(())
     }
 
-    /// Connects to a relay and runs the connection, and those that replace it. Returns how the last one was
+    /// Connects to a relay, and serves the connection and those that replace it. Returns how the last one was
     /// lost.
     async fn connect(&mut self, mut relay: usize) -> LostConnection {
         let mut connection = match Connection::open(self.relays[relay].address).await {
@@ -284,8 +284,8 @@
             self.report_transferred(&mut connection);
             match end {
                 ConnectionEnd::Failed(error) => break error,
-                ConnectionEnd::Moved(preferred, welcomed) => {
-                    connection.close(&LinkError::Moved).await;
+                ConnectionEnd::Replaced(preferred, welcomed) => {
+                    connection.close(&LinkError::Replaced).await;
                     let WelcomedConnection { connection: replacement, welcome } = *welcomed;
                     (relay, connection, is_welcomed) = (preferred, replacement, true);
                     self.node.borrow_mut().on_connected(&self.relays[relay].name);
@@ -299,7 +299,7 @@
         LostConnection { relay, cause }
     }
 
-    /// Reports the bytes transferred since the last report.
+    /// Reports the bytes transferred since the last report to the node.
     fn report_transferred(&self, connection: &mut Connection) {
         let (received, sent) = (connection.reader.bytes_read(), connection.writer.bytes_written());
         self.node
@@ -310,7 +310,8 @@
     }
 }
 
-/// Waits for the result of a probe, for ever without a probe. Returns the relay's index as well.
+/// Waits for the result of a probe; without a probe it never completes. Returns the index of the relay and
+/// the result.
 async fn probe_result(probe: &mut Option<Probe>) -> (usize, Result<WelcomedConnection, LinkError>) {
     match probe {
         Some(probe) => (probe.relay, probe.result.as_mut().await),
@@ -318,8 +319,8 @@
     }
 }
 
-/// Follows one of these relays at a time, for as long as the process runs. `name` and `seed` decide the
-/// failover order and the jitter. The node is borrowed only within its own calls.
+/// Stays connected to one of these relays at a time, until the future is dropped. `name` determines the
+/// failover order, and `seed` varies the jitter. The node is borrowed only during calls of its methods.
 pub async fn follow<N: DownstreamNode>(
     node: Rc<RefCell<N>>,
     relays: Vec<UpstreamAddress>,
--- a/crates/control-plane/src/runtime/writer.rs
+++ b/crates/control-plane/src/runtime/writer.rs
@@ -1,5 +1,5 @@
-//! A client that writes changes to a source: used by the operators' tool, or by a system that detects
-//! backends.
+//! A client that applies changes at a source: used by the operators' `write` command, or by a system that
+//! detects backends.
 
 use crate::codec::{CodecError, FrameReader, FrameWriter};
 use crate::message::{MAX_MESSAGE_BYTES, Message};
@@ -10,29 +10,32 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-/// Time for a source to accept a connection, and to respond to a write.
+/// Timeout for connecting to a source, and for its response to a write.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest part of many changes, bytes of names and bodies: it always fits into a message.
+/// Maximum size of the changes in one request of [`Writer::write_parts`], bytes, so that it fits into a
+/// message. A larger change is sent alone.
 const MAX_PART_BYTES: usize = MAX_MESSAGE_BYTES / 4;
-/// Size of a change beside its name and body, bytes at the most.
+/// Maximum encoded size of a change without its name and body, bytes.
 const MAX_CHANGE_OVERHEAD_BYTES: usize = 32;
 
 /// Why changes were not applied, or may not have been.
 #[derive(Debug, thiserror::Error)]
 pub enum WriterError {
-    /// The source can't be reached.
+    /// The connection to the source could not be established.
     #[error("no connection to the source at {0}: {1}")]
     NotConnected(SocketAddr, std::io::Error),
     /// The source did not respond in time; the changes may have been applied.
     #[error(
-        "the source at {0} did not answer within {ms} ms; the changes may have been made, write them again",
+        "the source at {0} did not respond within {ms} ms; the changes may have been applied, write them again",
         ms = RESPONSE_TIMEOUT.as_millis()
     )]
     ResponseTimeout(SocketAddr),
-    /// The connection ended without a response; the changes may have been applied.
-    #[error("the source at {0} closed the connection; the changes may have been made, write them again")]
+    /// The source closed the connection without a response; the changes may have been applied.
+    #[error(
+        "the source at {0} closed the connection without a response; the changes may have been applied, write them again"
+    )]
     Closed(SocketAddr),
-    /// The source applied none of the changes.
+    /// The source rejected the changes and applied none of them; contains its reason.
     #[error("the source refused: {0}")]
     Rejected(String),
     /// The message could not be written or read.
@@ -40,7 +43,7 @@
     Codec(#[from] CodecError),
 }
 
-/// A connection to a source for writing, with one request in flight at a time.
+/// A connection to a source, with at most one request in flight.
 #[derive(Debug)]
 pub struct Writer {
     address: SocketAddr,
@@ -53,7 +56,7 @@
     /// Connects to a source.
     ///
     /// # Errors
-    /// There is no connection in time.
+    /// The connection could not be established, or not in time.
     pub async fn connect(address: SocketAddr) -> Result<Self, WriterError> {
         let stream = timeout(RESPONSE_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| WriterError::ResponseTimeout(address))?;
@@ -68,10 +71,11 @@
         })
     }
 
-    /// Applies these changes, all or none. Returns the version of the last one. Writes are idempotent.
+    /// Applies these changes, all or none. Returns the version of the last one. Writes are idempotent: a
+    /// change sets the complete state of its record.
     ///
     /// # Errors
-    /// The changes were not applied, or the result is unknown; the connection can only be reused after
+    /// The changes were not applied, or the result is unknown. The connection can be reused only after
     /// [`WriterError::Rejected`].
     pub async fn write(&mut self, changes: Vec<Change>) -> Result<Version, WriterError> {
         self.last_id += 1;
@@ -92,11 +96,12 @@
         response.await.map_err(|_| WriterError::ResponseTimeout(self.address))?
     }
 
-    /// Applies any number of changes in parts; each part is applied completely or not at all. Returns the
-    /// version of the last change; `None` without changes.
+    /// Applies any number of changes in several requests; the changes of a request are applied all or none.
+    /// Returns the version of the last change; `None` if there are no changes.
     ///
     /// # Errors
-    /// As [`Writer::write`], for the first part that was not applied; those before it were.
+    /// See [`Writer::write`]. The error is that of the first request that failed; the changes of earlier
+    /// requests were applied.
     pub async fn write_parts(&mut self, changes: Vec<Change>) -> Result<Option<Version>, WriterError> {
         let (mut part, mut part_bytes, mut last) = (Vec::new(), 0, None);
         for change in changes {
--- a/crates/control-plane/src/session.rs
+++ b/crates/control-plane/src/session.rs
@@ -3,7 +3,7 @@
 use crate::message::PROTOCOL_VERSION;
 
 /// Maximum number of services in a scope, unless the scope is all services.
-pub const MAX_SCOPE: usize = 4_096;
+pub const MAX_SCOPE_SERVICES: usize = 4_096;
 /// Maximum number of sources that one node follows.
 pub const MAX_SOURCES: usize = 256;
 
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -195,7 +195,7 @@
         self.generation
     }
 
-    /// Number of records without tombstones.
+    /// Number of live records: all except tombstones.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.live_count
@@ -213,12 +213,12 @@
         self.services.get(&key.service)?.get(key, &self.empty_body)
     }
 
-    /// The records of a service without tombstones, ordered by key.
+    /// The live records of a service (all except tombstones), ordered by key.
     pub fn service(&self, service: ServiceId) -> impl Iterator<Item = &Record> {
         self.range(service, None, None).filter(|record| record.state != State::Gone)
     }
 
-    /// The records of all services without tombstones, ordered by key.
+    /// The live records of all services (all except tombstones), ordered by key.
     pub fn live_records(&self) -> impl Iterator<Item = &Record> {
         let records = self.services.values().flat_map(ServiceRecords::iter);
         records.filter(|record| record.state != State::Gone)
--- a/crates/control-plane/src/subscription_cursor/mod.rs
+++ b/crates/control-plane/src/subscription_cursor/mod.rs
@@ -22,8 +22,8 @@
 /// Minimum size to which these are reduced when few tokens are available, bytes: with smaller ones, message
 /// headers would use up most of the rate limit.
 const MIN_PART_BYTES: usize = 1 << 10;
-/// Maximum size of the records of one version, bytes, up to which they are sent in one batch. Several records
-/// have the same version if a repair removed them.
+/// Maximum size of a batch whose records all have the same version, bytes. Records that a repair removed have
+/// the same version.
 const MAX_SAME_VERSION_BYTES: usize = MAX_MESSAGE_BYTES / 4 * 3;
 /// Maximum encoded size of one digest in a summary, bytes.
 const MAX_DIGEST_BYTES: usize = 5 + 10;
@@ -312,7 +312,8 @@
         now: Millis,
     ) -> NextMessage {
         let store_cursor = view.store.cursor();
-        // The digest can't be compared with a subscriber that has received later changes from another relay.
+        // A subscriber that has received later changes from another relay can't be compared, and needs no
+        // position.
         let is_ahead = self.sent_cursor.iter().zip(store_cursor).any(|(sent, stored)| *sent > stored);
         let sends_digest = view.is_consistent && !is_ahead;
         let has_progress = merge_cursors(self.sent_cursor, store_cursor) != self.sent_cursor;
--- a/crates/control-plane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -23,8 +23,11 @@
     let (source, relay, agent) =
         (deployed.0.expect("one"), deployed.1.expect("one"), deployed.2.expect("one"));
     let (s, r, a) = (minimal.0.expect("one"), minimal.1.expect("one"), minimal.2.expect("one"));
-    assert_eq!((source.snapshot_interval_ms, source.connections), (s.snapshot_interval_ms, s.connections));
-    assert_eq!((relay.connections, agent.connections), (r.connections, a.connections));
+    assert_eq!(
+        (source.snapshot_interval_ms, source.max_connections),
+        (s.snapshot_interval_ms, s.max_connections)
+    );
+    assert_eq!((relay.max_connections, agent.max_connections), (r.max_connections, a.max_connections));
 }
 
 #[test]
--- a/crates/control-plane/tests/publisher/limits.rs
+++ b/crates/control-plane/tests/publisher/limits.rs
@@ -12,7 +12,7 @@
         burst in 2_000..50_000_u32,
         steps in prop::collection::vec((0..2_000_u64, 0..30_usize, 0..600_usize), 1..60),
     ) {
-        let mut source = source(RateLimit { bytes_per_s: rate, burst });
+        let mut source = source(RateLimit { bytes_per_s: rate, burst_bytes: burst });
         let mut subscriber = Subscriber::new("agent", services(0..10));
         let welcome = source.on_message(SUBSCRIBER, subscriber.hello(), 0).expect("hello is accepted");
         let bytes = |message: &Message| 4 + postcard::to_stdvec(message).expect("encodable").len();
@@ -110,7 +110,7 @@
 fn repeated_requests_replace_one_another() {
     let scope = services(0..20);
     let (mut source, mut subscriber) =
-        (source(RateLimit { bytes_per_s: 100, burst: 2_000 }), Subscriber::new("agent", scope));
+        (source(RateLimit { bytes_per_s: 100, burst_bytes: 2_000 }), Subscriber::new("agent", scope));
     for service in 0..20 {
         backend(&mut source, service, "b", State::Active);
     }
--- a/crates/control-plane/tests/publisher/main.rs
+++ b/crates/control-plane/tests/publisher/main.rs
@@ -13,7 +13,7 @@
 use control_plane::rate_limit::RateLimit;
 use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
 use control_plane::relay::Relay;
-use control_plane::session::MAX_SCOPE;
+use control_plane::session::MAX_SCOPE_SERVICES;
 use control_plane::session::SessionError;
 use control_plane::source::Source;
 use control_plane::store::{MAX_BODY_BYTES, MAX_NAME_BYTES, VersionedStore, WriteError, validate_change};
@@ -22,7 +22,7 @@
 use proptest::prelude::*;
 use std::sync::Arc;
 
-const FAST: RateLimit = RateLimit { bytes_per_s: 100_000_000, burst: 100_000_000 };
+const FAST: RateLimit = RateLimit { bytes_per_s: 100_000_000, burst_bytes: 100_000_000 };
 
 /// The subscriber's connection.
 const SUBSCRIBER: u64 = 1;
--- a/crates/control-plane/tests/publisher/rejections.rs
+++ b/crates/control-plane/tests/publisher/rejections.rs
@@ -56,7 +56,7 @@
         source.on_message(2, other, 0),
         Err(SessionError::ProtocolMismatch { theirs: PROTOCOL_VERSION + 1, ours: PROTOCOL_VERSION })
     );
-    let wide = Subscriber::new("agent", services(0..=MAX_SCOPE as u32)).hello();
+    let wide = Subscriber::new("agent", services(0..=MAX_SCOPE_SERVICES as u32)).hello();
     assert!(matches!(source.on_message(2, wide, 0), Err(SessionError::LimitExceeded { .. })));
     let positions =
         (0..300).map(|source| ReplicaPosition { source, epoch: 1, cursor: Default::default() }).collect();
--- a/crates/control-plane/tests/publisher/send_order.rs
+++ b/crates/control-plane/tests/publisher/send_order.rs
@@ -73,7 +73,7 @@
 fn sources_share_the_rate_limit_evenly() {
     let mut sources: Vec<Source> =
         (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), FAST)).collect();
-    let mut relay = Relay::new("relay", &[0, 1, 2], RateLimit { bytes_per_s: 2_000, burst: 2_000 });
+    let mut relay = Relay::new("relay", &[0, 1, 2], RateLimit { bytes_per_s: 2_000, burst_bytes: 2_000 });
     let mut subscriber = Subscriber::new("agent", services(0..3));
     for (id, source) in sources.iter_mut().enumerate() {
         source.on_message(5, relay.hello(id as u16), 0).expect("hello is accepted");
--- a/crates/control-plane/tests/replica/relay.rs
+++ b/crates/control-plane/tests/replica/relay.rs
@@ -190,7 +190,7 @@
         let to = count as u64;
         let mut sorted = records.clone();
         sorted.sort_by(|one, other| one.key.cmp(&other.key));
-        let rate_limit = RateLimit { bytes_per_s: 1_000_000, burst: 1_000_000 };
+        let rate_limit = RateLimit { bytes_per_s: 1_000_000, burst_bytes: 1_000_000 };
         let mut relay = Relay::new("relay", &[0], rate_limit);
         let load = |relay: &mut Relay, to: u64, records: &[Record]| {
             relay.on_source_message(0, summary(to, records), 0).expect("accepted");
--- a/crates/control-plane/tests/simulation/convergence.rs
+++ b/crates/control-plane/tests/simulation/convergence.rs
@@ -49,7 +49,7 @@
 
 fn settings() -> impl Strategy<Value = Settings> {
     let rate_limit =
-        prop_oneof![Just(RateLimit::default()), Just(RateLimit { bytes_per_s: 1_500, burst: 3_000 })];
+        prop_oneof![Just(RateLimit::default()), Just(RateLimit { bytes_per_s: 1_500, burst_bytes: 3_000 })];
     let max_tombstones = prop_oneof![Just(65_536), 0..6_usize];
     (rate_limit, max_tombstones)
         .prop_map(|(rate_limit, max_tombstones)| Settings { rate_limit, max_tombstones })
--- a/crates/control-plane/tests/simulation/faults.rs
+++ b/crates/control-plane/tests/simulation/faults.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 const SETTINGS: Settings = Settings {
-    rate_limit: RateLimit { bytes_per_s: 12_000, burst: 120_000 },
+    rate_limit: RateLimit { bytes_per_s: 12_000, burst_bytes: 120_000 },
     max_tombstones: MAX_TOMBSTONES,
 };
 /// Ticks within which any single fault is repaired: a digest (10 s), its requests and responses, sent twice.
--- a/crates/control-plane/tests/simulation/nodes.rs
+++ b/crates/control-plane/tests/simulation/nodes.rs
@@ -53,7 +53,7 @@
 impl Settings {
     pub fn source(&self, store: VersionedStore) -> Source {
         /// The limit of a source to a relay: enough for all changes of a test.
-        const RELAY_LIMIT: RateLimit = RateLimit { bytes_per_s: 1_000_000, burst: 1_000_000 };
+        const RELAY_LIMIT: RateLimit = RateLimit { bytes_per_s: 1_000_000, burst_bytes: 1_000_000 };
         let name = format!("source-{}", store.source());
         Source::new(&name, store.with_max_tombstones(self.max_tombstones), RELAY_LIMIT)
     }
--- a/crates/control-plane/tests/upstream_link.rs
+++ b/crates/control-plane/tests/upstream_link.rs
@@ -58,9 +58,9 @@
         id: 1,
         name: "s".into(),
         listen,
-        snapshot: directory.file("source.snapshot"),
+        snapshot_path: directory.file("source.snapshot"),
         snapshot_interval_ms: 3_600_000,
-        connections: 8,
+        max_connections: 8,
     };
     TaskGuard(spawn_local(async move {
         let rate_limit = RateLimitConfig::default();
@@ -232,7 +232,7 @@
     let start = |relay: &UpstreamAddress| {
         let sources = vec![SourceAddress { id: 1, address: source }];
         let (name, listen) = (relay.name.clone(), relay.address);
-        let config = RelayConfig { name, listen, sources, connections: FOLLOWERS };
+        let config = RelayConfig { name, listen, sources, max_connections: FOLLOWERS };
         start_relay(config, RateLimitConfig::default())
     };
     let mut running: Vec<_> = relays.iter().map(|relay| Some(start(relay))).collect();
@@ -292,9 +292,12 @@
     let (directory, source, relay) = (TestDirectory::new("stalled"), address(), address());
     let _source = start_source(&directory, source);
     let sources = vec![SourceAddress { id: 1, address: source }];
-    let config = RelayConfig { name: "r".into(), listen: relay, sources, connections: 4 };
-    let rate_limit =
-        RateLimitConfig { agent_bytes_per_s: 1 << 29, agent_burst: 1 << 29, ..RateLimitConfig::default() };
+    let config = RelayConfig { name: "r".into(), listen: relay, sources, max_connections: 4 };
+    let rate_limit = RateLimitConfig {
+        agent_bytes_per_s: 1 << 29,
+        agent_burst_bytes: 1 << 29,
+        ..RateLimitConfig::default()
+    };
     let _relay = start_relay(config, rate_limit);
     let mut writer = loop {
         match Writer::connect(source).await {
