--- a/crates/external-processor/src/bridge.rs
+++ b/crates/external-processor/src/bridge.rs
@@ -1,11 +1,12 @@
-//! Connects the gRPC services' thread to the engine's: callers' messages arrive on a bounded queue, the [decision
-//! service](crate::decision_service) decides, and replies go to each caller's own bounded channel. A caller that does
-//! not read its replies is dropped, so that it delays no other caller.
+//! Connects the thread of the gRPC services to the engine's thread. Callers' messages arrive on a bounded
+//! queue, the [decision service](crate::decision_service) handles them, and replies go to a bounded channel
+//! of each caller. A caller that does not read its replies is dropped, so that it does not delay other
+//! callers.
 
 use crate::decision_request::InvalidRequest;
 use crate::decision_service::{
-    CallerId, CallerReply, Counts, DecisionLimits, DecisionRequest, DecisionService, LeaseEngine, Reply,
-    ReplyDelivery, Report, RequestRef, Revocation,
+    CallerId, CallerReply, Counts, DecisionLimits, DecisionRequest, DecisionService, LeaseEngine, MessageRef,
+    Reply, ReplyDelivery, Report, Revocation,
 };
 use balancer::api::{BackendId, Micros, Outcome, RequestId, Settings};
 use request_engine::driver::{Handle, Transport};
@@ -20,30 +21,30 @@
 use tokio::sync::mpsc;
 use tokio::sync::mpsc::error::TrySendError;
 
-/// Messages that are handled before the runtime's other tasks run.
+/// Maximum number of messages that are handled before the runtime's other tasks run.
 const MAX_BATCH: usize = 64;
 
-/// A message to a caller.
+/// A notification that is sent to a caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notified {
-    /// The reply to its message with this tag.
+pub enum CallerNotification {
+    /// The reply to the caller's message with this tag.
     Reply(u64, Reply),
-    /// Its message with this tag was invalid.
+    /// The caller's message with this tag was invalid.
     Invalid(u64, InvalidRequest),
-    /// A lease is revoked.
+    /// The caller's lease was revoked.
     Revoked(LeaseId),
 }
 
-/// What a caller wants.
+/// An operation that a caller requests.
 #[derive(Debug)]
 pub enum Operation {
-    /// A decision for a request.
+    /// Decide where to send a request.
     Decide(Box<DecisionRequest>),
-    /// To report the result of an attempt.
+    /// Report the result of an attempt.
     Report(Report),
-    /// To renew a session.
+    /// Renew a session.
     Renew(LeaseId),
-    /// To end its stream in good order.
+    /// End the caller's stream after all its earlier messages.
     EndStream,
 }
 
@@ -51,40 +52,41 @@
 #[derive(Debug)]
 pub struct CallerMessage {
     /// Identifies the message for its reply.
-    pub request_ref: RequestRef,
-    /// Where replies to the caller go.
-    pub reply_to: mpsc::Sender<Notified>,
-    /// What the caller wants.
+    pub message_ref: MessageRef,
+    /// The channel for notifications to the caller.
+    pub reply_to: mpsc::Sender<CallerNotification>,
+    /// The requested operation.
     pub operation: Operation,
 }
 
 /// How a caller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerEnd {
-    /// A unary call that has its answer.
+    /// A unary call received its reply.
     Answered(CallerId),
-    /// A call that ended before its answer was sent.
+    /// A call was cancelled before a reply could be sent.
     Unanswered(CallerId),
-    /// A stream, which may have received all its replies.
+    /// A stream ended; it may have received all its replies.
     Stream(CallerId),
 }
 
-/// The gRPC services' ends of the channels to the decision service.
+/// The sending ends of the channels to the decision service, used by the gRPC services.
 #[derive(Clone, Debug)]
 pub struct DecisionSender {
-    /// Callers' messages. A sender waits while the queue is full.
+    /// Callers' messages. Senders wait while the queue is full.
     pub messages: mpsc::Sender<CallerMessage>,
-    /// Ended callers. One entry for each, and so bounded by the number of callers.
+    /// Callers that ended. Each sends one entry, so the number of callers bounds the queue.
     pub ended_callers: mpsc::UnboundedSender<CallerEnd>,
 }
 
-/// The decision service's ends of the channels.
+/// The receiving ends of the channels to the decision service.
 pub struct DecisionReceivers {
     messages: mpsc::Receiver<CallerMessage>,
     ended_callers: mpsc::UnboundedReceiver<CallerEnd>,
 }
 
-/// The channels between the gRPC services and the decision service, with a queue of `capacity` messages.
+/// Creates the channels between the gRPC services and the decision service. Up to `capacity` messages are
+/// queued.
 #[must_use]
 pub fn channels(capacity: usize) -> (DecisionSender, DecisionReceivers) {
     let (message_sender, messages) = mpsc::channel(capacity);
@@ -95,16 +97,16 @@
     )
 }
 
-/// Looks up where a backend listens; `None` if it is not known.
+/// Looks up the address of a backend; `None` if the backend is not known.
 pub type EndpointLookup = Box<dyn Fn(BackendId) -> Option<SocketAddr>>;
 
-/// The engine's thread as the decision service needs it.
+/// The parts of the engine's thread that the decision service uses.
 pub struct EngineContext<T: Transport> {
-    /// The engine.
+    /// The handle of the engine.
     pub handle: Handle<T>,
     /// The engine's events about leased requests.
     pub lease_events: Rc<LeaseEventQueue>,
-    /// The backends' addresses.
+    /// Looks up the addresses of backends.
     pub endpoints: EndpointLookup,
 }
 
@@ -143,12 +145,13 @@
 struct Inner<T: Transport> {
     service: RefCell<DecisionService>,
     engine: EngineContext<T>,
-    callers: RefCell<FxHashMap<CallerId, mpsc::Sender<Notified>>>,
-    /// Callers that were dropped for not reading their replies and whose [`CallerEnd`] has not arrived yet.
+    callers: RefCell<FxHashMap<CallerId, mpsc::Sender<CallerNotification>>>,
+    /// Callers that were dropped because they did not read their replies, and whose [`CallerEnd`] is
+    /// outstanding.
     dropped_callers: RefCell<FxHashSet<CallerId>>,
 }
 
-/// The decision service on the engine's thread.
+/// Runs the decision service on the engine's thread. Clones refer to the same service.
 pub struct Bridge<T: Transport>(Rc<Inner<T>>);
 
 impl<T: Transport> Clone for Bridge<T> {
@@ -161,7 +164,7 @@
 where
     <T::Messages as MessageTypes>::Responder: From<RequestHandle>,
 {
-    /// A decision service for this engine.
+    /// Creates a decision service for this engine.
     #[must_use]
     pub fn new(
         settings: &Settings,
@@ -177,7 +180,7 @@
         }))
     }
 
-    /// Handles messages until the gRPC services have ended.
+    /// Handles messages until all senders of the gRPC services are dropped.
     pub async fn run(self, receivers: DecisionReceivers) {
         let DecisionReceivers { mut messages, mut ended_callers } = receivers;
         let inner = &*self.0;
@@ -195,17 +198,17 @@
                 }
             }
             inner.handle_lease_events();
-            // Many messages must not keep this thread from other requests.
+            // A steady flow of messages must not starve the other tasks of this thread.
             tokio::task::yield_now().await;
         }
     }
 
-    /// Rejects requests from now on; open requests continue.
+    /// Rejects new requests from now on; open requests continue.
     pub fn drain(&self) {
         self.0.service.borrow_mut().drain();
     }
 
-    /// Number of requests that callers own.
+    /// Number of requests that callers own and that have no final outcome yet.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.0.service.borrow().len()
@@ -227,22 +230,22 @@
     }
 
     fn handle_message(&self, message: CallerMessage) {
-        let CallerMessage { request_ref, reply_to, operation } = message;
-        // Its caller ended while the message was in the queue, and that has been handled already.
-        if reply_to.is_closed() || self.dropped_callers.borrow().contains(&request_ref.caller) {
+        let CallerMessage { message_ref, reply_to, operation } = message;
+        // The caller ended while this message was queued; its end is handled separately.
+        if reply_to.is_closed() || self.dropped_callers.borrow().contains(&message_ref.caller) {
             return;
         }
         if let Operation::EndStream = operation {
-            return self.handle_caller_end(CallerEnd::Stream(request_ref.caller));
+            return self.handle_caller_end(CallerEnd::Stream(message_ref.caller));
         }
-        self.callers.borrow_mut().entry(request_ref.caller).or_insert(reply_to);
+        self.callers.borrow_mut().entry(message_ref.caller).or_insert(reply_to);
         let (now, mut engine) = (self.now(), EngineHandle(&self.engine.handle));
         {
             let mut service = self.service.borrow_mut();
             match operation {
-                Operation::Decide(request) => service.decide(now, request_ref, &request, &mut engine),
-                Operation::Report(report) => service.report(now, request_ref, report, &mut engine),
-                Operation::Renew(lease) => service.renew(request_ref, lease, &mut engine),
+                Operation::Decide(request) => service.decide(now, message_ref, &request, &mut engine),
+                Operation::Report(report) => service.report(now, message_ref, report, &mut engine),
+                Operation::Renew(lease) => service.renew(message_ref, lease, &mut engine),
                 Operation::EndStream => {}
             }
         }
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Handles all queued events of the engine, and sends callers what follows from them.
+    /// Handles all queued events of the engine, and sends the resulting replies and revocations to callers.
     fn handle_lease_events(&self) {
         let mut engine = EngineHandle(&self.engine.handle);
         while let Some(event) = self.engine.lease_events.pop() {
@@ -281,20 +284,20 @@
             let mut service = self.service.borrow_mut();
             (service.take_replies(), service.take_revocations())
         };
-        for CallerReply { request_ref, reply } in replies {
-            self.notify(request_ref.caller, Notified::Reply(request_ref.tag, reply));
+        for CallerReply { message_ref, reply } in replies {
+            self.notify(message_ref.caller, CallerNotification::Reply(message_ref.tag, reply));
         }
         for Revocation { caller, lease } in revocations {
-            self.notify(caller, Notified::Revoked(lease));
+            self.notify(caller, CallerNotification::Revoked(lease));
         }
     }
 
-    /// Sends a message to a caller. One whose channel is full does not read its replies: its stream is dropped, and its
-    /// [`CallerEnd`] follows.
-    fn notify(&self, caller: CallerId, message: Notified) {
+    /// Sends a notification to a caller. A full channel means that the caller does not read its replies: it
+    /// is dropped, which ends its stream, and its [`CallerEnd`] follows.
+    fn notify(&self, caller: CallerId, notification: CallerNotification) {
         let mut callers = self.callers.borrow_mut();
         let Some(reply_to) = callers.get(&caller) else { return };
-        if let Err(error) = reply_to.try_send(message) {
+        if let Err(error) = reply_to.try_send(notification) {
             callers.remove(&caller);
             if matches!(error, TrySendError::Full(_)) {
                 self.dropped_callers.borrow_mut().insert(caller);
--- a/crates/external-processor/src/decision_request.rs
+++ b/crates/external-processor/src/decision_request.rs
@@ -1,5 +1,5 @@
-//! Builds a [`DecisionRequest`] from HTTP headers or message fields: class and tenant names become positions, and a
-//! missing, duplicate or invalid field is an error that names it. No I/O and no clock.
+//! Builds a [`DecisionRequest`] from HTTP headers or message fields: resolves class and tenant names to their
+//! indices, and names a missing, duplicate or invalid field in its error. No I/O and no clock.
 
 use crate::decision_service::DecisionRequest;
 use crate::settings::Headers;
@@ -9,18 +9,18 @@
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
-/// The longest time left of a request, milliseconds.
+/// The largest time left that a request may state, milliseconds: one hour.
 const MAX_TIME_LEFT_MS: u64 = 3_600_000;
-/// Characters of an invalid value that its error quotes.
+/// Maximum number of characters of a caller's text that an error quotes.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// Why a message is invalid.
+/// Why a request or message is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// This field is missing.
+    /// This required field is missing.
     #[error("`{0}` is missing")]
     Missing(String),
-    /// This header is not unique, so that another reader could use another value of it.
+    /// This header occurs more than once: another component might use another of its values.
     #[error("`{0}` comes more than once")]
     Duplicate(String),
     /// The value of this field is not UTF-8.
@@ -29,39 +29,39 @@
     /// The value of a field is invalid.
     #[error("`{field}` makes no sense: {problem}")]
     InvalidValue {
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// What is wrong with its value.
+        /// Why the value is invalid.
         problem: String,
     },
 }
 
 struct Class {
-    position: u8,
+    index: u8,
     deadline: Micros,
     is_keyed: bool,
 }
 
-/// The names of classes and tenants in the settings.
+/// Resolves names of classes and tenants to their indices in the settings.
 pub struct RequestCatalog {
     classes: FxHashMap<String, Class>,
     tenants: FxHashMap<String, u16>,
 }
 
-/// The fields of a request, as its caller sends them.
+/// The fields of a request, as its caller sent them.
 #[derive(Clone, Debug, Default)]
 pub struct RequestFields<'a> {
-    /// Its correlation id.
+    /// Its correlation id; empty if missing.
     pub id: &'a [u8],
-    /// Its class.
+    /// The name of its class; empty if missing.
     pub class: &'a str,
-    /// Its tenant.
+    /// The name of its tenant; empty if missing.
     pub tenant: &'a str,
-    /// Its idempotency key; empty without one.
+    /// Its idempotency key; empty if missing.
     pub idempotency_key: &'a [u8],
-    /// Its affinity key.
+    /// Affinity key; see [`request_engine::request_key`].
     pub affinity_key: Option<u64>,
-    /// How long its client waits, microseconds; `None`: until its class's deadline.
+    /// How long its client waits for the response, microseconds; `None`: until the class's response deadline.
     pub timeout: Option<Micros>,
     /// Expected work on a standard core, microseconds.
     pub expected_work: Option<Micros>,
@@ -69,7 +69,7 @@
     pub is_retry: bool,
 }
 
-fn missing(field: &str) -> InvalidRequest {
+fn missing_field(field: &str) -> InvalidRequest {
     InvalidRequest::Missing(field.into())
 }
 
@@ -77,17 +77,17 @@
     InvalidRequest::InvalidValue { field: field.into(), problem: problem.into() }
 }
 
-/// The beginning of a text of the caller, for an error.
+/// The first characters of a caller's text, to be quoted in an error.
 fn truncated(text: &str) -> String {
     text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
 impl RequestCatalog {
-    /// A catalog of these classes and tenants, in the order of the settings.
+    /// Creates a catalog of classes and tenants with these names, both in the order of the settings.
     #[must_use]
     pub fn new(settings: &Settings, classes: &[String], tenants: &[String]) -> Self {
-        let to_class = |(position, class): (u8, &balancer::api::Class)| Class {
-            position,
+        let to_class = |(index, class): (u8, &balancer::api::Class)| Class {
+            index,
             deadline: class.deadline,
             is_keyed: matches!(class.idempotency, Idempotency::Keyed { .. }),
         };
@@ -98,10 +98,10 @@
         }
     }
 
-    /// Builds the request of these fields. `names` are the names of the fields in errors.
+    /// Builds a request that arrived at `now` from its fields. `names` are the names of the fields in errors.
     ///
     /// # Errors
-    /// The first field that is missing or invalid.
+    /// Names the first field that is missing or invalid.
     pub fn request_from_fields(
         &self,
         now: Micros,
@@ -109,7 +109,7 @@
         names: &Headers,
     ) -> Result<DecisionRequest, InvalidRequest> {
         let class = match fields.class {
-            "" => return Err(missing(&names.class)),
+            "" => return Err(missing_field(&names.class)),
             name => self.classes.get(name),
         };
         let class = class
@@ -120,17 +120,18 @@
             }
         }
         if fields.id.is_empty() {
-            return Err(missing(&names.id));
+            return Err(missing_field(&names.id));
         }
-        // A keyed class needs the key to deduplicate retries; in any other class a key would have no effect.
+        // In a keyed class, retries cannot be deduplicated without a key; in any other class a key has no
+        // effect.
         match (class.is_keyed, fields.idempotency_key.is_empty()) {
-            (true, true) => return Err(missing(&names.idempotency_key)),
+            (true, true) => return Err(missing_field(&names.idempotency_key)),
             (false, false) => return Err(invalid_value(&names.idempotency_key, "the class has no keys")),
             _ => {}
         }
         let tenant = match fields.tenant {
             _ if self.tenants.is_empty() => 0,
-            "" => return Err(missing(&names.tenant)),
+            "" => return Err(missing_field(&names.tenant)),
             name => *self
                 .tenants
                 .get(name)
@@ -139,7 +140,7 @@
         Ok(DecisionRequest {
             id: fields.id.into(),
             idempotency_key: class.is_keyed.then(|| fields.idempotency_key.into()),
-            class: class.position,
+            class: class.index,
             tenant,
             affinity_key: fields.affinity_key,
             arrived_at: now,
@@ -148,14 +149,15 @@
             is_retry: fields.is_retry,
             prior_lease: None,
             waits_for_result: false,
-            is_single_use: false,
+            is_single_attempt: false,
         })
     }
 
-    /// Builds the request of an HTTP head, header names in lower case.
+    /// Builds a request that arrived at `now` from its HTTP headers, whose names are in lower case. The
+    /// caller can make only one attempt.
     ///
     /// # Errors
-    /// The first header that is missing, duplicate or invalid.
+    /// Names the first header that is missing, duplicate or invalid.
     pub fn request_from_headers<'a>(
         &self,
         now: Micros,
@@ -176,7 +178,7 @@
         };
         let timeout = match text(&names.time_left, head.time_left)? {
             "" => None,
-            digits => Some(milliseconds(&names.time_left, digits)?),
+            digits => Some(parse_milliseconds(&names.time_left, digits)?),
         };
         let expected_work = text(&names.expected_work, head.expected_work)?;
         let expected_work = (!expected_work.is_empty()).then(|| {
@@ -195,11 +197,11 @@
             expected_work: expected_work.transpose()?,
             is_retry: head.retry == Some(b"1"),
         };
-        Ok(DecisionRequest { is_single_use: true, ..self.request_from_fields(now, &fields, names)? })
+        Ok(DecisionRequest { is_single_attempt: true, ..self.request_from_fields(now, &fields, names)? })
     }
 }
 
-/// The values of the headers that describe a request.
+/// The values of the headers that describe a request; `None` if missing.
 #[derive(Default)]
 struct RequestHead<'a> {
     path: Option<&'a [u8]>,
@@ -238,9 +240,9 @@
     }
 }
 
-/// Parses milliseconds into microseconds.
-fn milliseconds(name: &str, digits: &str) -> Result<Micros, InvalidRequest> {
-    // The integer's parser would accept a sign.
+/// Parses a number of milliseconds and converts it to microseconds.
+fn parse_milliseconds(name: &str, digits: &str) -> Result<Micros, InvalidRequest> {
+    // Integer parsing alone would accept a sign.
     let is_number = digits.bytes().all(|byte| byte.is_ascii_digit());
     let milliseconds = is_number.then(|| digits.parse::<u64>().ok()).flatten();
     let milliseconds = milliseconds.filter(|&ms| ms <= MAX_TIME_LEFT_MS);
--- a/crates/external-processor/src/decision_request/tests.rs
+++ b/crates/external-processor/src/decision_request/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn catalog() -> RequestCatalog {
-    let class = |position, is_keyed| Class { position, deadline: 2_000_000, is_keyed };
+    let class = |index, is_keyed| Class { index, deadline: 2_000_000, is_keyed };
     RequestCatalog {
         classes: [("read".into(), class(0, false)), ("submit".into(), class(1, true))].into_iter().collect(),
         tenants: [("acme".into(), 3)].into_iter().collect(),
@@ -24,7 +24,7 @@
 fn builds_a_request_from_headers() {
     let request = read(&VALID).expect("a request");
     assert_eq!((request.class, request.tenant, request.affinity_key), (1, 3, Some(255)));
-    assert_eq!((request.timeout, request.arrived_at, request.is_single_use), (480_000, 7, true));
+    assert_eq!((request.timeout, request.arrived_at, request.is_single_attempt), (480_000, 7, true));
     assert_eq!((&*request.id, request.idempotency_key.as_deref()), (&b"c1"[..], Some(&b"k1"[..])));
 }
 
@@ -37,7 +37,7 @@
         head
     };
     for name in ["x-correlation-id", "x-account", "idempotency-key"] {
-        assert_eq!(read(&without(name)), Err(missing(name)));
+        assert_eq!(read(&without(name)), Err(missing_field(name)));
         let mut duplicate = VALID.to_vec();
         duplicate.push((name, b"other"));
         assert_eq!(read(&duplicate), Err(InvalidRequest::Duplicate(name.into())));
@@ -51,7 +51,7 @@
         ("x-weight-hint", b"heavy"),
         ("x-service-class", b"\"'`"),
     ] {
-        let error = read(&with(name, value)).expect_err("an invalid header").to_string();
+        let error = read(&with(name, value)).expect_err("the header is invalid").to_string();
         assert!(error.starts_with(&format!("`{name}` makes no sense")), "{error}");
     }
     let keyless = [(":path", &b"/read"[..]), ("x-correlation-id", b"c"), ("x-account", b"acme")];
--- a/crates/external-processor/src/decision_service/lease_events.rs
+++ b/crates/external-processor/src/decision_service/lease_events.rs
@@ -1,6 +1,6 @@
-//! Events of the engine: grants, revocations and final answers.
+//! Handles the engine's events: grants and revocations of leases, and final outcomes.
 
-use super::{DecisionService, LeaseEngine, Reply, RequestRef, RetryScope, Revocation, SendDecision};
+use super::{DecisionService, LeaseEngine, MessageRef, Reply, RetryScope, Revocation, SendDecision};
 use balancer::api::{Micros, Outcome};
 use request_engine::engine::{FinalOutcome, LeaseGrant};
 use request_engine::idempotency::FinalStatus;
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 
 impl DecisionService {
-    /// Handles an event of the engine. `endpoint` is the address of the backend of a grant, if it is still known.
+    /// Handles an event of the engine. `endpoint` is the address of the granted backend, if that is still
+    /// known.
     pub fn handle_event(
         &mut self,
         now: Micros,
@@ -20,10 +21,10 @@
             LeaseEvent::Granted(handle, grant) => self.lease_granted(now, handle, grant, endpoint, engine),
             LeaseEvent::Revoked(handle, lease) => {
                 let open = self.open.get(&handle);
-                let holder = open
+                let lease_owner = open
                     .filter(|open| open.attempt.is_some_and(|attempt| attempt.grant.lease == lease))
                     .map(|open| open.owner);
-                self.revocations.extend(holder.map(|caller| Revocation { caller, lease }));
+                self.revocations.extend(lease_owner.map(|caller| Revocation { caller, lease }));
             }
             LeaseEvent::Completed(handle, outcome) => {
                 let status = match outcome {
@@ -47,18 +48,18 @@
         engine: &mut impl LeaseEngine,
     ) {
         let Some(open) = self.open.get_mut(&handle) else {
-            // The request has no caller any more that could send it.
+            // The request was withdrawn: no caller can make the attempt.
             let _ = engine.report_result(grant.lease, Outcome::NotSent, Vec::new());
             return;
         };
-        // The previous lease has expired without a report: its attempt may have run.
+        // The previous lease expired without a report, so its attempt may have run.
         if let Some(expired) = open.attempt.take() {
             self.by_lease.remove(&expired.grant.lease);
             open.may_have_run = true;
         }
         match (open.pending_tag, endpoint) {
             (Some(tag), Some(endpoint)) => {
-                let retry_scope = if open.is_single_use {
+                let retry_scope = if open.is_single_attempt {
                     RetryScope::Never
                 } else {
                     let idempotency = self.idempotency[usize::from(open.class)];
@@ -66,16 +67,16 @@
                 };
                 let decision = SendDecision { endpoint, grant, retry_scope };
                 (open.pending_tag, open.attempt) = (None, Some(decision));
-                let request_ref = RequestRef { caller: open.owner, tag };
+                let message_ref = MessageRef { caller: open.owner, tag };
                 self.by_lease.insert(grant.lease, handle);
                 self.counts.sends += 1;
-                self.reply(request_ref, Reply::Send(decision));
+                self.reply(message_ref, Reply::Send(decision));
             }
-            // The backend was removed at this moment: the balancer chooses another one.
+            // The backend has been removed since the grant: the balancer chooses another one.
             (Some(_), None) => {
                 let _ = engine.report_result(grant.lease, Outcome::NotSent, Vec::new());
             }
-            // The caller has let its lease expire and does not wait for another.
+            // The caller let its lease expire and has no message that waits for another decision.
             (None, _) => {
                 engine.client_disconnected(open.request);
                 let _ = engine.report_result(grant.lease, Outcome::NotSent, Vec::new());
--- a/crates/external-processor/src/decision_service/messages.rs
+++ b/crates/external-processor/src/decision_service/messages.rs
@@ -1,4 +1,4 @@
-//! Requests, reports and replies of the decision service.
+//! The decision service's input and output: requests, reports, replies and revocations.
 
 use balancer::api::{Idempotency, Micros, Outcome};
 use request_engine::engine::{Dispatch, IncomingRequest, LeaseGrant};
@@ -7,50 +7,50 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A caller: one stream or one unary call, which ends as a whole. Unique in one run of the process.
+/// Identifies a caller, which is one stream or one unary call. Unique in one run of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// Identifies one message of a caller, for its reply.
+/// Identifies the message of a caller to which a reply belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct RequestRef {
-    /// The caller.
+pub struct MessageRef {
+    /// The caller that sent the message.
     pub caller: CallerId,
-    /// The caller's own number of the message.
+    /// The caller's number for the message, unique among its messages without a reply.
     pub tag: u64,
 }
 
 /// An HTTP request for which a caller wants a decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecisionRequest {
-    /// Its correlation id.
+    /// Its correlation id, 1 to [`MAX_NAME_BYTES`](request_engine::idempotency::MAX_NAME_BYTES) bytes.
     pub id: Box<[u8]>,
-    /// Its idempotency key, in keyed classes.
+    /// Its idempotency key; `Some` in keyed classes only.
     pub idempotency_key: Option<Box<[u8]>>,
-    /// Position of its class in the settings.
+    /// Index of its class in the settings.
     pub class: u8,
-    /// Position of its tenant in the settings.
+    /// Index of its tenant in the settings.
     pub tenant: u16,
     /// Affinity key; see [`request_engine::request_key`].
     pub affinity_key: Option<u64>,
-    /// When it arrived, microseconds.
+    /// When it arrived, on the engine's clock, microseconds.
     pub arrived_at: Micros,
-    /// How long its client waits from its arrival, microseconds.
+    /// How long its client waits for the response, from the arrival on, microseconds.
     pub timeout: Micros,
     /// Expected work on a standard core, microseconds.
     pub expected_work: Option<Micros>,
     /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// The lease that the caller last held for it.
+    /// The caller's last lease for this request, if that attempt was never reported.
     pub prior_lease: Option<LeaseId>,
-    /// Whether to wait for the final answer where another claim for it is in flight.
+    /// Whether to wait for the final outcome if another claim for the request is in flight.
     pub waits_for_result: bool,
-    /// Whether its caller can send it only once, whatever the outcome.
-    pub is_single_use: bool,
+    /// Whether the caller can make only one attempt, whatever its outcome.
+    pub is_single_attempt: bool,
 }
 
 impl DecisionRequest {
-    /// The request as the engine receives it: its caller makes the attempts.
+    /// Converts to the engine's form of a request whose caller makes the attempts.
     #[must_use]
     pub fn to_incoming<W>(&self) -> IncomingRequest<W> {
         IncomingRequest {
@@ -66,34 +66,34 @@
     }
 }
 
-/// The result of an attempt.
+/// A caller's report on an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// Its lease.
+    /// The lease of the attempt.
     pub lease: LeaseId,
-    /// How it ended; `None`: it became a session.
+    /// How the attempt ended; `None` if it became a session.
     pub outcome: Option<Outcome>,
-    /// Where it was sent, if the caller states it.
+    /// The endpoint to which the attempt was sent, if the caller states it.
     pub endpoint: Option<SocketAddr>,
     /// The backend's load report, in the order of the settings; empty without one.
     pub load_report: Vec<f32>,
 }
 
-/// When a retry may follow an attempt.
+/// The condition on which a retry may follow an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryScope {
-    /// Never.
+    /// No retry follows.
     Never,
-    /// If the attempt has not run.
+    /// A retry may follow only if the attempt did not run.
     UnlessExecuted,
-    /// Also if it may have run, within the deduplication scope of its backend.
+    /// A retry may follow also if the attempt may have run, on backends in the same dedup scope.
     WithinDedupScope,
-    /// Always.
+    /// A retry may follow whatever the outcome.
     Always,
 }
 
 impl RetryScope {
-    /// The scope after the attempt of this number, from 0, of at most `max_attempts`.
+    /// The scope after attempt number `attempt`, which counts from 0, of at most `max_attempts`.
     pub(super) fn after_attempt(idempotency: Idempotency, attempt: u16, max_attempts: u16) -> Self {
         match idempotency {
             _ if attempt + 1 >= max_attempts => Self::Never,
@@ -107,30 +107,30 @@
 /// The decision to make an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SendDecision {
-    /// Where to send the request.
+    /// The address of the backend.
     pub endpoint: SocketAddr,
-    /// The engine's lease.
+    /// The lease, its time limits and the number of the attempt.
     pub grant: LeaseGrant,
-    /// When a retry may follow.
+    /// Whether a retry may follow this attempt.
     pub retry_scope: RetryScope,
 }
 
-/// Why a message of a caller changed nothing.
+/// Why a message of a caller was rejected. A rejected message has no effect.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its id or key can't be claimed.
+    /// The request's id or idempotency key cannot be claimed.
     #[error(transparent)]
     Claim(#[from] ClaimError),
-    /// Its lease does not allow it.
+    /// The state of the lease does not allow the operation.
     #[error(transparent)]
     Lease(#[from] LeaseError),
-    /// The report names another endpoint than the lease, which is for this one.
+    /// The report names another endpoint than this one, for which the lease was granted.
     #[error("the lease is for {0}")]
     EndpointMismatch(SocketAddr),
-    /// The engine is at one of its limits.
+    /// One of the engine's limits is reached.
     #[error("too many requests or leases are open")]
     Overload,
-    /// The caller has this many decisions open, its limit.
+    /// The caller has reached its limit of open decisions, which is this number.
     #[error("this caller has {0} decisions open, and no more are taken")]
     CallerLimit(usize),
     /// The processor is shutting down.
@@ -141,74 +141,75 @@
 /// The reply to one message of a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    /// Make an attempt.
+    /// The caller may make an attempt.
     Send(SendDecision),
-    /// The final answer.
+    /// The request has its final outcome.
     Final {
         /// How the request ended.
         status: FinalStatus,
-        /// Whether the answer was given before, to this or another caller.
-        is_repeated: bool,
+        /// Whether this outcome was already sent, to this or another caller.
+        is_replayed: bool,
     },
-    /// The lease is settled; the request had its final answer before.
+    /// The lease is settled; the request already had its final outcome.
     LeaseSettled,
     /// Another claim for the request is in flight.
     InFlight {
-        /// For how long, microseconds.
+        /// Age of that claim, microseconds.
         age: Micros,
-        /// Whether the ids differ and only the keys are equal.
+        /// Whether the ids differ and only the idempotency keys are equal.
         by_key: bool,
     },
     /// The session expires after this many microseconds unless it is renewed.
     Renewed(Micros),
-    /// The message changed nothing.
+    /// The message was rejected and has no effect.
     Rejected(RejectReason),
 }
 
-/// A reply and the message that it is for.
+/// A reply, addressed to the message that it answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallerReply {
-    /// The message.
-    pub request_ref: RequestRef,
-    /// The reply.
+    /// The message that is answered.
+    pub message_ref: MessageRef,
+    /// The reply to it.
     pub reply: Reply,
 }
 
-/// A revoked lease and its holder.
+/// A revoked lease: its caller must not start the attempt any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Revocation {
-    /// The holder.
+    /// The caller to which the lease was granted.
     pub caller: CallerId,
-    /// The lease.
+    /// The revoked lease.
     pub lease: LeaseId,
 }
 
-/// Whether the replies to a caller that ended may have reached it.
+/// Whether replies may have reached a caller before it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyDelivery {
-    /// They may have reached it.
+    /// Replies may have reached the caller.
     Possible,
-    /// They have not: the caller was cancelled before they were sent.
+    /// No reply has reached the caller: it was cancelled before one was sent.
     None,
 }
 
 /// Totals over all messages since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests for a decision.
+    /// Requests for a decision, accepted or not.
     pub requests: u64,
-    /// Of these, those with another claim in flight.
+    /// Requests that had another claim in flight.
     pub in_flight: u64,
-    /// Of these, those with a final answer already.
+    /// Requests that already had a final outcome.
     pub already_answered: u64,
-    /// Decisions to make an attempt.
+    /// Attempts that callers were allowed to make.
     pub sends: u64,
-    /// Accepted reports.
+    /// Accepted reports on attempts of open requests.
     pub reports: u64,
-    /// Messages that changed nothing.
+    /// Messages that were rejected.
     pub rejected: u64,
-    /// Requests withdrawn because their caller ended, nothing having run.
+    /// Requests whose caller ended before anything had run.
     pub withdrawn: u64,
-    /// Requests whose caller ended and which may have run.
+    /// Requests that may have run and whose outcome is unknown, because their caller ended or states a prior
+    /// lease.
     pub unknown: u64,
 }
--- a/crates/external-processor/src/decision_service/mod.rs
+++ b/crates/external-processor/src/decision_service/mod.rs
@@ -1,18 +1,18 @@
-//! Decisions for external clients: which request may make an attempt, the reply to each message, and what is
-//! withdrawn when a caller ends. No I/O and no clock; the engine is behind [`LeaseEngine`].
+//! Decisions for external clients: grants attempts, replies to callers' messages, and withdraws the requests
+//! of callers that ended. No I/O and no clock; the engine is used through [`LeaseEngine`].
 //!
 //! 1. Every message gets exactly one [`Reply`], unless its caller has ended.
-//! 2. A request's id and its key belong to one caller at a time ([`request_engine::idempotency`]). A request that may
-//!    have run is retried only by the engine's own decisions.
-//! 3. An attempt whose decision can't have reached its caller counts as never sent; one that reached it and is not
-//!    reported counts as one that may have run.
+//! 2. A request's id and its idempotency key belong to one caller at a time
+//!    ([`request_engine::idempotency`]). Only the engine decides on retries of a request that may have run.
+//! 3. An attempt counts as not sent if its decision cannot have reached the caller. An attempt that was
+//!    granted but not reported counts as one that may have run.
 
 mod caller_messages;
 mod lease_events;
 mod messages;
 
 pub use messages::{
-    CallerId, CallerReply, Counts, DecisionRequest, RejectReason, Reply, ReplyDelivery, Report, RequestRef,
+    CallerId, CallerReply, Counts, DecisionRequest, MessageRef, RejectReason, Reply, ReplyDelivery, Report,
     RetryScope, Revocation, SendDecision,
 };
 
@@ -25,25 +25,26 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use smallvec::SmallVec;
 
-/// After how long a caller should ask again for a request with another claim in flight, microseconds.
-pub const ASK_RETRY_DELAY: Micros = 250_000;
-/// Messages that wait for the final answer of one request. Further ones get [`Reply::InFlight`].
-pub const MAX_WAITING: usize = 16;
+/// How long a caller should wait before it repeats a request that has another claim in flight, microseconds.
+pub const IN_FLIGHT_RETRY_DELAY: Micros = 250_000;
+/// Maximum number of messages that wait for the final outcome of one request. Any more get
+/// [`Reply::InFlight`].
+pub const MAX_WAITERS: usize = 16;
 
-/// The recorded answer of a claim that is removed at once.
+/// Placeholder outcome of a claim that is completed with a retention of 0 and so never replayed.
 const NOT_RETAINED: CompletedRequest =
     CompletedRequest { front_end: FrontEnd::External, status: FinalStatus::Rejected(0) };
 
-/// The engine, as the decision service uses it. The events that a call causes arrive as
-/// [`LeaseEvent`](request_engine::lease_events::LeaseEvent)s after the call.
+/// The operations of the engine that the decision service uses. The events that a call causes are delivered
+/// as [`LeaseEvent`](request_engine::lease_events::LeaseEvent)s after the call.
 pub trait LeaseEngine {
-    /// Admits a request; `None` at one of the engine's limits.
+    /// Admits a request. Returns `None` if one of the engine's limits is reached.
     fn admit(&mut self, request: &DecisionRequest, handle: RequestHandle) -> Option<RequestId>;
 
     /// Settles a lease with the result of its attempt.
     ///
     /// # Errors
-    /// Where it is not active.
+    /// If the lease is not active.
     fn report_result(
         &mut self,
         lease: LeaseId,
@@ -51,58 +52,59 @@
         load_report: Vec<f32>,
     ) -> Result<(), LeaseError>;
 
-    /// Makes a lease a session. Returns after how many microseconds it expires unless it is renewed.
+    /// Turns a lease into a session. Returns the time until it expires unless renewed, microseconds.
     ///
     /// # Errors
-    /// Where it is not active or already a session.
+    /// If the lease is not active or is already a session.
     fn establish_session(&mut self, lease: LeaseId) -> Result<Micros, LeaseError>;
 
-    /// Renews a session. Returns after how many microseconds it expires unless it is renewed again.
+    /// Renews a session. Returns the time until it expires unless renewed, microseconds.
     ///
     /// # Errors
-    /// Where it is not active or not a session.
+    /// If the lease is not active or is not a session.
     fn renew_session(&mut self, lease: LeaseId) -> Result<Micros, LeaseError>;
 
-    /// The client of a request has disconnected.
+    /// Withdraws a request whose client has disconnected: its final outcome is not reported, and attempts
+    /// that have not been sent are cancelled.
     fn client_disconnected(&mut self, request: RequestId);
 }
 
 /// Limits of the decision service.
 #[derive(Clone, Copy, Debug)]
 pub struct DecisionLimits {
-    /// Open decisions of one caller.
+    /// Maximum number of open decisions of one caller.
     pub per_caller: usize,
-    /// How long a final answer is retained in idempotent classes, microseconds.
+    /// How long a final outcome is retained in idempotent classes, microseconds.
     pub idempotent_retention: Micros,
-    /// The same in non-idempotent classes, at least the class's deadline. In keyed classes the time to live of the keys
-    /// applies.
+    /// How long a final outcome is retained in non-idempotent classes, microseconds; raised to the class's
+    /// response deadline if shorter. Keyed classes use the time to live of their keys.
     pub non_idempotent_retention: Micros,
 }
 
-/// A request that a caller owns, until its final answer.
+/// A request that a caller owns and that has no final outcome yet.
 struct OpenDecision {
     claim: ClaimId,
     request: RequestId,
     class: u8,
-    is_single_use: bool,
-    /// The caller that gets the next decision or holds the current lease.
+    is_single_attempt: bool,
+    /// The caller that has the current lease, or to which the next decision is sent.
     owner: CallerId,
-    /// The tag of the message without a reply.
+    /// The tag of the owner's message that has no reply yet.
     pending_tag: Option<u64>,
     /// The attempt in flight.
     attempt: Option<SendDecision>,
     may_have_run: bool,
-    /// Messages that wait for the final answer.
-    waiting: SmallVec<[RequestRef; 1]>,
+    /// Messages that wait for the final outcome.
+    waiters: SmallVec<[MessageRef; 1]>,
 }
 
-/// The requests that callers own, and the replies that were not taken yet.
+/// The requests that callers own, and the replies and revocations that have not been taken yet.
 pub struct DecisionService {
     registry: SharedRegistry,
     limits: DecisionLimits,
-    /// By class.
+    /// Indexed by class.
     idempotency: Vec<Idempotency>,
-    /// By class, microseconds.
+    /// Response deadlines, indexed by class, microseconds.
     deadlines: Vec<Micros>,
     max_attempts: u16,
     is_draining: bool,
@@ -117,7 +119,7 @@
 }
 
 impl DecisionService {
-    /// A service without open requests.
+    /// Creates a service without open requests.
     #[must_use]
     pub fn new(settings: &Settings, limits: DecisionLimits, registry: SharedRegistry) -> Self {
         Self {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Rejects requests from now on; open requests continue.
+    /// Rejects new requests from now on; open requests continue.
     pub fn drain(&mut self) {
         self.is_draining = true;
     }
@@ -153,13 +155,13 @@
         std::mem::take(&mut self.revocations)
     }
 
-    /// Number of requests that callers own.
+    /// Number of requests that callers own and that have no final outcome yet.
     #[must_use]
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether there are none.
+    /// Whether no request is open.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
@@ -171,13 +173,13 @@
         self.counts
     }
 
-    fn reply(&mut self, request_ref: RequestRef, reply: Reply) {
-        self.replies.push(CallerReply { request_ref, reply });
+    fn reply(&mut self, message_ref: MessageRef, reply: Reply) {
+        self.replies.push(CallerReply { message_ref, reply });
     }
 
-    fn reject(&mut self, request_ref: RequestRef, reason: RejectReason) {
+    fn reject(&mut self, message_ref: MessageRef, reason: RejectReason) {
         self.counts.rejected += 1;
-        self.reply(request_ref, Reply::Rejected(reason));
+        self.reply(message_ref, Reply::Rejected(reason));
     }
 
     fn remove_from_caller(&mut self, caller: CallerId, handle: RequestHandle) {
@@ -189,7 +191,8 @@
         }
     }
 
-    /// The only place where a request ends: its claim, the pending message, and the waiting ones.
+    /// Ends a request: completes its claim and replies to its pending message and its waiters. No other
+    /// function removes an open request.
     fn finish(&mut self, now: Micros, handle: RequestHandle, status: FinalStatus) {
         let Some(open) = self.open.remove(&handle) else { return };
         self.by_claim.remove(&open.claim);
@@ -199,18 +202,18 @@
         }
         let may_have_run = open.may_have_run || open.attempt.is_some() || status == FinalStatus::Served;
         let effect = if may_have_run { ExecutionEffect::Possible } else { ExecutionEffect::None };
-        let pending = open.pending_tag.map(|tag| RequestRef { caller: open.owner, tag });
+        let pending = open.pending_tag.map(|tag| MessageRef { caller: open.owner, tag });
         if pending.is_none() && !may_have_run {
-            // No caller got an answer and nothing has run: the next caller gets a decision.
+            // No caller received an outcome and nothing has run, so the next request is decided anew.
             self.registry.borrow_mut().complete(now, open.claim, NOT_RETAINED, effect, 0);
         } else {
             self.complete_claim(now, open.claim, open.class, status, effect);
         }
-        if let Some(request_ref) = pending {
-            self.reply(request_ref, Reply::Final { status, is_repeated: false });
+        if let Some(message_ref) = pending {
+            self.reply(message_ref, Reply::Final { status, is_replayed: false });
         }
-        for request_ref in open.waiting {
-            self.reply(request_ref, Reply::Final { status, is_repeated: true });
+        for message_ref in open.waiters {
+            self.reply(message_ref, Reply::Final { status, is_replayed: true });
         }
     }
 
--- a/crates/external-processor/src/envoy.rs
+++ b/crates/external-processor/src/envoy.rs
@@ -1,8 +1,8 @@
-//! One stream of Envoy's `ext_proc` filter: the messages of one HTTP request in order, and the response to each. No
-//! I/O and no clock.
+//! Handles one stream of Envoy's `ext_proc` filter: the messages about one HTTP request in order, and the
+//! response to each. No I/O and no clock.
 //!
-//! Envoy sends the request itself, once: the response to the request's headers names the backend, and the HTTP
-//! response's headers are the report of the attempt. A rejection is an immediate response.
+//! Envoy makes the one attempt itself. The response to the request's headers names the backend, and the
+//! headers of the HTTP response are the report on the attempt. A rejection is sent as an immediate response.
 
 use crate::decision_request::{InvalidRequest, RequestCatalog};
 use crate::decision_service::{DecisionRequest, RejectReason, Reply, SendDecision};
@@ -28,94 +28,95 @@
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// The header of a backend that rejected a request without processing it.
+/// The response header, with the value `1`, of a backend that rejected a request without processing it.
 const UNPROCESSED_HEADER: &str = "x-unprocessed";
-/// The header of a load report.
+/// The response header that contains a backend's load report.
 const LOAD_REPORT_HEADER: &str = "x-backend-load";
-/// Envoy's attribute for the origin of a response, if its configuration includes it.
+/// Envoy's attribute that tells where a response originated. Sent only if Envoy's configuration requests it.
 const CODE_DETAILS: &str = "response.code_details";
-/// After how long a client may retry that met a limit, or a request in flight elsewhere, microseconds.
+/// How long a client should wait before a retry if a limit was reached or its request is in flight elsewhere,
+/// microseconds.
 const RETRY_DELAY: Micros = 1_000_000;
 
-/// What to do after a message.
+/// What the caller of [`ProcessingStream::handle_message`] has to do next.
 #[derive(Debug, PartialEq)]
 pub enum StreamAction {
-    /// Request a decision, and pass the reply to [`ProcessingStream::decided`].
+    /// Request a decision and pass the reply to [`ProcessingStream::handle_decision_reply`].
     Decide(Box<DecisionRequest>),
-    /// Report the result of the attempt, and pass the reply to [`ProcessingStream::reported`].
+    /// Report the result of the attempt and pass the reply to [`ProcessingStream::handle_report_reply`].
     Report {
-        /// Its lease.
+        /// The lease of the attempt.
         lease: LeaseId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The backend's load report, as text.
+        /// The value of the backend's load report header; empty if missing.
         load_report: String,
     },
-    /// Send this response.
+    /// Send this response to Envoy.
     Respond(Box<ProcessingResponse>),
-    /// Nothing: Envoy does not wait for a response.
+    /// Do nothing: Envoy does not wait for a response.
     None,
 }
 
-/// The stream violates the protocol and has to end.
+/// A message that violates the protocol. The stream has to end.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ProtocolError {
-    /// A message of no known kind.
+    /// The message is of no known kind.
     #[error("a message of the stream holds none of the kinds that are known")]
-    Empty,
-    /// A message before the request's headers.
+    UnknownKind,
+    /// The first message does not contain the request's headers.
     #[error("the request's headers come first: request_header_mode must be SEND")]
     MissingHeaders,
-    /// A second message with the request's headers.
+    /// A second message contains request headers.
     #[error("the request's headers came twice on one stream")]
     DuplicateHeaders,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    /// No message has arrived.
-    Start,
-    /// The decision is pending.
-    Deciding,
-    /// Envoy has a backend and this lease.
-    Sent(LeaseId),
-    /// The reply to the report is pending.
-    Reported { never_executed: bool },
-    /// The request has its final answer.
+enum StreamState {
+    /// No message has arrived yet.
+    AwaitingHeaders,
+    /// A decision has been requested, and its reply is pending.
+    AwaitingDecision,
+    /// Envoy may make its attempt under this lease.
+    AttemptInFlight(LeaseId),
+    /// The attempt has been reported, and the reply is pending.
+    AwaitingReportReply { never_executed: bool },
+    /// The final response has been determined.
     Finished,
-    /// Envoy ignores all responses.
-    Observed,
+    /// Envoy runs in observability mode and ignores all responses.
+    ObserveOnly,
 }
 
-/// One stream.
+/// The state of one stream.
 pub struct ProcessingStream<'a> {
     catalog: &'a RequestCatalog,
     settings: &'a settings::Envoy,
-    state: State,
+    state: StreamState,
     body_modes: BodyModes,
 }
 
-/// Which bodies arrive in chunks that have to be sent back.
+/// Which bodies Envoy streams in full-duplex mode: their chunks have to be sent back to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct BodyModes {
     is_request_duplex: bool,
     is_response_duplex: bool,
 }
 
-fn header(name: &str, value: String) -> HeaderValueOption {
+fn set_header(name: &str, value: String) -> HeaderValueOption {
     HeaderValueOption {
-        // Envoy accepts only one of the two values, and the raw one holds any bytes.
+        // Envoy accepts only one of the two values; the raw one may contain any bytes.
         header: Some(HeaderValue { key: name.into(), value: String::new(), raw_value: value.into_bytes() }),
         append_action: HeaderAppendAction::OverwriteIfExistsOrAdd as i32,
         ..HeaderValueOption::default()
     }
 }
 
-fn text(value: impl Into<String>) -> Value {
+fn string_value(value: impl Into<String>) -> Value {
     Value { kind: Some(value::Kind::StringValue(value.into())) }
 }
 
-fn object(fields: impl IntoIterator<Item = (String, Value)>) -> Struct {
+fn protobuf_struct(fields: impl IntoIterator<Item = (String, Value)>) -> Struct {
     Struct { fields: fields.into_iter().collect() }
 }
 
@@ -125,8 +126,8 @@
 
 fn immediate_response(status: u16, retry_after: Option<Micros>, reason: &str) -> Box<ProcessingResponse> {
     let retry_after = retry_after.filter(|&delay| delay > 0);
-    let retry_after = retry_after.map(|delay| header("retry-after", seconds(delay)));
-    let mut set_headers = vec![header("content-type", "text/plain".into())];
+    let retry_after = retry_after.map(|delay| set_header("retry-after", retry_after_seconds(delay)));
+    let mut set_headers = vec![set_header("content-type", "text/plain".into())];
     set_headers.extend(retry_after);
     response(ResponseKind::ImmediateResponse(ImmediateResponse {
         status: Some(HttpStatus { code: i32::from(status) }),
@@ -137,30 +138,32 @@
     }))
 }
 
-/// Seconds as text, rounded up and at least 1: Envoy's retry policy reads no fractions.
-fn seconds(duration: Micros) -> String {
+/// The value of a `retry-after` header: seconds, rounded up and at least 1, since Envoy's retry policy does
+/// not parse fractions.
+fn retry_after_seconds(duration: Micros) -> String {
     duration.div_ceil(1_000_000).max(1).to_string()
 }
 
-/// Names (in lower case) and values of headers, whichever field holds the value.
-fn headers(map: Option<&HeaderMap>) -> impl Iterator<Item = (&str, &[u8])> {
+/// Names (in lower case) and values of headers. Envoy sets either `raw_value` or `value`.
+fn header_pairs(map: Option<&HeaderMap>) -> impl Iterator<Item = (&str, &[u8])> {
     map.into_iter().flat_map(|map| &map.headers).map(|h| {
         let value = if h.raw_value.is_empty() { h.value.as_bytes() } else { &h.raw_value };
         (h.key.as_str(), value)
     })
 }
 
-/// The outcome of an attempt, from the response's status, its unprocessed header and Envoy's details on its origin.
+/// Derives the outcome of an attempt from the response's status, its unprocessed header and Envoy's response
+/// code details; `details` is empty if Envoy does not send them.
 #[must_use]
-pub fn outcome(status: Option<u16>, is_unprocessed: bool, details: &str) -> Outcome {
-    // A response of Envoy itself instead of the backend's.
+pub fn attempt_outcome(status: Option<u16>, is_unprocessed: bool, details: &str) -> Outcome {
+    // Envoy generated the response itself instead of forwarding one of the backend.
     let is_local = !details.is_empty() && details != "via_upstream";
     if is_local {
         let has = |cause: &str| details.contains(cause);
         return match () {
             () if has("connection_failure") || has("connect_timeout") => Outcome::ConnectFailed,
             () if has("timeout") => Outcome::Timeout,
-            // Envoy's circuit breaker, or a filter before the router.
+            // From Envoy's circuit breaker or a filter ahead of the router: no attempt was sent.
             () if has("overflow") || has("no_healthy_upstream") || has("cluster_not_found") => {
                 Outcome::NotSent
             }
@@ -177,7 +180,7 @@
     }
 }
 
-/// The final answer to an HTTP client.
+/// The response to an HTTP client whose request has its final outcome.
 fn final_response(now: Micros, status: FinalStatus) -> Box<ProcessingResponse> {
     match status {
         FinalStatus::Rejected(retry_at) => {
@@ -204,25 +207,25 @@
 }
 
 impl<'a> ProcessingStream<'a> {
-    /// A stream without messages.
+    /// Creates a stream that has received no message.
     #[must_use]
     pub fn new(catalog: &'a RequestCatalog, settings: &'a settings::Envoy) -> Self {
-        Self { catalog, settings, state: State::Start, body_modes: BodyModes::default() }
+        Self { catalog, settings, state: StreamState::AwaitingHeaders, body_modes: BodyModes::default() }
     }
 
     /// Handles the next message, which arrived at `now`.
     ///
     /// # Errors
-    /// Where the protocol does not allow it at this point.
-    pub fn message(
+    /// If the protocol does not allow the message at this point.
+    pub fn handle_message(
         &mut self,
         now: Micros,
         message: ProcessingRequest,
     ) -> Result<StreamAction, ProtocolError> {
         if message.observability_mode {
-            self.state = State::Observed;
+            self.state = StreamState::ObserveOnly;
         }
-        if self.state == State::Observed {
+        if self.state == StreamState::ObserveOnly {
             return Ok(StreamAction::None);
         }
         if let Some(modes) = message.protocol_config {
@@ -232,10 +235,10 @@
                 is_response_duplex: is_duplex(modes.response_body_mode),
             };
         }
-        let kind = message.request.ok_or(ProtocolError::Empty)?;
+        let kind = message.request.ok_or(ProtocolError::UnknownKind)?;
         match (self.state, &kind) {
-            (State::Start, MessageKind::RequestHeaders(_)) => {}
-            (State::Start, _) => return Err(ProtocolError::MissingHeaders),
+            (StreamState::AwaitingHeaders, MessageKind::RequestHeaders(_)) => {}
+            (StreamState::AwaitingHeaders, _) => return Err(ProtocolError::MissingHeaders),
             (_, MessageKind::RequestHeaders(_)) => return Err(ProtocolError::DuplicateHeaders),
             _ => {}
         }
@@ -258,22 +261,28 @@
     }
 
     fn request_headers(&mut self, now: Micros, head: &HttpHeaders) -> StreamAction {
-        match self.catalog.request_from_headers(now, headers(head.headers.as_ref()), &self.settings.headers) {
+        match self.catalog.request_from_headers(
+            now,
+            header_pairs(head.headers.as_ref()),
+            &self.settings.headers,
+        ) {
             Ok(request) => {
-                self.state = State::Deciding;
+                self.state = StreamState::AwaitingDecision;
                 StreamAction::Decide(Box::new(request))
             }
             Err(error) => {
-                self.state = State::Finished;
+                self.state = StreamState::Finished;
                 StreamAction::Respond(invalid_request_response(&error))
             }
         }
     }
 
     fn response_headers(&mut self, head: &HttpHeaders, attributes: &HashMap<String, Struct>) -> StreamAction {
-        let State::Sent(lease) = self.state else { return StreamAction::Respond(pass_through()) };
+        let StreamState::AttemptInFlight(lease) = self.state else {
+            return StreamAction::Respond(pass_through());
+        };
         let (mut status, mut is_unprocessed, mut load_report) = (None, false, String::new());
-        for (name, value) in headers(head.headers.as_ref()) {
+        for (name, value) in header_pairs(head.headers.as_ref()) {
             let value = std::str::from_utf8(value).unwrap_or_default();
             match name {
                 ":status" => status = value.parse().ok(),
@@ -282,16 +291,16 @@
                 _ => {}
             }
         }
-        let outcome = outcome(status, is_unprocessed, code_details(attributes));
-        self.state = State::Reported { never_executed: outcome.never_executed() };
+        let outcome = attempt_outcome(status, is_unprocessed, code_details(attributes));
+        self.state = StreamState::AwaitingReportReply { never_executed: outcome.never_executed() };
         StreamAction::Report { lease, outcome, load_report }
     }
 
-    /// The response for the reply to the request for a decision.
-    pub fn decided(&mut self, now: Micros, reply: Reply) -> Box<ProcessingResponse> {
+    /// Converts the reply to the request for a decision to the response to the request's headers.
+    pub fn handle_decision_reply(&mut self, now: Micros, reply: Reply) -> Box<ProcessingResponse> {
         self.state = match reply {
-            Reply::Send(SendDecision { grant, .. }) => State::Sent(grant.lease),
-            _ => State::Finished,
+            Reply::Send(SendDecision { grant, .. }) => StreamState::AttemptInFlight(grant.lease),
+            _ => StreamState::Finished,
         };
         match reply {
             Reply::Send(decision) => self.send_response(now, &decision),
@@ -304,13 +313,14 @@
         }
     }
 
-    /// The response for the reply to the report: a request that never ran is rejected, any other backend response
-    /// passes unchanged.
-    pub fn reported(&mut self, now: Micros, reply: Reply) -> Box<ProcessingResponse> {
-        let previous = std::mem::replace(&mut self.state, State::Finished);
+    /// Converts the reply to the report to the response to the HTTP response's headers: if the attempt never
+    /// ran and the request is rejected, the rejection replaces the response; otherwise the response passes
+    /// unchanged.
+    pub fn handle_report_reply(&mut self, now: Micros, reply: Reply) -> Box<ProcessingResponse> {
+        let previous = std::mem::replace(&mut self.state, StreamState::Finished);
         match (previous, reply) {
             (
-                State::Reported { never_executed: true },
+                StreamState::AwaitingReportReply { never_executed: true },
                 Reply::Final { status: status @ FinalStatus::Rejected(_), .. },
             ) => final_response(now, status),
             _ => pass_through(),
@@ -321,14 +331,14 @@
         let endpoint = decision.endpoint.to_string();
         let time_left_ms = decision.grant.give_up_at.saturating_sub(now) / 1_000;
         let set_headers = vec![
-            header(&self.settings.endpoint_header, endpoint.clone()),
-            header(&self.settings.headers.time_left, time_left_ms.to_string()),
+            set_header(&self.settings.endpoint_header, endpoint.clone()),
+            set_header(&self.settings.headers.time_left, time_left_ms.to_string()),
         ];
-        let fields = [(self.settings.endpoint_header.clone(), text(endpoint))];
-        let namespace = Value { kind: Some(value::Kind::StructValue(object(fields))) };
+        let fields = [(self.settings.endpoint_header.clone(), string_value(endpoint))];
+        let namespace = Value { kind: Some(value::Kind::StructValue(protobuf_struct(fields))) };
         let mutation = HeaderMutation { set_headers, remove_headers: Vec::new() };
         let common = CommonResponse { header_mutation: Some(mutation), ..CommonResponse::default() };
-        // This processor needs no bodies and trailers; the response's headers are the report.
+        // Bodies and trailers are not needed; the response's headers are the report on the attempt.
         let mode = ProcessingMode {
             request_header_mode: HeaderSendMode::Send as i32,
             response_header_mode: HeaderSendMode::Send as i32,
@@ -338,8 +348,8 @@
             response_trailer_mode: HeaderSendMode::Skip as i32,
         };
         Box::new(ProcessingResponse {
-            dynamic_metadata: Some(object([(self.settings.metadata_namespace.clone(), namespace)])),
-            // Envoy accepts no override while a body is in duplex mode.
+            dynamic_metadata: Some(protobuf_struct([(self.settings.metadata_namespace.clone(), namespace)])),
+            // Envoy does not accept an override while a body is in full-duplex mode.
             mode_override: (self.body_modes == BodyModes::default()).then_some(mode),
             ..*response(ResponseKind::RequestHeaders(HeadersResponse { response: Some(common) }))
         })
@@ -362,7 +372,7 @@
     response(ResponseKind::ResponseHeaders(HeadersResponse { response: Some(CommonResponse::default()) }))
 }
 
-/// Passes a chunk of a body unchanged; in duplex mode by sending it back.
+/// Passes a chunk of a body unchanged; in full-duplex mode by sending it back.
 fn body_response(body: HttpBody, is_duplex: bool) -> BodyResponse {
     let mutation = is_duplex.then(|| {
         body_mutation::Mutation::StreamedResponse(StreamedBodyResponse {
--- a/crates/external-processor/src/grpc_codec.rs
+++ b/crates/external-processor/src/grpc_codec.rs
@@ -1,9 +1,9 @@
-//! Converts the messages of the gRPC service `Decisions` to and from those of the decision service. No I/O and no
-//! clock.
+//! Converts the messages of the gRPC service `Decisions` to and from the types of the decision service. No
+//! I/O and no clock.
 
 use crate::decision_request::{InvalidRequest, RequestCatalog, RequestFields};
 use crate::decision_service::{
-    ASK_RETRY_DELAY, DecisionRequest, RejectReason, Reply, Report, RetryScope, SendDecision,
+    DecisionRequest, IN_FLIGHT_RETRY_DELAY, RejectReason, Reply, Report, RetryScope, SendDecision,
 };
 use crate::generated as pb;
 use crate::settings::Headers;
@@ -11,7 +11,7 @@
 use request_engine::idempotency::{ClaimError, FinalStatus};
 use request_engine::lease::{LeaseError, LeaseId, ParseLeaseIdError};
 
-/// The field names of a [`pb::DecideRequest`], for errors.
+/// The field names of [`pb::DecideRequest`], which errors refer to.
 #[must_use]
 pub fn field_names() -> Headers {
     Headers {
@@ -29,17 +29,17 @@
     InvalidRequest::InvalidValue { field: field.into(), problem }
 }
 
-fn lease_id(field: &str, text: &str) -> Result<LeaseId, InvalidRequest> {
+fn parse_lease_id(field: &str, text: &str) -> Result<LeaseId, InvalidRequest> {
     match text {
         "" => Err(InvalidRequest::Missing(field.into())),
         text => text.parse().map_err(|error: ParseLeaseIdError| invalid_value(field, error.to_string())),
     }
 }
 
-/// Decodes a request for a decision that arrived at `now`.
+/// Decodes a request for a decision that arrived at `now`. `names` are the names of the fields in errors.
 ///
 /// # Errors
-/// The first field that is missing or invalid.
+/// Names the first field that is missing or invalid.
 pub fn decode_request(
     now: Micros,
     message: &pb::DecideRequest,
@@ -59,7 +59,7 @@
     };
     let prior_lease = match message.prior_lease.as_str() {
         "" => None,
-        text => Some(lease_id("prior_lease", text)?),
+        text => Some(parse_lease_id("prior_lease", text)?),
     };
     Ok(DecisionRequest {
         prior_lease,
@@ -68,10 +68,10 @@
     })
 }
 
-/// Decodes the report of an attempt.
+/// Decodes the report on an attempt.
 ///
 /// # Errors
-/// The first field that is missing or invalid.
+/// Names the first field that is missing or invalid.
 pub fn decode_report(message: &pb::ReportRequest) -> Result<Report, InvalidRequest> {
     let outcome = match pb::Outcome::try_from(message.outcome) {
         Ok(pb::Outcome::Unspecified) => return Err(InvalidRequest::Missing("outcome".into())),
@@ -93,24 +93,24 @@
         "" => None,
         text => Some(text.parse().map_err(|_| invalid_value("endpoint", "not an IP:PORT".into()))?),
     };
-    let lease = lease_id("lease", &message.lease)?;
+    let lease = parse_lease_id("lease", &message.lease)?;
     Ok(Report { lease, outcome, endpoint, load_report: message.load.clone() })
 }
 
-/// Decodes the lease of a renewal.
+/// Decodes the lease id in the renewal of a session.
 ///
 /// # Errors
-/// Where it is missing or not a lease id.
+/// If the id is missing or malformed.
 pub fn decode_renewal(message: &pb::RenewRequest) -> Result<LeaseId, InvalidRequest> {
-    lease_id("lease", &message.lease)
+    parse_lease_id("lease", &message.lease)
 }
 
-/// Milliseconds of a duration, rounded up.
+/// Converts a duration to milliseconds, rounded up.
 fn ms_rounded_up(duration: Micros) -> u32 {
     u32::try_from(duration.div_ceil(1_000)).unwrap_or(u32::MAX)
 }
 
-/// Milliseconds of a duration, rounded down: a time limit must not grow.
+/// Converts a duration to milliseconds, rounded down, so that a time limit does not grow.
 fn ms_rounded_down(duration: Micros) -> u32 {
     u32::try_from(duration / 1_000).unwrap_or(u32::MAX)
 }
@@ -148,7 +148,7 @@
     }
 }
 
-fn encode_final(now: Micros, status: FinalStatus, is_repeated: bool) -> pb::Final {
+fn encode_final(now: Micros, status: FinalStatus, is_replayed: bool) -> pb::Final {
     let (end, retry_at) = match status {
         FinalStatus::Served => (pb::End::Served, 0),
         FinalStatus::Rejected(retry_at) => (pb::End::Refused, retry_at),
@@ -156,22 +156,22 @@
         FinalStatus::Unknown => (pb::End::Unknown, 0),
     };
     let retry_after_ms = ms_rounded_up(retry_at.saturating_sub(now));
-    pb::Final { end: end as i32, retry_after_ms, again: is_repeated }
+    pb::Final { end: end as i32, retry_after_ms, again: is_replayed }
 }
 
-/// Encodes a reply that is sent at `now`.
+/// Encodes a reply that is sent at `now`; points in time become durations from `now` on.
 #[must_use]
 pub fn encode_reply(now: Micros, reply: Reply) -> pb::Answer {
     use pb::answer::Answer;
     let answer = match reply {
         Reply::Send(decision) => Answer::Send(encode_send(now, &decision)),
-        Reply::Final { status, is_repeated } => Answer::Final(encode_final(now, status, is_repeated)),
+        Reply::Final { status, is_replayed } => Answer::Final(encode_final(now, status, is_replayed)),
         Reply::LeaseSettled => {
             Answer::Final(pb::Final { end: pb::End::Booked as i32, retry_after_ms: 0, again: false })
         }
         Reply::InFlight { age, by_key } => Answer::InFlight(pb::InFlight {
             held_for_ms: ms_rounded_up(age),
-            ask_again_ms: ms_rounded_up(ASK_RETRY_DELAY),
+            ask_again_ms: ms_rounded_up(IN_FLIGHT_RETRY_DELAY),
             by_key,
         }),
         Reply::Renewed(expires_in) => Answer::Renewed(pb::Renewed { within_ms: ms_rounded_down(expires_in) }),
@@ -190,7 +190,7 @@
     pb::Answer { answer: Some(pb::answer::Answer::Rejected(rejected)) }
 }
 
-/// Encodes the revocation of a lease.
+/// Encodes the revocation of a lease. Its tag is 0, since it answers no message.
 #[must_use]
 pub fn encode_revocation(lease: LeaseId) -> pb::TaggedAnswer {
     let revoked = pb::Revoked { lease: lease.to_string() };
--- a/crates/external-processor/src/server/decisions.rs
+++ b/crates/external-processor/src/server/decisions.rs
@@ -1,9 +1,9 @@
-//! The gRPC service `Decisions`: unary calls with one message, and streams with many.
+//! The gRPC service `Decisions`: unary calls with one message, and streams with many messages.
 
 use super::shared::{CallerGuard, Shared, shutting_down};
-use crate::bridge::{CallerEnd, CallerMessage, Notified, Operation};
+use crate::bridge::{CallerEnd, CallerMessage, CallerNotification, Operation};
 use crate::decision_request::InvalidRequest;
-use crate::decision_service::{CallerId, RequestRef};
+use crate::decision_service::{CallerId, MessageRef};
 use crate::generated as pb;
 use crate::generated::decisions_server::Decisions;
 use crate::generated::question::Question;
@@ -16,15 +16,16 @@
 use tokio_stream::Stream;
 use tonic::{Response, Status, Streaming};
 
-/// The tag of a unary call's only message.
+/// The tag of the only message of a unary call.
 const UNARY_TAG: u64 = 1;
 
 #[derive(Clone)]
 pub(super) struct DecisionsHandler(pub(super) Arc<Shared>);
 
-/// The answers of one stream. When it is dropped, its channel closes first, and then its open requests are withdrawn.
+/// The replies of one stream. On drop, the channel is closed before the guard reports the caller's end, which
+/// withdraws its open requests.
 pub(super) struct AnswerStream {
-    notifications: mpsc::Receiver<Notified>,
+    notifications: mpsc::Receiver<CallerNotification>,
     clock: Clock,
     _guard: CallerGuard,
 }
@@ -33,13 +34,15 @@
     type Item = Result<pb::TaggedAnswer, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        let notified = ready!(self.notifications.poll_recv(cx));
+        let notification = ready!(self.notifications.poll_recv(cx));
         let tagged = |tag, answer| pb::TaggedAnswer { tag, answer: Some(answer) };
-        Poll::Ready(notified.map(|notified| {
-            Ok(match notified {
-                Notified::Reply(tag, reply) => tagged(tag, grpc_codec::encode_reply(self.clock.now(), reply)),
-                Notified::Invalid(tag, error) => tagged(tag, grpc_codec::encode_invalid(&error)),
-                Notified::Revoked(lease) => grpc_codec::encode_revocation(lease),
+        Poll::Ready(notification.map(|notification| {
+            Ok(match notification {
+                CallerNotification::Reply(tag, reply) => {
+                    tagged(tag, grpc_codec::encode_reply(self.clock.now(), reply))
+                }
+                CallerNotification::Invalid(tag, error) => tagged(tag, grpc_codec::encode_invalid(&error)),
+                CallerNotification::Revoked(lease) => grpc_codec::encode_revocation(lease),
             })
         }))
     }
@@ -66,12 +69,13 @@
         Ok(Operation::Decide(Box::new(request)))
     }
 
-    /// Forwards the messages of a stream until it ends. It owns the sender of replies only until the first message is
-    /// forwarded: from then on the bridge owns it, which may drop the caller.
+    /// Forwards the messages of a stream until it ends. Keeps a sender of notifications only until the first
+    /// message is forwarded. From then on only the bridge has one, so that it can end the stream by dropping
+    /// the caller.
     async fn forward_messages(
         self,
         caller: CallerId,
-        reply_to: mpsc::Sender<Notified>,
+        reply_to: mpsc::Sender<CallerNotification>,
         mut messages: Streaming<pb::Question>,
     ) {
         let weak_sender = reply_to.downgrade();
@@ -84,8 +88,8 @@
                 None => Operation::EndStream,
                 Some(Ok(operation)) => operation,
                 Some(Err(error)) => {
-                    // A caller that sends invalid messages and does not read the replies is dropped.
-                    if reply_to.try_send(Notified::Invalid(tag, error)).is_err() {
+                    // A caller that sends invalid messages without reading the replies is dropped.
+                    if reply_to.try_send(CallerNotification::Invalid(tag, error)).is_err() {
                         return;
                     }
                     own_sender = Some(reply_to);
@@ -93,15 +97,15 @@
                 }
             };
             let is_last = matches!(operation, Operation::EndStream);
-            let request_ref = RequestRef { caller, tag };
-            let message = CallerMessage { request_ref, reply_to, operation };
+            let message_ref = MessageRef { caller, tag };
+            let message = CallerMessage { message_ref, reply_to, operation };
             if self.0.decisions.messages.send(message).await.is_err() || is_last {
                 return;
             }
         }
     }
 
-    /// Handles a unary call: one message, one answer.
+    /// Handles a unary call: sends its operation to the decision service and waits for the reply.
     async fn call(
         &self,
         operation: Result<Operation, InvalidRequest>,
@@ -112,18 +116,21 @@
         };
         let caller = self.0.allocate_caller();
         let mut guard = CallerGuard::new(&self.0.decisions, CallerEnd::Unanswered(caller));
-        // Dropped before the guard: the bridge ignores a queued message whose channel is closed.
+        // The channel is dropped before the guard: the bridge ignores queued messages whose channel is
+        // closed.
         let (reply_to, mut notifications) = mpsc::channel(1);
-        let request_ref = RequestRef { caller, tag: UNARY_TAG };
-        let message = CallerMessage { request_ref, reply_to, operation };
+        let message_ref = MessageRef { caller, tag: UNARY_TAG };
+        let message = CallerMessage { message_ref, reply_to, operation };
         self.0.decisions.messages.send(message).await.map_err(|_| shutting_down())?;
         match notifications.recv().await {
-            Some(Notified::Reply(_, reply)) => {
+            Some(CallerNotification::Reply(_, reply)) => {
                 guard.end = CallerEnd::Answered(caller);
                 Ok(Response::new(grpc_codec::encode_reply(self.0.clock.now(), reply)))
             }
-            Some(Notified::Invalid(_, error)) => Ok(Response::new(grpc_codec::encode_invalid(&error))),
-            Some(Notified::Revoked(_)) | None => Err(shutting_down()),
+            Some(CallerNotification::Invalid(_, error)) => {
+                Ok(Response::new(grpc_codec::encode_invalid(&error)))
+            }
+            Some(CallerNotification::Revoked(_)) | None => Err(shutting_down()),
         }
     }
 }
--- a/crates/external-processor/src/server/envoy.rs
+++ b/crates/external-processor/src/server/envoy.rs
@@ -1,8 +1,8 @@
-//! The gRPC service of Envoy's `ext_proc` filter: one stream for each HTTP request.
+//! The gRPC service for Envoy's `ext_proc` filter, which opens one stream per HTTP request.
 
 use super::shared::{CallerGuard, Shared, shutting_down};
-use crate::bridge::{CallerEnd, CallerMessage, Notified, Operation};
-use crate::decision_service::{CallerId, Reply, Report, RequestRef};
+use crate::bridge::{CallerEnd, CallerMessage, CallerNotification, Operation};
+use crate::decision_service::{CallerId, MessageRef, Reply, Report};
 use crate::envoy::{ProcessingStream, StreamAction};
 use envoy_types::pb::envoy::service::ext_proc::v3::external_processor_server::ExternalProcessor;
 use envoy_types::pb::envoy::service::ext_proc::v3::{ProcessingRequest, ProcessingResponse};
@@ -12,9 +12,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Response, Status, Streaming};
 
-/// Queued replies of one stream: Envoy has one message in flight at a time, or one chunk of each body.
+/// Capacity of a stream's queues of replies. Enough, since Envoy has one message in flight at a time, or one
+/// chunk of each body.
 const REPLY_QUEUE: usize = 8;
-/// The tag of each message of a stream, which has at most one in flight.
+/// The tag of all messages of a stream, of which at most one is in flight.
 const STREAM_TAG: u64 = 1;
 
 pub(super) struct EnvoyHandler(pub(super) Arc<Shared>);
@@ -43,7 +44,7 @@
 ) {
     let caller = shared.allocate_caller();
     let mut guard = CallerGuard::new(&shared.decisions, CallerEnd::Unanswered(caller));
-    // Dropped before the guard: the bridge ignores a queued message whose channel is closed.
+    // The channel is dropped before the guard: the bridge ignores queued messages whose channel is closed.
     let (reply_to, mut notifications) = mpsc::channel(REPLY_QUEUE);
     let stream = ProcessingStream::new(&shared.catalog, &shared.settings.envoy);
     let mut handler = StreamHandler {
@@ -59,8 +60,8 @@
         let flow = tokio::select! {
             biased;
             () = responses.closed() => return,
-            notified = notifications.recv() => match notified {
-                Some(notified) => handler.handle_notified(notified).await,
+            notification = notifications.recv() => match notification {
+                Some(notification) => handler.handle_notification(notification).await,
                 None => return,
             },
             message = messages.message() => match message {
@@ -74,12 +75,12 @@
     }
 }
 
-/// One stream and its channels. Its methods break where the stream has to end.
+/// One stream and its channels. The methods return `Break` if the stream has to end.
 struct StreamHandler<'a> {
     shared: &'a Shared,
     caller: CallerId,
     guard: &'a mut CallerGuard,
-    reply_to: mpsc::Sender<Notified>,
+    reply_to: mpsc::Sender<CallerNotification>,
     stream: ProcessingStream<'a>,
     /// Whether the reply to the request for a decision has arrived.
     is_decided: bool,
@@ -87,26 +88,28 @@
 }
 
 impl StreamHandler<'_> {
-    async fn handle_notified(&mut self, notified: Notified) -> ControlFlow<()> {
+    async fn handle_notification(&mut self, notification: CallerNotification) -> ControlFlow<()> {
         let now = self.shared.clock.now();
-        let response = match notified {
-            Notified::Reply(_, reply) if !self.is_decided => {
+        let response = match notification {
+            CallerNotification::Reply(_, reply) if !self.is_decided => {
                 self.is_decided = true;
                 if let Reply::Send(_) = reply {
-                    // From here on Envoy may have sent the request.
+                    // From here on, Envoy may have made the attempt.
                     self.guard.end = CallerEnd::Stream(self.caller);
                 }
-                self.stream.decided(now, reply)
+                self.stream.handle_decision_reply(now, reply)
+            }
+            CallerNotification::Reply(_, reply) => self.stream.handle_report_reply(now, reply),
+            // Envoy makes the attempt at once after the decision, so a revocation comes too late.
+            CallerNotification::Revoked(_) | CallerNotification::Invalid(..) => {
+                return ControlFlow::Continue(());
             }
-            Notified::Reply(_, reply) => self.stream.reported(now, reply),
-            // Envoy has sent the request long before its backend drains.
-            Notified::Revoked(_) | Notified::Invalid(..) => return ControlFlow::Continue(()),
         };
         self.respond(Ok(*response)).await
     }
 
     async fn handle_message(&mut self, message: ProcessingRequest) -> ControlFlow<()> {
-        let operation = match self.stream.message(self.shared.clock.now(), message) {
+        let operation = match self.stream.handle_message(self.shared.clock.now(), message) {
             Ok(StreamAction::Decide(request)) => Operation::Decide(request),
             Ok(StreamAction::Report { lease, outcome, load_report }) => {
                 let load_report = self.shared.parse_load_report(&load_report);
@@ -119,8 +122,8 @@
                 return ControlFlow::Break(());
             }
         };
-        let request_ref = RequestRef { caller: self.caller, tag: STREAM_TAG };
-        let message = CallerMessage { request_ref, reply_to: self.reply_to.clone(), operation };
+        let message_ref = MessageRef { caller: self.caller, tag: STREAM_TAG };
+        let message = CallerMessage { message_ref, reply_to: self.reply_to.clone(), operation };
         if self.shared.decisions.messages.send(message).await.is_err() {
             let _ = self.respond(Err(shutting_down())).await;
             return ControlFlow::Break(());
--- a/crates/external-processor/src/server/listener.rs
+++ b/crates/external-processor/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections up to a limit.
+//! Accepts callers' connections, up to a limit.
 
 use std::io;
 use std::pin::Pin;
@@ -11,9 +11,10 @@
 use tokio::time::sleep;
 use tonic::transport::server::Connected;
 
+/// Pause after a failed accept, so that a persistent error does not cause a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A caller's connection. Its permit is released when it is dropped.
+/// A caller's connection, which counts towards the limit until it is dropped.
 pub(super) struct Connection {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
@@ -57,8 +58,8 @@
     }
 }
 
-/// Accepts connections until their receiver is dropped. One beyond the limit is closed at once, so that its caller can
-/// connect to another process.
+/// Accepts connections until their receiver is dropped. A connection above the limit is closed at once, so
+/// that the caller can connect to another process.
 pub(super) async fn accept(
     listener: TcpListener,
     max_connections: usize,
@@ -70,7 +71,8 @@
             accepted = listener.accept() => accepted,
             () = connections.closed() => return,
         };
-        // Out of file descriptors, or a connection that is closed already: neither ends the service.
+        // Neither a lack of file descriptors nor a connection that was closed before its accept ends the
+        // service.
         let Ok((stream, _)) = accepted else {
             sleep(ACCEPT_BACKOFF).await;
             continue;
--- a/crates/external-processor/src/server/mod.rs
+++ b/crates/external-processor/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! The gRPC services, on a thread and a runtime of their own: parsing callers' messages must not delay the proxy's
-//! requests or the decisions.
+//! The gRPC services. They run on a separate thread and runtime, so that parsing callers' messages does not
+//! delay proxied requests or decisions.
 
 mod decisions;
 mod envoy;
@@ -27,29 +27,29 @@
 use tokio::sync::{mpsc, watch};
 use tokio_stream::wrappers::ReceiverStream;
 
-/// How often an idle connection is probed.
+/// How long a connection may be idle before it is sent an HTTP/2 keepalive ping.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
-/// How long the answer to a probe may take.
+/// How long to wait for the acknowledgement of a keepalive ping before the connection is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The gRPC services can't start.
+/// Why the gRPC services cannot start.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// The listener can't be opened on this address.
+    /// The listener cannot be opened on this address.
     #[error("cannot listen on {0} for callers: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The thread or its runtime can't be created.
-    #[error("the services' thread: {0}")]
+    /// The thread or its runtime cannot be created.
+    #[error("cannot start the thread of the gRPC services: {0}")]
     Thread(io::Error),
     /// The descriptors for gRPC reflection are invalid.
-    #[error("reflection: {0}")]
+    #[error("invalid descriptors for gRPC reflection: {0}")]
     Reflection(tonic_reflection::server::Error),
 }
 
-/// The phases of the services from start to shutdown.
+/// Phases of the gRPC services from start to shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServicePhase {
-    /// All calls are served.
+    /// New connections and calls are accepted.
     Serving,
     /// Connections receive GOAWAY; open streams continue.
     Draining,
@@ -57,21 +57,21 @@
     Stopped,
 }
 
-/// The running services on their thread.
+/// The running gRPC services and their thread.
 pub struct RunningServer {
-    /// The address on which they listen.
+    /// The address on which they listen, with the port that was assigned.
     pub address: SocketAddr,
     phase: watch::Sender<ServicePhase>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl RunningServer {
-    /// Sends callers GOAWAY, and reports `NOT_SERVING` to health checks.
+    /// Sends GOAWAY on all connections, and reports `NOT_SERVING` to gRPC health checks.
     pub fn drain(&self) {
         let _ = self.phase.send(ServicePhase::Draining);
     }
 
-    /// Aborts open streams and waits for the thread.
+    /// Aborts open streams and waits until the thread has ended.
     pub fn stop(mut self) {
         let _ = self.phase.send(ServicePhase::Stopped);
         if let Some(thread) = self.thread.take() {
@@ -80,22 +80,22 @@
     }
 }
 
-/// What the services need from the process.
+/// The parts of the process that the gRPC services use.
 pub struct ServerContext {
-    /// Names of classes and tenants.
+    /// Resolves names of classes and tenants.
     pub catalog: RequestCatalog,
-    /// Fields of a load report, in the order of the settings.
+    /// Names of the fields of a load report, in the order of the settings.
     pub load_fields: Vec<String>,
-    /// The engine's clock.
+    /// The clock that the engine uses.
     pub clock: Clock,
     /// The channels to the decision service.
     pub decisions: DecisionSender,
 }
 
-/// Opens the listener and starts the services' thread.
+/// Opens the listener and starts the gRPC services on a new thread.
 ///
 /// # Errors
-/// Where the listener, the thread or its runtime can't be created.
+/// If the listener, the thread, its runtime or the reflection service cannot be created.
 pub fn start(settings: Settings, context: ServerContext) -> Result<RunningServer, ServerError> {
     let listen_error = |error| ServerError::Listen(settings.listen, error);
     let listener = StdListener::bind(settings.listen).map_err(listen_error)?;
@@ -114,7 +114,7 @@
         decisions,
         next_caller: AtomicU64::new(1),
     });
-    // Built here too, so that an error is returned before the services start.
+    // The reflection service is built here as well, so that its error is returned before the services start.
     if shared.settings.reflection {
         reflection_service()?;
     }
@@ -137,7 +137,7 @@
 }
 
 async fn wait_for_phase(phases: &mut watch::Receiver<ServicePhase>, phase: fn(&ServicePhase) -> bool) {
-    // A dropped sender stops the services as well.
+    // If the sender is dropped, the wait ends too, and the services stop.
     let _ = phases.wait_for(phase).await;
 }
 
@@ -149,7 +149,7 @@
     let (health, health_service) = tonic_health::server::health_reporter();
     health.set_serving::<DecisionsServer<DecisionsHandler>>().await;
     health.set_serving::<ExternalProcessorServer<EnvoyHandler>>().await;
-    // An error was returned by `start` already.
+    // `start` has built the service before and returned any error.
     let reflection = shared.settings.reflection.then(|| reflection_service().ok()).flatten();
     let decisions = DecisionsServer::new(DecisionsHandler(Arc::clone(&shared)));
     let envoy = ExternalProcessorServer::new(EnvoyHandler(shared));
--- a/crates/external-processor/src/server/shared.rs
+++ b/crates/external-processor/src/server/shared.rs
@@ -1,4 +1,4 @@
-//! What the gRPC services share.
+//! State shared by the gRPC services.
 
 use crate::bridge::{CallerEnd, DecisionSender};
 use crate::decision_request::RequestCatalog;
@@ -9,15 +9,15 @@
 use tokio::sync::mpsc;
 use tonic::Status;
 
-/// Fields of a load report that are parsed.
+/// Maximum number of fields of a load report that are parsed.
 const MAX_LOAD_FIELDS: usize = 64;
 
 pub(super) struct Shared {
     pub(super) settings: Settings,
     pub(super) catalog: RequestCatalog,
-    /// Fields of a load report, in the order of the settings.
+    /// Names of the fields of a load report, in the order of the settings.
     pub(super) load_fields: Vec<String>,
-    /// Field names of the `Decisions` service, for errors.
+    /// Field names of the `Decisions` service, which errors refer to.
     pub(super) field_names: Headers,
     pub(super) clock: Clock,
     pub(super) decisions: DecisionSender,
@@ -29,7 +29,8 @@
         CallerId(self.next_caller.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Parses `a=1,b=2` into the order of the settings; empty if a field is missing or not a number.
+    /// Parses a load report such as `a=1,b=2` into values in the order of the settings. Empty if a field is
+    /// missing or not a number.
     pub(super) fn parse_load_report(&self, text: &str) -> Vec<f32> {
         let pairs = || text.split(',').take(MAX_LOAD_FIELDS).filter_map(|pair| pair.split_once('='));
         let value = |field: &String| pairs().find(|(name, _)| name.trim() == field)?.1.trim().parse().ok();
@@ -37,7 +38,7 @@
     }
 }
 
-/// Sends a caller's end once, when it is dropped.
+/// Reports the end of a caller when dropped.
 pub(super) struct CallerGuard {
     ended_callers: mpsc::UnboundedSender<CallerEnd>,
     pub(super) end: CallerEnd,
@@ -55,7 +56,7 @@
     }
 }
 
-/// The status of a call when the decision service has ended.
+/// The status of a call that the decision service can no longer answer.
 pub(super) fn shutting_down() -> Status {
     Status::unavailable("the processor ends: ask another")
 }
--- a/crates/external-processor/src/settings.rs
+++ b/crates/external-processor/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the external processor: a TOML file, read once at the start.
+//! The settings of the external processor, from a TOML file that is read once at start-up.
 
 use balancer::api::Micros;
 use serde::Deserialize;
@@ -7,40 +7,41 @@
 use std::{fs, io};
 use thiserror::Error;
 
-/// The settings file can't be used.
+/// Why the settings file cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read {0}: {1}")]
     Unreadable(PathBuf, io::Error),
-    /// The file is not valid TOML or has a wrong key or type; the error names line and key.
+    /// The file is not valid TOML, or a key is unknown or has the wrong type. The error names the line and
+    /// the key.
     #[error("{0}: {1}")]
     Malformed(PathBuf, Box<toml::de::Error>),
     /// A value is invalid.
     #[error("{file}: `{key}` {problem}")]
     InvalidValue {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The key.
+        /// The key, with its sections.
         key: &'static str,
-        /// What is wrong with its value.
+        /// Why the value is invalid; the text follows the key.
         problem: String,
     },
 }
 
-/// The contents of the file.
+/// The contents of the settings file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The address on which callers connect.
+    /// The address on which the gRPC services listen.
     pub listen: SocketAddr,
     /// Whether gRPC reflection is served.
     #[serde(default)]
     pub reflection: bool,
-    /// How long final answers are retained.
+    /// How long final outcomes are retained.
     #[serde(default, rename = "memory")]
     pub retention: Retention,
-    /// Limits of what the processor holds at a time.
+    /// Limits on connections, messages and requests.
     #[serde(default)]
     pub bounds: Bounds,
     /// Header names and metadata of Envoy's `ext_proc` filter.
@@ -48,37 +49,37 @@
     pub envoy: Envoy,
 }
 
-/// How long final answers are retained, milliseconds. In keyed classes the time to live of the keys applies.
+/// How long final outcomes are retained, milliseconds. In keyed classes the time to live of the keys applies.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Memory")]
 pub struct Retention {
-    /// In idempotent classes.
+    /// Retention in idempotent classes.
     #[serde(rename = "safe_ms")]
     pub idempotent_ms: u64,
-    /// In non-idempotent classes; at least the class's deadline applies.
+    /// Retention in non-idempotent classes; raised to the class's response deadline if shorter.
     #[serde(rename = "unsafe_ms")]
     pub non_idempotent_ms: u64,
 }
 
-/// Limits of what the processor holds at a time.
+/// Limits on connections, messages and requests.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Connections of callers; further ones are closed at once.
+    /// Maximum number of callers' connections; any more are closed at once.
     pub connections: usize,
-    /// Streams and unary calls on one connection.
+    /// Maximum number of concurrent streams and unary calls on one connection.
     pub streams: u32,
-    /// Open decisions of one caller; further ones are rejected.
+    /// Maximum number of open decisions of one caller; any more are rejected.
     pub per_caller: usize,
-    /// Active leases; at the limit requests are rejected.
+    /// Maximum number of active leases; at the limit, requests are rejected.
     pub leases: usize,
-    /// Requests in flight and retained final answers; at the limit requests are rejected, and no answer is removed
-    /// early.
+    /// Maximum number of requests in flight and retained final outcomes; at the limit, requests are rejected,
+    /// and no outcome is removed early.
     #[serde(rename = "remembered")]
     pub retained: usize,
-    /// Queued messages for the decision service; at the limit callers wait.
+    /// Maximum number of queued messages to the decision service; at the limit, callers wait.
     pub queue: usize,
-    /// Size of one message, bytes.
+    /// Maximum size of one received message, bytes.
     pub message_bytes: usize,
 }
 
@@ -86,9 +87,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Envoy {
-    /// The request header that names the backend's endpoint.
+    /// The request header, and the key in the dynamic metadata, whose value is the backend's endpoint.
     pub endpoint_header: String,
-    /// The namespace of the dynamic metadata that also names it.
+    /// The namespace of the dynamic metadata that also contains the endpoint.
     pub metadata_namespace: String,
     /// The headers that describe a request.
     pub headers: Headers,
@@ -98,21 +99,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Headers {
-    /// The correlation id.
+    /// Header of the correlation id.
     pub id: String,
-    /// The class; without it, the first segment of the path is the class.
+    /// Header of the request class; without it, the first segment of the path is the class.
     pub class: String,
-    /// The tenant.
+    /// Header of the tenant.
     pub tenant: String,
-    /// The idempotency key.
+    /// Header of the idempotency key.
     #[serde(rename = "key")]
     pub idempotency_key: String,
-    /// How long the client waits, milliseconds.
+    /// Header of the time that the client still waits for the response, milliseconds.
     pub time_left: String,
-    /// The expected work, microseconds.
+    /// Header of the expected work on a standard core, microseconds.
     #[serde(rename = "work")]
     pub expected_work: String,
-    /// Marks a client's retry with `1`.
+    /// Header that marks a client's retry with the value `1`.
     #[serde(rename = "repeat")]
     pub retry: String,
 }
@@ -161,23 +162,23 @@
     }
 }
 
-/// The longest retention, milliseconds: a day.
+/// Maximum retention, milliseconds: one day.
 const MAX_RETENTION_MS: u64 = 86_400_000;
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// Names the file, and the line or the key that is wrong.
+    /// If the file is unreadable or invalid; names the file, and the line or the key.
     pub fn from_file(path: &Path) -> Result<Self, SettingsError> {
         let text = fs::read_to_string(path).map_err(|e| SettingsError::Unreadable(path.into(), e))?;
         Self::parse(&text, path)
     }
 
-    /// Reads and checks TOML text; `path` is for messages.
+    /// Parses and validates TOML text; errors refer to it by `path`.
     ///
     /// # Errors
-    /// Names the file, and the line or the key that is wrong.
+    /// If the text is invalid; names the line or the key.
     pub fn parse(text: &str, path: &Path) -> Result<Self, SettingsError> {
         let settings: Self =
             toml::from_str(text).map_err(|e| SettingsError::Malformed(path.into(), Box::new(e)))?;
@@ -194,7 +195,7 @@
     }
 }
 
-/// A key and what is wrong with its value.
+/// A key whose value is invalid, and why.
 struct InvalidValue {
     key: &'static str,
     problem: String,
@@ -220,7 +221,7 @@
                 return invalid_value(key, format!("is {value}, must lie in {range:?}"));
             }
         }
-        // A lease belongs to a request in flight.
+        // Each lease belongs to a request in flight, which counts towards `retained`.
         if self.retained < self.leases {
             return invalid_value(
                 "bounds.remembered",
@@ -283,7 +284,8 @@
     }
 }
 
-/// HTTP/2 header names are in lower case: another name would never match.
+/// Whether a name can occur in HTTP/2, where header names are in lower case: any other name would never
+/// match.
 fn is_header_name(name: &str) -> bool {
     let is_allowed =
         |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'_' | b'.');
--- a/crates/external-processor/tests/decision_service.rs
+++ b/crates/external-processor/tests/decision_service.rs
@@ -1,10 +1,11 @@
-//! The decision service with the real engine and a manual clock: the replies to callers, and that nothing runs twice.
+//! Tests of the decision service with the real engine and a manual clock: callers get the right replies, and
+//! no request that must not run twice does.
 
 mod harness;
 
 use balancer::api::Outcome;
 use external_processor::decision_service::{
-    CallerId, Counts, MAX_WAITING, RejectReason, Reply, ReplyDelivery, RequestRef, RetryScope, Revocation,
+    CallerId, Counts, MAX_WAITERS, MessageRef, RejectReason, Reply, ReplyDelivery, RetryScope, Revocation,
 };
 use harness::*;
 use request_engine::engine::REPORT_GRACE;
@@ -15,27 +16,27 @@
 const NON_IDEMPOTENT: u8 = 1;
 const KEYED: u8 = 2;
 
-fn first_answer(status: FinalStatus) -> Reply {
-    Reply::Final { status, is_repeated: false }
+fn first_outcome(status: FinalStatus) -> Reply {
+    Reply::Final { status, is_replayed: false }
 }
 
-fn repeated_answer(status: FinalStatus) -> Reply {
-    Reply::Final { status, is_repeated: true }
+fn replayed_outcome(status: FinalStatus) -> Reply {
+    Reply::Final { status, is_replayed: true }
 }
 
 #[test]
-fn retains_the_answer_of_a_reported_request() {
+fn retains_the_final_outcome_of_a_reported_request() {
     let mut harness = Harness::new(6);
     let request = harness.request(1, NON_IDEMPOTENT, "a");
     let decision = harness.sent(request).expect("a backend");
     assert_eq!((decision.retry_scope, decision.grant.attempt), (RetryScope::UnlessExecuted, 0));
     let reported = harness.report(1, decision.grant.lease, Outcome::Ok);
-    assert_eq!(harness.reply(reported), Some(first_answer(FinalStatus::Served)));
+    assert_eq!(harness.reply(reported), Some(first_outcome(FinalStatus::Served)));
     let request = harness.request(2, NON_IDEMPOTENT, "a");
-    assert_eq!(harness.reply(request), Some(repeated_answer(FinalStatus::Served)));
+    assert_eq!(harness.reply(request), Some(replayed_outcome(FinalStatus::Served)));
     harness.advance_time(RETENTION + SECOND);
     let request = harness.request(2, NON_IDEMPOTENT, "a");
-    assert!(harness.sent(request).is_some(), "removed after its retention");
+    assert!(harness.sent(request).is_some(), "the outcome is removed after its retention");
     harness.finish();
 }
 
@@ -49,7 +50,7 @@
     assert_ne!(first.endpoint, second.endpoint);
     assert_eq!(second.grant.attempt, 1);
     let reported = harness.report(1, second.grant.lease, Outcome::Reset);
-    assert_eq!(harness.reply(reported), Some(first_answer(FinalStatus::Failed)), "it may have run");
+    assert_eq!(harness.reply(reported), Some(first_outcome(FinalStatus::Failed)), "it may have run");
     harness.finish();
 }
 
@@ -63,10 +64,10 @@
     let waiting = harness.request_and_wait(3, KEYED, "c", Some("k"));
     assert_eq!(harness.reply(waiting), None);
     let reported = harness.report(1, decision.grant.lease, Outcome::Ok);
-    assert_eq!(harness.reply(reported), Some(first_answer(FinalStatus::Served)));
-    assert_eq!(harness.reply(waiting), Some(repeated_answer(FinalStatus::Served)));
+    assert_eq!(harness.reply(reported), Some(first_outcome(FinalStatus::Served)));
+    assert_eq!(harness.reply(waiting), Some(replayed_outcome(FinalStatus::Served)));
     let late = harness.request_keyed(4, "d", "k");
-    assert_eq!(harness.reply(late), Some(repeated_answer(FinalStatus::Served)));
+    assert_eq!(harness.reply(late), Some(replayed_outcome(FinalStatus::Served)));
     harness.finish();
 }
 
@@ -75,20 +76,20 @@
     let mut harness = Harness::new(6);
     let first = harness.request_keyed(1, "a", "k");
     let waiting: Vec<_> =
-        (0..MAX_WAITING as u64).map(|i| harness.request_and_wait(2 + i, KEYED, "a", Some("k"))).collect();
+        (0..MAX_WAITERS as u64).map(|i| harness.request_and_wait(2 + i, KEYED, "a", Some("k"))).collect();
     assert!(waiting.iter().all(|&request| harness.reply(request).is_none()));
     let beyond = harness.request_and_wait(99, KEYED, "a", Some("k"));
     assert_eq!(harness.reply(beyond), Some(Reply::InFlight { age: 0, by_key: false }));
     let lease = harness.sent(first).expect("a backend").grant.lease;
     harness.report(1, lease, Outcome::Ok);
     assert!(
-        waiting.iter().all(|&request| harness.reply(request) == Some(repeated_answer(FinalStatus::Served)))
+        waiting.iter().all(|&request| harness.reply(request) == Some(replayed_outcome(FinalStatus::Served)))
     );
     harness.finish();
 }
 
 #[test]
-fn caller_that_ends_after_a_decision_may_have_sent() {
+fn caller_that_ends_after_a_decision_may_have_sent_the_request() {
     let mut harness = Harness::new(6);
     let request = harness.request_keyed(1, "a", "k");
     let decision = harness.sent(request).expect("a backend");
@@ -96,7 +97,7 @@
     assert_eq!(harness.engine.active_leases(), 0, "the slot is released");
     for id in ["a", "b"] {
         let request = harness.request_keyed(2, id, "k");
-        assert_eq!(harness.reply(request), Some(repeated_answer(FinalStatus::Unknown)), "{id}");
+        assert_eq!(harness.reply(request), Some(replayed_outcome(FinalStatus::Unknown)), "{id}");
     }
     let reported = harness.report(1, decision.grant.lease, Outcome::Ok);
     assert_eq!(
@@ -137,7 +138,7 @@
     harness.advance_time(decision.grant.give_up_at + REPORT_GRACE - harness.now);
     let reported = harness.report(1, decision.grant.lease, Outcome::Ok);
     assert_eq!(harness.reply(reported), Some(Reply::Rejected(RejectReason::Lease(LeaseError::Late))));
-    assert!(harness.service.is_empty(), "its holder does not wait for another decision");
+    assert!(harness.service.is_empty(), "its caller does not wait for another decision");
     harness.finish();
 }
 
@@ -155,7 +156,7 @@
     let reported = harness.report(2, lease, Outcome::Ok);
     assert_eq!(
         harness.reply(reported),
-        Some(first_answer(FinalStatus::Served)),
+        Some(first_outcome(FinalStatus::Served)),
         "another caller may report the lease"
     );
     let reported = harness.report(1, lease, Outcome::Ok);
@@ -167,18 +168,18 @@
 }
 
 #[test]
-fn request_with_a_prior_lease_is_not_sent_again() {
+fn request_with_a_prior_lease_runs_again_only_in_an_idempotent_class() {
     let mut harness = Harness::new(6);
     let prior_lease = LeaseId { incarnation: 0xbad, serial: 7 };
     for (class, key, id) in [(NON_IDEMPOTENT, None, "a"), (KEYED, Some("k"), "b")] {
         let request = harness.request_after(1, class, id, key, prior_lease);
         assert_eq!(
             harness.reply(request),
-            Some(first_answer(FinalStatus::Unknown)),
+            Some(first_outcome(FinalStatus::Unknown)),
             "class {class}: it may have run"
         );
         let request = harness.request_after(2, class, id, key, prior_lease);
-        assert_eq!(harness.reply(request), Some(repeated_answer(FinalStatus::Unknown)));
+        assert_eq!(harness.reply(request), Some(replayed_outcome(FinalStatus::Unknown)));
     }
     let request = harness.request_after(1, IDEMPOTENT, "c", None, prior_lease);
     assert!(harness.sent(request).is_some(), "an idempotent request may run again");
@@ -216,7 +217,7 @@
     let rejected = harness.request(1, IDEMPOTENT, "b");
     assert_eq!(harness.reply(rejected), Some(Reply::Rejected(RejectReason::Draining)));
     let reported = harness.report(1, lease, Outcome::Ok);
-    assert_eq!(harness.reply(reported), Some(first_answer(FinalStatus::Served)));
+    assert_eq!(harness.reply(reported), Some(first_outcome(FinalStatus::Served)));
     harness.finish();
 }
 
@@ -234,21 +235,21 @@
 }
 
 #[test]
-fn single_use_requests_get_no_retry() {
+fn single_attempt_requests_get_no_retry() {
     let mut harness = Harness::new(6);
-    let rejected = harness.request_once(1, IDEMPOTENT, "a");
+    let rejected = harness.request_single_attempt(1, IDEMPOTENT, "a");
     let decision = harness.sent(rejected).expect("a backend");
     assert_eq!(decision.retry_scope, RetryScope::Never);
     let reported = harness.report(1, decision.grant.lease, Outcome::Rejected);
     assert_eq!(
         harness.reply(reported),
-        Some(first_answer(FinalStatus::Rejected(harness.now))),
+        Some(first_outcome(FinalStatus::Rejected(harness.now))),
         "it never ran"
     );
-    let failed = harness.request_once(1, IDEMPOTENT, "b");
+    let failed = harness.request_single_attempt(1, IDEMPOTENT, "b");
     let lease = harness.sent(failed).expect("a backend").grant.lease;
     let reported = harness.report(1, lease, Outcome::Reset);
-    assert_eq!(harness.reply(reported), Some(first_answer(FinalStatus::Failed)));
+    assert_eq!(harness.reply(reported), Some(first_outcome(FinalStatus::Failed)));
     harness.finish();
 }
 
@@ -273,11 +274,11 @@
     harness: &mut Harness,
     caller: u64,
     reported_leases: &[LeaseId],
-) -> RequestRef {
+) -> MessageRef {
     let (id, key) = (format!("r{}", rng.u32(0..60)), format!("k{}", rng.u32(0..30)));
     let class = rng.u8(0..3);
     let key = (class == KEYED).then_some(key.as_str());
-    // An id belongs to one class.
+    // Each id is used in one class only.
     let id = format!("{class}{id}");
     match rng.u32(0..10) {
         0 => harness.request_and_wait(caller, class, &id, key),
@@ -285,13 +286,13 @@
             let prior_lease = reported_leases[rng.usize(..reported_leases.len())];
             harness.request_after(caller, class, &id, key, prior_lease)
         }
-        2 => harness.request_once(caller, class, &id),
+        2 => harness.request_single_attempt(caller, class, &id),
         _ => harness.request_with_key(caller, class, &id, key),
     }
 }
 
-/// Runs random operations of callers. The harness checks after each step that no id or key ran twice where it must
-/// not, and at the end that every message had its one reply.
+/// Runs random operations of callers. After each step the harness checks that no id or key that must not run
+/// twice did, and at the end that every message got exactly one reply.
 fn run_random_operations(seed: u64) -> Counts {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut harness = Harness::new(rng.u32(1..8));
@@ -322,7 +323,7 @@
             }
             84..86 => harness.end_caller(caller, ReplyDelivery::Possible),
             86..88 => {
-                // A call whose answer is not sent.
+                // A unary call that is cancelled before its reply is sent.
                 let (call, id) = (1_000 + u64::from(rng.u32(..)), format!("1r{}", rng.u32(0..60)));
                 harness.request(call, NON_IDEMPOTENT, &id);
                 harness.end_caller(call, ReplyDelivery::None);
@@ -346,6 +347,6 @@
     }
     assert!(
         sends > 5_000 && unknown > 300,
-        "{sends} attempts, {unknown} requests of unknown outcome: too few"
+        "too few cases to be meaningful: {sends} attempts, {unknown} requests with unknown outcome"
     );
 }
--- a/crates/external-processor/tests/golden.rs
+++ b/crates/external-processor/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden files of the external processor: the gRPC protocol's names and numbers, and the keys of its settings.
+//! Golden files of the external processor's interfaces: names and numbers of the gRPC protocol, and keys of
+//! the settings.
 
 use external_processor::settings::Settings;
 use golden_files::GoldenFiles;
@@ -39,17 +40,17 @@
     GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The compiled protocol holds the names and numbers of all packages, services, methods, messages and fields.
+/// The descriptors contain the names and numbers of all packages, services, methods, messages and fields.
 #[test]
-fn the_protocol_keeps_its_names_and_numbers() {
+fn grpc_protocol_keeps_its_names_and_numbers() {
     let compiled = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/descriptors.bin");
-    golden().assert_bytes("descriptors.bin", &fs::read(compiled).expect("the compiled protocol"));
+    golden().assert_bytes("descriptors.bin", &fs::read(compiled).expect("descriptors are readable"));
 }
 
 #[test]
-fn the_generated_code_names_services_as_on_the_wire() {
+fn generated_code_keeps_the_method_paths() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/generated.rs");
-    let source = fs::read_to_string(source).expect("the generated code");
+    let source = fs::read_to_string(source).expect("generated code is readable");
     let mut paths: Vec<String> =
         source.split('"').filter(|text| text.starts_with("/haventrack.")).map(str::to_owned).collect();
     paths.sort();
@@ -57,16 +58,16 @@
     golden().assert_lines("method-paths.txt", &paths);
 }
 
-/// Each section refuses a key that it does not know, and its error names all keys that it does.
+/// Each section rejects an unknown key, and the error lists all known keys.
 #[test]
-fn the_keys_of_the_settings_keep_their_names() {
+fn settings_keys_keep_their_names() {
     let path = Path::new("extproc.toml");
-    Settings::parse(EVERY_KEY, path).expect("good");
+    Settings::parse(EVERY_KEY, path).expect("valid settings");
     let sections = ["[memory]", "[bounds]", "[envoy]", "[envoy.headers]"];
     let texts = sections.iter().map(|section| EVERY_KEY.replace(section, &format!("{section}\nunknown = 1")));
     let lines: Vec<String> = std::iter::once(format!("unknown = 1\n{EVERY_KEY}"))
         .chain(texts)
-        .map(|text| Settings::parse(&text, path).expect_err("unknown").to_string())
+        .map(|text| Settings::parse(&text, path).expect_err("an unknown key").to_string())
         .collect();
     golden().assert_lines("settings-keys.txt", &lines);
 }
--- a/crates/external-processor/tests/harness/engine_at_time.rs
+++ b/crates/external-processor/tests/harness/engine_at_time.rs
@@ -1,4 +1,4 @@
-//! The real engine behind the decision service's interface.
+//! Adapts the real engine to the interface that the decision service uses.
 
 use balancer::api::{Micros, Outcome, RequestId};
 use external_processor::decision_service::{DecisionRequest, LeaseEngine};
@@ -7,7 +7,7 @@
 use request_engine::lease_events::{LeaseEvent, RequestHandle};
 use std::collections::VecDeque;
 
-/// Message types without contents.
+/// The engine's messages without contents: the harness needs only the request's handle.
 #[derive(Debug, PartialEq)]
 pub struct NoMessages;
 
@@ -17,15 +17,14 @@
     type Response = ();
 }
 
-/// The engine as the decision service uses it, with the harness's clock. The events that a call causes are queued at
-/// once, as the driver does.
-pub struct EngineAtTime<'a> {
+/// The engine with the harness's clock. The events that a call causes are queued at once, as the driver does.
+pub struct EngineWithClock<'a> {
     pub engine: &'a mut Engine<NoMessages>,
     pub now: Micros,
     pub events: &'a mut VecDeque<LeaseEvent>,
 }
 
-impl EngineAtTime<'_> {
+impl EngineWithClock<'_> {
     /// Queues the events of the commands since the last call.
     pub fn queue_events(&mut self) {
         while let Some(command) = self.engine.next_command() {
@@ -47,7 +46,7 @@
     }
 }
 
-impl LeaseEngine for EngineAtTime<'_> {
+impl LeaseEngine for EngineWithClock<'_> {
     fn admit(&mut self, request: &DecisionRequest, handle: RequestHandle) -> Option<RequestId> {
         let admitted = self.engine.admit(self.now, request.to_incoming(), handle).ok();
         self.queue_events();
--- a/crates/external-processor/tests/harness/mod.rs
+++ b/crates/external-processor/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! The decision service and the real engine with simulated callers and backends. The harness keeps its own record of
-//! what may have run and of the replies, independent of both.
+//! Runs the decision service and the real engine with simulated callers and backends. The harness records
+//! which attempts may have run and all replies, independently of both.
 
 mod engine_at_time;
 #[path = "../../../request-engine/tests/harness/settings.rs"]
@@ -8,10 +8,10 @@
 pub use settings::SECOND;
 
 use balancer::api::{Backend, BackendId, MembershipUpdate, Micros, Outcome, Readiness, RequestId};
-use engine_at_time::{EngineAtTime, NoMessages};
+use engine_at_time::{EngineWithClock, NoMessages};
 use external_processor::decision_service::{
-    CallerId, CallerReply, DecisionLimits, DecisionRequest, DecisionService, Reply, ReplyDelivery, Report,
-    RequestRef, Revocation, SendDecision,
+    CallerId, CallerReply, DecisionLimits, DecisionRequest, DecisionService, MessageRef, Reply,
+    ReplyDelivery, Report, Revocation, SendDecision,
 };
 use request_engine::engine::{Engine, EngineLimits};
 use request_engine::idempotency::IdempotencyRegistry;
@@ -22,9 +22,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long the answers of non-idempotent and keyed classes are retained.
+/// How long final outcomes of non-idempotent and keyed classes are retained.
 pub const RETENTION: Micros = 3 * SECOND;
-/// Open decisions that one caller may have.
+/// Maximum number of open decisions of one caller.
 pub const PER_CALLER: usize = 200;
 
 fn backend(id: BackendId, readiness: Readiness) -> Backend {
@@ -35,19 +35,20 @@
     SocketAddr::from(([127, 0, 0, 1], 10_000 + id as u16))
 }
 
-/// The harness's engine; borrows no other field than engine and events.
+/// Borrows the harness's engine with its clock. A macro, so that only the fields `engine` and `events` are
+/// borrowed.
 macro_rules! engine_of {
     ($harness:ident) => {
-        &mut EngineAtTime { engine: &mut $harness.engine, now: $harness.now, events: &mut $harness.events }
+        &mut EngineWithClock { engine: &mut $harness.engine, now: $harness.now, events: &mut $harness.events }
     };
 }
 
-/// One attempt as callers and backends know it.
+/// One attempt from the view of callers and backends.
 struct Attempt {
-    /// The id or key that must not run twice; `None` in an idempotent class.
+    /// The id or idempotency key that must not run twice; `None` in an idempotent class.
     identity: Option<String>,
     sent_at: Micros,
-    /// The request, whose retries the engine decides.
+    /// The engine's request: the engine may decide on retries of it.
     request: RequestId,
     never_executed: bool,
 }
@@ -59,20 +60,20 @@
     pub revocations: Vec<Revocation>,
     events: VecDeque<LeaseEvent>,
     draining: BTreeSet<BackendId>,
-    messages: BTreeMap<RequestRef, Option<String>>,
-    replies: BTreeMap<RequestRef, Vec<Reply>>,
+    messages: BTreeMap<MessageRef, Option<String>>,
+    replies: BTreeMap<MessageRef, Vec<Reply>>,
     /// Messages without a reply whose caller has ended.
-    abandoned: BTreeSet<RequestRef>,
+    abandoned: BTreeSet<MessageRef>,
     attempts: BTreeMap<LeaseId, Attempt>,
     next_tag: u64,
 }
 
 impl Harness {
-    /// A service, and an engine with this number of backends.
+    /// Creates a service, and an engine with this number of backends.
     pub fn new(backend_count: u32) -> Self {
         let settings = settings::settings_with_key_ttl(RETENTION);
         let limits = EngineLimits { requests: 10_000, leases: 10_000 };
-        let mut engine = Engine::new(settings.clone(), limits, 7, 0xfeed, SECOND).expect("good settings");
+        let mut engine = Engine::new(settings.clone(), limits, 7, 0xfeed, SECOND).expect("valid settings");
         let backends: Vec<_> = (0..backend_count).map(|id| backend(id, Readiness::Ready)).collect();
         engine.update_membership(SECOND, MembershipUpdate::Snapshot(&backends));
         let registry = Rc::new(RefCell::new(IdempotencyRegistry::new(10_000)));
@@ -96,20 +97,20 @@
         }
     }
 
-    pub fn request(&mut self, caller: u64, class: u8, id: &str) -> RequestRef {
+    pub fn request(&mut self, caller: u64, class: u8, id: &str) -> MessageRef {
         self.request_with_key(caller, class, id, None)
     }
 
-    pub fn request_keyed(&mut self, caller: u64, id: &str, key: &str) -> RequestRef {
+    pub fn request_keyed(&mut self, caller: u64, id: &str, key: &str) -> MessageRef {
         self.request_with_key(caller, 2, id, Some(key))
     }
 
-    pub fn request_with_key(&mut self, caller: u64, class: u8, id: &str, key: Option<&str>) -> RequestRef {
+    pub fn request_with_key(&mut self, caller: u64, class: u8, id: &str, key: Option<&str>) -> MessageRef {
         let request = self.decision_request(class, id, key);
         self.decide(caller, &request)
     }
 
-    pub fn request_and_wait(&mut self, caller: u64, class: u8, id: &str, key: Option<&str>) -> RequestRef {
+    pub fn request_and_wait(&mut self, caller: u64, class: u8, id: &str, key: Option<&str>) -> MessageRef {
         let request = self.decision_request(class, id, key);
         self.decide(caller, &DecisionRequest { waits_for_result: true, ..request })
     }
@@ -121,15 +122,15 @@
         id: &str,
         key: Option<&str>,
         prior_lease: LeaseId,
-    ) -> RequestRef {
+    ) -> MessageRef {
         let request = self.decision_request(class, id, key);
         self.decide(caller, &DecisionRequest { prior_lease: Some(prior_lease), ..request })
     }
 
-    pub fn request_once(&mut self, caller: u64, class: u8, id: &str) -> RequestRef {
+    pub fn request_single_attempt(&mut self, caller: u64, class: u8, id: &str) -> MessageRef {
         let key = (class == 2).then_some(id);
         let request = self.decision_request(class, id, key);
-        self.decide(caller, &DecisionRequest { is_single_use: true, ..request })
+        self.decide(caller, &DecisionRequest { is_single_attempt: true, ..request })
     }
 
     fn decision_request(&self, class: u8, id: &str, key: Option<&str>) -> DecisionRequest {
@@ -145,53 +146,53 @@
             is_retry: false,
             prior_lease: None,
             waits_for_result: false,
-            is_single_use: false,
+            is_single_attempt: false,
         }
     }
 
-    fn decide(&mut self, caller: u64, request: &DecisionRequest) -> RequestRef {
+    fn decide(&mut self, caller: u64, request: &DecisionRequest) -> MessageRef {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         let identity = match (request.class, &request.idempotency_key) {
             (0, _) => None,
             (_, Some(key)) => Some(format!("key {}", text(key))),
             (_, None) => Some(format!("id {}", text(&request.id))),
         };
-        let request_ref = self.add_message(caller, identity);
-        self.service.decide(self.now, request_ref, request, engine_of!(self));
+        let message_ref = self.add_message(caller, identity);
+        self.service.decide(self.now, message_ref, request, engine_of!(self));
         self.handle_events();
-        request_ref
+        message_ref
     }
 
-    fn add_message(&mut self, caller: u64, identity: Option<String>) -> RequestRef {
-        let request_ref = RequestRef { caller: CallerId(caller), tag: self.next_tag };
+    fn add_message(&mut self, caller: u64, identity: Option<String>) -> MessageRef {
+        let message_ref = MessageRef { caller: CallerId(caller), tag: self.next_tag };
         self.next_tag += 1;
-        self.messages.insert(request_ref, identity);
-        request_ref
+        self.messages.insert(message_ref, identity);
+        message_ref
     }
 
-    pub fn report(&mut self, caller: u64, lease: LeaseId, outcome: Outcome) -> RequestRef {
+    pub fn report(&mut self, caller: u64, lease: LeaseId, outcome: Outcome) -> MessageRef {
         self.send_report(
             caller,
             Report { lease, outcome: Some(outcome), endpoint: None, load_report: Vec::new() },
         )
     }
 
-    pub fn report_at(&mut self, caller: u64, lease: LeaseId, outcome: Outcome, endpoint: &str) -> RequestRef {
-        let endpoint = Some(endpoint.parse().expect("an address"));
+    pub fn report_at(&mut self, caller: u64, lease: LeaseId, outcome: Outcome, endpoint: &str) -> MessageRef {
+        let endpoint = Some(endpoint.parse().expect("a valid address"));
         self.send_report(caller, Report { lease, outcome: Some(outcome), endpoint, load_report: Vec::new() })
     }
 
-    pub fn establish(&mut self, caller: u64, lease: LeaseId) -> RequestRef {
+    pub fn establish(&mut self, caller: u64, lease: LeaseId) -> MessageRef {
         self.send_report(caller, Report { lease, outcome: None, endpoint: None, load_report: Vec::new() })
     }
 
-    fn send_report(&mut self, caller: u64, report: Report) -> RequestRef {
-        let identity = self.attempts.get(&report.lease).and_then(|a| a.identity.clone());
-        let request_ref = self.add_message(caller, identity);
+    fn send_report(&mut self, caller: u64, report: Report) -> MessageRef {
+        let identity = self.attempts.get(&report.lease).and_then(|attempt| attempt.identity.clone());
+        let message_ref = self.add_message(caller, identity);
         let (lease, outcome) = (report.lease, report.outcome);
         let before = self.engine.lease_counts().reported;
-        self.service.report(self.now, request_ref, report, engine_of!(self));
-        // An accepted report states what the backend did; any other report is false.
+        self.service.report(self.now, message_ref, report, engine_of!(self));
+        // Only an accepted report is evidence that the attempt never ran.
         let accepted = self.engine.lease_counts().reported - before;
         if let (Some(outcome), Some(attempt)) = (outcome, self.attempts.get_mut(&lease))
             && accepted == 1
@@ -200,23 +201,24 @@
             attempt.never_executed = true;
         }
         self.handle_events();
-        request_ref
+        message_ref
     }
 
-    pub fn renew(&mut self, caller: u64, lease: LeaseId) -> RequestRef {
-        let request_ref = self.add_message(caller, None);
-        self.service.renew(request_ref, lease, engine_of!(self));
+    pub fn renew(&mut self, caller: u64, lease: LeaseId) -> MessageRef {
+        let message_ref = self.add_message(caller, None);
+        self.service.renew(message_ref, lease, engine_of!(self));
         self.handle_events();
-        request_ref
+        message_ref
     }
 
-    /// A caller ends: as a stream does, or as a call whose answer was not sent.
+    /// Ends a caller: a stream with `Possible`, or a call whose reply was not sent with `None`.
     pub fn end_caller(&mut self, caller: u64, delivery: ReplyDelivery) {
-        let all: Vec<RequestRef> = self.messages.keys().filter(|a| a.caller.0 == caller).copied().collect();
-        self.abandoned.extend(all.iter().filter(|a| !self.replies.contains_key(a)));
+        let messages: Vec<MessageRef> =
+            self.messages.keys().filter(|message| message.caller.0 == caller).copied().collect();
+        self.abandoned.extend(messages.iter().filter(|message| !self.replies.contains_key(message)));
         if delivery == ReplyDelivery::None {
-            // Such a caller sends one message only.
-            let replies = self.replies.iter().filter(|(a, _)| a.caller.0 == caller);
+            // A unary call sends only one message, so it has at most one lease.
+            let replies = self.replies.iter().filter(|(message, _)| message.caller.0 == caller);
             let lease = replies.flat_map(|(_, replies)| replies).find_map(lease_of);
             if let Some(attempt) = lease.and_then(|lease| self.attempts.get_mut(&lease)) {
                 attempt.never_executed = true;
@@ -250,7 +252,7 @@
         self.now = end;
     }
 
-    /// Passes all events to the service, and checks its replies.
+    /// Passes all queued events to the service, and checks its replies.
     fn handle_events(&mut self) {
         engine_of!(self).queue_events();
         while let Some(event) = self.events.pop_front() {
@@ -260,66 +262,69 @@
             };
             self.service.handle_event(self.now, event, endpoint, engine_of!(self));
         }
-        for CallerReply { request_ref, reply } in self.service.take_replies() {
-            self.check_reply(request_ref, reply);
+        for CallerReply { message_ref, reply } in self.service.take_replies() {
+            self.check_reply(message_ref, reply);
         }
         self.revocations.extend(self.service.take_revocations());
     }
 
-    fn check_reply(&mut self, request_ref: RequestRef, reply: Reply) {
-        assert!(self.messages.contains_key(&request_ref), "{request_ref:?} is not a message");
+    fn check_reply(&mut self, message_ref: MessageRef, reply: Reply) {
+        assert!(self.messages.contains_key(&message_ref), "{message_ref:?} is not a message");
         if let Reply::Send(send) = reply {
-            assert!(!self.draining.contains(&send.grant.backend), "a draining backend gets a new request");
-            let identity = self.messages[&request_ref].clone();
+            assert!(!self.draining.contains(&send.grant.backend), "a draining backend was granted");
+            let identity = self.messages[&message_ref].clone();
             self.check_single_execution(identity.as_deref(), &send);
             let (sent_at, request) = (self.now, send.grant.request);
             let attempt = Attempt { identity, sent_at, request, never_executed: false };
             assert!(self.attempts.insert(send.grant.lease, attempt).is_none(), "a lease was granted twice");
         }
-        let replies = self.replies.entry(request_ref).or_default();
+        let replies = self.replies.entry(message_ref).or_default();
         replies.push(reply);
-        assert_eq!(replies.len(), 1, "{request_ref:?} got {replies:?}");
+        assert_eq!(replies.len(), 1, "{message_ref:?} got {replies:?}");
     }
 
-    /// Rule 2 between requests; within one request, the engine's own tests check it.
+    /// Checks that an id or key of an attempt that may have run is not sent for another request within the
+    /// retention. Retries of one request are checked by the engine's own tests.
     fn check_single_execution(&self, identity: Option<&str>, send: &SendDecision) {
         let Some(identity) = identity else { return };
-        let is_earlier = |a: &&Attempt| a.identity.as_deref() == Some(identity) && !a.never_executed;
-        for attempt in self.attempts.values().filter(is_earlier) {
+        let may_have_run =
+            |attempt: &&Attempt| attempt.identity.as_deref() == Some(identity) && !attempt.never_executed;
+        for attempt in self.attempts.values().filter(may_have_run) {
             let is_same_request = attempt.request == send.grant.request;
             let has_expired = self.now >= attempt.sent_at + RETENTION;
             assert!(
                 is_same_request || has_expired,
-                "{identity} may have run and is sent again at {}",
+                "{identity} may have run and is sent for another request at {}",
                 self.now
             );
         }
     }
 
-    pub fn reply(&self, request_ref: RequestRef) -> Option<Reply> {
-        self.replies.get(&request_ref).and_then(|replies| replies.first()).copied()
+    pub fn reply(&self, message_ref: MessageRef) -> Option<Reply> {
+        self.replies.get(&message_ref).and_then(|replies| replies.first()).copied()
     }
 
-    pub fn sent(&self, request_ref: RequestRef) -> Option<SendDecision> {
-        match self.reply(request_ref) {
+    pub fn sent(&self, message_ref: MessageRef) -> Option<SendDecision> {
+        match self.reply(message_ref) {
             Some(Reply::Send(send)) => Some(send),
             _ => None,
         }
     }
 
-    /// Advances the clock: every message whose caller has not ended has its one reply, and nothing is left open.
+    /// Advances the clock by a minute, then checks that every message has a reply unless its caller ended,
+    /// and that no request or lease is left.
     pub fn finish(&mut self) {
         self.advance_time(60 * SECOND);
-        for request_ref in self.messages.keys() {
-            let has_reply = self.replies.contains_key(request_ref);
-            let is_abandoned = self.abandoned.contains(request_ref);
-            assert!(has_reply || is_abandoned, "{request_ref:?} has no reply");
+        for message_ref in self.messages.keys() {
+            let has_reply = self.replies.contains_key(message_ref);
+            let is_abandoned = self.abandoned.contains(message_ref);
+            assert!(has_reply || is_abandoned, "{message_ref:?} has no reply");
         }
-        assert!(self.service.is_empty(), "{} requests are left open", self.service.len());
+        assert!(self.service.is_empty(), "{} requests are still open", self.service.len());
         assert_eq!(
             (self.engine.active_leases(), self.engine.open_requests()),
             (0, 0),
-            "leases and requests left"
+            "active leases and open requests"
         );
     }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
-//! The balancers that the simulator runs, by instance.
+//! Runs one balancer per simulated instance and applies batches of records to them.
 
 use crate::protocol::{
-    BatchReader, ENTRIES_POSITION, Expected, ProtocolError, Record, ReplyWriter, SCOPE_LIST_POSITION, Scope,
-    parse_entries,
+    BatchReader, Expected, LIST_ENTRIES_POSITION, MEMBERSHIP_LIST_POSITION, ProtocolError, Record,
+    ReplyWriter, Scope, parse_backends,
 };
 use balancer::api::{Action, Backend, Event, MembershipUpdate, Micros};
 use balancer::balancer::Balancer;
@@ -11,12 +11,12 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-/// Why a batch could not be applied.
+/// Why a batch could not be applied completely.
 #[derive(Debug)]
 pub enum BatchError {
-    /// It violates the protocol.
+    /// The batch violates the protocol.
     Protocol(ProtocolError),
-    /// An instance failed; the reply holds a `fatal` record with the cause.
+    /// An instance failed. The last record of the reply contains the cause.
     InstanceFailed,
 }
 
@@ -24,7 +24,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Protocol(error) => error.fmt(f),
-            Self::InstanceFailed => write!(f, "a balancer failed; the last reply holds the cause"),
+            Self::InstanceFailed => write!(f, "a balancer failed; the last reply contains the cause"),
         }
     }
 }
@@ -37,19 +37,20 @@
     }
 }
 
-/// Context of a record in its batch.
+/// The context in which a record is applied.
 #[derive(Clone, Copy)]
 struct RecordContext {
+    /// The clock of the batch.
     now: Micros,
     /// Offset of the record in its batch.
     offset: usize,
-    /// The instance that the last `switch_to` selected.
+    /// The instance selected by the last [`Record::SelectInstance`] of the batch.
     instance: Option<u16>,
 }
 
 impl RecordContext {
     fn instance(&self) -> Result<u16, ProtocolError> {
-        self.instance.ok_or(self.error(0, Expected::SwitchTo))
+        self.instance.ok_or(self.error(0, Expected::InstanceSelection))
     }
 
     fn error(&self, position: usize, expected: Expected) -> ProtocolError {
@@ -61,20 +62,21 @@
 #[derive(Default)]
 pub struct Host {
     instances: Vec<Option<Balancer>>,
-    /// Lists of backends by number.
+    /// Received lists of backends, indexed by their number.
     lists: Vec<Option<Rc<[Backend]>>>,
-    /// Actions of the present event.
+    /// Actions in response to the current event; kept to reuse the allocation.
     actions: Vec<Action>,
     reply: ReplyWriter,
-    /// Unknown codes that were reported, as a bit set.
-    reported_codes: [u64; 4],
+    /// Unknown record codes that have been logged, as a bit set.
+    logged_codes: [u64; 4],
 }
 
 impl Host {
-    /// Applies all records of a complete batch.
+    /// Applies all records of a complete batch, which begins with its header.
     ///
     /// # Errors
-    /// The batch violates the protocol, or an instance failed.
+    /// If the batch violates the protocol or an instance fails. The records before the error have been
+    /// applied.
     pub fn apply_batch(&mut self, bytes: &[u8]) -> Result<(), BatchError> {
         let (mut records, now) = BatchReader::new(bytes)?;
         let mut instance = None;
@@ -82,28 +84,30 @@
             let offset = records.offset();
             match records.next_record()? {
                 None => return Ok(()),
-                Some(Record::SwitchTo(selected)) => instance = Some(selected),
+                Some(Record::SelectInstance(selected)) => instance = Some(selected),
                 Some(record) => self.apply(RecordContext { now, offset, instance }, &record)?,
             }
         }
     }
 
-    /// The reply to the batches since the last reply.
+    /// Returns the encoded reply to the batches that were applied since the last call.
     pub fn take_reply(&mut self) -> Vec<u8> {
         self.reply.finish()
     }
 
     fn apply(&mut self, context: RecordContext, record: &Record<'_>) -> Result<(), BatchError> {
         match *record {
-            Record::PowerOn { seed, settings } => return self.start_instance(context, seed, settings),
-            Record::CrashNow => *slot(&mut self.instances, context.instance()?) = None,
-            Record::Page { list, entries } => {
-                let entries = parse_entries(entries)
-                    .map_err(|error| context.error(ENTRIES_POSITION + error.offset, error.expected))?;
+            Record::InstanceStarted { seed, settings } => {
+                return self.start_instance(context, seed, settings);
+            }
+            Record::InstanceKilled => *slot(&mut self.instances, context.instance()?) = None,
+            Record::BackendList { list, entries } => {
+                let entries = parse_backends(entries)
+                    .map_err(|error| context.error(LIST_ENTRIES_POSITION + error.offset, error.expected))?;
                 *slot(&mut self.lists, list) = Some(entries.into());
             }
-            Record::Membership { scope, list } => return self.update_membership(context, scope, list),
-            Record::Unknown(code) => self.report_unknown(code),
+            Record::MembershipChanged { scope, list } => return self.update_membership(context, scope, list),
+            Record::Unknown(code) => self.log_unknown_code(code),
             _ => {
                 if let Some(event) = record.event() {
                     return self.handle(context, event);
@@ -139,18 +143,20 @@
         list: u16,
     ) -> Result<(), BatchError> {
         let entries = slot(&mut self.lists, list).clone();
-        let known =
-            || entries.as_deref().ok_or(context.error(SCOPE_LIST_POSITION, Expected::KnownList { list }));
+        let known_entries = || {
+            entries.as_deref().ok_or(context.error(MEMBERSHIP_LIST_POSITION, Expected::KnownList { list }))
+        };
         let update = match scope {
-            Scope::Delta => MembershipUpdate::Delta(known()?),
-            Scope::Full => MembershipUpdate::Snapshot(known()?),
-            Scope::Cached => MembershipUpdate::CachedSnapshot(known()?),
+            Scope::Delta => MembershipUpdate::Delta(known_entries()?),
+            Scope::Full => MembershipUpdate::Snapshot(known_entries()?),
+            Scope::Cached => MembershipUpdate::CachedSnapshot(known_entries()?),
             Scope::Failed => MembershipUpdate::Failed,
         };
         self.handle(context, Event::Membership(update))
     }
 
-    /// Applies an event to the present instance and adds its actions to the reply. A panic becomes a `fatal` record.
+    /// Applies an event to the selected instance and appends its actions to the reply. A panic becomes a
+    /// record of the instance's failure.
     fn handle(&mut self, context: RecordContext, event: Event<'_>) -> Result<(), BatchError> {
         let instance = context.instance()?;
         let Some(balancer) = slot(&mut self.instances, instance).as_mut() else {
@@ -170,17 +176,17 @@
         Ok(())
     }
 
-    /// Logs an unknown code the first time that it comes.
-    fn report_unknown(&mut self, code: u8) {
+    /// Logs an unknown record code when it is received for the first time.
+    fn log_unknown_code(&mut self, code: u8) {
         let (word, bit) = (usize::from(code / 64), 1 << (code % 64));
-        if self.reported_codes[word] & bit == 0 {
-            self.reported_codes[word] |= bit;
-            eprintln!("ignoring records of the unknown code {code}");
+        if self.logged_codes[word] & bit == 0 {
+            self.logged_codes[word] |= bit;
+            eprintln!("ignoring records with unknown code {code}");
         }
     }
 }
 
-/// The slot of this number, added if it is missing.
+/// Returns the slot with this number, after extending the vector if necessary.
 fn slot<T>(slots: &mut Vec<Option<T>>, number: u16) -> &mut Option<T> {
     let index = usize::from(number);
     if slots.len() <= index {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,4 +1,5 @@
-//! Adapter between the simulator's protocol and the decisions: batches of records in, replies with actions out.
+//! Adapter between the simulator's protocol and the balancer: reads batches of records, and writes replies
+//! that contain the balancers' actions.
 
 pub mod host;
 pub mod protocol;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,10 +1,10 @@
-//! Runs balancers for the simulator: batches on standard input, replies on standard output.
+//! Runs balancers for the simulator: reads batches from standard input and writes replies to standard output.
 #![forbid(unsafe_code)]
 
 use std::io;
 use std::process::ExitCode;
 
-/// Bytes of the input buffer.
+/// Size of the input buffer, bytes.
 const INPUT_BUFFER_LENGTH: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The simulator's binary protocol. Integers are big-endian; positions of fields count from the code of their record. No
-//! decision is taken here.
+//! Encodes and decodes the simulator's binary protocol. Integers are big-endian; positions of fields are byte
+//! offsets from the code of their record.
 
 mod batch;
 mod codes;
@@ -10,5 +10,5 @@
 
 pub use batch::{BATCH_HEADER_LENGTH, BatchReader, batch_length};
 pub use error::{Expected, ProtocolError};
-pub use record::{ENTRIES_POSITION, Record, SCOPE_LIST_POSITION, Scope, parse_entries};
+pub use record::{LIST_ENTRIES_POSITION, MEMBERSHIP_LIST_POSITION, Record, Scope, parse_backends};
 pub use reply::ReplyWriter;
--- a/crates/simulator-adapter/src/protocol/batch.rs
+++ b/crates/simulator-adapter/src/protocol/batch.rs
@@ -1,37 +1,39 @@
-//! Batches: a header, the simulator's clock, and records.
+//! Batches of received records. A batch consists of a header, the simulator's clock and the records.
 
 use super::fields::Fields;
 use super::record::{RECORD_HEADER_LENGTH, Record};
 use super::{Expected, ProtocolError};
 use balancer::api::Micros;
 
-/// Bytes of a batch's header: the number of its records, and the length of what follows.
+/// Length of a batch header, bytes. It contains the number of records, and the length of the rest of the
+/// batch.
 pub const BATCH_HEADER_LENGTH: usize = 8;
-/// Position of the length in the header.
+/// Position of the length field in the header.
 const LENGTH_POSITION: usize = 4;
-/// Bytes of the clock behind the header.
+/// Length of the clock, which follows the header, bytes.
 const CLOCK_LENGTH: usize = 8;
 
-/// Length of what follows a batch's header, from the header.
+/// Returns the length of the rest of a batch from its header, bytes.
 #[must_use]
 pub fn batch_length(header: [u8; BATCH_HEADER_LENGTH]) -> usize {
     u32::from_be_bytes([header[4], header[5], header[6], header[7]]) as usize
 }
 
-/// Reads the records of one batch in order.
+/// Parses the records of one batch in order.
 #[derive(Debug)]
 pub struct BatchReader<'a> {
     bytes: &'a [u8],
-    /// Offset of the next record.
+    /// Offset of the next record in the batch.
     offset: usize,
     remaining_records: u32,
 }
 
 impl<'a> BatchReader<'a> {
-    /// Reads the header of a complete batch; `bytes` begins with the header. Returns the reader and the clock.
+    /// Parses the header of a complete batch; `bytes` begins with the header. Returns the reader and the
+    /// clock, microseconds.
     ///
     /// # Errors
-    /// The batch is too short for its clock, or its length differs from that in the header.
+    /// If the batch is too short for the clock, or its length differs from the one in the header.
     pub fn new(bytes: &'a [u8]) -> Result<(Self, Micros), ProtocolError> {
         let header = Fields { bytes, offset: 0 };
         let remaining_records = header.u32(0)?;
@@ -45,16 +47,17 @@
         Ok((Self { bytes, offset, remaining_records }, clock))
     }
 
-    /// Offset of the next record.
+    /// Offset of the next record from the first byte of the batch.
     #[must_use]
     pub fn offset(&self) -> usize {
         self.offset
     }
 
-    /// The next record, or `None` behind the last one.
+    /// Parses the next record. Returns `None` after the last one.
     ///
     /// # Errors
-    /// A record is truncated or holds an unknown value, or the number of records differs from that in the header.
+    /// If a record is truncated or contains an unknown value, or the number of records differs from the one
+    /// in the header.
     pub fn next_record(&mut self) -> Result<Option<Record<'a>>, ProtocolError> {
         let rest = Fields { bytes: &self.bytes[self.offset..], offset: self.offset };
         if self.remaining_records == 0 {
--- a/crates/simulator-adapter/src/protocol/error.rs
+++ b/crates/simulator-adapter/src/protocol/error.rs
@@ -1,59 +1,59 @@
-//! Input that violates the protocol.
+//! Errors about input that violates the protocol.
 
 use super::BATCH_HEADER_LENGTH;
 use std::fmt;
 
-/// What the protocol expects where something else was received.
+/// What the protocol requires at a point where something else was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// More bytes than the record has.
+    /// A field that lies within the record.
     RecordBytes {
-        /// Number of expected bytes.
+        /// Length of the field, bytes.
         count: usize,
-        /// Length of the record with its header.
+        /// Length of the record with its header, bytes.
         record_length: usize,
     },
     /// A complete batch header.
     BatchHeader,
-    /// More bytes than came behind the batch header.
+    /// A complete batch after its header.
     BatchBody {
-        /// Number of expected bytes.
+        /// Length of the batch after its header, bytes, as the header declares it.
         length: usize,
     },
-    /// Another length in the batch header.
+    /// The actual length of the batch in its header.
     BatchLength {
-        /// Length of the batch behind its header.
+        /// Length of the batch after its header, bytes.
         actual: usize,
-        /// Length in the header.
+        /// Length that the header declares, bytes.
         declared: usize,
     },
-    /// The end of the batch, since it has as many records as its header declares.
+    /// The end of the batch, since it already has as many records as its header declares.
     EndOfBatch,
-    /// A known outcome.
+    /// The code of a known outcome.
     Outcome {
         /// The received code.
         code: u16,
     },
-    /// A known scope of a list.
+    /// The code of a known scope of a list.
     Scope {
         /// The received code.
         code: u8,
     },
-    /// A known readiness.
+    /// The code of a known readiness.
     Readiness {
         /// The received code.
         code: u8,
     },
-    /// An instance before its first event.
-    SwitchTo,
-    /// An event of a running instance.
+    /// A record that selects an instance, before the first event of an instance.
+    InstanceSelection,
+    /// An event for a running instance.
     RunningInstance {
-        /// The instance, which does not run.
+        /// The selected instance, which is not running.
         instance: u16,
     },
-    /// A list that came in a `page` record.
+    /// The number of a list that was received before.
     KnownList {
-        /// The number of the unknown list.
+        /// The unknown number.
         list: u16,
     },
 }
@@ -71,7 +71,7 @@
             Self::Outcome { code } => write!(f, "an outcome of 100 or 301 to 307, not {code}"),
             Self::Scope { code } => write!(f, "a scope of 0 to 3, not {code}"),
             Self::Readiness { code } => write!(f, "a readiness of 0 to 2, not {code}"),
-            Self::SwitchTo => write!(f, "a `switch_to` before the first event of an instance"),
+            Self::InstanceSelection => write!(f, "a `switch_to` before the first event of an instance"),
             Self::RunningInstance { instance } => {
                 write!(f, "an event for a running instance; {instance} does not run")
             }
@@ -80,12 +80,12 @@
     }
 }
 
-/// Input that violates the protocol.
+/// Received input that violates the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProtocolError {
     /// Offset from the first byte of the batch.
     pub offset: usize,
-    /// What was expected there.
+    /// What the protocol requires there.
     pub expected: Expected,
 }
 
--- a/crates/simulator-adapter/src/protocol/fields.rs
+++ b/crates/simulator-adapter/src/protocol/fields.rs
@@ -1,16 +1,16 @@
-//! Fields of one record.
+//! Access to the fields of one record.
 
 use super::codes::outcome;
 use super::{Expected, ProtocolError};
 use balancer::api::Outcome;
 
-/// Bytes of one value of a load report.
+/// Length of one value of a load report, bytes.
 const REPORT_VALUE_LENGTH: usize = 4;
 
-/// The bytes of one record or entry, read by position.
+/// The bytes of one record or list entry, whose fields are read by position.
 pub(super) struct Fields<'a> {
     pub(super) bytes: &'a [u8],
-    /// Offset of the first byte, for errors.
+    /// Offset of the first byte, to which errors add the position.
     pub(super) offset: usize,
 }
 
@@ -42,7 +42,7 @@
         Ok(bytes.try_into().expect("slice() returns the requested length"))
     }
 
-    /// A load report: its number of values, and the values.
+    /// Parses a load report: one byte with the number of values, then the values.
     pub(super) fn load_report(&self, position: usize) -> Result<Vec<f32>, ProtocolError> {
         let length = usize::from(self.u8(position)?) * REPORT_VALUE_LENGTH;
         let values = self.slice(position + 1, length)?.chunks_exact(REPORT_VALUE_LENGTH);
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,16 +1,16 @@
-//! One session with the simulator: batches come in, a reply to each goes out.
+//! One session with the simulator: reads batches and writes a reply to each.
 
 use crate::host::{BatchError, Host};
 use crate::protocol::{BATCH_HEADER_LENGTH, Expected, ProtocolError, batch_length};
 use std::fmt;
 use std::io::{self, Read, Write};
 
-/// What ends a session early.
+/// Why a session ended before the end of its input.
 #[derive(Debug)]
 pub enum SessionError {
-    /// A batch could not be applied.
+    /// A batch could not be applied completely.
     Batch(BatchError),
-    /// The input or output failed.
+    /// Reading the input or writing the output failed.
     Io(io::Error),
 }
 
@@ -43,10 +43,10 @@
     }
 }
 
-/// Serves the simulator until the end of its input.
+/// Serves the simulator until the end of its input. If an instance fails, its last reply is still written.
 ///
 /// # Errors
-/// The input violates the protocol, an instance failed, or the input or output failed.
+/// If the input violates the protocol, an instance fails, or the input or output fails.
 pub fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), SessionError> {
     let mut host = Host::default();
     let mut batch = Vec::new();
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-/// Reads one complete batch; returns `false` at the end of the input.
+/// Reads one complete batch into `batch`. Returns `false` at the end of the input.
 fn read_batch(input: &mut impl Read, batch: &mut Vec<u8>) -> Result<bool, SessionError> {
     batch.clear();
     input.take(BATCH_HEADER_LENGTH as u64).read_to_end(batch)?;
--- a/crates/simulator-adapter/tests/host.rs
+++ b/crates/simulator-adapter/tests/host.rs
@@ -1,4 +1,4 @@
-//! The built program end to end: complete sessions over its pipes, by bytes.
+//! Runs the built program with complete sessions on its standard input, and checks the bytes of its output.
 
 use std::io::{Read, Write};
 use std::process::{Command, Output, Stdio};
@@ -20,29 +20,29 @@
     [header, clock.to_be_bytes().to_vec(), body].concat()
 }
 
-fn switch_to(instance: u16) -> Vec<u8> {
+fn select_instance(instance: u16) -> Vec<u8> {
     record(2, &[&instance.to_be_bytes()])
 }
 
-fn power_on(settings: &str) -> Vec<u8> {
+fn instance_started(settings: &str) -> Vec<u8> {
     record(9, &[&7_u64.to_be_bytes(), &(settings.len() as u32).to_be_bytes(), settings.as_bytes()])
 }
 
-fn page(list: u16, backends: &[u32]) -> Vec<u8> {
+fn backend_list(list: u16, backends: &[u32]) -> Vec<u8> {
     let entry = |id: &u32| [&id.to_be_bytes()[..], &[0, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0], &[0; 8]].concat();
     let entries: Vec<u8> = backends.iter().flat_map(entry).collect();
     record(0, &[&list.to_be_bytes(), &(backends.len() as u32).to_be_bytes(), &entries])
 }
 
-fn membership(scope: u8, list: u16) -> Vec<u8> {
+fn membership_changed(scope: u8, list: u16) -> Vec<u8> {
     record(7, &[&[scope], &1_u32.to_be_bytes(), &list.to_be_bytes()])
 }
 
-fn inbound(request: u32) -> Vec<u8> {
+fn request_arrived(request: u32) -> Vec<u8> {
     record(11, &[&request.to_be_bytes(), &[0; 11], &400_000_u32.to_be_bytes(), &[0; 5]])
 }
 
-/// Runs the program with this input until it ends.
+/// Runs the program with this input until it exits.
 fn run(input: &[u8]) -> Output {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -50,20 +50,20 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let mut stdin = adapter.stdin.take().expect("it was piped");
+    let mut stdin = adapter.stdin.take().expect("stdin is piped");
     let input = input.to_vec();
     let writer = std::thread::spawn(move || _ = stdin.write_all(&input));
-    let output = adapter.wait_with_output().expect("the program ends");
-    writer.join().expect("the writer ends");
+    let output = adapter.wait_with_output().expect("the program exits");
+    writer.join().expect("the writer thread does not panic");
     output
 }
 
-/// Codes of sent records.
-const SUBMIT_TO: u8 = 64;
+/// Codes of sent records; see `protocol::codes::sent`.
+const SEND: u8 = 64;
 const FATAL: u8 = 73;
-const SOURCE: u8 = 76;
+const SELECT_INSTANCE: u8 = 76;
 
-/// A record of a reply.
+/// A record of a reply, and the instance that was selected before it.
 #[derive(Clone, Debug, PartialEq)]
 struct SentRecord {
     instance: u16,
@@ -72,14 +72,14 @@
 }
 
 impl SentRecord {
-    /// The backend of a `submit_to` record.
+    /// The backend of a `SEND` record.
     fn backend(&self) -> u32 {
-        assert_eq!(self.code, SUBMIT_TO, "a submit_to");
+        assert_eq!(self.code, SEND, "not a SEND record");
         u32::from_be_bytes(self.fields[12..16].try_into().expect("four bytes"))
     }
 }
 
-/// The records of each reply.
+/// Splits output into replies and parses their records.
 fn replies(mut bytes: &[u8]) -> Vec<Vec<SentRecord>> {
     let mut replies = Vec::new();
     while !bytes.is_empty() {
@@ -98,7 +98,7 @@
         let length = u32::from_be_bytes(reply[1..5].try_into().expect("four bytes")) as usize;
         let fields = reply[5..5 + length].to_vec();
         match reply[0] {
-            SOURCE => instance = u16::from_be_bytes([fields[0], fields[1]]),
+            SELECT_INSTANCE => instance = u16::from_be_bytes([fields[0], fields[1]]),
             code => records.push(SentRecord { instance, code, fields }),
         }
         reply = &reply[5 + length..];
@@ -106,9 +106,9 @@
     records
 }
 
-/// The `submit_to` records of the first reply.
+/// The `SEND` records of the first reply.
 fn sends(output: &Output) -> Vec<SentRecord> {
-    replies(&output.stdout)[0].iter().filter(|record| record.code == SUBMIT_TO).cloned().collect()
+    replies(&output.stdout)[0].iter().filter(|record| record.code == SEND).cloned().collect()
 }
 
 #[test]
@@ -119,10 +119,12 @@
 }
 
 #[test]
-fn a_reused_list_number_refers_to_the_last_page_before_it() {
-    let start = [switch_to(3), power_on(SETTINGS), page(0, &[10]), membership(2, 0)];
-    let other = [switch_to(4), power_on(SETTINGS), page(0, &[20]), membership(2, 0)];
-    let requests = [switch_to(3), inbound(1), switch_to(4), inbound(1)];
+fn reused_list_number_refers_to_the_last_list_before_it() {
+    let start =
+        [select_instance(3), instance_started(SETTINGS), backend_list(0, &[10]), membership_changed(2, 0)];
+    let other =
+        [select_instance(4), instance_started(SETTINGS), backend_list(0, &[20]), membership_changed(2, 0)];
+    let requests = [select_instance(3), request_arrived(1), select_instance(4), request_arrived(1)];
     let output = run(&batch(5, &[&start[..], &other, &requests].concat()));
     let sends = sends(&output);
     assert_eq!((sends[0].instance, sends[0].backend()), (3, 10));
@@ -130,31 +132,52 @@
 }
 
 #[test]
-fn a_killed_instance_restarts_in_the_same_batch_without_its_state() {
-    let start = [switch_to(0), power_on(SETTINGS), page(1, &[10]), membership(2, 1), inbound(1)];
-    let restart = [record(5, &[]), power_on(SETTINGS), page(2, &[11]), membership(2, 2), inbound(1)];
+fn killed_instance_restarts_in_the_same_batch_without_its_state() {
+    let start = [
+        select_instance(0),
+        instance_started(SETTINGS),
+        backend_list(1, &[10]),
+        membership_changed(2, 1),
+        request_arrived(1),
+    ];
+    let restart = [
+        record(5, &[]),
+        instance_started(SETTINGS),
+        backend_list(2, &[11]),
+        membership_changed(2, 2),
+        request_arrived(1),
+    ];
     let output = run(&batch(5, &[&start[..], &restart].concat()));
     let backends: Vec<u32> = sends(&output).iter().map(SentRecord::backend).collect();
     assert_eq!(backends, [10, 11]);
 }
 
 #[test]
-fn replies_to_a_batch_of_megabytes() {
-    let mut records = vec![switch_to(0), power_on(SETTINGS), page(0, &[1, 2, 3]), membership(2, 0)];
-    records.extend((0..60_000).map(inbound));
+fn replies_to_a_batch_of_several_megabytes() {
+    let mut records = vec![
+        select_instance(0),
+        instance_started(SETTINGS),
+        backend_list(0, &[1, 2, 3]),
+        membership_changed(2, 0),
+    ];
+    records.extend((0..60_000).map(request_arrived));
     let output = run(&batch(5, &records));
     assert!(output.status.success());
     assert!(replies(&output.stdout)[0].len() >= 60_000, "each request is sent, queued or rejected");
 }
 
 #[test]
-fn instances_act_alike_together_and_alone() {
+fn actions_do_not_depend_on_other_instances() {
     let events = |instance: u16, clock: u64| {
-        let mut records = vec![switch_to(instance)];
+        let mut records = vec![select_instance(instance)];
         if clock == 0 {
-            records.extend([power_on(SETTINGS), page(0, &[1, 2, 3, 4, 5]), membership(2, 0)]);
+            records.extend([
+                instance_started(SETTINGS),
+                backend_list(0, &[1, 2, 3, 4, 5]),
+                membership_changed(2, 0),
+            ]);
         }
-        records.extend((0..20).map(|n| inbound(clock as u32 * 100 + n)));
+        records.extend((0..20).map(|n| request_arrived(clock as u32 * 100 + n)));
         records
     };
     let session = |instances: &[u16]| {
@@ -162,7 +185,11 @@
         (0..5).flat_map(|clock| batch(clock, &records(clock))).collect::<Vec<u8>>()
     };
     let together = replies(&run(&session(&[0, 1, 2])).stdout);
-    assert_eq!(together, replies(&run(&session(&[0, 1, 2])).stdout), "the same events, the same actions");
+    assert_eq!(
+        together,
+        replies(&run(&session(&[0, 1, 2])).stdout),
+        "the same events cause the same actions"
+    );
     for instance in 0..3 {
         let alone = replies(&run(&session(&[instance])).stdout);
         for (all, own) in together.iter().zip(&alone) {
@@ -172,14 +199,17 @@
 }
 
 #[test]
-fn invalid_input_logs_one_line_and_fails() {
-    let complete = batch(5, &[switch_to(0)]);
+fn invalid_input_logs_one_line_and_exits_with_failure() {
+    let complete = batch(5, &[select_instance(0)]);
     for (input, message) in [
         (&complete[..complete.len() - 1], "expected 15 bytes behind the batch header"),
         (&complete[..5], "expected a batch header"),
-        (&batch(5, &[switch_to(9), inbound(1)])[..], "9 does not run"),
-        (&batch(5, &[inbound(1)])[..], "expected a `switch_to`"),
-        (&batch(5, &[switch_to(0), power_on(SETTINGS), membership(1, 7)])[..], "7 was not"),
+        (&batch(5, &[select_instance(9), request_arrived(1)])[..], "9 does not run"),
+        (&batch(5, &[request_arrived(1)])[..], "expected a `switch_to`"),
+        (
+            &batch(5, &[select_instance(0), instance_started(SETTINGS), membership_changed(1, 7)])[..],
+            "7 was not",
+        ),
     ] {
         let output = run(input);
         let text = String::from_utf8(output.stderr).expect("text");
@@ -189,7 +219,8 @@
 
 #[test]
 fn invalid_settings_send_a_fatal_record() {
-    let output = run(&batch(5, &[switch_to(6), power_on(&SETTINGS.replace("retryable", "maybe"))]));
+    let output =
+        run(&batch(5, &[select_instance(6), instance_started(&SETTINGS.replace("retryable", "maybe"))]));
     let last = replies(&output.stdout).concat().pop().expect("a record");
     assert_eq!((last.instance, last.code), (6, FATAL));
     assert!(String::from_utf8_lossy(&last.fields).contains("classes[0].effect"));
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -1,7 +1,7 @@
-//! The protocol by bytes: parsing of batches, replies, and errors for invalid input.
+//! Tests of the binary protocol: parsing of batches, encoding of replies, and errors for invalid input.
 
 use balancer::api::*;
-use simulator_adapter::protocol::{BatchReader, ProtocolError, Record, ReplyWriter, Scope, parse_entries};
+use simulator_adapter::protocol::{BatchReader, ProtocolError, Record, ReplyWriter, Scope, parse_backends};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn an_empty_batch_has_a_clock_and_an_empty_reply() {
+fn empty_batch_has_a_clock_and_an_empty_reply() {
     let bytes = hex("00000000 00000008 0000000000805c5a");
-    let (mut reader, clock) = BatchReader::new(&bytes).expect("a complete batch");
+    let (mut reader, clock) = BatchReader::new(&bytes).expect("a valid batch");
     assert_eq!(clock, 0x0080_5c5a);
     assert_eq!(reader.next_record(), Ok(None));
     assert_eq!(ReplyWriter::default().finish(), hex("00000000"));
@@ -30,7 +30,7 @@
 
 #[test]
 fn parses_events_of_two_instances_in_order() {
-    let read = records(
+    let parsed = records(
         "00000005 00000045 0000000000805c5a
          02 00000002 0003
          0b 00000018 5d3a91c4 00 0000 91f03b7c55d20a64 0003a980 00002ee0 01
@@ -38,18 +38,21 @@
          02 00000002 0005
          08 00000004 0e6f2b19",
     )
-    .expect("a good batch");
-    assert_eq!(read[0], Record::SwitchTo(3));
-    let request = read[1].request().expect("a request");
+    .expect("a valid batch");
+    assert_eq!(parsed[0], Record::SelectInstance(3));
+    let request = parsed[1].request().expect("a request");
     assert_eq!((request.id, request.class, request.tenant), (0x5d3a_91c4, 0, 0));
     assert_eq!((request.key, request.timeout), (Some(0x91f0_3b7c_55d2_0a64), 240_000));
     assert_eq!((request.expected_work, request.is_retry), (Some(12_000), false));
-    assert_eq!(read[2..], [Record::Wakeup(77), Record::SwitchTo(5), Record::Vanished(0x0e6f_2b19)]);
+    assert_eq!(
+        parsed[2..],
+        [Record::TimerExpired(77), Record::SelectInstance(5), Record::ClientDisconnected(0x0e6f_2b19)]
+    );
 }
 
 #[test]
 fn parses_lists_and_outcomes() {
-    let read = records(
+    let parsed = records(
         "00000003 00000066 0000000000805c5a
          00 00000032 0000 00000002
             03124a07 0000 00 0000 01 3f800000 0000000000000000
@@ -57,34 +60,35 @@
          07 00000007 02 00000029 0000
          04 00000016 5d3a91c4 03124a07 01 012e 0002 00004844 01 40200000",
     )
-    .expect("a good batch");
-    let Record::Page { list: 0, entries } = read[0] else { panic!("{:?}", read[0]) };
-    let entries = parse_entries(entries).expect("good entries");
+    .expect("a valid batch");
+    let Record::BackendList { list: 0, entries } = parsed[0] else { panic!("{:?}", parsed[0]) };
+    let entries = parse_backends(entries).expect("valid entries");
     assert_eq!((entries[0].id, entries[0].zone, entries[0].started_at), (0x0312_4a07, 0, None));
     assert_eq!(entries[1].started_at, Some(0x5d_1420));
     assert_eq!(entries[1].readiness, Readiness::Draining);
-    assert_eq!(read[1], Record::Membership { scope: Scope::Cached, list: 0 });
-    let expected = Record::Settled {
+    assert_eq!(parsed[1], Record::MembershipChanged { scope: Scope::Cached, list: 0 });
+    let expected = Record::AttemptFinished {
         request: 0x5d3a_91c4,
         backend: 0x0312_4a07,
         attempt: 2,
         outcome: Outcome::Rejected,
         is_answered: true,
-        elapsed: 0x4844,
+        elapsed_us: 0x4844,
         load_report: vec![2.5],
     };
-    assert_eq!(read[2], expected);
+    assert_eq!(parsed[2], expected);
 }
 
 #[test]
 fn reports_invalid_input_with_its_offset() {
-    let cut = records("00000001 0000000d 0000000000805c5a 06 00000004").expect_err("fields are missing");
-    assert_eq!(cut.offset, 16);
+    let truncated =
+        records("00000001 0000000d 0000000000805c5a 06 00000004").expect_err("fields are missing");
+    assert_eq!(truncated.offset, 16);
     let short =
         records("00000001 0000000f 0000000000805c5a 06 00000002 0000").expect_err("a token has 4 bytes");
     assert_eq!(short.offset, 21);
-    let count =
-        records("00000000 0000000f 0000000000805c5a 08 00000002 0000").expect_err("more than counted");
+    let count = records("00000000 0000000f 0000000000805c5a 08 00000002 0000")
+        .expect_err("more records than declared");
     assert_eq!((count.offset, count.expected.to_string().as_str()), (16, "the end of the batch"));
     let length = records("00000000 00000009 0000000000805c5a").expect_err("a byte is missing");
     assert_eq!(length.offset, 4);
@@ -92,18 +96,18 @@
         "00000001 00000020 0000000000805c5a
          01 00000013 0065 00000001 00000002 00 0000000000000000",
     )
-    .expect_err("101 is no outcome");
+    .expect_err("101 is not an outcome");
     assert_eq!(outcome.offset, 21);
 }
 
 #[test]
 fn skips_unknown_records() {
-    let read = records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
-    assert_eq!(read, Ok(vec![Record::Unknown(200), Record::Wakeup(1)]));
+    let parsed = records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
+    assert_eq!(parsed, Ok(vec![Record::Unknown(200), Record::TimerExpired(1)]));
 }
 
 #[test]
-fn writes_actions_as_the_protocol_defines() {
+fn encodes_actions_as_the_protocol_defines() {
     let mut reply = ReplyWriter::default();
     let (request, backend) = (0x5d3a_91c4, 0x0312_4a07);
     let send = Action::Send { request, backend, start_by: u64::MAX, give_up_at: 0x0081_94da };
