--- a/crates/external-processor/src/decision_service/mod.rs
+++ b/crates/external-processor/src/decision_service/mod.rs
@@ -77,7 +77,7 @@
     /// How long a final outcome is retained in idempotent classes, microseconds.
     pub idempotent_retention: Micros,
     /// How long a final outcome is retained in non-idempotent classes, microseconds; raised to the class's
-    /// response deadline if shorter. Keyed classes use the time to live of their keys.
+    /// response deadline if shorter. Keyed classes use the time to live of their keys, raised likewise.
     pub non_idempotent_retention: Micros,
 }
 
--- a/crates/external-processor/src/lib.rs
+++ b/crates/external-processor/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod decision_service;
 pub mod envoy;
 /// The messages and services of `proto/haventrack/decisions/v1/decisions.proto`. `tests/generated.rs` checks
-/// that they match it, and regenerates them.
+/// that they match it, and can regenerate them.
 #[rustfmt::skip]
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod generated;
--- a/crates/external-processor/tests/decision_service.rs
+++ b/crates/external-processor/tests/decision_service.rs
@@ -28,7 +28,7 @@
 fn retains_the_final_outcome_of_a_reported_request() {
     let mut harness = Harness::new(6);
     let request = harness.request(1, NON_IDEMPOTENT, "a");
-    let decision = harness.sent(request).expect("a backend");
+    let decision = harness.send_decision(request).expect("a backend");
     assert_eq!((decision.retry_scope, decision.grant.attempt), (RetryScope::UnlessExecuted, 0));
     let reported = harness.report(1, decision.grant.lease, Outcome::Ok);
     assert_eq!(harness.reply(reported), Some(first_outcome(FinalStatus::Served)));
@@ -36,7 +36,7 @@
     assert_eq!(harness.reply(request), Some(replayed_outcome(FinalStatus::Served)));
     harness.advance_time(RETENTION + SECOND);
     let request = harness.request(2, NON_IDEMPOTENT, "a");
-    assert!(harness.sent(request).is_some(), "the outcome is removed after its retention");
+    assert!(harness.send_decision(request).is_some(), "the outcome is removed after its retention");
     harness.finish();
 }
 
@@ -44,9 +44,9 @@
 fn reply_to_an_unsent_report_is_a_retry_on_another_backend() {
     let mut harness = Harness::new(6);
     let request = harness.request(1, NON_IDEMPOTENT, "a");
-    let first = harness.sent(request).expect("a backend");
+    let first = harness.send_decision(request).expect("a backend");
     let reported = harness.report(1, first.grant.lease, Outcome::ConnectFailed);
-    let second = harness.sent(reported).expect("another backend");
+    let second = harness.send_decision(reported).expect("another backend");
     assert_ne!(first.endpoint, second.endpoint);
     assert_eq!(second.grant.attempt, 1);
     let reported = harness.report(1, second.grant.lease, Outcome::Reset);
@@ -58,7 +58,7 @@
 fn two_callers_with_one_key_get_one_attempt() {
     let mut harness = Harness::new(6);
     let first = harness.request_keyed(1, "a", "k");
-    let decision = harness.sent(first).expect("a backend");
+    let decision = harness.send_decision(first).expect("a backend");
     let second = harness.request_keyed(2, "b", "k");
     assert_eq!(harness.reply(second), Some(Reply::InFlight { age: 0, by_key: true }));
     let waiting = harness.request_and_wait(3, KEYED, "c", Some("k"));
@@ -78,9 +78,9 @@
     let waiting: Vec<_> =
         (0..MAX_WAITERS as u64).map(|i| harness.request_and_wait(2 + i, KEYED, "a", Some("k"))).collect();
     assert!(waiting.iter().all(|&request| harness.reply(request).is_none()));
-    let beyond = harness.request_and_wait(99, KEYED, "a", Some("k"));
-    assert_eq!(harness.reply(beyond), Some(Reply::InFlight { age: 0, by_key: false }));
-    let lease = harness.sent(first).expect("a backend").grant.lease;
+    let over_limit = harness.request_and_wait(99, KEYED, "a", Some("k"));
+    assert_eq!(harness.reply(over_limit), Some(Reply::InFlight { age: 0, by_key: false }));
+    let lease = harness.send_decision(first).expect("a backend").grant.lease;
     harness.report(1, lease, Outcome::Ok);
     assert!(
         waiting.iter().all(|&request| harness.reply(request) == Some(replayed_outcome(FinalStatus::Served)))
@@ -92,7 +92,7 @@
 fn caller_that_ends_after_a_decision_may_have_sent_the_request() {
     let mut harness = Harness::new(6);
     let request = harness.request_keyed(1, "a", "k");
-    let decision = harness.sent(request).expect("a backend");
+    let decision = harness.send_decision(request).expect("a backend");
     harness.end_caller(1, ReplyDelivery::Possible);
     assert_eq!(harness.engine.active_leases(), 0, "the slot is released");
     for id in ["a", "b"] {
@@ -111,11 +111,11 @@
 fn caller_that_ends_before_its_reply_has_sent_nothing() {
     let mut harness = Harness::new(6);
     let request = harness.request_keyed(1, "a", "k");
-    assert!(harness.sent(request).is_some());
+    assert!(harness.send_decision(request).is_some());
     harness.end_caller(1, ReplyDelivery::None);
     assert_eq!((harness.service.counts().withdrawn, harness.service.counts().unknown), (1, 0));
     let request = harness.request_keyed(2, "a", "k");
-    assert!(harness.sent(request).is_some(), "nothing has run: a new decision");
+    assert!(harness.send_decision(request).is_some(), "nothing has run: a new decision");
     harness.finish();
 }
 
@@ -134,7 +134,7 @@
 fn expired_lease_ends_the_request_and_its_late_report_is_rejected() {
     let mut harness = Harness::new(6);
     let request = harness.request(1, IDEMPOTENT, "a");
-    let decision = harness.sent(request).expect("a backend");
+    let decision = harness.send_decision(request).expect("a backend");
     harness.advance_time(decision.grant.give_up_at + REPORT_GRACE - harness.now);
     let reported = harness.report(1, decision.grant.lease, Outcome::Ok);
     assert_eq!(harness.reply(reported), Some(Reply::Rejected(RejectReason::Lease(LeaseError::Late))));
@@ -146,8 +146,8 @@
 fn invalid_reports_change_nothing() {
     let mut harness = Harness::new(6);
     let request = harness.request(1, IDEMPOTENT, "a");
-    let lease = harness.sent(request).expect("a backend").grant.lease;
-    let reported = harness.report_at(1, lease, Outcome::Ok, "127.0.0.1:9");
+    let lease = harness.send_decision(request).expect("a backend").grant.lease;
+    let reported = harness.report_with_endpoint(1, lease, Outcome::Ok, "127.0.0.1:9");
     assert!(matches!(harness.reply(reported), Some(Reply::Rejected(RejectReason::EndpointMismatch(_)))));
     let reported = harness.report(1, LeaseId { incarnation: 1, ..lease }, Outcome::Ok);
     assert_eq!(harness.reply(reported), Some(Reply::Rejected(RejectReason::Lease(LeaseError::Foreign))));
@@ -172,17 +172,17 @@
     let mut harness = Harness::new(6);
     let prior_lease = LeaseId { incarnation: 0xbad, serial: 7 };
     for (class, key, id) in [(NON_IDEMPOTENT, None, "a"), (KEYED, Some("k"), "b")] {
-        let request = harness.request_after(1, class, id, key, prior_lease);
+        let request = harness.request_with_prior_lease(1, class, id, key, prior_lease);
         assert_eq!(
             harness.reply(request),
             Some(first_outcome(FinalStatus::Unknown)),
             "class {class}: it may have run"
         );
-        let request = harness.request_after(2, class, id, key, prior_lease);
+        let request = harness.request_with_prior_lease(2, class, id, key, prior_lease);
         assert_eq!(harness.reply(request), Some(replayed_outcome(FinalStatus::Unknown)));
     }
-    let request = harness.request_after(1, IDEMPOTENT, "c", None, prior_lease);
-    assert!(harness.sent(request).is_some(), "an idempotent request may run again");
+    let request = harness.request_with_prior_lease(1, IDEMPOTENT, "c", None, prior_lease);
+    assert!(harness.send_decision(request).is_some(), "an idempotent request may run again");
     harness.finish();
 }
 
@@ -201,8 +201,8 @@
     for i in 0..PER_CALLER {
         harness.request(1, IDEMPOTENT, &format!("r{i}"));
     }
-    let beyond = harness.request(1, IDEMPOTENT, "beyond");
-    assert_eq!(harness.reply(beyond), Some(Reply::Rejected(RejectReason::CallerLimit(PER_CALLER))));
+    let over_limit = harness.request(1, IDEMPOTENT, "beyond");
+    assert_eq!(harness.reply(over_limit), Some(Reply::Rejected(RejectReason::CallerLimit(PER_CALLER))));
     let other = harness.request(2, IDEMPOTENT, "beyond");
     assert!(!matches!(harness.reply(other), Some(Reply::Rejected(_))));
     harness.finish();
@@ -212,7 +212,7 @@
 fn draining_rejects_new_requests_and_completes_open_ones() {
     let mut harness = Harness::new(6);
     let request = harness.request(1, IDEMPOTENT, "a");
-    let lease = harness.sent(request).expect("a backend").grant.lease;
+    let lease = harness.send_decision(request).expect("a backend").grant.lease;
     harness.service.drain();
     let rejected = harness.request(1, IDEMPOTENT, "b");
     assert_eq!(harness.reply(rejected), Some(Reply::Rejected(RejectReason::Draining)));
@@ -225,11 +225,11 @@
 fn revokes_a_lease_on_a_draining_backend_and_retries_elsewhere() {
     let mut harness = Harness::new(6);
     let request = harness.request(1, NON_IDEMPOTENT, "a");
-    let first = harness.sent(request).expect("a backend");
+    let first = harness.send_decision(request).expect("a backend");
     harness.drain_backend(first.grant.backend);
     assert_eq!(harness.revocations, [Revocation { caller: CallerId(1), lease: first.grant.lease }]);
     let reported = harness.report(1, first.grant.lease, Outcome::NotSent);
-    let second = harness.sent(reported).expect("another backend");
+    let second = harness.send_decision(reported).expect("another backend");
     assert_ne!(second.grant.backend, first.grant.backend);
     harness.finish();
 }
@@ -238,7 +238,7 @@
 fn single_attempt_requests_get_no_retry() {
     let mut harness = Harness::new(6);
     let rejected = harness.request_single_attempt(1, IDEMPOTENT, "a");
-    let decision = harness.sent(rejected).expect("a backend");
+    let decision = harness.send_decision(rejected).expect("a backend");
     assert_eq!(decision.retry_scope, RetryScope::Never);
     let reported = harness.report(1, decision.grant.lease, Outcome::Rejected);
     assert_eq!(
@@ -247,7 +247,7 @@
         "it never ran"
     );
     let failed = harness.request_single_attempt(1, IDEMPOTENT, "b");
-    let lease = harness.sent(failed).expect("a backend").grant.lease;
+    let lease = harness.send_decision(failed).expect("a backend").grant.lease;
     let reported = harness.report(1, lease, Outcome::Reset);
     assert_eq!(harness.reply(reported), Some(first_outcome(FinalStatus::Failed)));
     harness.finish();
@@ -257,7 +257,7 @@
 fn session_is_served_at_once_and_occupies_its_slot_until_its_report() {
     let mut harness = Harness::new(6);
     let request = harness.request(1, NON_IDEMPOTENT, "a");
-    let lease = harness.sent(request).expect("a backend").grant.lease;
+    let lease = harness.send_decision(request).expect("a backend").grant.lease;
     let reported = harness.establish(1, lease);
     assert!(matches!(harness.reply(reported), Some(Reply::Renewed(_))));
     harness.advance_time(20 * SECOND);
@@ -284,7 +284,7 @@
         0 => harness.request_and_wait(caller, class, &id, key),
         1 if !reported_leases.is_empty() => {
             let prior_lease = reported_leases[rng.usize(..reported_leases.len())];
-            harness.request_after(caller, class, &id, key, prior_lease)
+            harness.request_with_prior_lease(caller, class, &id, key, prior_lease)
         }
         2 => harness.request_single_attempt(caller, class, &id),
         _ => harness.request_with_key(caller, class, &id, key),
@@ -308,7 +308,7 @@
                 let Some(index) = (!requests.is_empty()).then(|| rng.usize(..requests.len())) else {
                     continue;
                 };
-                let Some(decision) = harness.sent(requests[index]) else { continue };
+                let Some(decision) = harness.send_decision(requests[index]) else { continue };
                 let outcome = Outcome::ALL[rng.usize(..Outcome::ALL.len())];
                 requests.swap_remove(index);
                 reported_leases.push(decision.grant.lease);
--- a/crates/external-processor/tests/harness/mod.rs
+++ b/crates/external-processor/tests/harness/mod.rs
@@ -115,7 +115,7 @@
         self.decide(caller, &DecisionRequest { waits_for_result: true, ..request })
     }
 
-    pub fn request_after(
+    pub fn request_with_prior_lease(
         &mut self,
         caller: u64,
         class: u8,
@@ -177,7 +177,13 @@
         )
     }
 
-    pub fn report_at(&mut self, caller: u64, lease: LeaseId, outcome: Outcome, endpoint: &str) -> MessageRef {
+    pub fn report_with_endpoint(
+        &mut self,
+        caller: u64,
+        lease: LeaseId,
+        outcome: Outcome,
+        endpoint: &str,
+    ) -> MessageRef {
         let endpoint = Some(endpoint.parse().expect("a valid address"));
         self.send_report(caller, Report { lease, outcome: Some(outcome), endpoint, load_report: Vec::new() })
     }
@@ -304,7 +310,7 @@
         self.replies.get(&message_ref).and_then(|replies| replies.first()).copied()
     }
 
-    pub fn sent(&self, message_ref: MessageRef) -> Option<SendDecision> {
+    pub fn send_decision(&self, message_ref: MessageRef) -> Option<SendDecision> {
         match self.reply(message_ref) {
             Some(Reply::Send(send)) => Some(send),
             _ => None,
