--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -1,14 +1,14 @@
-//! The console protocol: one command line in, one response line out. Pure: no I/O.
+//! The console protocol: parsing of a command line, and formatting of the response line. Does no I/O.
 
 use std::fmt;
 use thiserror::Error;
 
-/// The longest command line, in bytes, its line end included. The longest id with the longest command fits.
+/// The maximum length of a command line in bytes, including the line end. An id of the maximum length fits.
 pub const MAX_LINE_BYTES: usize = 512;
-/// The longest backend id, in bytes.
+/// The maximum length of a backend id in bytes.
 pub const MAX_BACKEND_ID_BYTES: usize = 256;
 
-/// The commands and their arguments, as errors list them.
+/// The commands and their arguments, as listed in error messages.
 const USAGE: &str = "readyz, exclude ID, include ID";
 
 /// A console command.
@@ -22,10 +22,10 @@
     Include(String),
 }
 
-/// Why a line is not a command.
+/// Why a line was rejected as a command.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CommandError {
-    /// The line holds no word.
+    /// The line is empty or blank.
     #[error("the line is empty; a call is one of: {USAGE}")]
     Empty,
     /// The line is longer than [`MAX_LINE_BYTES`].
@@ -34,28 +34,28 @@
     /// The line is not UTF-8.
     #[error("the line is not UTF-8")]
     NotUtf8,
-    /// The line holds this control character, other than a tab.
+    /// The line contains this control character, which is neither a tab nor part of the line end.
     #[error("the line holds the control character {0:#04x}")]
     ControlCharacter(u32),
-    /// The first word names no command.
+    /// The first word is not the name of a command.
     #[error("no such call; a call is one of: {USAGE}")]
     UnknownCommand,
-    /// The backend id is missing. Holds the usage of the command.
+    /// The backend id is missing. Contains the usage of the command.
     #[error("the id of a backend is missing: {0}")]
     MissingId(&'static str),
     /// The id has this many bytes, more than [`MAX_BACKEND_ID_BYTES`].
     #[error("the id has {0} bytes, {MAX_BACKEND_ID_BYTES} at most")]
     IdTooLong(usize),
-    /// More arguments than the command takes. Holds the usage of the command.
+    /// More arguments than the command takes. Contains the usage of the command.
     #[error("too many words: {0}")]
     TooManyArguments(&'static str),
 }
 
 impl ConsoleCommand {
-    /// Parses a line, with or without its line end. Words are separated by any number of spaces and tabs.
+    /// Parses a line, with or without its line end. Words are separated by one or more spaces and tabs.
     ///
     /// # Errors
-    /// The first fault of the line.
+    /// The first reason for which the line is not valid.
     pub fn parse(line: &[u8]) -> Result<Self, CommandError> {
         let text = command_text(line)?;
         let mut words = text.split([' ', '\t']).filter(|word| !word.is_empty());
@@ -70,7 +70,7 @@
     }
 }
 
-/// The line as text, without its line end.
+/// Checks the length and the characters of a line, and strips its line end.
 fn command_text(line: &[u8]) -> Result<&str, CommandError> {
     if line.len() > MAX_LINE_BYTES {
         return Err(CommandError::TooLong);
@@ -95,9 +95,10 @@
 /// A console response: one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConsoleResponse {
-    /// The state holds, or the command was executed.
+    /// The queried condition is met, or the command was executed. Contains the details.
     Success(String),
-    /// The state does not hold, or the command was rejected; nothing has changed.
+    /// The queried condition is not met, or the command was rejected and nothing has changed. Contains the
+    /// reason.
     Failure(String),
 }
 
@@ -108,7 +109,8 @@
             Self::Failure(text) => ("FAILURE", text),
         };
         f.write_str(outcome)?;
-        // A quoted reason may hold control characters; the response has to stay one line.
+        // The text may quote input with control characters, which must not split the response into several
+        // lines.
         let one_line = text.chars().map(|c| if c.is_control() { ' ' } else { c }).collect::<String>();
         if one_line.is_empty() { Ok(()) } else { write!(f, " {one_line}") }
     }
--- a/crates/admin/src/command/tests.rs
+++ b/crates/admin/src/command/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn parses_commands_with_any_line_end_and_blanks() {
+fn parses_commands_with_any_line_end_and_extra_blanks() {
     for line in ["readyz", "readyz\n", "readyz\r\n", "  readyz \t\n"] {
         assert_eq!(ConsoleCommand::parse(line.as_bytes()), Ok(ConsoleCommand::Ready), "{line:?}");
     }
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn reports_why_a_line_is_not_a_command() {
+fn reports_why_a_line_is_rejected() {
     let cases: [(&[u8], CommandError); 10] = [
         (b"", CommandError::Empty),
         (b" \r\n", CommandError::Empty),
@@ -43,7 +43,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_parse_or_give_one_line_of_failure(line in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_yield_a_command_or_one_failure_line(line in proptest::collection::vec(any::<u8>(), 0..600)) {
         match ConsoleCommand::parse(&line) {
             Ok(ConsoleCommand::Exclude(id) | ConsoleCommand::Include(id)) => {
                 prop_assert!(!id.is_empty() && id.len() <= MAX_BACKEND_ID_BYTES && !id.contains([' ', '\t', '\r', '\n']));
--- a/crates/admin/src/console.rs
+++ b/crates/admin/src/console.rs
@@ -1,7 +1,8 @@
-//! The console server: one command line per connection, one response line back.
+//! The console server. Each connection carries one command line and one response line.
 //!
-//! Idle or unfinished connections hold a bounded number of descriptors for a bounded time. At the bound the oldest
-//! connection is closed in favour of a new one, so that idle clients cannot lock operators out.
+//! The number of connections and their duration are limited, and thereby the descriptors that idle clients
+//! can use up. At the limit the oldest connection is closed in favour of a new one, so that idle clients
+//! cannot lock operators out.
 
 use crate::command::{ConsoleCommand, ConsoleResponse, MAX_LINE_BYTES};
 use socket_io::Stream;
@@ -16,16 +17,16 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// Connections open at a time.
+/// The maximum number of open connections.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a client may take to send its line, and how long to receive the response.
+/// How long a client may take to send its command line. A connection is closed after twice this time.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection is still read after its response: unread input would make the kernel reset the connection, and the
-/// client could lose the response.
+/// How long input is discarded after the response. Closing a connection with unread input would make the
+/// kernel reset it, and the client could lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(100);
-/// How many bytes are read after the response.
+/// The maximum number of bytes that are discarded after the response.
 const MAX_LINGER_BYTES: usize = 64 * 1024;
-/// The pause after a failed accept, for example for want of descriptors.
+/// The delay after a failed accept, for example because of descriptor exhaustion.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 struct OpenConnection {
@@ -36,8 +37,8 @@
 /// The open connections, oldest first.
 type OpenConnections = Rc<RefCell<VecDeque<OpenConnection>>>;
 
-/// Accepts connections and answers each one's command by `execute`, for as long as the process runs.
-/// Has to run within a `LocalSet`.
+/// Accepts connections and responds to the command of each with the result of `execute`; never returns.
+/// Commands of different connections are executed concurrently. Has to run within a `LocalSet`.
 pub async fn serve<F: Future<Output = ConsoleResponse> + 'static>(
     listener: TcpListener,
     execute: impl Fn(ConsoleCommand) -> F + Clone + 'static,
@@ -105,7 +106,8 @@
     }
 }
 
-/// Reads up to the line end, the end of the stream, or one byte beyond [`MAX_LINE_BYTES`], whichever comes first.
+/// Reads up to the line end, the end of the stream, or one byte beyond [`MAX_LINE_BYTES`], whichever comes
+/// first.
 async fn read_line(stream: &mut Stream, line: &mut Vec<u8>) -> io::Result<()> {
     while line.len() <= MAX_LINE_BYTES {
         let mut buffer = [0; MAX_LINE_BYTES + 1];
--- a/crates/admin/src/exclusion_store.rs
+++ b/crates/admin/src/exclusion_store.rs
@@ -1,7 +1,7 @@
-//! Persistence of exclusions: one file in the temporary folder, replaced atomically.
+//! Persistence of exclusions in one file, which is replaced atomically.
 //!
-//! Each change reads the file again under an advisory lock, since another process of the same proxy may have written it, and
-//! replaces it by rename. A damaged file is set aside and reported.
+//! Each change locks the file with an advisory lock, re-reads it, since another process of the same proxy may
+//! have written it, and replaces it by a rename. A damaged file is renamed out of the way and reported.
 
 use crate::exclusions::{Exclusions, TooManyExclusions};
 use crate::file_names::file_name_part;
@@ -16,48 +16,49 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-/// The version of the file's format; a file of another one is not read.
+/// The version of the file's format; files of other versions are treated as damaged.
 const FORMAT_VERSION: u32 = 1;
-/// The largest file that is read, in bytes: [`MAX_EXCLUSIONS`](crate::exclusions::MAX_EXCLUSIONS) entries with the longest
-/// ids fit.
+/// The maximum number of bytes that are read. [`MAX_EXCLUSIONS`](crate::exclusions::MAX_EXCLUSIONS) entries
+/// with ids of the maximum length fit.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// Attempts to lock the file. With [`WRITE_TIMEOUT`] they stay within the second in which a console command is answered.
+/// Attempts to lock the file. With [`LOCK_RETRY_DELAY`] between them they take 300 ms; together with
+/// [`WRITE_TIMEOUT`] that stays below the second within which a console command is answered.
 const MAX_LOCK_ATTEMPTS: u32 = 60;
 const LOCK_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// How long the disk may take for a change.
+/// How long the write of a change may take.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(550);
 
 /// Why exclusions could not be read or persisted.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// A call of the file system failed.
+    /// A file system call on this path failed.
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
-    /// The file's content is not valid.
+    /// The content of this file is not valid.
     #[error("{0} is damaged: {1}")]
     Damaged(PathBuf, ParseError),
-    /// Another process holds the lock.
+    /// Another process had this lock file locked during all attempts.
     #[error("{0} is held by another process")]
     Locked(PathBuf),
-    /// The write took longer than `WRITE_TIMEOUT`. It may still complete.
+    /// The write to this path took longer than `WRITE_TIMEOUT`. It may still complete.
     #[error("{0} was not written within {ms} ms; the change may hold yet", ms = WRITE_TIMEOUT.as_millis())]
     WriteTimeout(PathBuf),
-    /// The bound on exclusions is reached.
+    /// The change would exceed the maximum number of exclusions.
     #[error(transparent)]
     TooManyExclusions(#[from] TooManyExclusions),
 }
 
-/// Why a file's content is not valid.
+/// Why the content of an exclusions file is not valid.
 #[derive(Debug, Error)]
 pub enum ParseError {
-    /// It is not the JSON of this format.
+    /// The content is not JSON, or lacks the fields of the format.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// It is of this other format version.
-    #[error("version {0} is not {FORMAT_VERSION}")]
+    /// The file has this format version, which is not supported.
+    #[error("format version {0} is not supported, expected {FORMAT_VERSION}")]
     Version(u32),
-    /// Its entries exceed the bounds of [`Exclusions::is_within_bounds`].
-    #[error("more or longer ids than there may be")]
+    /// The entries exceed the limits that [`Exclusions::is_within_bounds`] checks.
+    #[error("too many entries, or an id that is empty or too long")]
     OutOfBounds,
 }
 
@@ -69,17 +70,16 @@
     exclusions: Exclusions,
 }
 
-/// Identifies one version of the file: each is a file of its own, put in place by rename.
+/// Identifies one version of the file. Each write creates a new file and renames it, so the inode changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileVersion {
     inode: u64,
     modified_seconds: i64,
     modified_nanoseconds: i64,
-    /// In bytes.
-    size: u64,
+    size_bytes: u64,
 }
 
-/// The file of exclusions and the lock file beside it.
+/// Reads and writes the exclusions file of one proxy, and the lock file next to it.
 #[derive(Clone, Debug)]
 pub struct ExclusionStore {
     path: PathBuf,
@@ -87,10 +87,10 @@
     time: MachineTime,
 }
 
-/// Parses the content of a file.
+/// Parses the content of an exclusions file. The points in time are machine time, see [`MachineTime`].
 ///
 /// # Errors
-/// Where it is malformed, of another format version, or beyond the bounds.
+/// If it is malformed, has another format version, or exceeds the limits on entries.
 pub fn parse(text: &[u8]) -> Result<Exclusions, ParseError> {
     let document: ExclusionsDocument = serde_json::from_slice(text)?;
     if document.version != FORMAT_VERSION {
@@ -104,21 +104,23 @@
 }
 
 impl ExclusionStore {
-    /// The store of the proxy `name` in `folder`; `time` converts the times that it holds. Nothing is read yet.
+    /// Creates the store of the proxy `name` with its files in `directory`, without any I/O. `time` converts
+    /// the stored points in time.
     #[must_use]
-    pub fn new(folder: &Path, name: &str, time: MachineTime) -> Self {
+    pub fn new(directory: &Path, name: &str, time: MachineTime) -> Self {
         let name = file_name_part(name);
         Self {
             time,
-            path: folder.join(format!("haventrack-{name}.bans.json")),
-            lock_path: folder.join(format!("haventrack-{name}.bans.lock")),
+            path: directory.join(format!("haventrack-{name}.bans.json")),
+            lock_path: directory.join(format!("haventrack-{name}.bans.lock")),
         }
     }
 
-    /// The persisted exclusions, in process time; none where there is no file.
+    /// Reads the persisted exclusions, with points in time in process time. Without a file there are no
+    /// exclusions.
     ///
     /// # Errors
-    /// Where the file cannot be read or is damaged.
+    /// [`StoreError::Io`] if the file cannot be read, [`StoreError::Damaged`] if its content is not valid.
     pub fn load(&self) -> Result<Exclusions, StoreError> {
         let mut text = Vec::new();
         match File::open(&self.path) {
@@ -130,7 +132,8 @@
         Ok(exclusions.map_times(|at| self.time.to_process_time(at)))
     }
 
-    /// The present version of the file; `None` where there is no file.
+    /// The current version of the file, for detecting changes; `None` if the file is absent or cannot be
+    /// examined.
     #[must_use]
     pub fn version(&self) -> Option<FileVersion> {
         let meta = fs::metadata(&self.path).ok()?;
@@ -138,18 +141,20 @@
             inode: meta.ino(),
             modified_seconds: meta.mtime(),
             modified_nanoseconds: meta.mtime_nsec(),
-            size: meta.size(),
+            size_bytes: meta.size(),
         })
     }
 
-    /// Applies a change to the persisted exclusions and writes them; returns the new exclusions and the change's result.
+    /// Applies `change` to the persisted exclusions and writes them. Returns the new exclusions and the
+    /// result of `change`.
     ///
-    /// A damaged file is set aside and reported to `on_damaged`; the change is then applied to `current`. The write runs on
-    /// another thread, which holds the lock until it is done.
+    /// A damaged file is renamed and reported to `on_damaged`; the change is then applied to `current`
+    /// instead. The write runs on a blocking thread, which releases the lock when the write is done.
     ///
     /// # Errors
-    /// Where the change is rejected or cannot be written. Nothing has changed then, except after
-    /// [`StoreError::WriteTimeout`]: the write may still complete.
+    /// If the change is rejected, or the file cannot be locked, read or written. The file may then still
+    /// change in two cases: after [`StoreError::WriteTimeout`] the write may complete, and after a failed
+    /// sync the new file is already in place.
     pub async fn change<R>(
         &self,
         current: &Exclusions,
@@ -171,7 +176,8 @@
         Ok((exclusions, result))
     }
 
-    /// Writes the exclusions in machine time, and releases the lock when the write is done.
+    /// Writes the exclusions with points in time in machine time. The lock is released when the write is
+    /// done.
     async fn write(&self, exclusions: &Exclusions, lock: File) -> Result<(), StoreError> {
         let exclusions = exclusions.map_times(|at| self.time.to_machine_time(at));
         let document = ExclusionsDocument { version: FORMAT_VERSION, exclusions };
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Renames a damaged file, so that it can be examined and does not block changes.
+    /// Renames a damaged file: it can be examined later, and no longer prevents changes.
     fn set_aside_damaged(&self) -> io::Result<()> {
         fs::rename(&self.path, self.path.with_extension("damaged"))
     }
@@ -213,8 +219,8 @@
     }
 }
 
-/// Replaces a file atomically and syncs its data. A complete file whose sync failed is put in place all the same: other
-/// processes read it, and the caller repeats the write until the sync succeeds.
+/// Replaces a file atomically and syncs its data. A complete file whose sync failed is renamed nevertheless:
+/// other processes can read it, and the caller retries the write until the sync succeeds.
 fn replace_file(path: &Path, text: &[u8]) -> io::Result<()> {
     let new_path = path.with_extension("new");
     let mut file = File::create(&new_path)?;
--- a/crates/admin/src/exclusions.rs
+++ b/crates/admin/src/exclusions.rs
@@ -1,7 +1,9 @@
-//! The backends that operators have excluded, and those re-included recently. Pure: no I/O, no clock.
+//! The backends that operators have excluded, and those that were re-included recently. Does no I/O and reads
+//! no clock.
 //!
-//! An exclusion is by backend id and independent of discovery: it holds while the backend is absent, when it returns, and in
-//! the process that replaces this one. It is a state and not a count: two exclusions need one re-inclusion.
+//! Exclusions are keyed by backend id and independent of discovery: an exclusion remains in force while the
+//! backend is absent from the list, when it returns, and in the process that replaces this one. Exclusions
+//! are not counted: one re-inclusion ends two exclusions of the same backend.
 
 use crate::command::MAX_BACKEND_ID_BYTES;
 use serde::{Deserialize, Serialize};
@@ -9,37 +11,40 @@
 use std::collections::btree_map::Entry;
 use thiserror::Error;
 
-/// Backends that may be excluded, and re-inclusions that are recorded, at a time. Bounds the file and the memory.
+/// The maximum number of excluded backends, and of recorded re-inclusions. Bounds the size of the file and
+/// the memory.
 pub const MAX_EXCLUSIONS: usize = 4_096;
-/// How long a re-inclusion is recorded, microseconds: longer than any backend's slow start with a late discovery update.
+/// How long a re-inclusion is recorded, in microseconds: longer than the slow start of any backend, including
+/// a late discovery update.
 pub const REINCLUSION_RETENTION: Micros = 120_000_000;
 
-/// A point in time, microseconds since the Unix epoch.
+/// A point in time in microseconds since the Unix epoch, or a duration in microseconds.
 pub type Micros = u64;
 
-/// [`MAX_EXCLUSIONS`] backends are excluded; no further one can be.
+/// An exclusion was rejected because [`MAX_EXCLUSIONS`] backends are already excluded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("{MAX_EXCLUSIONS} backends are out already")]
 pub struct TooManyExclusions;
 
-/// The excluded backends and the recent re-inclusions.
+/// The excluded backends and the recent re-inclusions, by backend id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Exclusions {
-    /// Since when each backend is excluded.
+    /// When each backend was excluded.
     #[serde(rename = "out")]
     excluded: BTreeMap<String, Micros>,
-    /// When each backend was re-included. Operators restart a backend while it is excluded, so it returns without warm
-    /// caches, and discovery may report the restart only later.
+    /// When each backend was re-included. Operators may have restarted a backend while it was excluded: it
+    /// then returns with empty caches and needs a slow start, and discovery may report the restart only
+    /// later.
     #[serde(rename = "back")]
     reincluded: BTreeMap<String, Micros>,
 }
 
 impl Exclusions {
-    /// Excludes a backend. Returns whether it was not excluded before.
+    /// Excludes a backend. Returns `false` if it was excluded already.
     ///
     /// # Errors
-    /// At [`MAX_EXCLUSIONS`]; then nothing has changed.
+    /// If [`MAX_EXCLUSIONS`] backends are excluded; nothing changes then.
     pub fn exclude(&mut self, id: &str, now: Micros) -> Result<bool, TooManyExclusions> {
         let is_full = self.excluded.len() >= MAX_EXCLUSIONS;
         match self.excluded.entry(id.to_owned()) {
@@ -53,8 +58,8 @@
         }
     }
 
-    /// Re-includes a backend. Returns whether it was excluded. At [`MAX_EXCLUSIONS`] the oldest record of a re-inclusion is
-    /// dropped.
+    /// Re-includes a backend. Returns `false` if it was not excluded. If [`MAX_EXCLUSIONS`] re-inclusions are
+    /// recorded, the oldest record is dropped.
     pub fn include(&mut self, id: &str, now: Micros) -> bool {
         if self.excluded.remove(id).is_none() {
             return false;
@@ -68,7 +73,7 @@
         true
     }
 
-    /// A copy with each point in time converted by `convert`.
+    /// Returns a copy in which `convert` is applied to each point in time.
     #[must_use]
     pub fn map_times(&self, convert: impl Fn(Micros) -> Micros) -> Self {
         let map_all =
@@ -76,29 +81,32 @@
         Self { excluded: map_all(&self.excluded), reincluded: map_all(&self.reincluded) }
     }
 
-    /// Whether this backend is excluded.
+    /// Whether the backend with this id is excluded; `false` also for an unknown id.
     #[must_use]
     pub fn is_excluded(&self, id: &str) -> bool {
         self.excluded.contains_key(id)
     }
 
-    /// When this backend was re-included, if that is still recorded.
+    /// When the backend with this id was re-included, if that is still recorded and it was not excluded
+    /// since.
     #[must_use]
     pub fn reincluded_at(&self, id: &str) -> Option<Micros> {
         self.reincluded.get(id).copied()
     }
 
-    /// Drops the records of re-inclusions before `before`: those backends have completed their slow start.
-    pub fn forget_reincluded_before(&mut self, before: Micros) {
+    /// Drops the records of re-inclusions that are older than `before`: those backends have completed their
+    /// slow start.
+    pub fn prune_reinclusions_before(&mut self, before: Micros) {
         self.reincluded.retain(|_, at| *at >= before);
     }
 
-    /// The ids of the excluded backends, sorted.
+    /// The ids of the excluded backends, in ascending order.
     pub fn excluded_ids(&self) -> impl ExactSizeIterator<Item = &str> {
         self.excluded.keys().map(String::as_str)
     }
 
-    /// The ids of the backends whose state differs in `other`, sorted, each once.
+    /// The ids of the backends whose exclusion or re-inclusion differs in `other`, in ascending order without
+    /// duplicates.
     #[must_use]
     pub fn differing_ids(&self, other: &Self) -> Vec<String> {
         let state = |exclusions: &Self, id: &str| (exclusions.is_excluded(id), exclusions.reincluded_at(id));
@@ -110,7 +118,8 @@
         ids
     }
 
-    /// Whether the number of entries is within [`MAX_EXCLUSIONS`] and each id within [`MAX_BACKEND_ID_BYTES`].
+    /// Whether there are at most [`MAX_EXCLUSIONS`] exclusions and as many re-inclusions, and each id has 1
+    /// to [`MAX_BACKEND_ID_BYTES`] bytes.
     #[must_use]
     pub fn is_within_bounds(&self) -> bool {
         let is_bounded = |ids: &BTreeMap<String, Micros>| {
--- a/crates/admin/src/exclusions/tests.rs
+++ b/crates/admin/src/exclusions/tests.rs
@@ -11,14 +11,14 @@
     assert!(!exclusions.include("a", 4), "not excluded any more");
     assert_eq!(exclusions.reincluded_at("a"), Some(3));
     assert_eq!(exclusions.exclude("a", 5), Ok(true));
-    assert_eq!(exclusions.reincluded_at("a"), None, "excluded again");
+    assert_eq!(exclusions.reincluded_at("a"), None, "the exclusion drops the record");
     exclusions.include("a", 6);
-    exclusions.forget_reincluded_before(7);
+    exclusions.prune_reinclusions_before(7);
     assert_eq!(exclusions, Exclusions::default());
 }
 
 #[test]
-fn rejects_exclusions_beyond_the_bound_without_a_change() {
+fn rejects_exclusions_beyond_the_maximum_without_a_change() {
     let mut exclusions = Exclusions::default();
     (0..MAX_EXCLUSIONS).for_each(|n| assert_eq!(exclusions.exclude(&n.to_string(), 1), Ok(true)));
     assert_eq!(exclusions.exclude("beyond", 2), Err(TooManyExclusions));
@@ -32,9 +32,10 @@
 }
 
 proptest! {
-    /// The last command per id holds, and `differing_ids` names exactly the ids whose state changed.
+    /// The last command for an id determines its state, and `differing_ids` returns exactly the ids whose
+    /// state changed.
     #[test]
-    fn last_command_per_id_holds(commands in proptest::collection::vec((0_u8..6, any::<bool>()), 0..40)) {
+    fn last_command_for_an_id_determines_its_state(commands in proptest::collection::vec((0_u8..6, any::<bool>()), 0..40)) {
         let (mut exclusions, mut before, mut last) = (Exclusions::default(), Exclusions::default(), [false; 6]);
         for (now, &(id, excluded)) in commands.iter().enumerate() {
             if now == commands.len() / 2 {
--- a/crates/admin/src/file_names.rs
+++ b/crates/admin/src/file_names.rs
@@ -1,12 +1,14 @@
-//! Proxy names as parts of file names.
+//! Encoding of proxy names as parts of file names.
 
 use crate::fingerprint::fingerprint;
 
-/// The longest part of a proxy's name, in characters, that a file name holds unchanged.
+/// The maximum number of characters of a proxy's name that a file name contains.
 const MAX_PLAIN_NAME_LENGTH: usize = 64;
 
-/// The part of a file name that stands for a proxy, distinct for each name. A name that is long or holds characters other
-/// than ASCII letters, digits, `-` and `_` is cut and gets a hash after a `.`, which no plain name holds.
+/// The part of a file name that identifies a proxy, distinct for each proxy name. A name that is longer than
+/// [`MAX_PLAIN_NAME_LENGTH`] or contains characters other than ASCII letters, digits, `-` and `_` is
+/// truncated, its other characters are replaced by `_`, and a `.` and a hash are appended. No plain name
+/// contains a `.`.
 pub(crate) fn file_name_part(name: &str) -> String {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_".contains(c);
     if name.len() <= MAX_PLAIN_NAME_LENGTH && name.chars().all(is_plain) {
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,9 @@
-//! Administration of a running proxy: the console, exclusions of backends, and the replacement of the process.
+//! Administration of a running proxy: the console, exclusions of backends, and the replacement of the
+//! process.
 //!
-//! [`command`], [`exclusions`], [`process_status`] and [`unpersisted`] decide and do no I/O. [`console`],
-//! [`exclusion_store`], [`snapshot_file`], [`machine_time`] and [`process_replacement`] are their sockets, files and clock.
+//! [`command`], [`exclusions`], [`process_status`] and [`unpersisted`] contain the logic and do no I/O.
+//! [`console`], [`exclusion_store`], [`snapshot_file`], [`machine_time`] and [`process_replacement`] access
+//! sockets, files, the kernel and the clock.
 #![forbid(unsafe_code)]
 
 pub mod command;
--- a/crates/admin/src/snapshot_file.rs
+++ b/crates/admin/src/snapshot_file.rs
@@ -1,7 +1,8 @@
-//! The snapshot of learned limits that a process leaves for its successor: one file in the temporary folder, replaced
+//! The snapshot of the learned state that a process writes for its successor: one file, which is replaced
 //! atomically.
 //!
-//! It only improves the successor's start: one that is absent, old, damaged or of another version is ignored.
+//! It is an optimisation of the successor's start: a snapshot that is absent, expired, damaged or of another
+//! version or configuration is not restored.
 
 use crate::exclusions::Micros;
 use crate::file_names::file_name_part;
@@ -12,35 +13,36 @@
 use thiserror::Error;
 use tokio::task::spawn_blocking;
 
-/// The version of the file's format; a file of another one is not read.
+/// The version of the file's format; files of other versions are not restored.
 const FORMAT_VERSION: u32 = 2;
-/// The largest file that is written or read, in bytes; thousands of backends fit.
+/// The maximum number of bytes that are written or read; the limits of thousands of backends fit.
 const MAX_FILE_BYTES: usize = 1 << 20;
-/// The oldest snapshot that is restored, microseconds: limits follow a load that changes within seconds.
+/// The maximum age of a snapshot that is restored, in microseconds. The load, and with it the limits, changes
+/// within seconds.
 const MAX_SNAPSHOT_AGE: Micros = 5_000_000;
 
-/// The learned limit of one backend.
+/// The learned concurrency limit of one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredLimit {
-    /// The backend's number, the same in every process.
+    /// The backend's number, which is the same in all processes.
     pub backend: u32,
-    /// When the backend's process started, microseconds since the Unix epoch.
+    /// When the backend's process started, in microseconds since the Unix epoch, if known.
     #[serde(rename = "started")]
     pub started_at: Option<Micros>,
-    /// Concurrent requests.
+    /// The limit, in concurrent requests.
     pub limit: f64,
-    /// Whether the limit is the one shared by the backend's machine kind.
+    /// Whether the backend uses the limit of its machine kind.
     #[serde(rename = "common")]
     pub is_shared: bool,
 }
 
-/// The learned limit of one machine kind; stored as a pair.
+/// The learned concurrency limit of one machine kind; serialized as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, bool)", into = "(f64, bool)")]
 pub struct StoredKindLimit {
-    /// Concurrent requests.
+    /// The limit, in concurrent requests.
     pub limit: f64,
-    /// Whether the limit is still doubling.
+    /// Whether the limit still grows by doubling.
     pub is_doubling: bool,
 }
 
@@ -56,15 +58,15 @@
     }
 }
 
-/// The learned latency of one request class on one machine kind; stored as a triple.
+/// The learned latency of one request class on one machine kind; serialized as a triple.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, f64, Option<f64>)", into = "(u32, f64, Option<f64>)")]
 pub struct StoredLatency {
-    /// The number of samples.
+    /// The number of samples behind the mean.
     pub samples: u32,
-    /// The mean, microseconds.
+    /// The mean, in microseconds.
     pub mean: f64,
-    /// The latency without queueing, microseconds.
+    /// The latency without queueing, in microseconds, if known.
     pub baseline: Option<f64>,
 }
 
@@ -80,21 +82,21 @@
     }
 }
 
-/// The learned state as the file holds it.
+/// The learned state in the form in which it is stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredLearnedState {
-    /// The backends' limits.
+    /// The concurrency limits of backends.
     #[serde(rename = "servers")]
     pub backends: Vec<StoredLimit>,
-    /// The machine kinds' limits.
+    /// The concurrency limits of machine kinds, by the kind's index.
     #[serde(rename = "kinds")]
     pub machine_kinds: Vec<StoredKindLimit>,
     /// The latencies of request classes on machine kinds.
     pub latencies: Vec<StoredLatency>,
-    /// The most requests served in one second.
+    /// The peak rate of served requests, per second.
     #[serde(rename = "peak")]
     pub peak_rate: f64,
-    /// The fraction of requests that is rejected, 0 to 1.
+    /// The fraction of requests that is rejected, from 0 to 1.
     #[serde(rename = "refused")]
     pub rejected_fraction: f64,
 }
@@ -103,51 +105,57 @@
 #[serde(deny_unknown_fields)]
 struct SnapshotDocument {
     version: u32,
-    /// The fingerprint of the configuration's classes, kinds and zones.
+    /// Covers the configuration's request classes, machine kinds and zones.
     #[serde(rename = "of")]
-    configuration: u64,
+    configuration_fingerprint: u64,
     #[serde(rename = "at")]
     written_at: Micros,
     #[serde(rename = "learnt")]
     learned: StoredLearnedState,
 }
 
-/// Why a snapshot could not be written or restored.
+/// Why a snapshot was not written or not restored.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
-    /// A call of the file system failed.
+    /// A file system call failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// It is not the JSON of this format.
-    #[error("not readable: {0}")]
+    /// The content is not JSON, or lacks the fields of the format.
+    #[error("the snapshot is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It is of this other format version.
-    #[error("version {0} is not {FORMAT_VERSION}")]
+    /// The snapshot has this format version, which is not supported.
+    #[error("the snapshot has format version {0}, expected {FORMAT_VERSION}")]
     Version(u32),
-    /// It is older than `MAX_SNAPSHOT_AGE`, or from the future.
-    #[error("it is not of the last {} s", MAX_SNAPSHOT_AGE / 1_000_000)]
+    /// The snapshot is older than `MAX_SNAPSHOT_AGE`, or its time is in the future.
+    #[error("the snapshot was not written within the last {} s", MAX_SNAPSHOT_AGE / 1_000_000)]
     Expired,
-    /// It belongs to a configuration with other classes, kinds or zones.
-    #[error("it is of another configuration")]
+    /// The snapshot belongs to a configuration with other request classes, machine kinds or zones.
+    #[error("the snapshot belongs to a configuration with other classes, kinds or zones")]
     OtherConfiguration,
     /// The value of this key is out of range.
-    #[error("`{0}` makes no sense")]
+    #[error("the value of `{0}` in the snapshot is out of range")]
     InvalidValue(&'static str),
-    /// It is larger than `MAX_FILE_BYTES`.
-    #[error("larger than {MAX_FILE_BYTES} bytes")]
+    /// The snapshot to write is larger than `MAX_FILE_BYTES`.
+    #[error("the snapshot is larger than {MAX_FILE_BYTES} bytes")]
     TooLarge,
 }
 
-/// Parses a snapshot of this configuration, given by its fingerprint, at the time `now`.
+/// Parses a snapshot and checks that it applies: to the configuration with this fingerprint, at the time
+/// `now`.
 ///
 /// # Errors
-/// Where it is malformed, of another version or configuration, expired, or holds values out of range.
-pub fn parse(text: &[u8], configuration: u64, now: Micros) -> Result<StoredLearnedState, SnapshotError> {
+/// If it is malformed, has another version or configuration, is expired, or contains a value that is out of
+/// range.
+pub fn parse(
+    text: &[u8],
+    configuration_fingerprint: u64,
+    now: Micros,
+) -> Result<StoredLearnedState, SnapshotError> {
     let document: SnapshotDocument = serde_json::from_slice(text)?;
     if document.version != FORMAT_VERSION {
         return Err(SnapshotError::Version(document.version));
     }
-    if document.configuration != configuration {
+    if document.configuration_fingerprint != configuration_fingerprint {
         return Err(SnapshotError::OtherConfiguration);
     }
     if document.written_at > now || now - document.written_at > MAX_SNAPSHOT_AGE {
@@ -169,37 +177,38 @@
     check((0.0..=1.0).contains(&learned.rejected_fraction), "refused")
 }
 
-/// The snapshot file of a proxy.
+/// The snapshot file of one proxy, shared by its processes.
 #[derive(Clone, Debug)]
 pub struct SnapshotFile {
     path: PathBuf,
 }
 
 impl SnapshotFile {
-    /// The snapshot file of the proxy `name` in `folder`. Nothing is read yet.
+    /// Creates the accessor of the snapshot file of the proxy `name` in `directory`, without any I/O.
     #[must_use]
-    pub fn new(folder: &Path, name: &str) -> Self {
-        Self { path: folder.join(format!("haventrack-{}.learnt.json", file_name_part(name))) }
+    pub fn new(directory: &Path, name: &str) -> Self {
+        Self { path: directory.join(format!("haventrack-{}.learnt.json", file_name_part(name))) }
     }
 
-    /// Writes the learned state of a configuration, given by its fingerprint. Runs on a blocking thread: a rename over a file
-    /// can take as long as the write.
+    /// Writes the learned state under the configuration with this fingerprint. The file is written and
+    /// renamed on a blocking thread: a rename over an existing file can take as long as the write.
     ///
     /// # Errors
-    /// Where the state is too large or the write fails; the previous snapshot remains.
+    /// If the state is too large or the write fails; the previous snapshot remains.
     pub async fn write(
         &self,
-        configuration: u64,
+        configuration_fingerprint: u64,
         now: Micros,
         learned: StoredLearnedState,
     ) -> Result<(), SnapshotError> {
-        let document = SnapshotDocument { version: FORMAT_VERSION, configuration, written_at: now, learned };
+        let document =
+            SnapshotDocument { version: FORMAT_VERSION, configuration_fingerprint, written_at: now, learned };
         let text = serde_json::to_vec(&document)?;
         if text.len() > MAX_FILE_BYTES {
             return Err(SnapshotError::TooLarge);
         }
         let path = self.path.clone();
-        // Two processes may write at once: each has a temporary file of its own.
+        // Two processes may write at the same time, so each one uses its own temporary file.
         let new_path = path.with_extension(format!("new-{}", std::process::id()));
         let replace_file = move || {
             File::create(&new_path)?.write_all(&text)?;
@@ -208,14 +217,18 @@
         Ok(spawn_blocking(replace_file).await.map_err(io::Error::other)??)
     }
 
-    /// The state that another process with this configuration has learned.
+    /// Reads the learned state that a process with the same configuration has written.
     ///
     /// # Errors
-    /// Where the file cannot be read, or [`parse`] rejects it.
-    pub fn read(&self, configuration: u64, now: Micros) -> Result<StoredLearnedState, SnapshotError> {
+    /// If the file cannot be read, or [`parse`] rejects it.
+    pub fn read(
+        &self,
+        configuration_fingerprint: u64,
+        now: Micros,
+    ) -> Result<StoredLearnedState, SnapshotError> {
         let mut text = Vec::new();
         File::open(&self.path)?.take(MAX_FILE_BYTES as u64).read_to_end(&mut text)?;
-        parse(&text, configuration, now)
+        parse(&text, configuration_fingerprint, now)
     }
 }
 
--- a/crates/admin/src/snapshot_file/tests.rs
+++ b/crates/admin/src/snapshot_file/tests.rs
@@ -1,8 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-/// The fingerprint of the configuration.
-const CONFIGURATION: u64 = 0x51;
+const CONFIGURATION_FINGERPRINT: u64 = 0x51;
 const NOW: Micros = 1_796_148_000_000_000;
 
 fn learned() -> StoredLearnedState {
@@ -22,36 +21,47 @@
 }
 
 fn text(version: u32, written_at: Micros, learned: StoredLearnedState) -> String {
-    let document = SnapshotDocument { version, configuration: CONFIGURATION, written_at, learned };
+    let document = SnapshotDocument {
+        version,
+        configuration_fingerprint: CONFIGURATION_FINGERPRINT,
+        written_at,
+        learned,
+    };
     serde_json::to_string(&document).expect("text")
 }
 
 #[test]
-fn reads_a_snapshot_until_it_expires() {
+fn accepts_a_snapshot_of_the_same_configuration_until_it_expires() {
     let complete = text(FORMAT_VERSION, NOW, learned());
-    assert_eq!(parse(complete.as_bytes(), CONFIGURATION, NOW + MAX_SNAPSHOT_AGE).expect("fresh"), learned());
+    assert_eq!(
+        parse(complete.as_bytes(), CONFIGURATION_FINGERPRINT, NOW + MAX_SNAPSHOT_AGE).expect("fresh"),
+        learned()
+    );
     assert!(matches!(
-        parse(complete.as_bytes(), CONFIGURATION, NOW + MAX_SNAPSHOT_AGE + 1),
+        parse(complete.as_bytes(), CONFIGURATION_FINGERPRINT, NOW + MAX_SNAPSHOT_AGE + 1),
         Err(SnapshotError::Expired)
     ));
     assert!(
-        matches!(parse(complete.as_bytes(), CONFIGURATION, NOW - 1), Err(SnapshotError::Expired)),
-        "written by a clock that is ahead"
+        matches!(parse(complete.as_bytes(), CONFIGURATION_FINGERPRINT, NOW - 1), Err(SnapshotError::Expired)),
+        "written under a clock that is ahead"
     );
     assert!(matches!(
-        parse(complete.as_bytes(), CONFIGURATION + 1, NOW),
+        parse(complete.as_bytes(), CONFIGURATION_FINGERPRINT + 1, NOW),
         Err(SnapshotError::OtherConfiguration)
     ));
     let other = text(FORMAT_VERSION + 1, NOW, learned());
-    assert!(matches!(parse(other.as_bytes(), CONFIGURATION, NOW), Err(SnapshotError::Version(3))));
+    assert!(matches!(
+        parse(other.as_bytes(), CONFIGURATION_FINGERPRINT, NOW),
+        Err(SnapshotError::Version(3))
+    ));
 }
 
 #[test]
-fn names_the_key_of_an_invalid_value() {
+fn reports_the_key_of_an_invalid_value() {
     let invalid_key = |change: fn(&mut StoredLearnedState)| {
         let mut learned = learned();
         change(&mut learned);
-        match parse(text(FORMAT_VERSION, NOW, learned).as_bytes(), CONFIGURATION, NOW) {
+        match parse(text(FORMAT_VERSION, NOW, learned).as_bytes(), CONFIGURATION_FINGERPRINT, NOW) {
             Err(SnapshotError::InvalidValue(key)) => key,
             other => panic!("{other:?}"),
         }
@@ -71,10 +81,10 @@
     ) {
         let complete = text(FORMAT_VERSION, NOW, learned()).into_bytes();
         let length = (complete.len() as f64 * length_fraction) as usize;
-        prop_assert!(parse(&complete[..length], CONFIGURATION, NOW).is_err());
+        prop_assert!(parse(&complete[..length], CONFIGURATION_FINGERPRINT, NOW).is_err());
         let mut damaged = complete.clone();
         let at = at.index(complete.len());
         damaged[at] = byte;
-        let _ = parse(&damaged, CONFIGURATION, NOW);
+        let _ = parse(&damaged, CONFIGURATION_FINGERPRINT, NOW);
     }
 }
--- a/crates/admin/src/unpersisted/tests.rs
+++ b/crates/admin/src/unpersisted/tests.rs
@@ -23,7 +23,7 @@
     unpersisted_changes.push(ExclusionChange::Exclude("a".into(), 5));
     let first = unpersisted_changes.last_sequence();
     unpersisted_changes.push(ExclusionChange::Include("a".into(), 6));
-    // The first change is persisted after the second one was requested.
+    // The write of the first change completes after the second change was requested.
     unpersisted_changes.mark_persisted(first);
     let mut exclusions = Exclusions::default();
     assert_eq!(exclusions.exclude("a", 5), Ok(true));
--- a/crates/admin/tests/console.rs
+++ b/crates/admin/tests/console.rs
@@ -1,4 +1,4 @@
-//! The console server over loopback sockets.
+//! Tests of the console server over loopback sockets.
 
 use admin::command::{ConsoleCommand, ConsoleResponse, MAX_LINE_BYTES};
 use admin::console::{self, MAX_CONNECTIONS};
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-/// Runs a test beside a console that responds with the parsed command.
+/// Runs a test against a console server whose responses depend on the parsed command only.
 async fn with_console<F: Future>(test: impl FnOnce(SocketAddr) -> F) -> F::Output {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -34,12 +34,12 @@
         stream.shutdown().await.expect("shut down");
     }
     let mut response = String::new();
-    stream.read_to_string(&mut response).await.expect("one response, and no reset");
+    stream.read_to_string(&mut response).await.expect("a response without a connection reset");
     response
 }
 
 #[tokio::test]
-async fn answers_one_line_with_one_line() {
+async fn answers_one_command_per_connection_with_one_line() {
     with_console(|address| async move {
         assert_eq!(send(address, &[b"readyz\n"], false).await, "SUCCESS serving\n");
         assert_eq!(send(address, &[b"exclude s-1\r\n"], false).await, "SUCCESS s-1 is out\n");
@@ -87,7 +87,7 @@
             }
         }
         assert_eq!(send(address, &[b"readyz\n"], false).await, "SUCCESS serving\n");
-        // The oldest connections were closed, the newest may still complete.
+        // The oldest connections have been closed, and the newest one can still send its command.
         assert!(matches!(idle[0].read(&mut [0; 8]).await, Ok(0) | Err(_)));
         let last = idle.last_mut().expect("idle connections");
         last.write_all(b"readyz\n").await.expect("sent");
--- a/crates/admin/tests/exclusion_store.rs
+++ b/crates/admin/tests/exclusion_store.rs
@@ -1,4 +1,4 @@
-//! The file of exclusions, with the faults that a folder can have.
+//! Tests of the exclusions file: shared by processes, damaged, locked, and not writable.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use admin::machine_time::MachineTime;
 use proptest::prelude::*;
 use std::fs;
-use support::empty_folder;
+use support::empty_directory;
 
 async fn exclude(store: &ExclusionStore, current: &Exclusions, id: &str) -> Result<Exclusions, StoreError> {
     let changed = store.change(current, |exclusions| exclusions.exclude(id, 7), |_| ()).await;
@@ -15,23 +15,23 @@
 }
 
 #[tokio::test]
-async fn exclusions_outlive_their_process_and_merge_across_processes() {
-    let folder = empty_folder("outlive");
+async fn exclusions_persist_and_are_merged_across_processes() {
+    let directory = empty_directory("outlive");
     let (old, new) = (
-        ExclusionStore::new(&folder, "n3", MachineTime::default()),
-        ExclusionStore::new(&folder, "n3", MachineTime::default()),
+        ExclusionStore::new(&directory, "n3", MachineTime::default()),
+        ExclusionStore::new(&directory, "n3", MachineTime::default()),
     );
     assert_eq!(old.load().expect("no file"), Exclusions::default());
     let current = exclude(&old, &Exclusions::default(), "a").await.expect("persisted");
     let before = new.version();
-    // The other process has no exclusions yet, and merges its own into the persisted ones.
+    // The other process has no exclusions in memory, and its change is merged into the persisted exclusions.
     let both = exclude(&new, &Exclusions::default(), "b").await.expect("persisted");
     assert!(both.is_excluded("a") && both.is_excluded("b"));
     assert_ne!(old.version(), before, "the file's version changes");
     assert_eq!(old.load().expect("a file"), both);
     assert_eq!(current.differing_ids(&both), ["b"]);
     assert_eq!(
-        ExclusionStore::new(&folder, "n4", MachineTime::default()).load().expect("no file"),
+        ExclusionStore::new(&directory, "n4", MachineTime::default()).load().expect("no file"),
         Exclusions::default(),
         "the file of another proxy"
     );
@@ -39,11 +39,11 @@
 
 #[tokio::test]
 async fn an_exclusion_that_cannot_be_written_changes_nothing() {
-    let folder = empty_folder("lost");
-    let store = ExclusionStore::new(&folder, "n3", MachineTime::default());
+    let directory = empty_directory("lost");
+    let store = ExclusionStore::new(&directory, "n3", MachineTime::default());
     exclude(&store, &Exclusions::default(), "a").await.expect("persisted");
-    // A folder in place of the temporary file makes the write fail.
-    fs::create_dir(folder.join("haventrack-n3.bans.new")).expect("a folder");
+    // A directory at the path of the temporary file makes the write fail.
+    fs::create_dir(directory.join("haventrack-n3.bans.new")).expect("a directory");
     assert!(matches!(exclude(&store, &Exclusions::default(), "b").await, Err(StoreError::Io(..))));
     assert!(!store.load().expect("the old file").is_excluded("b"));
     let rejected = store.change(&Exclusions::default(), |_| Err::<(), _>(TooManyExclusions), |_| ()).await;
@@ -52,9 +52,9 @@
 
 #[tokio::test]
 async fn reports_a_lock_that_is_never_released() {
-    let folder = empty_folder("locked");
-    let store = ExclusionStore::new(&folder, "n3", MachineTime::default());
-    let lock = fs::File::create(folder.join("haventrack-n3.bans.lock")).expect("a file");
+    let directory = empty_directory("locked");
+    let store = ExclusionStore::new(&directory, "n3", MachineTime::default());
+    let lock = fs::File::create(directory.join("haventrack-n3.bans.lock")).expect("a file");
     lock.lock().expect("locked");
     assert!(matches!(exclude(&store, &Exclusions::default(), "a").await, Err(StoreError::Locked(_))));
     drop(lock);
@@ -62,11 +62,11 @@
 }
 
 #[tokio::test]
-async fn reports_a_damaged_file_and_sets_it_aside() {
-    let folder = empty_folder("damaged");
-    let store = ExclusionStore::new(&folder, "n3", MachineTime::default());
+async fn reports_and_renames_a_damaged_file() {
+    let directory = empty_directory("damaged");
+    let store = ExclusionStore::new(&directory, "n3", MachineTime::default());
     exclude(&store, &Exclusions::default(), "a").await.expect("persisted");
-    let path = folder.join("haventrack-n3.bans.json");
+    let path = directory.join("haventrack-n3.bans.json");
     let complete = fs::read(&path).expect("a file");
     for text in
         [&b""[..], &complete[..complete.len() - 1], b"{\"version\":2,\"bans\":{\"out\":{},\"back\":{}}}"]
@@ -74,7 +74,7 @@
         fs::write(&path, text).expect("written");
         assert!(matches!(store.load(), Err(StoreError::Damaged(..))));
     }
-    // The process's own exclusions replace the damaged file.
+    // The exclusions in force in the process replace those of the damaged file.
     let mut current = Exclusions::default();
     current.exclude("own", 1).expect("below the bound");
     let mut reported = false;
@@ -88,14 +88,14 @@
             && exclusions.is_excluded("b")
             && !exclusions.is_excluded("a")
     );
-    assert!(folder.join("haventrack-n3.bans.damaged").exists());
+    assert!(directory.join("haventrack-n3.bans.damaged").exists());
     assert_eq!(store.load().expect("replaced"), exclusions);
 }
 
 proptest! {
     #[test]
     fn rejects_arbitrary_bytes(text in proptest::collection::vec(any::<u8>(), 0..200)) {
-        prop_assert!(parse(&text).is_err(), "no such text is a valid file");
+        prop_assert!(parse(&text).is_err(), "arbitrary bytes are not a valid file");
     }
 
     #[test]
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden files of what processes of one proxy store for each other, and of the console's commands and responses.
+//! Golden-file tests of the files that the processes of one proxy share, and of the console's commands and
+//! responses.
 
 use admin::command::{ConsoleCommand, ConsoleResponse};
 use admin::exclusion_store::ExclusionStore;
@@ -11,10 +12,10 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// When the golden snapshot was written, microseconds since the Unix epoch.
+/// When the golden snapshot was written, in microseconds since the Unix epoch.
 const SNAPSHOT_TIME: u64 = 1_796_148_000_000_000;
-/// The configuration that the golden snapshot belongs to.
-const CONFIGURATION: u64 = 0x51ab_0000_0000_0007;
+/// Identifies the configuration to which the golden snapshot belongs.
+const CONFIGURATION_FINGERPRINT: u64 = 0x51ab_0000_0000_0007;
 
 fn golden() -> GoldenFiles {
     GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
@@ -80,17 +81,20 @@
 }
 
 #[tokio::test]
-async fn learned_limits_file_bytes_are_stable_and_readable() {
+async fn snapshot_file_bytes_are_stable_and_readable() {
     let directory = directory("learned");
     let snapshot = SnapshotFile::new(&directory, "n3");
-    snapshot.write(CONFIGURATION, SNAPSHOT_TIME, learned()).await.expect("written");
+    snapshot.write(CONFIGURATION_FINGERPRINT, SNAPSHOT_TIME, learned()).await.expect("written");
     let written = fs::read(directory.join("haventrack-n3.learnt.json")).expect("the file");
     golden().assert_bytes("haventrack-n3.learnt.json", &written);
     let stored = golden().read("haventrack-n3.learnt.json");
-    assert_eq!(parse_learned(&stored, CONFIGURATION, SNAPSHOT_TIME).expect("readable"), learned());
+    assert_eq!(
+        parse_learned(&stored, CONFIGURATION_FINGERPRINT, SNAPSHOT_TIME).expect("readable"),
+        learned()
+    );
 }
 
-/// Processes of two versions share these files.
+/// Guards against different file names in two versions, whose processes share these files.
 #[tokio::test]
 async fn file_names_are_stable() {
     let directory = directory("names");
@@ -120,15 +124,15 @@
         ["", "reload", "exclude", "include", "exclude a b", "readyz now", "exclude \x01"]
             .iter()
             .map(|line| {
-                ConsoleResponse::from(ConsoleCommand::parse(line.as_bytes()).expect_err("no call"))
+                ConsoleResponse::from(ConsoleCommand::parse(line.as_bytes()).expect_err("not a command"))
                     .to_string()
             })
             .collect();
     let long = [format!("exclude {}", "x".repeat(257)), "x".repeat(513)];
     lines.extend(long.iter().map(|line| {
-        ConsoleResponse::from(ConsoleCommand::parse(line.as_bytes()).expect_err("long")).to_string()
+        ConsoleResponse::from(ConsoleCommand::parse(line.as_bytes()).expect_err("too long")).to_string()
     }));
-    lines.push(ConsoleResponse::from(ConsoleCommand::parse(b"\xff").expect_err("no text")).to_string());
+    lines.push(ConsoleResponse::from(ConsoleCommand::parse(b"\xff").expect_err("not UTF-8")).to_string());
     lines.push(ConsoleResponse::Success(String::new()).to_string());
     lines.push(ConsoleResponse::Success("a\nb".into()).to_string());
     golden().assert_lines("console-answers.txt", &lines);
--- a/crates/proxy-server/src/admin_handler.rs
+++ b/crates/proxy-server/src/admin_handler.rs
@@ -55,7 +55,7 @@
 /// The result of an accepted change.
 struct ChangeOutcome {
     /// Whether the backend's state changed.
-    is_new: bool,
+    has_changed: bool,
     /// What the response adds where the change is not persisted yet; empty otherwise.
     persistence_note: String,
 }
@@ -109,9 +109,9 @@
             return unknown_backend(id);
         }
         match self.change(ExclusionChange::Exclude(id.to_owned(), self.clock.now())).await {
-            Ok(ChangeOutcome { is_new, persistence_note }) => {
+            Ok(ChangeOutcome { has_changed, persistence_note }) => {
                 let serving = self.context.backend_list.borrow().ready_count();
-                let verb = if is_new { "is" } else { "was already" };
+                let verb = if has_changed { "is" } else { "was already" };
                 ConsoleResponse::Success(format!(
                     "{id} {verb} out; {serving} backends serve{persistence_note}"
                 ))
@@ -125,10 +125,10 @@
             return unknown_backend(id);
         }
         match self.change(ExclusionChange::Include(id.to_owned(), self.clock.now())).await {
-            Ok(ChangeOutcome { is_new: true, persistence_note }) => {
+            Ok(ChangeOutcome { has_changed: true, persistence_note }) => {
                 ConsoleResponse::Success(format!("{id} may serve{persistence_note}"))
             }
-            Ok(ChangeOutcome { is_new: false, persistence_note }) => {
+            Ok(ChangeOutcome { has_changed: false, persistence_note }) => {
                 ConsoleResponse::Success(format!("{id} was not out{persistence_note}"))
             }
             Err(error) => ConsoleResponse::Failure(format!("{id} is not called back: {error}")),
@@ -139,7 +139,7 @@
     /// it outlives this process.
     async fn change(self: &Rc<Self>, change: ExclusionChange) -> Result<ChangeOutcome, TooManyExclusions> {
         let mut exclusions = self.context.backend_list.borrow().exclusions().clone();
-        let is_new = self.context.state.change(&mut exclusions, change)?;
+        let has_changed = self.context.state.change(&mut exclusions, change)?;
         self.apply(exclusions);
         // A task of its own, so that it goes on after the client has disconnected or the wait has ended.
         let admin_handler = Rc::clone(self);
@@ -149,7 +149,7 @@
             Ok(Ok(Err(error))) => format!("; not kept yet, and tried again: {error}"),
             Ok(Err(_)) | Err(_) => "; not kept yet, and tried again".to_owned(),
         };
-        Ok(ChangeOutcome { is_new, persistence_note })
+        Ok(ChangeOutcome { has_changed, persistence_note })
     }
 
     async fn persist_changes(&self) -> Result<(), StoreError> {
--- a/crates/proxy-server/src/admin_handler/peers.rs
+++ b/crates/proxy-server/src/admin_handler/peers.rs
@@ -16,7 +16,7 @@
 
 impl AdminHandler {
     /// Polls the other processes, for as long as this one runs.
-    pub(crate) async fn follow_peers(self: Rc<Self>) {
+    pub(crate) async fn poll_peers(self: Rc<Self>) {
         tokio::task::spawn_local(Rc::clone(&self).retry_persisting());
         let mut polls = 0_u32;
         loop {
@@ -58,7 +58,7 @@
         if self.context.has_backend_list.get() && status.set_backend_list_received() && peer_count > 0 {
             self.restore_learned_limits();
         }
-        if let Some(listener_index) = status.steer() {
+        if let Some(listener_index) = status.update_steering() {
             self.steer_to(listener_index);
         }
     }
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -26,8 +26,8 @@
 /// The configuration in force, and the parts that a reload updates.
 pub(crate) struct ConfigReload {
     /// The configuration at the process's start; some settings apply until the process ends.
-    initial_shape: Value,
-    shape: Value,
+    initial_document: Value,
+    document: Value,
     settings: Settings,
     classes: ClassIndices,
     /// The names in the configuration at the process's start.
@@ -53,8 +53,8 @@
         configuration_fingerprint.set(learning_fingerprint(&classes, &config.names));
         let longest_deadline = Rc::new(Cell::new(longest_deadline(&classes, &config.settings)));
         Ok(Self {
-            initial_shape: config.shape.clone(),
-            shape: config.shape.clone(),
+            initial_document: config.shape.clone(),
+            document: config.shape.clone(),
             settings: config.settings.clone(),
             classes,
             names: config.names.clone(),
@@ -80,7 +80,7 @@
 
     /// Reloads the configuration at each signal, for as long as the proxy runs. A configuration that cannot be used changes
     /// nothing.
-    pub(crate) async fn follow(
+    pub(crate) async fn reload_on_signals(
         mut self,
         mut reload: Signal,
         discovery: watch::Sender<SocketAddr>,
@@ -107,7 +107,7 @@
 
     /// Reads and checks the complete configuration before it changes anything. Returns discovery's address.
     fn reload(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
-        let config = Config::reload(&self.shape)?;
+        let config = Config::reload(&self.document)?;
         let mut classes = self.classes.clone();
         let settings = classes.renew(&self.settings, &config.settings, &config.names.classes);
         let settings = settings.map_err(ConfigError::Reload)?;
@@ -120,7 +120,7 @@
         self.longest_deadline.set(longest_deadline(&classes, &settings));
         self.fingerprint.set(learning_fingerprint(&classes, &self.names));
         self.log_changes(&config, &settings, &classes);
-        (self.classes, self.settings, self.shape) = (classes, settings, config.shape);
+        (self.classes, self.settings, self.document) = (classes, settings, config.shape);
         Ok(config.discovery)
     }
 
@@ -130,7 +130,7 @@
             let attempts = settings.permissions.max_attempts;
             log(format_args!("settings in force: classes {}; {attempts} attempts", names.join(" ")));
         }
-        let unapplied = restart_only_keys(&self.initial_shape, &config.shape);
+        let unapplied = restart_only_keys(&self.initial_document, &config.shape);
         if !unapplied.is_empty() {
             log(format_args!("settings that require a restart were not applied: {}", unapplied.join(" ")));
         }
--- a/crates/proxy-server/src/error.rs
+++ b/crates/proxy-server/src/error.rs
@@ -15,7 +15,7 @@
     /// This address cannot be listened on.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, #[source] io::Error),
-    /// The state shared with other processes of this proxy, in this folder, cannot be opened.
+    /// The state shared with other processes of this proxy, in this directory, cannot be opened.
     #[error("{0}: {1}")]
     PersistentState(PathBuf, #[source] io::Error),
     /// The balancer rejected the settings.
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -76,7 +76,7 @@
 /// Threads for blocking calls to the disk: one writes learned limits, one exclusions.
 const DISK_THREADS: usize = 2;
 /// The stack of such a thread, bytes; it writes one file.
-const DISK_THREAD_STACK: usize = 128 << 10;
+const DISK_THREAD_STACK_BYTES: usize = 128 << 10;
 
 /// How long an ending process waits until its log has been read.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
@@ -99,7 +99,7 @@
 
 fn serve(external_processor: Option<&Path>) -> Result<(), ProgramError> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
-    builder.max_blocking_threads(DISK_THREADS).thread_stack_size(DISK_THREAD_STACK);
+    builder.max_blocking_threads(DISK_THREADS).thread_stack_size(DISK_THREAD_STACK_BYTES);
     let runtime = retry_at_startup(|| builder.enable_all().build(), retry::is_local)?;
     let result = LocalSet::new().block_on(&runtime, async {
         let Signals { mut stop, reload } = Signals::install()?;
--- a/crates/proxy-server/src/persistence.rs
+++ b/crates/proxy-server/src/persistence.rs
@@ -1,4 +1,4 @@
-//! The state that the processes of one proxy share in the temporary folder: exclusions, instance slots and learned limits.
+//! The state that the processes of one proxy share in the temporary directory: exclusions, instance slots and learned limits.
 //! Transient errors of the disk are retried.
 
 use crate::learned_state::{from_stored, to_stored};
@@ -53,11 +53,11 @@
     /// Changes that are in force and not in the file.
     unpersisted: RefCell<UnpersistedChanges>,
     /// Serialises writes of the exclusions.
-    writing: Mutex<()>,
+    write_lock: Mutex<()>,
     instance_slot: InstanceSlot,
     snapshot: Rc<SnapshotFile>,
     /// The fingerprint of the classes, kinds and zones in force.
-    configuration: Rc<Cell<u64>>,
+    configuration_fingerprint: Rc<Cell<u64>>,
     /// Whether a snapshot is being written. Nothing waits for it, and only one is written at a time.
     is_writing_snapshot: Rc<Cell<bool>>,
     snapshot_failures: Rc<FailureLog>,
@@ -77,28 +77,28 @@
     /// # Errors
     /// Where no instance slot can be acquired.
     pub(crate) async fn open(
-        folder: &Path,
+        directory: &Path,
         name: &str,
         now: Micros,
-        configuration: Rc<Cell<u64>>,
+        configuration_fingerprint: Rc<Cell<u64>>,
     ) -> io::Result<OpenedState> {
         let end = Instant::now() + OPEN_TIMEOUT;
-        let store = ExclusionStore::new(folder, name, MachineTime::new(now));
+        let store = ExclusionStore::new(directory, name, MachineTime::new(now));
         let InitialExclusions { exclusions, last_read } = load_with_retry(&store, end).await;
         if exclusions.excluded_ids().len() > 0 {
             let ids = exclusions.excluded_ids().collect::<Vec<_>>().join(" ");
             log(format_args!("excluded backends at start: {ids}"));
         }
-        let acquire = || InstanceSlot::acquire(folder, name);
+        let acquire = || InstanceSlot::acquire(directory, name);
         let instance_slot = retry::until(end, retry::is_of_disk, acquire).await?;
         let state = Self {
             store,
             last_read: Cell::new(last_read),
             unpersisted: RefCell::default(),
-            writing: Mutex::default(),
+            write_lock: Mutex::default(),
             instance_slot,
-            snapshot: Rc::new(SnapshotFile::new(folder, name)),
-            configuration,
+            snapshot: Rc::new(SnapshotFile::new(directory, name)),
+            configuration_fingerprint,
             is_writing_snapshot: Rc::default(),
             snapshot_failures: Rc::new(FailureLog::of("learned limits were not persisted")),
             read_failures: FailureLog::of("exclusions were not reloaded"),
@@ -140,10 +140,10 @@
         current: &Exclusions,
         now: Micros,
     ) -> Result<Exclusions, StoreError> {
-        let _guard = self.writing.lock().await;
+        let _guard = self.write_lock.lock().await;
         let last_sequence = self.unpersisted.borrow().last_sequence();
         let change = |exclusions: &mut Exclusions| {
-            exclusions.forget_reincluded_before(now.saturating_sub(REINCLUSION_RETENTION));
+            exclusions.prune_reinclusions_before(now.saturating_sub(REINCLUSION_RETENTION));
             self.unpersisted.borrow().apply(exclusions)
         };
         let on_damaged = |error| log(format_args!("set aside a damaged file: {error}"));
@@ -188,11 +188,11 @@
         }
         let snapshot = Rc::clone(&self.snapshot);
         let is_writing = Rc::clone(&self.is_writing_snapshot);
-        let configuration = self.configuration.get();
+        let configuration_fingerprint = self.configuration_fingerprint.get();
         let learned = to_stored(learned_state());
         let failures = Rc::clone(&self.snapshot_failures);
         tokio::task::spawn_local(async move {
-            if let Err(error) = snapshot.write(configuration, now, learned).await {
+            if let Err(error) = snapshot.write(configuration_fingerprint, now, learned).await {
                 failures.note(&error);
             }
             is_writing.set(false);
@@ -204,7 +204,7 @@
     /// # Errors
     /// Where there is no snapshot of this configuration that is recent and valid.
     pub(crate) fn read_snapshot(&self, now: Micros) -> Result<LearnedState, SnapshotError> {
-        self.snapshot.read(self.configuration.get(), now).map(from_stored)
+        self.snapshot.read(self.configuration_fingerprint.get(), now).map(from_stored)
     }
 }
 
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -156,7 +156,7 @@
         let console = console::open(&config, admin_handler.as_ref()).await?;
         let longest_deadline = config_reload.longest_deadline();
         let clients = Rc::clone(&client_front_end.connections);
-        let discovery_address = follow_reloads(config_reload, reload, address_sender, clients);
+        let discovery_address = spawn_reload_task(config_reload, reload, address_sender, clients);
         let external_processor = grpc_front_end.as_ref().map(GrpcFrontEnd::address);
         if let Some(address) = external_processor {
             log(format_args!("{} answers callers on {address}", config.name));
@@ -207,7 +207,7 @@
             listener: &self.listener.socket,
             phase: &self.client_front_end.phase,
             // The signal may have come at any moment of a stall of this process.
-            began: self.listener.stall_detector.earliest(Instant::now()),
+            stop_requested_at: self.listener.stall_detector.earliest(Instant::now()),
             longest_deadline,
         };
         match &self.grpc_front_end {
@@ -229,10 +229,10 @@
     if config.console.is_none() {
         return Ok((None, Exclusions::default()));
     }
-    let folder = env::temp_dir();
-    let opened = PersistentState::open(&folder, &config.name, clock.now(), Rc::clone(fingerprint)).await;
+    let directory = env::temp_dir();
+    let opened = PersistentState::open(&directory, &config.name, clock.now(), Rc::clone(fingerprint)).await;
     let OpenedState { state, exclusions } =
-        opened.map_err(|error| ProxyServerError::PersistentState(folder, error))?;
+        opened.map_err(|error| ProxyServerError::PersistentState(directory, error))?;
     Ok((Some(state), exclusions))
 }
 
@@ -255,7 +255,7 @@
 
 /// Spawns the task that reloads the configuration at each signal; without signals, returns the address sender, which has to
 /// be kept.
-fn follow_reloads(
+fn spawn_reload_task(
     config_reload: ConfigReload,
     reload: Option<Signal>,
     discovery_address: watch::Sender<SocketAddr>,
@@ -264,6 +264,6 @@
     let Some(reload) = reload else {
         return Some(discovery_address);
     };
-    tokio::task::spawn_local(config_reload.follow(reload, discovery_address, clients));
+    tokio::task::spawn_local(config_reload.reload_on_signals(reload, discovery_address, clients));
     None
 }
--- a/crates/proxy-server/src/server/console.rs
+++ b/crates/proxy-server/src/server/console.rs
@@ -1,6 +1,6 @@
 //! The console's listener and tasks.
 
-use super::listener::{Sharing, open_listener};
+use super::listener::{AddressSharing, open_listener};
 use crate::admin_handler::AdminHandler;
 use crate::error::ProxyServerError;
 use admin::console;
@@ -20,10 +20,10 @@
     let (Some(address), Some(admin_handler)) = (config.console, admin_handler) else {
         return Ok(None);
     };
-    let (listener, address) = open_listener(address, Sharing::Exclusive).await?;
+    let (listener, address) = open_listener(address, AddressSharing::Exclusive).await?;
     let executor = Rc::clone(admin_handler);
     tokio::task::spawn_local(console::serve(listener, move |command| Rc::clone(&executor).execute(command)));
-    tokio::task::spawn_local(Rc::clone(admin_handler).follow_peers());
+    tokio::task::spawn_local(Rc::clone(admin_handler).poll_peers());
     log(format_args!("{} answers operators on {address}", config.name));
     Ok(Some(address))
 }
--- a/crates/proxy-server/src/server/drain.rs
+++ b/crates/proxy-server/src/server/drain.rs
@@ -34,7 +34,7 @@
     pub(super) listener: &'a TcpListener,
     pub(super) phase: &'a watch::Sender<ShutdownPhase>,
     /// The earliest time at which the stop signal may have come.
-    pub(super) began: Instant,
+    pub(super) stop_requested_at: Instant,
     /// The longest deadline of the classes in force.
     pub(super) longest_deadline: Duration,
 }
@@ -45,18 +45,19 @@
     pub(super) async fn run(self) {
         let longest_deadline = self.longest_deadline.min(MAX_DRAIN_DEADLINE);
         let response_deadline =
-            self.handle.clock().at(self.began) + micros(longest_deadline + RESPONSE_SLACK);
+            self.handle.clock().at(self.stop_requested_at) + micros(longest_deadline + RESPONSE_SLACK);
         self.handle.set_response_deadline(response_deadline);
         let _ = self.phase.send(ShutdownPhase::Draining);
         self.wait_for_arrivals(longest_deadline).await;
         let _ = self.phase.send(ShutdownPhase::Closing);
-        self.close_connections(self.began + longest_deadline + DRAIN_SLACK).await;
+        self.close_connections(self.stop_requested_at + longest_deadline + DRAIN_SLACK).await;
     }
 
     async fn wait_for_arrivals(&self, longest_deadline: Duration) {
         let min_drain = MIN_DRAIN.min(longest_deadline + ARRIVAL_GRACE);
-        while self.began.elapsed() < min_drain
-            || (self.clients.time_since_accept() < QUIET_PERIOD && self.began.elapsed() < longest_deadline)
+        while self.stop_requested_at.elapsed() < min_drain
+            || (self.clients.time_since_accept() < QUIET_PERIOD
+                && self.stop_requested_at.elapsed() < longest_deadline)
         {
             sleep(DRAIN_POLL_INTERVAL).await;
         }
@@ -81,6 +82,6 @@
     }
 }
 
-fn micros(span: Duration) -> Micros {
-    Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX)
+fn micros(duration: Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
--- a/crates/proxy-server/src/server/listener.rs
+++ b/crates/proxy-server/src/server/listener.rs
@@ -19,7 +19,7 @@
 
 /// Whether other processes of the same proxy may listen at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Sharing {
+pub(super) enum AddressSharing {
     Exclusive,
     Shared,
 }
@@ -38,7 +38,8 @@
     /// # Errors
     /// Where the address cannot be listened on.
     pub(super) async fn open(config: &Config) -> Result<Self, ProxyServerError> {
-        let sharing = if config.console.is_some() { Sharing::Shared } else { Sharing::Exclusive };
+        let sharing =
+            if config.console.is_some() { AddressSharing::Shared } else { AddressSharing::Exclusive };
         let (socket, address) = open_listener(config.listen, sharing).await?;
         let stall_detector = StallDetector::new(Instant::now());
         log(format_args!("{} listens on {address}", config.name));
@@ -52,7 +53,7 @@
 /// The last error, with the address that was requested.
 pub(super) async fn open_listener(
     address: SocketAddr,
-    sharing: Sharing,
+    sharing: AddressSharing,
 ) -> Result<(TcpListener, SocketAddr), ProxyServerError> {
     let listen_error = |error| ProxyServerError::Listen(address, error);
     let end = Instant::now() + LISTEN_TIMEOUT;
@@ -62,11 +63,11 @@
     Ok((listener, bound))
 }
 
-fn listen(address: SocketAddr, sharing: Sharing) -> io::Result<TcpListener> {
+fn listen(address: SocketAddr, sharing: AddressSharing) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     // A restarted proxy reuses its address although connections of the previous process linger.
     socket.set_reuseaddr(true)?;
-    if sharing == Sharing::Shared {
+    if sharing == AddressSharing::Shared {
         socket.set_reuseport(true)?;
     }
     socket.bind(address)?;
