--- a/crates/proxy-server/src/admin_handler.rs
+++ b/crates/proxy-server/src/admin_handler.rs
@@ -1,5 +1,5 @@
-//! Execution of console commands, and coordination with the other processes of the same proxy. The decisions are in `admin`
-//! and in `http_proxy::backend_list`.
+//! Execution of console commands, and coordination with the other processes of the same proxy. The logic is
+//! in `admin` and in `http_proxy::backend_list`; this module connects it to the running proxy.
 
 mod peers;
 
@@ -20,10 +20,11 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// How long a command waits for the disk. With this wait it is still answered within a second.
+/// How long a command waits until its change is persisted. Commands have to be answered within a second.
 const PERSIST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The connections that this process may have open while it is alone; divided among the processes of the proxy.
+/// The maximum numbers of open connections of all processes of this proxy together; each process gets an
+/// equal quota.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
     /// With clients.
@@ -32,11 +33,11 @@
     pub(crate) backends: usize,
 }
 
-/// The parts of the process that the admin handler reads and controls.
+/// The components that the admin handler reads and controls.
 pub(crate) struct AdminContext {
     pub(crate) state: PersistentState,
     pub(crate) backend_list: Rc<RefCell<BackendList>>,
-    /// Set once a backend list was received.
+    /// Set to `true` once a backend list was received.
     pub(crate) has_backend_list: Rc<Cell<bool>>,
     pub(crate) handle: Handle,
     pub(crate) listener: Rc<TcpListener>,
@@ -44,7 +45,7 @@
     pub(crate) limits: ConnectionLimits,
 }
 
-/// Executes console commands and follows the other processes of this proxy.
+/// Executes console commands, and polls the other processes of this proxy.
 pub(crate) struct AdminHandler {
     context: AdminContext,
     status: RefCell<ProcessStatus>,
@@ -52,29 +53,28 @@
     persist_failures: FailureLog,
 }
 
-/// The result of an accepted change.
+/// The result of a change that is in force.
 struct ChangeOutcome {
     /// Whether the backend's state changed.
     has_changed: bool,
-    /// What the response adds where the change is not persisted yet; empty otherwise.
+    /// Appended to the response if the change is not persisted yet; empty otherwise.
     persistence_note: String,
 }
 
 impl AdminHandler {
-    /// Creates the handler, and counts the other processes for the first time.
+    /// Creates the handler, and updates the process status for the first time.
     #[must_use]
     pub(crate) fn new(context: AdminContext) -> Rc<Self> {
         let admin_handler = Self {
             clock: context.handle.clock(),
             context,
             status: RefCell::default(),
-            persist_failures: FailureLog::of("a change of exclusions is in force and not persisted"),
+            persist_failures: FailureLog::of("a change of exclusions is in force but not persisted"),
         };
         admin_handler.update_status();
         Rc::new(admin_handler)
     }
 
-    /// Executes a command.
     pub(crate) async fn execute(self: Rc<Self>, command: ConsoleCommand) -> ConsoleResponse {
         let response = match command {
             ConsoleCommand::Ready => {
@@ -93,7 +93,8 @@
         self.status.borrow_mut().begin_draining();
     }
 
-    /// Whether this process is ready, and why requests ended without a backend's response so far, if any did.
+    /// Reports whether this process is ready. If requests ended without a backend's response, their counts by
+    /// cause are appended.
     fn readiness_response(&self) -> ConsoleResponse {
         let unserved = self.context.handle.counts().unserved;
         match self.status.borrow().readiness_response() {
@@ -135,13 +136,13 @@
         }
     }
 
-    /// Changes the exclusions: the change is in force at once, whatever the state of the disk, and is then persisted so that
-    /// it outlives this process.
+    /// Changes the exclusions. The change is in force immediately, even if the disk fails, and is then
+    /// persisted for the processes that replace this one.
     async fn change(self: &Rc<Self>, change: ExclusionChange) -> Result<ChangeOutcome, TooManyExclusions> {
         let mut exclusions = self.context.backend_list.borrow().exclusions().clone();
         let has_changed = self.context.state.change(&mut exclusions, change)?;
         self.apply(exclusions);
-        // A task of its own, so that it goes on after the client has disconnected or the wait has ended.
+        // A separate task, so that it continues after the client has disconnected or the wait has timed out.
         let admin_handler = Rc::clone(self);
         let persisting = tokio::task::spawn_local(async move { admin_handler.persist_changes().await });
         let persistence_note = match timeout(PERSIST_TIMEOUT, persisting).await {
@@ -159,7 +160,7 @@
         Ok(())
     }
 
-    /// Puts these exclusions in force.
+    /// Puts these exclusions in force, and logs them if they differ from the previous ones.
     fn apply(&self, exclusions: Exclusions) {
         let backend_list = &self.context.backend_list;
         if backend_list.borrow().exclusions().differing_ids(&exclusions).is_empty() {
--- a/crates/proxy-server/src/admin_handler/peers.rs
+++ b/crates/proxy-server/src/admin_handler/peers.rs
@@ -1,5 +1,5 @@
-//! Coordination with the other processes of the same proxy: shared exclusions and learned limits, quotas, and the steering of
-//! new connections.
+//! Coordination with the peers, the other processes of the same proxy: shared exclusions and learned limits,
+//! quotas, and the steering of new connections.
 
 use super::AdminHandler;
 use admin::process_replacement::steer_new_connections;
@@ -8,14 +8,15 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the other processes and their files are polled. An exclusion accepted by one process has to be in force in the
-/// others within a second.
+/// The interval at which the peers and the shared files are polled. An exclusion that one process has
+/// accepted has to be in force in the others within a second.
 const PEER_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The learned limits are persisted at every such number of polls: each second.
+/// The number of polls between two snapshots of the learned limits; one snapshot per second.
 const POLLS_PER_SNAPSHOT: u32 = 10;
 
 impl AdminHandler {
-    /// Polls the other processes, for as long as this one runs.
+    /// Polls the peers and the shared files until the process ends, and writes the snapshots of learned
+    /// limits.
     pub(crate) async fn poll_peers(self: Rc<Self>) {
         tokio::task::spawn_local(Rc::clone(&self).retry_persisting());
         let mut polls = 0_u32;
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Retries to persist the changes in force until the file holds them, for as long as this process runs.
+    /// Persists changes that are in force but not in the file, with retries, until the process ends.
     async fn retry_persisting(self: Rc<Self>) {
         loop {
             sleep(PEER_POLL_INTERVAL).await;
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Updates this process's status, and what depends on it: the quotas, the restored limits and the steering.
+    /// Updates this process's status, and what depends on it: the quotas, the restoring of learned limits,
+    /// and the steering of connections.
     pub(super) fn update_status(&self) {
         let mut status = self.status.borrow_mut();
         let peer_count = self.context.state.peer_count();
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Restores the limits that the replaced process has learned. Needs a backend list to apply them to.
+    /// Restores the limits that another process of this proxy has learned. Requires that a backend list was
+    /// received, since the limits apply to its backends.
     fn restore_learned_limits(&self) {
         let context = &self.context;
         match context.state.read_snapshot(self.clock.now()).map(|learned| context.handle.restore(&learned)) {
@@ -78,7 +81,7 @@
             Ok(()) => {
                 log(format_args!("steering new connections to this process, listener {listener_index}"));
             }
-            Err(error) => log(format_args!("new connections could not be steered: {error}")),
+            Err(error) => log(format_args!("new connections could not be steered to this process: {error}")),
         }
     }
 }
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -1,4 +1,5 @@
-//! Reloads the configuration at SIGHUP: it is replaced as a whole, or not at all.
+//! Reloading of the configuration at SIGHUP: either the complete new configuration is applied or nothing
+//! changes.
 
 use admin::fingerprint::fingerprint;
 use balancer::api::{Micros, Settings};
@@ -19,31 +20,34 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long an unreadable configuration is retried. Discovery's state is expected to be in force 4 s after the signal.
+/// How long the reading of an unreadable configuration is retried. The state that discovery reports is
+/// expected to be in force 4 s after the signal.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The configuration in force, and the parts that a reload updates.
 pub(crate) struct ConfigReload {
-    /// The configuration at the process's start; some settings apply until the process ends.
+    /// The configuration file at the process's start. Some settings are applied only then and remain until
+    /// the process ends.
     initial_document: Value,
     document: Value,
     settings: Settings,
     classes: ClassIndices,
-    /// The names in the configuration at the process's start.
+    /// The names in the configuration at the process's start. A reload does not change machine kinds and
+    /// zones.
     names: NameIndex,
-    /// The fingerprint of the classes, kinds and zones to which learned limits belong.
+    /// Identifies the request classes, machine kinds and zones by which limits are learned.
     fingerprint: Rc<Cell<u64>>,
     handle: Handle,
-    /// The longest deadline of the classes in force, microseconds.
+    /// The longest deadline of the request classes in force, in microseconds.
     longest_deadline: Rc<Cell<Micros>>,
 }
 
 impl ConfigReload {
-    /// Starts from this configuration. `configuration_fingerprint` is set, and updated at each reload.
+    /// Starts from the configuration in force. `configuration_fingerprint` is set now and at each reload.
     ///
     /// # Errors
-    /// Where the classes cannot be indexed.
+    /// If no indices can be assigned to the request classes.
     pub(crate) fn new(
         config: &Config,
         handle: Handle,
@@ -64,7 +68,7 @@
         })
     }
 
-    /// The classes by the names that clients use.
+    /// The request classes in force, by the names that clients use.
     #[must_use]
     pub(crate) fn client_classes(&self, now: Micros) -> ClientClasses {
         let mut classes = ClientClasses::default();
@@ -72,14 +76,14 @@
         classes
     }
 
-    /// The longest deadline of the classes in force, microseconds; updated at each reload.
+    /// The longest deadline of the request classes in force, in microseconds; updated at each reload.
     #[must_use]
     pub(crate) fn longest_deadline(&self) -> Rc<Cell<Micros>> {
         Rc::clone(&self.longest_deadline)
     }
 
-    /// Reloads the configuration at each signal, for as long as the proxy runs. A configuration that cannot be used changes
-    /// nothing.
+    /// Reloads the configuration at each signal until the process ends. After a failed reload the previous
+    /// configuration remains in force.
     pub(crate) async fn reload_on_signals(
         mut self,
         mut reload: Signal,
@@ -98,14 +102,15 @@
         }
     }
 
-    /// Retries while the file cannot be read: its content is due from the signal on.
+    /// Reloads the configuration, with retries while the file cannot be read: the file's content is to be
+    /// in force from the signal on.
     async fn reload_with_retry(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
         let deadline = Instant::now() + READ_TIMEOUT;
         let is_unreadable = |error: &ConfigError| matches!(error, ConfigError::Unreadable(..));
         retry(Some(deadline), READ_RETRY_DELAY, is_unreadable, async || self.reload(clients)).await
     }
 
-    /// Reads and checks the complete configuration before it changes anything. Returns discovery's address.
+    /// Reads and checks the complete configuration, and then applies it. Returns discovery's address.
     fn reload(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
         let config = Config::reload(&self.document)?;
         let mut classes = self.classes.clone();
@@ -138,14 +143,15 @@
     }
 }
 
-/// The longest deadline of the classes in force, microseconds. Requests of classes that were removed earlier have their
-/// responses before it as well.
+/// The longest deadline of the request classes in force, in microseconds. Draining limits requests of classes
+/// that were removed earlier to it as well.
 fn longest_deadline(classes: &ClassIndices, settings: &Settings) -> Micros {
     let in_force = classes.named().filter_map(|(index, _)| settings.classes.get(index));
     in_force.map(|class| class.deadline).max().unwrap_or_default()
 }
 
-/// The fingerprint of all by which limits and latencies are learned: classes with their indices, kinds and zones.
+/// The fingerprint of the dimensions by which limits and latencies are learned: request classes with their
+/// indices, machine kinds and zones.
 fn learning_fingerprint(classes: &ClassIndices, names: &NameIndex) -> u64 {
     let classes = classes.named().flat_map(|(index, name)| [index.to_string(), name.to_owned()]);
     let kinds_and_zones = [&names.kinds, &names.zones]
--- a/crates/proxy-server/src/error.rs
+++ b/crates/proxy-server/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the proxy server failed.
+//! Errors of the proxy server.
 
 use balancer::api::SettingsError;
 use external_processor::server::ServerError;
@@ -9,25 +9,25 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// Why the proxy server could not start, or ended early.
+/// Why the proxy server could not start, or ended without a stop request.
 #[derive(Debug, Error)]
 pub enum ProxyServerError {
-    /// This address cannot be listened on.
+    /// The listener on this address could not be opened.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, #[source] io::Error),
-    /// The state shared with other processes of this proxy, in this directory, cannot be opened.
-    #[error("{0}: {1}")]
+    /// No instance slot could be acquired in this directory, which the processes of this proxy share.
+    #[error("cannot acquire an instance slot in {0}: {1}")]
     PersistentState(PathBuf, #[source] io::Error),
     /// The balancer rejected the settings.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// The configured classes cannot be indexed.
+    /// No indices could be assigned to the configured request classes.
     #[error("{0}")]
     Classes(#[from] ReloadError),
-    /// The external processor cannot start.
+    /// The external processor could not start.
     #[error("external processor: {0}")]
     ExternalProcessor(#[from] ServerError),
-    /// The engine's task ended before a stop was requested: it returned or panicked.
-    #[error("the engine ended: {0:?}")]
+    /// The request engine's task returned or panicked before a stop was requested.
+    #[error("the request engine ended before a stop was requested: {0:?}")]
     EngineEnded(Result<(), JoinError>),
 }
--- a/crates/proxy-server/src/learned_state.rs
+++ b/crates/proxy-server/src/learned_state.rs
@@ -1,9 +1,9 @@
-//! Conversion between the balancer's learned state and the form in which the snapshot file holds it.
+//! Conversion between the balancer's learned state and the form in which the snapshot file stores it.
 
 use admin::snapshot_file::{StoredKindLimit, StoredLatency, StoredLearnedState, StoredLimit};
 use balancer::api::{LearnedKindLimit, LearnedLatency, LearnedLimit, LearnedState};
 
-/// The learned state in stored form.
+/// Converts the balancer's learned state to the stored form.
 pub(crate) fn to_stored(state: LearnedState) -> StoredLearnedState {
     let backend = |learned: LearnedLimit| StoredLimit {
         backend: learned.backend,
@@ -29,7 +29,7 @@
     }
 }
 
-/// The stored state as a balancer restores it.
+/// Converts the stored form to the state that a balancer restores.
 pub(crate) fn from_stored(stored: StoredLearnedState) -> LearnedState {
     let backend = |stored: StoredLimit| LearnedLimit {
         backend: stored.backend,
--- a/crates/proxy-server/src/lib.rs
+++ b/crates/proxy-server/src/lib.rs
@@ -1,4 +1,5 @@
-//! The proxy server as a library: [`server`] assembles the front ends around one request engine, serves, and drains them.
+//! The proxy server as a library. [`server`] assembles the front ends around one request engine, serves
+//! requests, and drains the front ends at the end.
 #![forbid(unsafe_code)]
 
 mod admin_handler;
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy server's executable: arguments, signals, exit code.
+//! The executable of the proxy server: command line, signals, exit code.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -18,9 +18,9 @@
 
 /// A load-balancing HTTP/1.1 proxy round one decision module.
 ///
-/// Without a command it serves. Its configuration is the JSON file that `EDGE_CONFIG` names; `EDGE_NAME`, `EDGE_LISTEN` and
-/// `EDGE_DISCOVERY` fill in what the file leaves out. SIGHUP reads the file again, SIGTERM finishes what was taken and
-/// ends with code 0.
+/// Without a command it serves. Its configuration is the JSON file that `EDGE_CONFIG` names; `EDGE_NAME`,
+/// `EDGE_LISTEN` and `EDGE_DISCOVERY` fill in what the file leaves out. SIGHUP reads the file again, SIGTERM
+/// finishes what was taken and ends with code 0.
 #[derive(Parser)]
 #[command(name = "load-balancing-proxy", version)]
 struct Arguments {
@@ -46,7 +46,7 @@
 /// Why the executable failed.
 #[derive(Debug, Error)]
 enum ProgramError {
-    /// The runtime could not be built, or the signals not be handled.
+    /// The runtime could not be built, or the signal handlers not be installed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The configuration is unreadable or not valid.
@@ -55,7 +55,7 @@
     /// The external processor's settings are unreadable or not valid.
     #[error(transparent)]
     ExternalProcessor(#[from] SettingsError),
-    /// The proxy could not start, or ended early.
+    /// The proxy could not start, or ended without a stop signal.
     #[error(transparent)]
     Server(#[from] ProxyServerError),
 }
@@ -67,25 +67,26 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Until then each of the signals ends the process, so this comes before anything else.
+    /// Installs the handlers. Until then each of these signals ends the process, so this runs first.
     fn install() -> io::Result<Self> {
         Ok(Self { stop: signal(SignalKind::terminate())?, reload: signal(SignalKind::hangup())? })
     }
 }
 
-/// Threads for blocking calls to the disk: one writes learned limits, one exclusions.
+/// The number of threads for blocking disk I/O: one writes learned limits, one exclusions.
 const DISK_THREADS: usize = 2;
-/// The stack of such a thread, bytes; it writes one file.
+/// The stack size of such a thread in bytes. It only writes one file.
 const DISK_THREAD_STACK_BYTES: usize = 128 << 10;
 
-/// How long an ending process waits until its log has been read.
+/// How long the process waits at its end until the log has been written.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How long the calls of a starting process are retried after transient errors.
+/// How long calls at the start are retried after transient errors.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(3);
 const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Retries a call of the startup, before there is anything to serve, until it succeeds or fails permanently. Blocks.
+/// Calls `call` until it succeeds, fails permanently, or [`STARTUP_TIMEOUT`] has passed. Blocks the thread,
+/// which has nothing to serve yet.
 fn retry_at_startup<T, E>(
     call: impl FnMut() -> Result<T, E>,
     is_transient: impl Fn(&E) -> bool,
@@ -111,7 +112,7 @@
         server::serve(FrontEnds { http, external_processor }, stop, Some(reload), |_, _| ()).await?;
         Ok(())
     });
-    // A blocked disk must not keep the process from ending.
+    // A blocked disk must not prevent the process from ending.
     runtime.shutdown_background();
     result
 }
@@ -123,7 +124,7 @@
         .transpose()?;
     let settings = &config.settings;
     println!("{}: good", path.display());
-    println!("  listens on {}, follows discovery at {}", config.listen, config.discovery);
+    println!("  listens on {}, polls discovery at {}", config.listen, config.discovery);
     println!(
         "  {} classes, {} tenants, {} zones",
         settings.classes.len(),
@@ -138,7 +139,7 @@
         let bounds = &settings.bounds;
         println!("{}: good", path.display());
         println!("  answers callers on {}, on {} connections", settings.listen, bounds.connections);
-        println!("  at most {} leases, {} requests held or remembered", bounds.leases, bounds.retained);
+        println!("  at most {} leases, {} requests in flight or retained", bounds.leases, bounds.retained);
     }
     Ok(())
 }
--- a/crates/proxy-server/src/persistence.rs
+++ b/crates/proxy-server/src/persistence.rs
@@ -1,5 +1,5 @@
-//! The state that the processes of one proxy share in the temporary directory: exclusions, instance slots and learned limits.
-//! Transient errors of the disk are retried.
+//! The state that the processes of one proxy share through files in the temporary directory: exclusions,
+//! instance slots and learned limits. Transient disk errors are retried.
 
 use crate::learned_state::{from_stored, to_stored};
 use admin::exclusion_store::{ExclusionStore, FileVersion, StoreError};
@@ -19,18 +19,17 @@
 use tokio::sync::Mutex;
 use tokio::time::Instant;
 
-/// How long a starting process retries a disk that fails. Its readiness is due within 6 s.
+/// How long a starting process retries after disk errors. It has to be ready within 6 s.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(4);
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Which version of the exclusions' file was read last.
+/// The version of the exclusions file that was read last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LastRead {
-    /// None: the file could not be read.
+    /// The file could not be read, so that it is read at the next poll whatever its version.
     Failed,
-    /// There was no file.
+    /// The file was absent.
     Absent,
-    /// This one.
     Version(FileVersion),
 }
 
@@ -40,42 +39,42 @@
     }
 }
 
-/// Exclusions as read at a process's start.
+/// The exclusions that were read when the process started.
 struct InitialExclusions {
     exclusions: Exclusions,
     last_read: LastRead,
 }
 
-/// The files that this process shares with its peers, and its instance slot.
+/// The files that this process shares with its peers, and the changes that are not yet written to them.
 pub(crate) struct PersistentState {
     store: ExclusionStore,
     last_read: Cell<LastRead>,
-    /// Changes that are in force and not in the file.
+    /// Changes that are in force but not yet in the file.
     unpersisted: RefCell<UnpersistedChanges>,
-    /// Serialises writes of the exclusions.
+    /// Serialises the writes of this process to the exclusions file.
     write_lock: Mutex<()>,
     instance_slot: InstanceSlot,
     snapshot: Rc<SnapshotFile>,
-    /// The fingerprint of the classes, kinds and zones in force.
+    /// Covers the request classes, machine kinds and zones in force; updated by reloads of the configuration.
     configuration_fingerprint: Rc<Cell<u64>>,
-    /// Whether a snapshot is being written. Nothing waits for it, and only one is written at a time.
+    /// Whether a snapshot is being written. Snapshots are written in the background, one at a time.
     is_writing_snapshot: Rc<Cell<bool>>,
     snapshot_failures: Rc<FailureLog>,
     read_failures: FailureLog,
 }
 
-/// The opened state, with the exclusions that it held.
+/// The opened state, with the exclusions that were persisted.
 pub(crate) struct OpenedState {
     pub(crate) state: PersistentState,
     pub(crate) exclusions: Exclusions,
 }
 
 impl PersistentState {
-    /// Acquires an instance slot and reads the exclusions. `configuration` holds the configuration's fingerprint, which a
-    /// reload may change. A damaged file is logged and counts as empty.
+    /// Reads the exclusions and acquires an instance slot. A damaged or unreadable exclusions file is logged
+    /// and treated as empty.
     ///
     /// # Errors
-    /// Where no instance slot can be acquired.
+    /// If no instance slot can be acquired.
     pub(crate) async fn open(
         directory: &Path,
         name: &str,
@@ -106,15 +105,16 @@
         Ok(OpenedState { state, exclusions })
     }
 
-    /// The number of other processes of this proxy.
+    /// The number of other running processes of this proxy.
     pub(crate) fn peer_count(&self) -> usize {
         self.instance_slot.peer_count()
     }
 
-    /// Applies a change to these exclusions, and queues it for the file. Returns whether the backend's state changed.
+    /// Applies a change to `exclusions` and queues it for the file. Returns whether it changed the backend's
+    /// state.
     ///
     /// # Errors
-    /// At the bound on exclusions; then nothing has changed.
+    /// If the maximum number of backends is excluded; nothing changes then.
     pub(crate) fn change(
         &self,
         exclusions: &mut Exclusions,
@@ -125,16 +125,16 @@
         Ok(changed)
     }
 
-    /// Whether a change that is in force is not in the file.
+    /// Whether a change is in force but not yet in the file.
     pub(crate) fn has_unpersisted_changes(&self) -> bool {
         !self.unpersisted.borrow().is_empty()
     }
 
-    /// Writes the unpersisted changes over the file's present content; over `current` where the file is damaged. Returns the
-    /// exclusions in force.
+    /// Applies the unpersisted changes to the exclusions in the file, or to `current` if the file is damaged,
+    /// and writes the result. Returns the exclusions to put in force.
     ///
     /// # Errors
-    /// Where the file could not be written; the changes remain queued.
+    /// If the file cannot be locked, read or written, or a change is rejected; the changes remain queued.
     pub(crate) async fn persist_changes(
         &self,
         current: &Exclusions,
@@ -146,7 +146,7 @@
             exclusions.prune_reinclusions_before(now.saturating_sub(REINCLUSION_RETENTION));
             self.unpersisted.borrow().apply(exclusions)
         };
-        let on_damaged = |error| log(format_args!("set aside a damaged file: {error}"));
+        let on_damaged = |error| log(format_args!("set aside the damaged exclusions file: {error}"));
         let (exclusions, ()) = self.store.change(current, change, on_damaged).await?;
         self.unpersisted.borrow_mut().mark_persisted(last_sequence);
         Ok(self.with_unpersisted_changes(exclusions))
@@ -154,12 +154,13 @@
 
     fn with_unpersisted_changes(&self, mut exclusions: Exclusions) -> Exclusions {
         if let Err(error) = self.unpersisted.borrow().apply(&mut exclusions) {
-            log(format_args!("not all changes of exclusions were applied: {error}"));
+            log(format_args!("some changes of exclusions were not applied: {error}"));
         }
         exclusions
     }
 
-    /// The exclusions in force, if the file has changed since it was read last.
+    /// Reads the file if it has changed since it was read last. Returns the exclusions to put in force: those
+    /// of the file with the unpersisted changes applied.
     pub(crate) fn reload_if_changed(&self) -> Option<Exclusions> {
         let version = LastRead::from(self.store.version());
         if self.last_read.get() == version {
@@ -171,7 +172,7 @@
                 Some(self.with_unpersisted_changes(exclusions))
             }
             Err(error) => {
-                // Damage lasts until the file is replaced; any other error may be transient.
+                // A damaged file remains damaged until it is replaced; any other error may be transient.
                 if matches!(error, StoreError::Damaged(..)) {
                     self.last_read.set(version);
                 }
@@ -181,7 +182,8 @@
         }
     }
 
-    /// Starts to write a snapshot of the learned limits, unless the previous one is still being written.
+    /// Writes a snapshot of the learned limits in the background, unless the previous one is still being
+    /// written.
     pub(crate) fn write_snapshot(&self, now: Micros, learned_state: impl FnOnce() -> LearnedState) {
         if self.is_writing_snapshot.replace(true) {
             return;
@@ -199,24 +201,25 @@
         });
     }
 
-    /// The limits that another process of this proxy has learned.
+    /// Reads the learned state that another process of this proxy has written.
     ///
     /// # Errors
-    /// Where there is no snapshot of this configuration that is recent and valid.
+    /// If there is no recent and valid snapshot of the configuration in force.
     pub(crate) fn read_snapshot(&self, now: Micros) -> Result<LearnedState, SnapshotError> {
         self.snapshot.read(self.configuration_fingerprint.get(), now).map(from_stored)
     }
 }
 
-/// Loads the exclusions of a starting process. Transient errors are retried until `end`; after that the process starts
-/// without exclusions and reads the file later.
+/// Reads the exclusions when the process starts. Transient errors are retried until `end`; after that the
+/// process starts without exclusions, and reads the file at a later poll.
 async fn load_with_retry(store: &ExclusionStore, end: Instant) -> InitialExclusions {
     let is_transient = |(error, _): &(StoreError, LastRead)| match error {
         StoreError::Io(_, error) => retry::is_of_disk(error),
         _ => false,
     };
     let load = async || {
-        // The version comes first: a change between the two calls is read again later.
+        // The version is examined first: if the file changes between the two calls, it is read once more at
+        // the next poll.
         let version = LastRead::from(store.version());
         match store.load() {
             Ok(exclusions) => Ok(InitialExclusions { exclusions, last_read: version }),
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -41,12 +41,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// The configurations of the front ends that one process serves.
+/// The configurations of the front ends of one process.
 #[derive(Debug)]
 pub struct FrontEnds {
-    /// The HTTP proxy's, and everything that the front ends share.
+    /// The configuration of the HTTP proxy, and all settings that the front ends share.
     pub http: Config,
-    /// The external processor's, if it is enabled.
+    /// The settings of the external processor, if it is enabled.
     pub external_processor: Option<ExternalProcessorSettings>,
 }
 
@@ -56,24 +56,25 @@
     }
 }
 
-/// The addresses on which a started proxy listens.
+/// The actual addresses on which a started proxy listens.
 #[derive(Clone, Copy, Debug)]
 pub struct BoundAddresses {
     /// For HTTP clients.
     pub clients: SocketAddr,
-    /// For clients of the external processor, if it is enabled.
+    /// For callers of the external processor, if it is enabled.
     pub external_processor: Option<SocketAddr>,
     /// For console commands, if a console is configured.
     pub console: Option<SocketAddr>,
 }
 
-/// Serves until `stop` completes, and then drains: it returns when all requests have their responses or their time is over.
+/// Serves until `stop` completes, and then drains: returns when all requests have been answered or their time
+/// has passed.
 ///
-/// Each signal of `reload` reloads the configuration. `on_started` is called once all listeners are open. Has to run within a
-/// `LocalSet`.
+/// Each signal of `reload` reloads the configuration. `on_started` is called once all listeners are open. Has
+/// to run within a `LocalSet`.
 ///
 /// # Errors
-/// Where the proxy cannot start, or the engine ends early.
+/// If the proxy cannot start, or the request engine ends before `stop` completes.
 pub async fn serve(
     front_ends: impl Into<FrontEnds>,
     stop: impl Future<Output = ()>,
@@ -99,7 +100,7 @@
     result
 }
 
-/// The parts of a started proxy that live until it has drained.
+/// The parts of a started proxy that are needed until it has drained.
 struct Server {
     handle: Handle,
     addresses: BoundAddresses,
@@ -107,14 +108,16 @@
     client_front_end: ClientFrontEnd,
     grpc_front_end: Option<GrpcFrontEnd>,
     admin_handler: Option<Rc<AdminHandler>>,
-    /// The longest deadline of the classes in force, microseconds.
+    /// The longest deadline of the request classes in force, in microseconds.
     longest_deadline: Rc<Cell<Micros>>,
-    /// The sender for discovery's address where no reload owns it: the watcher's channel has to stay open.
+    /// The sender of discovery's address if there is no reload task to own it. The watcher's channel has to
+    /// remain open.
     _discovery_address: Option<watch::Sender<SocketAddr>>,
 }
 
 impl Server {
-    /// Opens all listeners and assembles the parts, up to the point where only the background tasks have to be spawned.
+    /// Opens all listeners and assembles the parts. Only the tasks of [`Self::spawn_tasks`] remain to be
+    /// spawned.
     async fn start(
         front_ends: FrontEnds,
         clock: Clock,
@@ -122,12 +125,13 @@
     ) -> Result<(Self, DiscoveryWatcher), ProxyServerError> {
         let FrontEnds { http: mut config, external_processor } = front_ends;
         let fingerprint = Rc::<Cell<u64>>::default();
-        // The instance slot comes before the listener: a process that listens is visible to its peers.
+        // The instance slot is acquired before the listener is opened: a process that listens is counted by
+        // its peers.
         let (state, exclusions) = open_persistent_state(&config, clock, &fingerprint).await?;
         let listener = ClientListener::open(&config).await?;
         let EngineParts { handle, poll_requests } =
             EngineParts::create(&config, external_processor.as_ref(), clock)?;
-        // Requests of both front ends share one registry.
+        // Both front ends use one registry, so that an idempotency key applies to the requests of both.
         let registry = external_processor.as_ref().map(|settings| shared_registry(settings.bounds.retained));
         let grpc_front_end =
             start_grpc_front_end(external_processor.as_ref(), registry.as_ref(), &config, &handle)?;
@@ -174,7 +178,7 @@
         Ok((server, watcher))
     }
 
-    /// Spawns the engine and all that runs beside it. Returns the engine's task, which ends only by a fault.
+    /// Spawns the engine and the background tasks. Returns the engine's task, which ends only after a fault.
     fn spawn_tasks(&self, watcher: DiscoveryWatcher, accept_immediately: bool) -> JoinHandle<()> {
         let first_response = watcher.call_ended();
         let engine_task = tokio::task::spawn_local(self.handle.clone().run());
@@ -185,8 +189,9 @@
         let clients = Rc::clone(&self.client_front_end.connections);
         let accepting = clients.accept(Rc::clone(&self.listener.socket));
         tokio::task::spawn_local(async move {
-            // What a discovery agent already holds counts as known: a request routed by an older list could reach a backend
-            // that is leaving. Until the agent's first response or failure, clients wait in the kernel's queue.
+            // A request that is routed by an older list could reach a backend that the discovery agent
+            // already reports as leaving. Clients therefore wait in the kernel's accept queue until
+            // discovery's first response or failure.
             if !accept_immediately {
                 first_response.notified().await;
             }
@@ -195,7 +200,7 @@
         engine_task
     }
 
-    /// Finishes the requests of both front ends.
+    /// Drains both front ends at the same time.
     async fn drain(&self) {
         if let Some(admin_handler) = &self.admin_handler {
             admin_handler.begin_draining();
@@ -206,7 +211,7 @@
             handle: &self.handle,
             listener: &self.listener.socket,
             phase: &self.client_front_end.phase,
-            // The signal may have come at any moment of a stall of this process.
+            // If this process was stalled, the signal may have arrived at any moment of the stall.
             stop_requested_at: self.listener.stall_detector.earliest(Instant::now()),
             longest_deadline,
         };
@@ -219,8 +224,8 @@
     }
 }
 
-/// The state shared with other processes of this proxy; none for a proxy without a console, which is not replaced while it
-/// serves.
+/// Opens the state that is shared with the other processes of this proxy. A proxy without a console has none:
+/// it does not support process replacement.
 async fn open_persistent_state(
     config: &Config,
     clock: Clock,
@@ -236,7 +241,6 @@
     Ok((Some(state), exclusions))
 }
 
-/// Starts the external processor if it is enabled.
 fn start_grpc_front_end(
     settings: Option<&ExternalProcessorSettings>,
     registry: Option<&SharedRegistry>,
@@ -253,8 +257,8 @@
     Rc::new(RefCell::new(IdempotencyRegistry::new(capacity)))
 }
 
-/// Spawns the task that reloads the configuration at each signal; without signals, returns the address sender, which has to
-/// be kept.
+/// Spawns the task that reloads the configuration at each signal. Without signals, returns the sender of
+/// discovery's address, which must not be dropped.
 fn spawn_reload_task(
     config_reload: ConfigReload,
     reload: Option<Signal>,
--- a/crates/proxy-server/src/server/client_front_end.rs
+++ b/crates/proxy-server/src/server/client_front_end.rs
@@ -1,4 +1,4 @@
-//! The HTTP front end for clients.
+//! Construction of the HTTP front end for clients.
 
 use http_proxy::class_registry::ClassRegistry;
 use http_proxy::clients::{ClientConnections, ClientConnectionsOptions, ShutdownPhase};
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What the client front end is made of.
+/// The parameters of [`ClientFrontEnd::create`].
 pub(super) struct ClientFrontEndOptions<'a> {
     pub(super) config: &'a Config,
     pub(super) handle: &'a Handle,
     pub(super) classes: ClassRegistry,
     pub(super) has_backend_list: Rc<Cell<bool>>,
-    /// The requests in flight, shared with the external processor if it is enabled.
+    /// The idempotency registry that is shared with the external processor; `None` if that is disabled.
     pub(super) registry: Option<SharedRegistry>,
     pub(super) stall_detector: Rc<StallDetector>,
 }
 
-/// The client connections, and the phase that controls them.
+/// The client connections, and the sender of the shutdown phase that controls them.
 pub(super) struct ClientFrontEnd {
     pub(super) connections: Rc<ClientConnections>,
     pub(super) phase: watch::Sender<ShutdownPhase>,
--- a/crates/proxy-server/src/server/console.rs
+++ b/crates/proxy-server/src/server/console.rs
@@ -1,4 +1,4 @@
-//! The console's listener and tasks.
+//! Start of the console.
 
 use super::listener::{AddressSharing, open_listener};
 use crate::admin_handler::AdminHandler;
@@ -9,10 +9,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Starts the console and the polling of peers, if a console is configured. Returns the console's address.
+/// If a console is configured, opens its listener and spawns the tasks that serve it and poll the peers.
+/// Returns the listener's actual address.
 ///
 /// # Errors
-/// Where the address cannot be listened on.
+/// If the listener cannot be opened.
 pub(super) async fn open(
     config: &Config,
     admin_handler: Option<&Rc<AdminHandler>>,
--- a/crates/proxy-server/src/server/discovery.rs
+++ b/crates/proxy-server/src/server/discovery.rs
@@ -12,19 +12,20 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// The discovery watcher, and what it shares with others.
+/// The discovery watcher, and the parts that it shares with other components.
 pub(super) struct DiscoveryParts {
     pub(super) watcher: DiscoveryWatcher,
     pub(super) backend_list: Rc<RefCell<BackendList>>,
-    /// Set once a backend list was received.
+    /// Set to `true` once a backend list was received.
     pub(super) has_backend_list: Rc<Cell<bool>>,
-    /// Changes the address of discovery while the proxy runs.
+    /// Changes discovery's address while the proxy runs.
     pub(super) address_sender: watch::Sender<SocketAddr>,
 }
 
 impl DiscoveryParts {
-    /// Creates the watcher, and gives it the backend list of the configuration, which is taken out of `config`.
-    /// `subscribe_requests` are followed where the settings leave it to the engine when discovery is polled.
+    /// Creates the watcher, which starts from the last known backend list in `config`; that list is moved out
+    /// of `config`. `subscribe_requests` carries the engine's requests to poll discovery, which are used if
+    /// the settings enable discovery on request.
     pub(super) fn create(
         config: &mut Config,
         exclusions: Exclusions,
--- a/crates/proxy-server/src/server/drain.rs
+++ b/crates/proxy-server/src/server/drain.rs
@@ -1,4 +1,5 @@
-//! Draining: after the stop signal, requests in flight and connections that still arrive are finished within a bounded time.
+//! Draining: after the stop signal, requests in flight and those on connections that still arrive are
+//! completed within a bounded time.
 
 use balancer::api::Micros;
 use http_proxy::clients::{BacklogDrain, ClientConnections, ShutdownPhase};
@@ -9,39 +10,42 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// How long the proxy accepts connections at least after the stop signal: some still arrive.
+/// The minimum time for which the proxy accepts connections after the stop signal, since some still arrive.
 const MIN_DRAIN: Duration = Duration::from_millis(800);
-/// How long connections arrive after the stop signal. With short deadlines this and the deadline replace [`MIN_DRAIN`].
+/// How long connections are expected to arrive after the stop signal. If the sum of the longest deadline and
+/// this time is shorter than [`MIN_DRAIN`], it replaces [`MIN_DRAIN`].
 const ARRIVAL_GRACE: Duration = Duration::from_millis(400);
-/// How long no connection may have arrived before idle ones are closed.
+/// How long no connection must have arrived before idle connections are closed.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
-/// How often the progress of draining is polled.
+/// The interval at which the progress of draining is polled.
 pub(super) const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The delay after a failed examination of the listener's queue.
+/// The delay after a failed accept from the listener's queue.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// The longest deadline that draining waits for. The platform kills the process 0.7 s later.
+/// The maximum deadline that draining waits for; longer ones are cut to it. The platform kills the process
+/// 0.7 s after it.
 const MAX_DRAIN_DEADLINE: Duration = Duration::from_secs(3);
-/// How long after the longest deadline each request has its response at the latest.
+/// How long after the longest deadline the last response is due.
 const RESPONSE_SLACK: Duration = Duration::from_millis(450);
-/// How long after the longest deadline the process ends, with clients still connected: the time beyond [`RESPONSE_SLACK`] is
-/// for writing the responses.
+/// How long after the longest deadline the process ends even if clients are still connected. The difference
+/// to [`RESPONSE_SLACK`] is the time for writing the responses.
 pub(super) const DRAIN_SLACK: Duration = Duration::from_millis(550);
 
-/// The draining of the HTTP front end.
+/// Drains the HTTP front end.
 pub(super) struct Drain<'a> {
     pub(super) clients: &'a Rc<ClientConnections>,
     pub(super) handle: &'a Handle,
     pub(super) listener: &'a TcpListener,
     pub(super) phase: &'a watch::Sender<ShutdownPhase>,
-    /// The earliest time at which the stop signal may have come.
+    /// The earliest time at which the stop signal may have arrived.
     pub(super) stop_requested_at: Instant,
     /// The longest deadline of the classes in force.
     pub(super) longest_deadline: Duration,
 }
 
 impl Drain<'_> {
-    /// Finishes the requests in flight and those that still arrive. Each has its response before the platform kills the
-    /// process: the later a request arrives, the less time it has.
+    /// Completes the requests in flight and those that still arrive. The response deadline of all of them
+    /// lies before the time at which the platform kills the process, so a request that arrives later has less
+    /// time.
     pub(super) async fn run(self) {
         let longest_deadline = self.longest_deadline.min(MAX_DRAIN_DEADLINE);
         let response_deadline =
@@ -71,8 +75,8 @@
                     return;
                 }
             }
-            // The exit resets connections in the listener's queue. After this check only those are lost that the kernel
-            // completes in the moment before the exit.
+            // The kernel resets connections in the listener's queue when the process exits. After this check,
+            // only those are lost that the kernel completes between the check and the exit.
             match self.clients.drain_backlog(self.listener) {
                 BacklogDrain::Accepted => {}
                 BacklogDrain::Failed if Instant::now() < end => sleep(ACCEPT_RETRY_DELAY).await,
--- a/crates/proxy-server/src/server/engine.rs
+++ b/crates/proxy-server/src/server/engine.rs
@@ -11,20 +11,21 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Open requests per client connection. Each connection carries one request, but attempts of disconnected clients go on.
+/// The number of open requests for which the engine has capacity per client connection. A connection carries
+/// one request at a time, but attempts for disconnected clients continue.
 const REQUESTS_PER_CONNECTION: usize = 8;
 
-/// The engine's handle, and its requests to poll discovery.
+/// The engine's handle, and the channel of its requests to poll discovery.
 pub(super) struct EngineParts {
     pub(super) handle: Handle,
     pub(super) poll_requests: mpsc::UnboundedReceiver<()>,
 }
 
 impl EngineParts {
-    /// Creates the engine with its transport. Nothing runs yet.
+    /// Creates the engine with its transport, without running it.
     ///
     /// # Errors
-    /// Where the balancer rejects the settings.
+    /// If the balancer rejects the settings.
     pub(super) fn create(
         config: &Config,
         external_processor: Option<&ExternalProcessorSettings>,
--- a/crates/proxy-server/src/server/grpc_front_end.rs
+++ b/crates/proxy-server/src/server/grpc_front_end.rs
@@ -1,4 +1,5 @@
-//! The external processor: its decision service on this thread, its gRPC services on threads of their own.
+//! The external processor. Its decisions are made on the engine's thread; its gRPC services run on separate
+//! threads.
 
 use super::drain::{DRAIN_POLL_INTERVAL, DRAIN_SLACK};
 use external_processor::bridge::{self, Bridge, EngineContext};
@@ -25,7 +26,7 @@
     /// Starts the gRPC services, and the task that connects them to the engine.
     ///
     /// # Errors
-    /// Where the services cannot start.
+    /// If the services cannot start.
     pub(super) fn start(
         settings: &ExternalProcessorSettings,
         config: &Config,
@@ -61,7 +62,8 @@
         self.services.address
     }
 
-    /// Rejects new requests, and waits for those in flight, at most for the longest deadline and a slack.
+    /// Rejects new requests, and waits for those in flight, for at most the longest deadline and
+    /// [`DRAIN_SLACK`].
     pub(super) async fn drain(&self, longest_deadline: Duration) {
         self.bridge.drain();
         self.services.drain();
@@ -74,7 +76,6 @@
         log(format_args!("external processor: {in_flight} requests in flight after draining, {counts:?}"));
     }
 
-    /// Ends the gRPC services.
     pub(super) fn end(self) {
         self.services.stop();
     }
--- a/crates/proxy-server/src/server/listener.rs
+++ b/crates/proxy-server/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets.
+//! Opening of listening sockets, with retries.
 
 use crate::error::ProxyServerError;
 use http_proxy::config::Config;
@@ -12,12 +12,12 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::Instant;
 
-/// The length of the kernel's queue of connections that are not accepted yet.
+/// The maximum length of the kernel's queue of connections that are not accepted yet.
 const BACKLOG: u32 = 1_024;
-/// How long opening a listener is retried after local, transient errors.
+/// How long the opening of a listener is retried after transient local errors.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Whether other processes of the same proxy may listen at the same address.
+/// Whether other processes of the same proxy may listen on the same address at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AddressSharing {
     Exclusive,
@@ -28,15 +28,16 @@
 pub(super) struct ClientListener {
     pub(super) socket: Rc<TcpListener>,
     pub(super) address: SocketAddr,
-    /// Detects stalls of this process from the moment at which it began to listen.
+    /// Detects stalls of this process since it began to listen.
     pub(super) stall_detector: Rc<StallDetector>,
 }
 
 impl ClientListener {
-    /// Opens the configured address. Only a proxy with a console shares it, since only such a one is replaced while it serves.
+    /// Listens on the configured address. Only a proxy with a console shares it with other processes, since
+    /// only such a proxy supports process replacement.
     ///
     /// # Errors
-    /// Where the address cannot be listened on.
+    /// If the listener cannot be opened.
     pub(super) async fn open(config: &Config) -> Result<Self, ProxyServerError> {
         let sharing =
             if config.console.is_some() { AddressSharing::Shared } else { AddressSharing::Exclusive };
@@ -47,10 +48,11 @@
     }
 }
 
-/// Listens on an address, with retries for [`LISTEN_TIMEOUT`]. Returns the listener and its actual address.
+/// Listens on an address, with retries for up to [`LISTEN_TIMEOUT`]. Returns the listener and its actual
+/// address.
 ///
 /// # Errors
-/// The last error, with the address that was requested.
+/// The error of the last attempt, with the requested address.
 pub(super) async fn open_listener(
     address: SocketAddr,
     sharing: AddressSharing,
@@ -65,7 +67,7 @@
 
 fn listen(address: SocketAddr, sharing: AddressSharing) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // A restarted proxy reuses its address although connections of the previous process linger.
+    // A restarted proxy can reuse its address while the kernel still has connections of the previous process.
     socket.set_reuseaddr(true)?;
     if sharing == AddressSharing::Shared {
         socket.set_reuseport(true)?;
--- a/crates/proxy-server/src/unserved_log.rs
+++ b/crates/proxy-server/src/unserved_log.rs
@@ -1,4 +1,4 @@
-//! Tells operators why requests ended without a backend's response.
+//! Periodic log of the causes for which requests ended without a backend's response.
 
 use balancer::api::UnservedCounts;
 use http_proxy::log::log;
@@ -6,10 +6,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the log has a line, where there is anything to tell.
+/// The interval at which new causes are logged, if there are any.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Logs the requests that ended without a backend's response, by cause, until the process ends.
+/// Logs the counts of requests that ended without a backend's response since the last line, by cause, until
+/// the process ends.
 pub(crate) async fn log_unserved(handle: Handle) {
     let mut logged = UnservedCounts::default();
     loop {
