--- a/crates/proxy-server/tests/faults/discovery_lists.rs
+++ b/crates/proxy-server/tests/faults/discovery_lists.rs
@@ -1,4 +1,4 @@
-//! Slow lists, invalid entries, agents that answer at once, and a log that is not read.
+//! Slowly sent lists, invalid entries, agents that respond at once, and a log that is not read.
 
 use crate::TwoBackends;
 use crate::support::*;
@@ -10,21 +10,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const GRACE: Duration = Duration::from_millis(1_050);
+/// How long after a drain or removal is in force new requests may still be sent to the backend.
+const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
 
-/// An agent that writes each list in pieces over this time.
-fn start_slow_agent(list: Arc<Mutex<Value>>, over: Duration) -> std::net::SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// Starts a discovery agent that writes each list in ten pieces over `write_time`.
+fn start_slow_agent(list: Arc<Mutex<Value>>, write_time: Duration) -> std::net::SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is bound");
+    let address = listener.local_addr().expect("the listener has an address");
     thread::spawn(move || {
         for stream in listener.incoming() {
             let (Ok(mut stream), list) = (stream, Arc::clone(&list)) else { return };
             thread::spawn(move || {
-                let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-                while let Some(asked) = read_message(&mut reader) {
-                    let list = list.lock().expect("a list").clone();
-                    // A watch that knows this revision waits.
-                    if asked.first_line().contains(&format!("after={}&", list["revision"])) {
+                let mut reader = BufReader::new(stream.try_clone().expect("the socket is cloned"));
+                while let Some(call) = read_message(&mut reader) {
+                    let list = list.lock().expect("the list is not poisoned").clone();
+                    // A watch after the current revision waits.
+                    if call.first_line().contains(&format!("after={}&", list["revision"])) {
                         thread::sleep(Duration::from_millis(500));
                     }
                     let text = response_bytes("200 OK", "", list.to_string().as_bytes());
@@ -32,7 +33,7 @@
                         if stream.write_all(piece).is_err() {
                             return;
                         }
-                        thread::sleep(over / 10);
+                        thread::sleep(write_time / 10);
                     }
                 }
             });
@@ -41,7 +42,8 @@
     address
 }
 
-/// Operators' terms: a change is in force 6 s after discovery had it and was reachable, also where a list is sent slowly.
+/// Requirement: a change is in force 6 s after discovery had it and was reachable, also where a list is sent
+/// slowly.
 #[test]
 fn slowly_sent_list_is_applied() {
     let pair = TwoBackends::new();
@@ -53,50 +55,53 @@
     let proxy = Proxy::start_with_config("slow-list", &config);
     let began = Instant::now();
     while proxy.client().exchange(HEALTH_REQUEST).status() != 200 {
-        assert!(began.elapsed() < Duration::from_secs(8), "no list was taken");
+        assert!(began.elapsed() < Duration::from_secs(8), "no list was applied");
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(pair.count_served_by_a(&proxy, "before", 30) > 0, "it serves");
+    assert!(pair.count_served_by_a(&proxy, "before", 30) > 0, "backend a receives nothing at first");
     let mut drained = members;
     drained[0]["phase"] = json!("leaving");
-    *list.lock().expect("a list") = json!({"revision": 2, "complete": true, "members": drained});
-    thread::sleep(Duration::from_secs(6) + GRACE);
+    *list.lock().expect("the list is not poisoned") =
+        json!({"revision": 2, "complete": true, "members": drained});
+    thread::sleep(Duration::from_secs(6) + DRAIN_GRACE);
     assert_eq!(pair.count_served_by_a(&proxy, "drained", 30), 0);
 }
 
-/// Operators' terms: nothing new goes to a draining or removed backend after the grace, also where its entry is invalid.
+/// Requirement: a draining or removed backend gets no new requests after the drain grace period, also where
+/// its entry is invalid.
 #[test]
 fn backend_with_an_invalid_entry_gets_no_new_requests() {
-    let broken: [fn(&mut Value); 4] = [
+    let invalidations: [fn(&mut Value); 4] = [
         |entry| entry["host_port"] = json!("nowhere"),
         |entry| entry["locality"] = json!("unheard-of"),
         |entry| entry["phase"] = json!("retired"),
         |entry| entry["cell"] = json!(-1),
     ];
-    for (round, invalidate) in broken.into_iter().enumerate() {
+    for (round, invalidate) in invalidations.into_iter().enumerate() {
         let pair = TwoBackends::new();
-        let proxy = Proxy::start(&format!("unread-{round}"), &pair.discovery, &pair.members());
-        assert!(pair.count_served_by_a(&proxy, "before", 20) > 0, "it serves");
+        let proxy = Proxy::start(&format!("invalid-{round}"), &pair.discovery, &pair.members());
+        assert!(pair.count_served_by_a(&proxy, "before", 20) > 0, "backend a receives nothing at first");
         let mut invalid_entry = entry("s-a", pair.a.address, "leaving", 0);
         invalidate(&mut invalid_entry);
         pair.discovery.post(false, &[invalid_entry]);
-        assert_eq!(pair.count_served_by_a(&proxy, "told", 20), 0, "case {round}");
+        assert_eq!(pair.count_served_by_a(&proxy, "invalid", 20), 0, "case {round}");
     }
 }
 
-/// An agent may answer a watch without changes at once. The proxy polls again within 200 ms, and not without a delay.
+/// An agent may respond at once to a watch without changes. The proxy polls it again within 200 ms, but with
+/// a delay.
 #[test]
-fn agent_that_answers_at_once_is_not_polled_without_a_delay() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let (calls, max_gap) = (Arc::new(Mutex::new(Vec::new())), Duration::from_millis(200));
-    let counted = Arc::clone(&calls);
+fn agent_that_responds_at_once_is_polled_with_a_delay() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is bound");
+    let address = listener.local_addr().expect("the listener has an address");
+    let (call_times, max_gap) = (Arc::new(Mutex::new(Vec::new())), Duration::from_millis(200));
+    let recorded = Arc::clone(&call_times);
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-            while let Some(asked) = read_message(&mut reader) {
-                counted.lock().expect("the calls").push(asked.received_at);
-                let is_complete = !asked.first_line().contains("after=");
+            let mut reader = BufReader::new(stream.try_clone().expect("the socket is cloned"));
+            while let Some(call) = read_message(&mut reader) {
+                recorded.lock().expect("the call times are not poisoned").push(call.received_at);
+                let is_complete = !call.first_line().contains("after=");
                 let list = json!({"revision": 1, "complete": is_complete, "members": []});
                 if stream.write_all(&response_bytes("200 OK", "", list.to_string().as_bytes())).is_err() {
                     break;
@@ -109,30 +114,33 @@
     config["discovery"] = json!(address.to_string());
     let _proxy = Proxy::start_with_config("at-once", &config);
     thread::sleep(Duration::from_secs(2));
-    let calls = calls.lock().expect("the calls").clone();
-    assert!(calls.len() > 8 && calls.len() < 100, "{} calls in 2 s", calls.len());
-    let longest = calls.windows(2).map(|pair| pair[1] - pair[0]).max();
-    assert!(longest.is_some_and(|gap| gap < max_gap), "{longest:?}");
+    let call_times = call_times.lock().expect("the call times are not poisoned").clone();
+    assert!(call_times.len() > 8 && call_times.len() < 100, "{} calls in 2 s", call_times.len());
+    let longest_gap = call_times.windows(2).map(|pair| pair[1] - pair[0]).max();
+    assert!(longest_gap.is_some_and(|gap| gap < max_gap), "longest gap between calls: {longest_gap:?}");
 }
 
-/// The log is not read while many lines are written: serving continues.
+/// The proxy keeps serving while it writes many log lines that nothing reads: invalid entries fill the pipe.
 #[test]
 fn unread_log_does_not_block_serving() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let members: Vec<_> =
+    let invalid_entries: Vec<_> =
         (0..2_000).map(|n| json!({"id": format!("nonsense-{n}"), "phase": "active"})).collect();
-    let good = entry("s-1", backend.address, "active", 0);
-    let proxy = Proxy::start("unread-log", &discovery, std::slice::from_ref(&good));
-    let served = Arc::new(AtomicBool::new(true));
-    let (address, shared) = (proxy.address, Arc::clone(&served));
+    let valid_entry = entry("s-1", backend.address, "active", 0);
+    let proxy = Proxy::start("unread-log", &discovery, std::slice::from_ref(&valid_entry));
+    let all_served = Arc::new(AtomicBool::new(true));
+    let (address, shared) = (proxy.address, Arc::clone(&all_served));
     thread::scope(|scope| {
         let requests = scope.spawn(move || {
             let began = Instant::now();
             let mut number = 0;
             while began.elapsed() < Duration::from_secs(16) {
                 let mut client = Client::connect(address);
-                client.stream.set_read_timeout(Some(Duration::from_secs(3))).expect("a time-out");
+                client
+                    .stream
+                    .set_read_timeout(Some(Duration::from_secs(3)))
+                    .expect("the read timeout is set");
                 client.send(&request("read", &number.to_string(), ""));
                 if read_message(&mut client.reader).is_none() {
                     shared.store(false, Ordering::Release);
@@ -143,11 +151,11 @@
             }
         });
         while !requests.is_finished() {
-            let mut list = members.clone();
-            list.push(good.clone());
+            let mut list = invalid_entries.clone();
+            list.push(valid_entry.clone());
             discovery.post_without_waiting(true, &list);
             thread::sleep(Duration::from_millis(200));
         }
     });
-    assert!(served.load(Ordering::Acquire), "the log blocked serving");
+    assert!(all_served.load(Ordering::Acquire), "the log blocked serving");
 }
--- a/crates/proxy-server/tests/faults/fault_injection.rs
+++ b/crates/proxy-server/tests/faults/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Fault injection into system calls of a running proxy, by a preloaded library; see `inject.c`.
+//! Fault injection into the system calls of a running proxy through a preloaded library; see `inject.c`.
 
 use std::env;
 use std::fs::{self, File, OpenOptions};
@@ -7,7 +7,8 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The kinds of faults, in the order of the words in `inject.c`.
+/// The kinds of faults. Their order is that of the values in the control file; see the enumeration in
+/// `inject.c`.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     ShortRead,
@@ -17,7 +18,7 @@
     Accept,
     Socket,
     Connect,
-    /// Connects fail for local causes.
+    /// Connects fail with local errors, such as no free port.
     ConnectLocal,
     Wait,
     Sync,
@@ -25,50 +26,57 @@
     FileOpen,
     FileRead,
     FileRename,
-    /// The offset of the wall clock, in seconds.
+    /// Not a failure rate: the offset of the wall clock, in seconds.
     WallSeconds,
     Listen,
 }
 
 const FAULT_COUNT: usize = Fault::Listen as usize + 1;
 
-/// The library, built once per test process.
+/// The path of the library, which is built once per test process.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
         let path = env::temp_dir().join(format!("haventrack-inject-{}.so", std::process::id()));
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/faults/inject.c");
         let built =
-            // Bound at the start, so that the first call of a function looks up nothing.
+            // `-z now` resolves symbols at load time: a lookup at the first call could take a lock in a
+            // signal handler.
             Command::new("cc").args(["-shared", "-fPIC", "-O1", "-Wl,-z,now", "-o"]).arg(&path).arg(source).status();
-        assert!(built.expect("cc, as for linking").success());
+        assert!(built.expect("the C compiler `cc` runs").success());
         path
     })
 }
 
-/// The faults of one proxy, which a test sets while it runs.
+/// The faults of one proxy, which a test sets while the proxy runs.
 pub struct Faults {
     control_file: File,
     path: PathBuf,
 }
 
 impl Faults {
-    /// No faults yet.
+    /// Creates the control file without faults; `name` has to be unique among the tests.
     pub fn new(name: &str) -> Self {
         let path = env::temp_dir().join(format!("haventrack-faults-{}-{name}", std::process::id()));
         let mut options = OpenOptions::new();
-        let control_file =
-            options.create(true).truncate(true).read(true).write(true).open(&path).expect("a page");
-        control_file.write_all_at(&[0; FAULT_COUNT * 4], 0).expect("words");
+        let control_file = options
+            .create(true)
+            .truncate(true)
+            .read(true)
+            .write(true)
+            .open(&path)
+            .expect("the control file is created");
+        control_file.write_all_at(&[0; FAULT_COUNT * 4], 0).expect("the control file is initialized");
         Self { control_file, path }
     }
 
-    /// Sets how many calls in a thousand fail; for [`Fault::WallSeconds`] the offset in seconds.
+    /// Sets how many of a thousand calls fail; for [`Fault::WallSeconds`], the offset of the clock in
+    /// seconds.
     pub fn set(&self, fault: Fault, value: i32) {
-        self.control_file.write_all_at(&value.to_ne_bytes(), fault as u64 * 4).expect("a word");
+        self.control_file.write_all_at(&value.to_ne_bytes(), fault as u64 * 4).expect("the fault is set");
     }
 
-    /// The environment variables that the proxy needs.
+    /// The environment variables with which the proxy loads the library; `seed` is for its random numbers.
     pub fn environment(&self, seed: u64) -> Vec<(&'static str, String)> {
         vec![
             ("LD_PRELOAD", library().display().to_string()),
--- a/crates/proxy-server/tests/faults/inject.c
+++ b/crates/proxy-server/tests/faults/inject.c
@@ -1,10 +1,13 @@
-/* Makes system calls of one process fail in the ways that Linux documents, as a test says while the process runs.
+/* Makes system calls of a process fail in the ways that the Linux manual pages document. A test controls the
+ * faults while the process runs.
  *
- * Preloaded into the proxy by tests. The test shares a page of numbers with it (the file that FAULTS names): each word
- * says how many calls in a thousand fail, or how far the wall clock is off. Nothing else of the process changes.
+ * Tests preload this library into the proxy and share an array of integers with it, `words`, which is mapped
+ * from the file that the variable FAULTS names. Each element is the number of failing calls per thousand, or
+ * the offset of the wall clock in seconds. Nothing else in the process changes.
  *
- * A signal handler may call any of these functions, also while its own thread is inside one. So they take no lock, allocate
- * nothing and look up nothing: all of that is done once, before the program starts. */
+ * A signal handler may call any of these functions, also while its own thread is inside one. Therefore they
+ * take no lock, allocate no memory and resolve no symbols: all of that is done once, before the program
+ * starts. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -22,13 +25,13 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The order of the words is that of `Fault` in fault_injection.rs. */
+/* The indices into `words`, in the order of `Fault` in fault_injection.rs. */
 enum {
     SHORT_READ, INTERRUPTED_READ, SHORT_WRITE, INTERRUPTED_WRITE, ACCEPT, SOCKET, CONNECT, CONNECT_LOCAL, WAIT,
     SYNC, FILE_WRITE, FILE_OPEN, FILE_READ, FILE_RENAME, WALL_SECONDS, LISTEN, WORDS
 };
 
-/* The functions that the program would call without this library. */
+/* The intercepted functions; the program would call those in `real_*` without this library. */
 #define EACH_FUNCTION(apply) \
     apply(recv) apply(read) apply(send) apply(writev) apply(write) apply(accept4) apply(socket) apply(connect) apply(listen) apply(epoll_wait) \
     apply(fdatasync) apply(fsync) apply(rename) apply(open64) apply(clock_gettime)
@@ -38,7 +41,7 @@
 
 static volatile int32_t *words;
 static uint64_t seed = 1;
-/* In the thread's static block: other models may allocate it at the first use. */
+/* The state of the thread's random numbers. With other TLS models the first access may allocate memory. */
 static __thread uint64_t state __attribute__((tls_model("initial-exec")));
 
 __attribute__((constructor)) static void prepare(void) {
@@ -69,8 +72,8 @@
 
 #define FAILS(word, ...) fails(word, (const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int))
 
-/* Connections alone: a read that does not wait is never interrupted, and the runtime's own pipe for signals takes an error
- * there for the end of the process. */
+/* Reads and writes fail only on connections. The runtime delivers signals through a pipe of its own and treats
+ * an error on it as fatal, but a non-blocking read of that pipe is never interrupted in reality. */
 static int is_connection(int fd) {
     int domain = 0;
     socklen_t size = sizeof domain;
@@ -113,7 +116,7 @@
     return real_writev(fd, pieces, count);
 }
 
-/* Half of a write to a file may arrive before the disk is full. */
+/* On a full disk, half of the bytes may be written before the error. */
 ssize_t write(int fd, const void *bytes, size_t size) {
     if (words && words[FILE_WRITE] && fd > 2 && is_file(fd) && hits(FILE_WRITE)) {
         if (size > 1 && chance() % 2) return real_write(fd, bytes, size / 2);
--- a/crates/proxy-server/tests/faults/interrupted_messages.rs
+++ b/crates/proxy-server/tests/faults/interrupted_messages.rs
@@ -1,19 +1,20 @@
-//! Incomplete requests, pipelined requests, truncated responses.
+//! Incomplete requests, pipelined requests during shutdown, and truncated responses.
 
 use crate::support::*;
 use std::io::Read;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Operators' terms: a client that stops within a request gets an error or a close within 3 s, also within a large body.
+/// Requirement: a client that stops within a request gets an error or a close within 3 s, also within a large
+/// body.
 #[test]
-fn client_that_stalls_within_a_body_is_ended_within_three_seconds() {
+fn connection_stalled_within_a_body_is_closed_within_three_seconds() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start("stops", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    // Within the usual size, beyond it, and too large to be buffered.
-    let stalled_clients = [(60_000, 64_000), (300_000, 600_000), (2_000_000, 40_000_000)];
-    let stalled_clients: Vec<_> = stalled_clients
+    // Sent and announced bytes of the body: of usual size, larger, and too large to be buffered.
+    let body_sizes = [(60_000, 64_000), (300_000, 600_000), (2_000_000, 40_000_000)];
+    let stalled_clients: Vec<_> = body_sizes
         .into_iter()
         .map(|(sent, announced)| {
             let mut client = proxy.client();
@@ -21,58 +22,67 @@
                 let head = request("charge", &format!("stops-{announced}"), "");
                 client.send(&head.replace("Content-Length: 0", &format!("Content-Length: {announced}")));
                 client.send(&"z".repeat(sent));
-                let stopped = Instant::now();
-                client.stream.set_read_timeout(Some(Duration::from_secs(6))).expect("a time-out");
+                let stalled_at = Instant::now();
+                client
+                    .stream
+                    .set_read_timeout(Some(Duration::from_secs(6)))
+                    .expect("the read timeout is set");
                 let mut rest = Vec::new();
                 let ended = client.reader.read_to_end(&mut rest);
-                (announced, ended.is_ok(), stopped.elapsed())
+                (announced, ended.is_ok(), stalled_at.elapsed())
             })
         })
         .collect();
-    let stalled_clients: Vec<_> =
-        stalled_clients.into_iter().map(|run_traffic| run_traffic.join().expect("a client")).collect();
-    let in_time = |(_, ended, took): &(usize, bool, Duration)| *ended && *took < Duration::from_millis(3_050);
-    assert!(stalled_clients.iter().all(in_time), "{stalled_clients:?}");
+    let results: Vec<_> = stalled_clients
+        .into_iter()
+        .map(|client| client.join().expect("the client thread finishes"))
+        .collect();
+    let is_in_time = |(_, is_closed, elapsed): &(usize, bool, Duration)| {
+        *is_closed && *elapsed < Duration::from_millis(3_050)
+    };
+    assert!(results.iter().all(is_in_time), "announced bytes, closed, elapsed: {results:?}");
 }
 
-/// Operators' terms: a request that was read has a response. Pipelined requests each have one, also during shutdown.
+/// Requirement: a request that was read has a response. This includes each of several pipelined requests,
+/// also during shutdown.
 #[test]
 fn pipelined_requests_are_all_answered_during_shutdown() {
     let discovery = Discovery::start();
     let backend =
         Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(30), Box::new(ok("fine"))));
     let proxy = Proxy::start("together", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let mut reusable = proxy.client();
-    assert_eq!(reusable.exchange(HEALTH_REQUEST).status(), 200);
+    let mut open_client = proxy.client();
+    assert_eq!(open_client.exchange(HEALTH_REQUEST).status(), 200);
     proxy.terminate();
     while proxy.client().exchange(HEALTH_REQUEST).status() == 200 {}
-    let mut clients = [reusable, proxy.client()];
+    let mut clients = [open_client, proxy.client()];
     for (number, client) in clients.iter_mut().enumerate() {
-        let all: String =
+        let pipelined: String =
             (0..4).map(|round| request("charge", &format!("p-{number}-{round}"), "x")).collect();
-        client.send(&all);
+        client.send(&pipelined);
     }
     for (number, client) in clients.iter_mut().enumerate() {
-        let answers = (0..4).map_while(|_| read_message(&mut client.reader)).count();
-        assert_eq!(answers, 4, "client {number}");
+        let responses = (0..4).map_while(|_| read_message(&mut client.reader)).count();
+        assert_eq!(responses, 4, "responses to client {number}");
     }
 }
 
-/// Operators' terms: a client has to be able to detect a truncated response. An HTTP/1.0 client goes by the end of the
-/// connection.
+/// Requirement: a client is able to detect a truncated response. An HTTP/1.0 client without a content length
+/// takes the end of the connection as the end of the response, so a clean close must not follow a truncated
+/// one.
 #[test]
 fn http_1_0_client_detects_a_truncated_response() {
     let discovery = Discovery::start();
-    let half =
+    let complete_chunk =
         [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n".to_vec(), vec![b'y'; 0x20000]];
-    let half = [half.concat(), b"\r\n5\r\nno".to_vec()].concat();
-    let backend = Backend::start(move |_| BackendAction::WriteAndClose(half.clone()));
-    let proxy = Proxy::start("old-form", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let truncated = [complete_chunk.concat(), b"\r\n5\r\nno".to_vec()].concat();
+    let backend = Backend::start(move |_| BackendAction::WriteAndClose(truncated.clone()));
+    let proxy = Proxy::start("http-1-0", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x").replace("HTTP/1.1", "HTTP/1.0"));
-    let mut answer = Vec::new();
-    let ended = client.reader.read_to_end(&mut answer);
-    let head = String::from_utf8_lossy(&answer[..answer.len().min(300)]).to_ascii_lowercase();
-    let is_complete = ended.is_ok() && head.contains(" 200 ") && !head.contains("content-length");
-    assert!(!is_complete, "it looks complete: {} bytes", answer.len());
+    let mut response = Vec::new();
+    let closed = client.reader.read_to_end(&mut response);
+    let head = String::from_utf8_lossy(&response[..response.len().min(300)]).to_ascii_lowercase();
+    let seems_complete = closed.is_ok() && head.contains(" 200 ") && !head.contains("content-length");
+    assert!(!seems_complete, "the truncated response seems complete: {} bytes", response.len());
 }
--- a/crates/proxy-server/tests/faults/main.rs
+++ b/crates/proxy-server/tests/faults/main.rs
@@ -1,5 +1,5 @@
-//! The operators' terms under faults: failing system calls, clock steps, failing disks, stalled processes, and two of these at
-//! once. Each test names the term that it checks.
+//! The service requirements under faults: failing system calls, clock steps, failing disks, stalled
+//! processes, and combinations of two. Comments of tests state the requirement that is checked.
 
 mod clocks;
 mod discovery_lists;
@@ -22,96 +22,103 @@
 use std::time::{Duration, Instant};
 use support::{Backend, Client, Discovery, HttpMessage, Proxy, entry, ok, read_message, request};
 
-/// How late an attempt may start, and how much longer than allowed its deadline may be, by the operators' terms.
+/// How late an attempt may start, and by how much its deadline may exceed the client's remaining time.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// The outcome of the requests of many clients.
+/// The results of the requests of concurrent clients.
 struct TrafficOutcome {
-    /// The id and the response status of each request, unordered.
-    answers: Vec<(String, Option<u16>)>,
-    /// How often each request reached a backend.
-    runs: HashMap<String, usize>,
+    /// The ID and the response status of each request, unordered; `None` where there was no response.
+    responses: Vec<(String, Option<u16>)>,
+    /// The number of attempts that reached a backend, by request ID.
+    received_attempts: HashMap<String, usize>,
 }
 
 impl TrafficOutcome {
     fn unanswered(&self) -> Vec<&str> {
-        self.answers.iter().filter(|(_, got)| got.is_none()).map(|(id, _)| id.as_str()).collect()
+        self.responses.iter().filter(|(_, status)| status.is_none()).map(|(id, _)| id.as_str()).collect()
     }
 
     fn served(&self) -> usize {
-        self.answers.iter().filter(|(_, got)| *got == Some(200)).count()
+        self.responses.iter().filter(|(_, status)| *status == Some(200)).count()
     }
 
-    /// Rules 1 and 2: every request has its one final response, and nothing unsafe ran twice.
-    fn assert_rules(&self) {
+    /// Every request has a response, and no non-idempotent request reached a backend more than once.
+    fn assert_answered_without_duplicates(&self) {
         assert!(
             self.unanswered().is_empty(),
-            "{} of {}: {:?}",
+            "{} of {} requests without a response: {:?}",
             self.unanswered().len(),
-            self.answers.len(),
+            self.responses.len(),
             self.unanswered()
         );
-        let twice: Vec<_> =
-            self.runs.iter().filter(|(id, runs)| id.starts_with("charge") && **runs > 1).collect();
-        assert!(twice.is_empty(), "{twice:?}");
+        let duplicates: Vec<_> = self
+            .received_attempts
+            .iter()
+            .filter(|(id, attempts)| id.starts_with("charge") && **attempts > 1)
+            .collect();
+        assert!(duplicates.is_empty(), "non-idempotent requests with several attempts: {duplicates:?}");
     }
 }
 
-/// Sends a request on the reused connection or on a new one; `None` where there is no response. The
-/// proxy may close an idle connection; a request that crosses the close is sent once more on a new connection.
+/// Sends a request on the open connection or on a new one, and returns the status of the response, if any.
+/// The proxy may close an idle connection: a request that crosses the close is sent once more on a new
+/// connection.
 fn send_request(client: &mut Option<Client>, address: SocketAddr, text: &str) -> Option<u16> {
-    let (was_reused, began) = (client.is_some(), Instant::now());
-    let got = send_request_once(client, address, text);
-    if got.is_some() || !was_reused || began.elapsed() > Duration::from_secs(5) {
-        return got;
+    let (is_reused, began) = (client.is_some(), Instant::now());
+    let status = send_request_once(client, address, text);
+    if status.is_some() || !is_reused || began.elapsed() > Duration::from_secs(5) {
+        return status;
     }
     send_request_once(client, address, text)
 }
 
 fn send_request_once(client: &mut Option<Client>, address: SocketAddr, text: &str) -> Option<u16> {
-    let reusable = client.get_or_insert_with(|| Client::connect(address));
-    reusable.stream.set_read_timeout(Some(Duration::from_secs(6))).expect("a time-out");
-    if reusable.stream.write_all(text.as_bytes()).is_err() {
+    let connected = client.get_or_insert_with(|| Client::connect(address));
+    connected.stream.set_read_timeout(Some(Duration::from_secs(6))).expect("the read timeout is set");
+    if connected.stream.write_all(text.as_bytes()).is_err() {
         *client = None;
         return None;
     }
-    let got = read_message(&mut reusable.reader);
-    if got.as_ref().is_none_or(|received| received.header("connection") == Some("close")) {
+    let response = read_message(&mut connected.reader);
+    if response.as_ref().is_none_or(|received| received.header("connection") == Some("close")) {
         *client = None;
     }
-    got.map(|received| received.status())
+    response.map(|received| received.status())
 }
 
-/// Runs concurrent clients, each with successive requests, two in five on new connections.
+/// Runs concurrent clients with successive requests each, two in five of them on new connections.
 fn run_traffic(address: SocketAddr, backends: &[Backend], clients: usize, requests: usize) -> TrafficOutcome {
     let clients: Vec<_> = (0..clients)
         .map(|number| {
             thread::spawn(move || {
-                let mut reusable = None;
-                let mut answers = Vec::new();
+                let mut connection = None;
+                let mut responses = Vec::new();
                 for round in 0..requests {
                     let class = ["read", "submit", "charge"][(number + round) % 3];
                     let id = format!("{class}-{number}-{round}");
                     if round % 5 < 2 {
-                        reusable = None;
+                        connection = None;
                     }
                     let body = if class == "read" { "" } else { "some body of a request" };
-                    answers
-                        .push((id.clone(), send_request(&mut reusable, address, &request(class, &id, body))));
+                    responses.push((
+                        id.clone(),
+                        send_request(&mut connection, address, &request(class, &id, body)),
+                    ));
                 }
-                answers
+                responses
             })
         })
         .collect();
-    let answers: Vec<_> = clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
-    let mut runs = HashMap::new();
+    let responses: Vec<_> =
+        clients.into_iter().flat_map(|client| client.join().expect("the client thread finishes")).collect();
+    let mut received_attempts = HashMap::new();
     for received in backends.iter().flat_map(|backend| backend.requests.try_iter()) {
-        *runs.entry(id_of(&received)).or_default() += 1;
+        *received_attempts.entry(request_id(&received)).or_default() += 1;
     }
-    TrafficOutcome { answers, runs }
+    TrafficOutcome { responses, received_attempts }
 }
 
-/// Two backends that respond with their names; an idle proxy prefers `a`.
+/// Two backends that respond with their names; without load, the proxy prefers `a`.
 struct TwoBackends {
     discovery: Discovery,
     a: Backend,
@@ -124,7 +131,8 @@
         Self { discovery: Discovery::start(), a, b }
     }
 
-    /// Their entries. Of equal backends a single proxy gives the one with the higher number one slot more.
+    /// Their entries in discovery's list. Among equal backends, a single proxy gives the one with the higher
+    /// number one more slot.
     fn members(&self) -> [Value; 2] {
         [entry("s-a", self.a.address, "active", 0), entry("s-0", self.b.address, "active", 0)]
     }
@@ -133,7 +141,7 @@
         self.discovery.post(true, &self.members());
     }
 
-    /// The number of successive requests that backend `a` receives.
+    /// Sends successive requests and returns how many of them backend `a` received.
     fn count_served_by_a(&self, proxy: &Proxy, name: &str, count: usize) -> usize {
         self.a.take_request_count();
         let mut client = proxy.client();
@@ -144,18 +152,17 @@
     }
 }
 
-fn id_of(received: &HttpMessage) -> String {
-    received.header("x-correlation-id").expect("an id").to_owned()
+fn request_id(received: &HttpMessage) -> String {
+    received.header("x-correlation-id").expect("the request has an ID").to_owned()
 }
 
-/// The deadline that a backend received.
+/// The remaining time that the proxy sent to a backend as the request's deadline.
 fn time_left(received: &HttpMessage) -> Duration {
     Duration::from_millis(
-        received.header("x-time-left-ms").expect("the time left").parse().expect("a number"),
+        received.header("x-time-left-ms").expect("the request has a deadline").parse().expect("a number"),
     )
 }
 
-/// Sleeps until a point in time.
 fn sleep_until(at: Instant) {
     thread::sleep(at.saturating_duration_since(Instant::now()));
 }
--- a/crates/proxy-server/tests/faults/shutdown.rs
+++ b/crates/proxy-server/tests/faults/shutdown.rs
@@ -1,22 +1,23 @@
-//! Shutdown after a change of the settings, and with failing calls.
+//! Shutdown after a reload of the settings, and with failing system calls.
 
 use crate::fault_injection::{Fault, Faults};
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// When the platform kills the process: this long after the stop signal and the longest deadline.
+/// The platform kills the process this long after the stop signal plus the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
-/// Operators' terms: SIGKILL may come 0.7 s and the longest deadline after SIGTERM; the longest of the settings in force.
+/// Requirement: the process ends before SIGKILL, which may come 0.7 s plus the longest deadline after
+/// SIGTERM. The longest deadline is that of the settings in force, not of earlier ones.
 #[test]
-fn shutdown_time_follows_the_settings_in_force() {
+fn shutdown_time_follows_the_deadline_in_force() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::Hang);
     let mut proxy = Proxy::start_with_config("shorter", &config_with_deadline("shorter", &discovery, 2_500));
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     proxy.reload(&config_with_deadline("shorter", &discovery, 300).to_string());
     proxy.wait_for_log("reloaded the configuration");
-    // Clients with the previous deadline have finished.
+    // Requests with the previous deadline have finished by then.
     std::thread::sleep(Duration::from_millis(3_100));
     let mut clients: Vec<_> = (0..3).map(|_| proxy.client()).collect();
     let began = Instant::now();
@@ -25,19 +26,20 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&text(number));
     }
-    let answers: Vec<_> =
+    let answered: Vec<_> =
         clients.iter_mut().map(|client| read_message(&mut client.reader).is_some()).collect();
-    assert!(answers.iter().all(|answered| *answered), "{answers:?}");
-    // A client that stays connected without a request.
+    assert!(answered.iter().all(|answered| *answered), "clients with a response: {answered:?}");
+    // A client that remains connected without sending a request.
     let _idle = proxy.client();
     assert_eq!(proxy.wait().code(), Some(0));
-    let took = began.elapsed();
-    assert!(took < Duration::from_millis(300) + KILL_DELAY, "it ended after {took:?}");
+    let elapsed = began.elapsed();
+    assert!(elapsed < Duration::from_millis(300) + KILL_DELAY, "the process ended after {elapsed:?}");
 }
 
-/// More clients than the connection limit, and failing accepts: connections in the listener's queue have their responses.
+/// Connections in the listener's queue get their responses during shutdown, also with more clients than the
+/// connection limit allows and with failing accepts.
 #[test]
-fn empties_the_listener_queue_despite_failed_accepts() {
+fn shutdown_serves_the_listener_queue_despite_failed_accepts() {
     for round in 0..4 {
         let discovery = Discovery::start();
         let backend = Backend::start(|_| BackendAction::Hang);
@@ -56,9 +58,9 @@
         });
         let clients: Vec<_> = clients.collect();
         proxy.terminate();
-        let answers = clients.into_iter().map(|client| client.join().expect("a client"));
-        let without = answers.filter(|answered| !answered).count();
-        assert_eq!(without, 0, "turn {round}");
+        let answered = clients.into_iter().map(|client| client.join().expect("the client thread finishes"));
+        let unanswered = answered.filter(|answered| !answered).count();
+        assert_eq!(unanswered, 0, "requests without a response in round {round}");
         assert_eq!(proxy.wait().code(), Some(0));
     }
 }
--- a/crates/proxy-server/tests/faults/signals.rs
+++ b/crates/proxy-server/tests/faults/signals.rs
@@ -1,4 +1,4 @@
-//! Long series of signals beside traffic.
+//! Long series of signals during traffic.
 
 use crate::fault_injection::Faults;
 use crate::run_traffic;
@@ -12,11 +12,11 @@
 const SIGNAL_INTERVAL: Duration = Duration::from_micros(100);
 const TRAFFIC_TIME: Duration = Duration::from_secs(6);
 const PARALLEL_PROCESSES: usize = 3;
-/// How long a process without open requests may take to end after SIGTERM.
+/// How long a process without requests in flight may take to end after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Sends requests to one process while it receives signals, and ends it.
-fn run_beside_signals(name: &str, environment: Vec<(&'static str, String)>) {
+/// Sends requests to a process while it receives signals, and then shuts it down.
+fn run_with_signals(name: &str, environment: Vec<(&'static str, String)>) {
     let discovery = Discovery::start();
     let backends: Vec<_> = (0..2).map(|_| Backend::start(|_| ok("fine"))).collect();
     let members: Vec<_> =
@@ -51,21 +51,22 @@
         for number in 0..PARALLEL_PROCESSES {
             let environment = environment(number);
             scope.spawn(move || {
-                run_beside_signals(&format!("signals-{}-{number}", environment.len()), environment);
+                run_with_signals(&format!("signals-{}-{number}", environment.len()), environment);
             });
         }
     });
 }
 
-/// Guards against a process that stands still for good after a signal at the wrong moment.
+/// Guards against a process that hangs after a signal that arrives at an unfavourable moment.
 #[test]
-fn series_of_signals_does_not_stop_the_process() {
+fn series_of_signals_does_not_hang_the_process() {
     run_in_parallel(|_| Vec::new());
 }
 
-/// Guards against injected faults that wait in a signal handler for a lock of the thread that the signal interrupted.
+/// Guards against a deadlock in the fault injection: a signal handler must not wait for a lock that the
+/// interrupted thread has taken.
 #[test]
-fn series_of_signals_does_not_stop_a_process_with_injected_faults() {
+fn series_of_signals_does_not_hang_a_process_with_injected_faults() {
     let faults: Vec<_> =
         (0..PARALLEL_PROCESSES).map(|number| Faults::new(&format!("signals-{number}"))).collect();
     run_in_parallel(|number| faults[number].environment(number as u64 + 1));
--- a/crates/proxy-server/tests/faults/soak.rs
+++ b/crates/proxy-server/tests/faults/soak.rs
@@ -1,14 +1,16 @@
-//! Seeded soak tests: short deadlines, failing calls, clock steps, stalls, drains, successive reloads and signals, idle
-//! connections, and the kill at its earliest; at least two of these overlap. Clients use open connections until the kill.
+//! Seeded soak tests that overlap at least two of: short deadlines, failing system calls, clock steps,
+//! stalls, drains, successive reloads and signals, idle connections, and SIGKILL at the earliest time that
+//! the platform sends it. Clients use their open connections until the kill.
 //!
-//! `SOAK_SEEDS=60 cargo test -p proxy-server --test faults soak` runs more seeds; `SOAK_FROM` starts at another one.
+//! `SOAK_SEEDS=60 cargo test -p proxy-server --test faults soak` runs 60 seeds, the first of which `SOAK_FROM`
+//! sets.
 
 mod clients;
 mod violations;
 
 use crate::fault_injection::{Fault, Faults};
 use crate::support::*;
-use crate::{id_of, sleep_until};
+use crate::{request_id, sleep_until};
 use clients::{RequestRecord, open_idle_connections, run_client};
 use fastrand::Rng;
 use serde_json::{Value, json};
@@ -25,32 +27,32 @@
 const PARALLEL_SEEDS: usize = 4;
 const CLIENTS: usize = 8;
 const BACKENDS: usize = 6;
-/// Backends that hang from some moment on.
+/// How many of the backends stop responding at a random time.
 const HANGING_BACKENDS: usize = 2;
-/// When the stop signal is sent, after the start of the soak.
+/// The time from the start of the soak to the stop signal.
 const STOP_SIGNAL_AFTER: Duration = Duration::from_millis(2_600);
-/// When the platform kills the process, after the stop signal and the longest deadline.
+/// The platform kills the process this long after the stop signal plus the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// How long new connections arrive after the stop signal.
-const ARRIVAL_GRACE: Duration = Duration::from_millis(400);
+/// How long after the stop signal clients open new connections.
+const CONNECT_TIME_AFTER_STOP: Duration = Duration::from_millis(400);
 
 fn env_number(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// What the threads of one soak share.
+/// The state that the threads of one soak share.
 struct Soak {
     rng: Rng,
     deadline: Duration,
     began: Instant,
     stop_connecting: AtomicBool,
     stop: AtomicBool,
-    /// How long the process was stalled in all, in milliseconds.
+    /// The total time for which the process was stalled, in milliseconds.
     stalled_ms: AtomicU64,
 }
 
 impl Soak {
-    /// Stops the process for a time, and continues it.
+    /// Stops the process, and continues it after this time.
     fn stall(&self, proxy: &Proxy, milliseconds: u64) {
         proxy.signal("-STOP");
         thread::sleep(Duration::from_millis(milliseconds));
@@ -59,17 +61,16 @@
     }
 }
 
-/// The backend that was drained, by its index, and when.
+/// The backend that was drained, by its index.
 struct DrainedBackend {
     index: usize,
-    at: Instant,
+    drained_at: Instant,
 }
 
-/// The shutdown of the process.
 struct Shutdown {
     signalled_at: Instant,
     ended_at: Instant,
-    /// The process exited before the kill, with code 0.
+    /// The process exited with code 0 before the kill.
     is_clean: bool,
 }
 
@@ -79,22 +80,23 @@
     message: HttpMessage,
 }
 
-/// What happened in one soak.
+/// The records of one soak.
 struct Outcome {
     requests: Vec<RequestRecord>,
     received: Vec<ReceivedRequest>,
-    /// The ids of requests that backends rejected as unprocessed, each as often as that happened.
+    /// The IDs of requests that backends rejected as unprocessed, once per rejection.
     unprocessed: Vec<String>,
     drained: DrainedBackend,
     shutdown: Shutdown,
     log: String,
-    stalled: Duration,
+    /// The total time for which the process was stalled.
+    stalled_time: Duration,
 }
 
-/// A configuration with this deadline in all classes, and with few or many descriptors.
+/// A configuration with this deadline in all classes, and with a low or the usual limit on descriptors.
 fn soak_config(name: &str, discovery: &Discovery, deadline: Duration, has_few_descriptors: bool) -> Value {
     let mut config = config(name, discovery);
-    for class in config["settings"]["classes"].as_array_mut().expect("classes") {
+    for class in config["settings"]["classes"].as_array_mut().expect("the classes are an array") {
         class["aimUs"] = json!(deadline.as_micros() as u64 / 2);
         class["deadlineUs"] = json!(deadline.as_micros() as u64);
         class["keyTtlUs"] = json!(deadline.as_micros() as u64 / 2);
@@ -108,7 +110,8 @@
 
 type UnprocessedIds = Arc<Mutex<Vec<String>>>;
 
-/// A backend that serves, and sometimes resets, rejects or hangs.
+/// Starts a backend that serves most requests, and closes, rejects or does not answer some; from `hangs_from`
+/// on it answers none.
 fn start_backend(seed: u64, hangs_from: Option<Instant>, unprocessed: UnprocessedIds) -> Backend {
     let mut rng = Rng::with_seed(seed);
     Backend::start(move |request| {
@@ -118,7 +121,7 @@
             _ if hangs => return BackendAction::Hang,
             0 => return BackendAction::WriteAndClose(Vec::new()),
             1 => {
-                unprocessed.lock().expect("the list").push(id_of(request));
+                unprocessed.lock().expect("the list is not poisoned").push(request_id(request));
                 BackendAction::Write(response_bytes("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""))
             }
             2 => return BackendAction::Hang,
@@ -135,7 +138,7 @@
     (0..BACKENDS).map(|index| start(index, rng.u64(..))).collect()
 }
 
-/// Injects failing calls and clock steps, two kinds at a time.
+/// Injects two kinds of failing system calls at a time, and clock steps.
 fn inject_faults(soak: &Soak, faults: &Faults, mut rng: Rng) {
     let kinds = [
         (Fault::ShortRead, 300),
@@ -149,18 +152,17 @@
         (Fault::Wait, 300),
     ];
     while !soak.stop.load(Ordering::Acquire) {
-        let (one, two) = (kinds[rng.usize(0..kinds.len())], kinds[rng.usize(0..kinds.len())]);
-        faults.set(one.0, one.1);
-        faults.set(two.0, two.1);
+        let (first, second) = (kinds[rng.usize(0..kinds.len())], kinds[rng.usize(0..kinds.len())]);
+        faults.set(first.0, first.1);
+        faults.set(second.0, second.1);
         faults.set(Fault::WallSeconds, rng.i32(-3_600..3_600));
         thread::sleep(Duration::from_millis(rng.u64(50..400)));
-        faults.set(one.0, 0);
-        faults.set(two.0, 0);
+        faults.set(first.0, 0);
+        faults.set(second.0, 0);
         thread::sleep(Duration::from_millis(rng.u64(0..200)));
     }
 }
 
-/// Runs the soak of one seed.
 fn run_seed(seed: u64) -> Outcome {
     let mut rng = Rng::with_seed(seed);
     let deadline = Duration::from_millis([120, 300, 1_350][rng.usize(0..3)]);
@@ -197,17 +199,17 @@
         for number in 0..CLIENTS {
             let (soak, requests, seed) = (&soak, &requests, rng.u64(..));
             scope.spawn(move || {
-                let own = run_client(soak, address, number, seed);
-                requests.lock().expect("the list").extend(own);
+                let records = run_client(soak, address, number, seed);
+                requests.lock().expect("the list is not poisoned").extend(records);
             });
         }
         scope.spawn(|| open_idle_connections(&soak, address, idle_connections));
         let fault_rng = rng.fork();
         scope.spawn(|| inject_faults(&soak, &faults, fault_rng));
         let scenario = Scenario { discovery, next_discovery, members, config, drained_index };
-        let ended = scenario.run(&soak, &mut proxy);
+        let result = scenario.run(&soak, &mut proxy);
         soak.stop.store(true, Ordering::Release);
-        ended
+        result
     });
     let log = proxy.remaining_log();
     let received = backends.iter().enumerate().flat_map(|(backend, b)| {
@@ -216,15 +218,15 @@
     Outcome {
         requests: requests.into_inner().expect("the list"),
         received: received.collect(),
-        unprocessed: std::mem::take(&mut unprocessed.lock().expect("the list")),
+        unprocessed: std::mem::take(&mut unprocessed.lock().expect("the list is not poisoned")),
         log,
         drained,
         shutdown,
-        stalled: Duration::from_millis(soak.stalled_ms.load(Ordering::Acquire)),
+        stalled_time: Duration::from_millis(soak.stalled_ms.load(Ordering::Acquire)),
     }
 }
 
-/// What is done to the process: a drain, stalls, successive reloads, and the shutdown.
+/// The events that the process goes through: a drain, stalls, successive reloads, and the shutdown.
 struct Scenario {
     discovery: Discovery,
     next_discovery: Discovery,
@@ -240,7 +242,7 @@
         sleep_until(at(rng.u64(100..500)));
         self.members[self.drained_index]["phase"] = json!("leaving");
         self.discovery.post_without_waiting(true, &self.members);
-        let drained = DrainedBackend { index: self.drained_index, at: Instant::now() };
+        let drained = DrainedBackend { index: self.drained_index, drained_at: Instant::now() };
         sleep_until(at(rng.u64(600..1_300)));
         soak.stall(proxy, rng.u64(20..140));
         self.reload_repeatedly(proxy);
@@ -248,7 +250,7 @@
         if rng.bool() {
             proxy.signal("-HUP");
         }
-        if proxy.child.try_wait().expect("a status").is_some() {
+        if proxy.child.try_wait().expect("the process can be queried").is_some() {
             soak.stop_connecting.store(true, Ordering::Release);
             let now = Instant::now();
             return (drained, Shutdown { signalled_at: now, ended_at: now, is_clean: false });
@@ -256,7 +258,7 @@
         (drained, shut_down(soak, proxy, &mut rng))
     }
 
-    /// The same settings with discovery at another address, and a malformed file in between.
+    /// Reloads three files in succession: with discovery at another address, malformed, and the first one.
     fn reload_repeatedly(&mut self, proxy: &Proxy) {
         self.next_discovery.post_without_waiting(true, &self.members);
         self.config["discovery"] = json!(self.next_discovery.address.to_string());
@@ -266,7 +268,8 @@
     }
 }
 
-/// Sends the stop signal and others after it, and waits for the exit or kills the process.
+/// Sends the stop signal, at random further signals and a stall, and waits for the exit of the process; kills
+/// it when its time is over.
 fn shut_down(soak: &Soak, proxy: &mut Proxy, rng: &mut Rng) -> Shutdown {
     proxy.terminate();
     let signalled_at = Instant::now();
@@ -276,19 +279,19 @@
     }
     for signal in ["-HUP", "-TERM"] {
         if rng.bool() {
-            // The process may have ended already.
+            // Fails if the process has ended already.
             let _ = Command::new("kill").args([signal, &proxy.child.id().to_string()]).status();
         }
     }
-    sleep_until(signalled_at + ARRIVAL_GRACE);
+    sleep_until(signalled_at + CONNECT_TIME_AFTER_STOP);
     soak.stop_connecting.store(true, Ordering::Release);
     while Instant::now() < kill_at {
-        if let Some(status) = proxy.child.try_wait().expect("a status") {
+        if let Some(status) = proxy.child.try_wait().expect("the process can be queried") {
             return Shutdown { signalled_at, ended_at: Instant::now(), is_clean: status.code() == Some(0) };
         }
         thread::sleep(Duration::from_millis(2));
     }
-    println!("not ended at the kill:\n{}", process_state(proxy.child.id()));
+    println!("the process had not ended when SIGKILL was due:\n{}", process_state(proxy.child.id()));
     let _ = proxy.child.kill();
     Shutdown { signalled_at, ended_at: Instant::now(), is_clean: false }
 }
@@ -299,14 +302,14 @@
         outcome.requests.iter().filter(|r| r.response.is_some_and(|response| response.status == 200));
     let shutdown = &outcome.shutdown;
     println!(
-        "seed {seed}: {answered} of {} answered, {} served, ended after {:?}",
+        "seed {seed}: {answered} of {} requests answered, {} served, process ended {:?} after SIGTERM",
         outcome.requests.len(),
         served.count(),
         shutdown.ended_at.saturating_duration_since(shutdown.signalled_at)
     );
 }
 
-/// Runs seeds until none is left; returns the violations by seed.
+/// Runs seeds until `end`, which is exclusive; returns the violations by seed.
 fn run_seeds(next_seed: &AtomicU64, end: u64) -> Vec<(u64, Vec<String>)> {
     let mut failed = Vec::new();
     loop {
@@ -324,7 +327,7 @@
 }
 
 #[test]
-fn soak_keeps_the_rules() {
+fn soak_violates_no_requirement() {
     let first = env_number("SOAK_FROM", DEFAULT_FIRST_SEED);
     let end = first + env_number("SOAK_SEEDS", DEFAULT_SEED_COUNT);
     let next_seed = Arc::new(AtomicU64::new(first));
@@ -334,6 +337,7 @@
             thread::spawn(move || run_seeds(&next_seed, end))
         })
         .collect();
-    let failed: Vec<_> = workers.into_iter().flat_map(|worker| worker.join().expect("a worker")).collect();
-    assert!(failed.is_empty(), "{failed:#?}");
+    let failed: Vec<_> =
+        workers.into_iter().flat_map(|worker| worker.join().expect("the worker thread finishes")).collect();
+    assert!(failed.is_empty(), "violations by seed: {failed:#?}");
 }
