--- a/crates/proxy-server/tests/external_processor/decisions.rs
+++ b/crates/proxy-server/tests/external_processor/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision service: leases, reports and idempotency.
+//! The decision service: leases, reports of outcomes, and idempotency.
 
 use crate::envoy::{envoy_decision, immediate_response, request_head};
 use crate::support::*;
@@ -12,7 +12,7 @@
 use tonic::Code;
 
 #[test]
-fn decision_names_a_backend_and_its_outcome_is_returned_again() {
+fn decision_grants_a_lease_and_its_final_outcome_is_remembered() {
     let proxy = start_proxy("ep-plain", "", &backend_entries(4));
     run(async {
         let mut client = connect_client(proxy.external_processor).await;
@@ -40,21 +40,22 @@
 
 #[test]
 fn timed_out_queued_decision_leaves_no_state() {
-    // No backend: the decision is queued until its client's deadline.
+    // Without backends, the decision is queued until the deadline of its client.
     let proxy = start_proxy("ep-timeout", "", &[]);
     run(async {
         let mut client = connect_client(proxy.external_processor).await;
-        let mut impatient = tonic::Request::new(decide("charge", "a"));
-        impatient.set_timeout(std::time::Duration::from_millis(50));
-        let code = client.decide(impatient).await.expect_err("its deadline is over").code();
+        let mut short_call = tonic::Request::new(decide("charge", "a"));
+        short_call.set_timeout(std::time::Duration::from_millis(50));
+        let code = client.decide(short_call).await.expect_err("the call times out").code();
         assert!(matches!(code, Code::Cancelled | Code::DeadlineExceeded), "{code:?}");
-        // Retried until the request is not in flight: then it is queued for this client, and only the report is answered.
+        // The decision is requested until the request is no longer in flight: then it is queued for this
+        // client, and only the report is answered.
         let mut conversation = Conversation::open(proxy.external_processor).await;
-        let unknown = "0000000000000000-0000000000000001";
+        let unknown_lease = "0000000000000000-0000000000000001";
         let mut tag = 1;
         loop {
             conversation.decide(tag, decide("charge", "a")).await;
-            conversation.report(tag + 1, report(unknown, pb::Outcome::Served)).await;
+            conversation.report(tag + 1, report(unknown_lease, pb::Outcome::Served)).await;
             match conversation.receive().await {
                 (_, Answer::InFlight(_)) => assert_eq!(conversation.receive().await.0, tag + 1),
                 (answered_tag, _) => break assert_eq!(answered_tag, tag + 1),
@@ -63,12 +64,16 @@
         }
         proxy.discovery.post(true, &backend_entries(2));
         let (answered_tag, answer) = conversation.receive().await;
-        assert_eq!((answered_tag, expect_send(answer).attempt), (tag, 0), "a new decision: nothing had run");
+        assert_eq!(
+            (answered_tag, expect_send(answer).attempt),
+            (tag, 0),
+            "a new decision, as no attempt had been made"
+        );
     });
 }
 
 #[test]
-fn broken_stream_with_a_lease_counts_as_possibly_sent() {
+fn lease_of_a_broken_stream_counts_as_possibly_sent() {
     let proxy = start_proxy("ep-broken", "", &backend_entries(4));
     run(async {
         let mut conversation = Conversation::open(proxy.external_processor).await;
@@ -77,29 +82,29 @@
         let lease = expect_send(answer).lease;
         assert_eq!(tag, 1);
         drop(conversation);
-        let mut other = connect_client(proxy.external_processor).await;
-        let answer = decide_until_free(&mut other, &decide("submit", "a")).await;
+        let mut other_client = connect_client(proxy.external_processor).await;
+        let answer = decide_until_free(&mut other_client, &decide("submit", "a")).await;
         assert_eq!(expect_final(&answer), (pb::End::Unknown, true));
-        let late = send_report(&mut other, report(&lease, pb::Outcome::Served)).await;
+        let late = send_report(&mut other_client, report(&lease, pb::Outcome::Served)).await;
         assert_eq!(expect_rejection(&late), pb::Reason::LeaseDoubled);
     });
 }
 
 #[test]
-fn ended_stream_returns_its_leases() {
-    let proxy = start_proxy("ep-half", "", &backend_entries(4));
+fn lease_of_a_half_closed_stream_counts_as_possibly_sent() {
+    let proxy = start_proxy("ep-half-closed", "", &backend_entries(4));
     run(async {
         let mut conversation = Conversation::open(proxy.external_processor).await;
         conversation.decide(1, decide("charge", "a")).await;
         conversation.receive().await;
         conversation.questions = None;
         assert!(
-            conversation.answers.message().await.expect("no fault").is_none(),
-            "the stream ends on both sides"
+            conversation.answers.message().await.expect("the stream ends without an error").is_none(),
+            "the proxy did not close its side of the stream"
         );
-        let mut other = connect_client(proxy.external_processor).await;
+        let mut other_client = connect_client(proxy.external_processor).await;
         assert_eq!(
-            expect_final(&send_decide(&mut other, decide("charge", "a")).await),
+            expect_final(&send_decide(&mut other_client, decide("charge", "a")).await),
             (pb::End::Unknown, true)
         );
     });
@@ -113,16 +118,16 @@
         Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
         None => ok("later"),
     });
-    let proxy = start_proxy("ep-ways", "", &[entry("b0", backend.address, "active", 0)]);
+    let proxy = start_proxy("ep-front-ends", "", &[entry("b0", backend.address, "active", 0)]);
     let mut http_client = proxy.process.client();
     http_client.send(&request("submit", "k1", "x"));
     backend.next_request();
     run(async {
-        // A client of the HTTP front end holds the key.
+        // The request with this key is in flight from the HTTP front end.
         let mut client = connect_client(proxy.external_processor).await;
         let by_key = pb::DecideRequest { id: b"other".to_vec(), ..decide("submit", "k1") };
         match send_decide(&mut client, by_key).await {
-            Answer::InFlight(held) => assert!(held.by_key && held.ask_again_ms > 0),
+            Answer::InFlight(in_flight) => assert!(in_flight.by_key && in_flight.ask_again_ms > 0),
             other => panic!("{other:?}"),
         }
         let (status, headers) =
@@ -141,7 +146,7 @@
             409
         );
 
-        // A gRPC client holds a key that the other front ends request.
+        // The request with this key is in flight from the decision service.
         let lease = expect_send(send_decide(&mut client, decide("submit", "k2")).await).lease;
         assert_eq!(proxy.process.client().exchange(&request("submit", "k2", "x")).status(), 503);
         assert_eq!(
@@ -153,11 +158,11 @@
         assert_eq!(expect_final(&served), (pb::End::Served, false));
         assert_eq!(proxy.process.client().exchange(&request("submit", "k2", "x")).status(), 409);
     });
-    assert_eq!(backend.take_request_count(), 0, "the backend received one submit");
+    assert_eq!(backend.take_request_count(), 0, "the backend received more than one attempt");
 }
 
 #[test]
-fn draining_backend_revokes_its_lease_and_another_is_granted() {
+fn drain_revokes_the_lease_and_another_backend_is_granted() {
     let proxy = start_proxy("ep-drain", "", &backend_entries(2));
     run(async {
         let mut conversation = Conversation::open(proxy.external_processor).await;
--- a/crates/proxy-server/tests/external_processor/envoy.rs
+++ b/crates/proxy-server/tests/external_processor/envoy.rs
@@ -42,7 +42,7 @@
     HttpHeaders { headers: Some(HeaderMap { headers: head.to_vec() }), ..HttpHeaders::default() }
 }
 
-/// A stream of Envoy's filter.
+/// A stream as Envoy's external processing filter opens it, one per HTTP request.
 struct EnvoyFilter {
     messages: mpsc::Sender<ProcessingRequest>,
     responses: Streaming<ProcessingResponse>,
@@ -52,13 +52,14 @@
     async fn open(address: SocketAddr) -> Self {
         let (messages, outgoing) = mpsc::channel(8);
         let mut client = ExternalProcessorClient::new(channel_to(address).await);
-        let responses = client.process(ReceiverStream::new(outgoing)).await.expect("a stream").into_inner();
+        let responses =
+            client.process(ReceiverStream::new(outgoing)).await.expect("the stream opens").into_inner();
         Self { messages, responses }
     }
 
     async fn exchange(&mut self, message: ProcessingRequest) -> ProcessingResponse {
-        self.messages.send(message).await.expect("a stream");
-        self.responses.message().await.expect("a stream").expect("a response")
+        self.messages.send(message).await.expect("the stream is open");
+        self.responses.message().await.expect("the stream is open").expect("the stream has a response")
     }
 }
 
@@ -70,19 +71,27 @@
         .await
 }
 
+/// The status and the headers of an immediate response.
 pub fn immediate_response(response: ProcessingResponse) -> (i32, Vec<(String, String)>) {
     let Some(ResponseKind::ImmediateResponse(response)) = response.response else { panic!("{response:?}") };
-    let set = response.headers.unwrap_or_default().set_headers.into_iter().filter_map(|option| option.header);
-    let set = set.map(|h| (h.key, String::from_utf8(h.raw_value).expect("text")));
-    (response.status.expect("a status").code, set.collect())
+    let headers =
+        response.headers.unwrap_or_default().set_headers.into_iter().filter_map(|option| option.header);
+    let headers = headers.map(|h| (h.key, String::from_utf8(h.raw_value).expect("the header is UTF-8")));
+    (response.status.expect("the response has a status").code, headers.collect())
 }
 
+/// The backend's address in the header that Envoy routes by.
 fn destination_endpoint(response: &ProcessingResponse) -> String {
     let Some(ResponseKind::RequestHeaders(response)) = &response.response else { panic!("{response:?}") };
-    let mutation = response.response.as_ref().and_then(|r| r.header_mutation.as_ref()).expect("a mutation");
-    let set = mutation.set_headers.iter().filter_map(|option| option.header.as_ref());
-    let mut found = set.filter(|h| h.key == "x-gateway-destination-endpoint");
-    String::from_utf8(found.next().expect("a backend").raw_value.clone()).expect("text")
+    let mutation = response
+        .response
+        .as_ref()
+        .and_then(|r| r.header_mutation.as_ref())
+        .expect("the response mutates headers");
+    let headers = mutation.set_headers.iter().filter_map(|option| option.header.as_ref());
+    let mut destinations = headers.filter(|h| h.key == "x-gateway-destination-endpoint");
+    String::from_utf8(destinations.next().expect("the header is set").raw_value.clone())
+        .expect("the header is UTF-8")
 }
 
 #[test]
@@ -95,10 +104,11 @@
                 "submit", "a",
             )))))
             .await;
-        let to = destination_endpoint(&response);
-        assert!(to.starts_with("127.0.0.9:"), "{to}");
-        let metadata = format!("{:?}", response.dynamic_metadata.as_ref().expect("metadata"));
-        assert!(metadata.contains("envoy.lb") && metadata.contains(&to), "{metadata}");
+        let endpoint = destination_endpoint(&response);
+        assert!(endpoint.starts_with("127.0.0.9:"), "{endpoint}");
+        let metadata =
+            format!("{:?}", response.dynamic_metadata.as_ref().expect("the response has metadata"));
+        assert!(metadata.contains("envoy.lb") && metadata.contains(&endpoint), "{metadata}");
         assert!(response.mode_override.is_some());
         let response = http_headers(&[header_value(":status", b"200")]);
         let passed = filter.exchange(processing_request(RequestKind::ResponseHeaders(response))).await;
@@ -112,8 +122,8 @@
 }
 
 #[test]
-fn unprocessed_response_rejects_and_frees_the_key() {
-    let proxy = start_proxy("ep-away", "", &backend_entries(4));
+fn unprocessed_response_rejects_the_request_and_releases_the_key() {
+    let proxy = start_proxy("ep-unprocessed", "", &backend_entries(4));
     run(async {
         let mut filter = EnvoyFilter::open(proxy.external_processor).await;
         filter
@@ -131,14 +141,14 @@
             503
         );
         let mut client = connect_client(proxy.external_processor).await;
-        let again = pb::DecideRequest { id: b"b".to_vec(), ..decide("submit", "a") };
-        assert_eq!(expect_send(send_decide(&mut client, again).await).attempt, 0);
+        let same_key = pb::DecideRequest { id: b"b".to_vec(), ..decide("submit", "a") };
+        assert_eq!(expect_send(send_decide(&mut client, same_key).await).attempt, 0);
     });
 }
 
 #[test]
-fn vanished_envoy_counts_as_possibly_sent() {
-    let proxy = start_proxy("ep-gone", "", &backend_entries(4));
+fn lease_of_a_disconnected_envoy_counts_as_possibly_sent() {
+    let proxy = start_proxy("ep-disconnected", "", &backend_entries(4));
     run(async {
         let response = envoy_decision(proxy.external_processor, &request_head("submit", "a")).await;
         destination_endpoint(&response);
@@ -152,27 +162,31 @@
 fn invalid_heads_are_rejected_with_the_reason() {
     let proxy = start_proxy("ep-heads", "", &backend_entries(4));
     run(async {
-        let twice = [request_head("charge", "a"), vec![header_value("x-correlation-id", b"b")]].concat();
-        let no_text =
+        let duplicate = [request_head("charge", "a"), vec![header_value("x-correlation-id", b"b")]].concat();
+        let not_utf8 =
             [request_head("charge", "a"), vec![header_value("x-service-class", b"\xff\xfe")]].concat();
         let missing = vec![header_value(":path", b"/charge")];
-        for (bad, expected) in [
-            (twice, "`x-correlation-id` comes more than once"),
-            (no_text, "`x-service-class` is not UTF-8"),
+        for (head, expected) in [
+            (duplicate, "`x-correlation-id` comes more than once"),
+            (not_utf8, "`x-service-class` is not UTF-8"),
             (missing, "`x-correlation-id` is missing"),
         ] {
-            let response = envoy_decision(proxy.external_processor, &bad).await;
+            let response = envoy_decision(proxy.external_processor, &head).await;
             let Some(ResponseKind::ImmediateResponse(response)) = response.response else {
                 panic!("{response:?}")
             };
-            assert_eq!(response.status.expect("a status").code, 400);
+            assert_eq!(response.status.expect("the response has a status").code, 400);
             assert_eq!(String::from_utf8_lossy(&response.body).trim_end(), expected);
         }
         let mut filter = EnvoyFilter::open(proxy.external_processor).await;
-        let early = HttpBody { body: b"x".to_vec(), ..HttpBody::default() };
-        filter.messages.send(processing_request(RequestKind::RequestBody(early))).await.expect("a stream");
-        let broken = filter.responses.message().await.expect_err("the order is broken");
-        assert_eq!(broken.code(), Code::FailedPrecondition);
+        let body = HttpBody { body: b"x".to_vec(), ..HttpBody::default() };
+        filter
+            .messages
+            .send(processing_request(RequestKind::RequestBody(body)))
+            .await
+            .expect("the stream is open");
+        let status = filter.responses.message().await.expect_err("a body before the head is rejected");
+        assert_eq!(status.code(), Code::FailedPrecondition);
     });
 }
 
@@ -181,14 +195,14 @@
     let proxy = start_proxy("ep-body", "", &backend_entries(4));
     run(async {
         let mut filter = EnvoyFilter::open(proxy.external_processor).await;
-        // BodySendMode::FullDuplexStreamed
+        // 4 is BodySendMode::FullDuplexStreamed.
         let modes = ProtocolConfiguration { request_body_mode: 4, ..ProtocolConfiguration::default() };
         let first =
             processing_request(RequestKind::RequestHeaders(http_headers(&request_head("submit", "a"))));
         let response = filter.exchange(ProcessingRequest { protocol_config: Some(modes), ..first }).await;
-        assert!(response.mode_override.is_none(), "Envoy takes none in this mode");
+        assert!(response.mode_override.is_none(), "Envoy accepts no mode override in this mode");
         let body: Vec<u8> = (0..65_536_u32).map(|i| (i % 251) as u8).collect();
-        let mut back = Vec::new();
+        let mut returned = Vec::new();
         for (i, piece) in body.chunks(1_000).enumerate() {
             let end_of_stream = (i + 1) * 1_000 >= body.len();
             let piece = HttpBody { body: piece.to_vec(), end_of_stream, ..HttpBody::default() };
@@ -198,25 +212,25 @@
             let Some(body_mutation::Mutation::StreamedResponse(piece)) = mutation else {
                 panic!("{mutation:?}")
             };
-            back.extend(piece.body);
+            returned.extend(piece.body);
             assert_eq!(piece.end_of_stream, end_of_stream);
         }
-        assert_eq!(back, body);
+        assert_eq!(returned, body);
     });
 }
 
 #[test]
-fn observability_mode_takes_no_slot() {
-    let proxy = start_proxy("ep-watch", "", &backend_entries(1));
+fn observability_mode_occupies_no_capacity() {
+    let proxy = start_proxy("ep-observability", "", &backend_entries(1));
     run(async {
         for i in 0..20 {
             let filter = EnvoyFilter::open(proxy.external_processor).await;
-            let shown = processing_request(RequestKind::RequestHeaders(http_headers(&request_head(
+            let observed = processing_request(RequestKind::RequestHeaders(http_headers(&request_head(
                 "charge",
                 &format!("r{i}"),
             ))));
-            let shown = ProcessingRequest { observability_mode: true, ..shown };
-            filter.messages.send(shown).await.expect("a stream");
+            let observed = ProcessingRequest { observability_mode: true, ..observed };
+            filter.messages.send(observed).await.expect("the stream is open");
         }
         let mut client = connect_client(proxy.external_processor).await;
         for i in 0..2 {
--- a/crates/proxy-server/tests/external_processor/main.rs
+++ b/crates/proxy-server/tests/external_processor/main.rs
@@ -1,5 +1,5 @@
-//! The external processor over loopback sockets: the executable itself, with clients that time out, disconnect, send
-//! invalid messages and flood it, and the HTTP front end beside them.
+//! The external processor of the running executable over loopback sockets, together with the HTTP front end.
+//! Clients time out, disconnect, send invalid messages and flood it.
 
 mod decisions;
 mod envoy;
@@ -20,13 +20,14 @@
 use tonic::Streaming;
 use tonic::transport::Channel;
 
-/// Runs the calls of a test, at most for [`TEST_TIMEOUT`].
+/// Runs the calls of a test; panics when they take longer than [`TEST_TIMEOUT`].
 fn run<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(async { timeout(TEST_TIMEOUT, test).await.expect("in time") })
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime is built");
+    runtime.block_on(async { timeout(TEST_TIMEOUT, test).await.expect("the calls finish in time") })
 }
 
-/// A proxy with an external processor, whose backends are never connected to.
+/// A proxy with an external processor. Nothing listens at the addresses of its backends.
 struct ProxyUnderTest {
     process: Proxy,
     external_processor: SocketAddr,
@@ -50,8 +51,9 @@
 }
 
 async fn channel_to(address: SocketAddr) -> Channel {
-    let endpoint = tonic::transport::Endpoint::from_shared(format!("http://{address}")).expect("an address");
-    endpoint.connect().await.expect("a connection")
+    let endpoint =
+        tonic::transport::Endpoint::from_shared(format!("http://{address}")).expect("the URI is valid");
+    endpoint.connect().await.expect("the channel connects")
 }
 
 async fn connect_client(address: SocketAddr) -> DecisionsClient<Channel> {
@@ -73,39 +75,40 @@
 }
 
 fn unwrap_answer(answer: pb::Answer) -> Answer {
-    answer.answer.expect("an answer")
+    answer.answer.expect("the answer is set")
 }
 
 async fn send_decide(client: &mut DecisionsClient<Channel>, request: pb::DecideRequest) -> Answer {
-    unwrap_answer(client.decide(request).await.expect("an answer").into_inner())
+    unwrap_answer(client.decide(request).await.expect("the call succeeds").into_inner())
 }
 
 async fn send_report(client: &mut DecisionsClient<Channel>, request: pb::ReportRequest) -> Answer {
-    unwrap_answer(client.report(request).await.expect("an answer").into_inner())
+    unwrap_answer(client.report(request).await.expect("the call succeeds").into_inner())
 }
 
 fn expect_send(answer: Answer) -> pb::Send {
     match answer {
         Answer::Send(send) => send,
-        other => panic!("{other:?} is no grant"),
+        other => panic!("{other:?} grants no lease"),
     }
 }
 
+/// The final outcome, and whether an earlier answer had already returned it.
 fn expect_final(answer: &Answer) -> (pb::End, bool) {
     match answer {
-        Answer::Final(last) => (pb::End::try_from(last.end).expect("an end"), last.again),
-        other => panic!("{other:?} is not final"),
+        Answer::Final(outcome) => (pb::End::try_from(outcome.end).expect("a defined end"), outcome.again),
+        other => panic!("{other:?} is no final outcome"),
     }
 }
 
 fn expect_rejection(answer: &Answer) -> pb::Reason {
     match answer {
-        Answer::Rejected(rejected) => pb::Reason::try_from(rejected.reason).expect("a reason"),
+        Answer::Rejected(rejected) => pb::Reason::try_from(rejected.reason).expect("a defined reason"),
         other => panic!("{other:?} is no rejection"),
     }
 }
 
-/// A stream of the decision service.
+/// A `Converse` stream of the decision service.
 struct Conversation {
     questions: Option<mpsc::Sender<pb::Question>>,
     answers: Streaming<pb::TaggedAnswer>,
@@ -114,14 +117,17 @@
 impl Conversation {
     async fn open(address: SocketAddr) -> Self {
         let (questions, outgoing) = mpsc::channel(16);
-        let answers =
-            connect_client(address).await.converse(ReceiverStream::new(outgoing)).await.expect("a stream");
+        let answers = connect_client(address)
+            .await
+            .converse(ReceiverStream::new(outgoing))
+            .await
+            .expect("the stream opens");
         Self { questions: Some(questions), answers: answers.into_inner() }
     }
 
     async fn send(&self, tag: u64, question: pb::question::Question) {
-        let questions = self.questions.as_ref().expect("still open");
-        questions.send(pb::Question { tag, question: Some(question) }).await.expect("a stream");
+        let questions = self.questions.as_ref().expect("the request side is open");
+        questions.send(pb::Question { tag, question: Some(question) }).await.expect("the stream is open");
     }
 
     async fn decide(&self, tag: u64, request: pb::DecideRequest) {
@@ -133,12 +139,14 @@
     }
 
     async fn receive(&mut self) -> (u64, Answer) {
-        let tagged = self.answers.message().await.expect("a stream").expect("an answer");
-        (tagged.tag, unwrap_answer(tagged.answer.expect("an answer")))
+        let tagged =
+            self.answers.message().await.expect("the stream is open").expect("the stream has an answer");
+        (tagged.tag, unwrap_answer(tagged.answer.expect("the answer is set")))
     }
 }
 
-/// Repeats a decision while its request is in flight: the client that held it is gone, but its end is processed later.
+/// Requests a decision until the request is no longer in flight: the proxy may process the disconnect of the
+/// client that had it only later.
 async fn decide_until_free(client: &mut DecisionsClient<Channel>, request: &pb::DecideRequest) -> Answer {
     loop {
         match send_decide(client, request.clone()).await {
--- a/crates/proxy-server/tests/golden_process/main.rs
+++ b/crates/proxy-server/tests/golden_process/main.rs
@@ -1,5 +1,5 @@
-//! Golden files of the running executable: the console's responses, the files that it stores, and the bytes that clients and
-//! backends receive; and the exit codes of `check`.
+//! Golden-file tests of the running executable: console responses, stored files, and the bytes that clients
+//! and backends receive; and the exit codes of `check`.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -13,12 +13,12 @@
     Backend, Client, Discovery, Proxy, config_with_console, empty_folder, entry, ok, request, send_command,
 };
 
-fn golden() -> GoldenFiles {
+fn golden_files() -> GoldenFiles {
     GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Replaces each number of more than three digits by `N`: times and ports differ from run to run.
-fn without_times(text: &str) -> String {
+/// Replaces each number of more than three digits by `N`, as times and ports differ from run to run.
+fn mask_long_numbers(text: &str) -> String {
     let mut result = String::new();
     let mut digits = String::new();
     for character in text.chars().chain(['\n']) {
@@ -35,9 +35,10 @@
 }
 
 fn file_names(directory: &Path) -> Vec<String> {
-    let entries = fs::read_dir(directory).expect("the directory");
-    let mut names: Vec<String> =
-        entries.map(|e| e.expect("an entry").file_name().to_string_lossy().into_owned()).collect();
+    let entries = fs::read_dir(directory).expect("the directory is readable");
+    let mut names: Vec<String> = entries
+        .map(|e| e.expect("the entry is readable").file_name().to_string_lossy().into_owned())
+        .collect();
     names.sort();
     names
 }
@@ -50,10 +51,10 @@
     let (mut proxy, console) =
         Proxy::start_with_console(&directory, "golden-console", &config_with_console(&discovery, None));
     let mut lines = Vec::new();
-    let mut ask = |line: &str| {
+    let mut send = |line: &str| {
         lines.push(format!("{line}: {}", send_command(console, &format!("{line}\n")).trim_end()));
     };
-    ask("readyz");
+    send("readyz");
     discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
     for line in [
         "readyz",
@@ -69,11 +70,11 @@
         "exclude",
         "readyz now",
     ] {
-        ask(line);
+        send(line);
     }
-    golden().assert_lines("console.txt", &lines);
-    let stored = fs::read_to_string(directory.join("haventrack-n7.bans.json")).expect("the file");
-    golden().assert_lines("stored-exclusions.txt", &[without_times(&stored)]);
+    golden_files().assert_lines("console.txt", &lines);
+    let stored = fs::read_to_string(directory.join("haventrack-n7.bans.json")).expect("the file is readable");
+    golden_files().assert_lines("stored-exclusions.txt", &[mask_long_numbers(&stored)]);
     proxy.terminate();
     assert!(proxy.wait().success());
     let names = file_names(&directory);
@@ -82,14 +83,16 @@
     }
 }
 
-/// A new process reads what one of an older version stored, and the older one reads what it stores.
+/// A new process reads the exclusions that an older version stored, and stores them in the format that the
+/// older version reads.
 #[test]
 fn exclusions_of_an_older_version_apply_to_a_new_process() {
     let discovery = Discovery::start();
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let directory = empty_folder("golden-older");
-    let older = r#"{"version":1,"bans":{"out":{"s-a":7},"back":{}}}"#;
-    fs::write(directory.join("haventrack-n7.bans.json"), older).expect("written");
+    let stored_by_older_version = r#"{"version":1,"bans":{"out":{"s-a":7},"back":{}}}"#;
+    fs::write(directory.join("haventrack-n7.bans.json"), stored_by_older_version)
+        .expect("the file is written");
     let (proxy, console) =
         Proxy::start_with_console(&directory, "golden-older", &config_with_console(&discovery, None));
     discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
@@ -98,15 +101,15 @@
         assert_eq!(client.exchange(&request("read", &format!("golden-{n}"), "")).body, b"b");
     }
     assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
-    let stored = fs::read_to_string(directory.join("haventrack-n7.bans.json")).expect("the file");
-    let stored: Value = serde_json::from_str(&stored).expect("JSON");
+    let stored = fs::read_to_string(directory.join("haventrack-n7.bans.json")).expect("the file is readable");
+    let stored: Value = serde_json::from_str(&stored).expect("the file is JSON");
     assert_eq!(stored["version"], 1);
     assert_eq!(stored["bans"]["out"], json!({}));
     assert!(stored["bans"]["back"]["s-a"].is_u64(), "{stored}");
 }
 
-/// The head of a message without its date, and its body.
-fn described(received: &support::HttpMessage) -> String {
+/// The head of a message without its `date` header, and its body.
+fn text_without_date(received: &support::HttpMessage) -> String {
     let is_dated = |line: &&str| line.starts_with("date: ");
     let head: Vec<&str> = received.head.split("\r\n").filter(|line| !is_dated(line)).collect();
     format!("{}{}", head.join("\n"), String::from_utf8_lossy(&received.body))
@@ -118,36 +121,42 @@
     let mut texts = Vec::new();
     let proxy = Proxy::start_without_list("golden-bytes", &discovery);
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-    texts.push(described(&Client::connect(proxy.address).exchange(&get("/up"))));
+    texts.push(text_without_date(&Client::connect(proxy.address).exchange(&get("/up"))));
     let backend = Backend::start(|_| ok("served"));
     discovery.post(true, &[entry("s-a", backend.address, "active", 0)]);
-    texts.push(described(&Client::connect(proxy.address).exchange(&get("/up"))));
-    texts.push(described(&Client::connect(proxy.address).exchange(&request("submit", "golden", "body"))));
-    let received = described(&backend.next_request());
-    let host_is_an_address = backend.address.to_string();
-    texts.push(without_times(&received.replace(&host_is_an_address, "BACKEND")));
-    let no_time =
+    texts.push(text_without_date(&Client::connect(proxy.address).exchange(&get("/up"))));
+    texts.push(text_without_date(
+        &Client::connect(proxy.address).exchange(&request("submit", "golden", "body")),
+    ));
+    let received = text_without_date(&backend.next_request());
+    let backend_address = backend.address.to_string();
+    texts.push(mask_long_numbers(&received.replace(&backend_address, "BACKEND")));
+    let invalid_time_left =
         "GET /read HTTP/1.1\r\nX-Correlation-Id: i\r\nX-Service-Class: read\r\nX-Time-Left-Ms: x\r\n\r\n";
-    for bad in
-        [&get("/nothing"), "NOTHING\r\n\r\n", no_time, "GET /read HTTP/1.1\r\nX-Service-Class: none\r\n\r\n"]
-    {
-        texts.push(described(&Client::connect(proxy.address).exchange(bad)));
+    for invalid in [
+        &get("/nothing"),
+        "NOTHING\r\n\r\n",
+        invalid_time_left,
+        "GET /read HTTP/1.1\r\nX-Service-Class: none\r\n\r\n",
+    ] {
+        texts.push(text_without_date(&Client::connect(proxy.address).exchange(invalid)));
     }
     discovery.post(true, &[]);
-    texts.push(described(&Client::connect(proxy.address).exchange(&request("charge", "late", ""))));
-    golden().assert_lines("http.txt", &texts);
+    texts.push(text_without_date(&Client::connect(proxy.address).exchange(&request("charge", "late", ""))));
+    golden_files().assert_lines("http.txt", &texts);
 }
 
-/// Scripts use the exit codes to check a configuration.
+/// Scripts check configurations by the exit codes of `check`.
 #[test]
 fn check_exit_codes_are_stable() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let exit_code = |arguments: &[&str]| {
         let program = env!("CARGO_BIN_EXE_load-balancing-proxy");
-        let output = Command::new(program).current_dir(&root).args(arguments).output().expect("it runs");
+        let output =
+            Command::new(program).current_dir(&root).args(arguments).output().expect("the program runs");
         output.status.code()
     };
-    let good = ["check", "deploy/sample-config.json", "--extproc", "deploy/extproc.toml"];
-    assert_eq!(exit_code(&good), Some(0));
+    let valid = ["check", "deploy/sample-config.json", "--extproc", "deploy/extproc.toml"];
+    assert_eq!(exit_code(&valid), Some(0));
     assert_eq!(exit_code(&["check", "deploy/none.json"]), Some(1));
 }
--- a/crates/proxy-server/tests/operations/console.rs
+++ b/crates/proxy-server/tests/operations/console.rs
@@ -1,22 +1,22 @@
 //! Console commands: readiness and exclusions.
 
 use crate::support::*;
-use crate::{backends, list, served, wait_for_response};
+use crate::{list_entries, serving_backends, start_backends, wait_for_response};
 use std::fs;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
 #[test]
-fn reports_readiness_of_this_process() {
+fn readyz_reports_readiness_until_shutdown() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
+    let (a, b) = start_backends();
     let (mut proxy, console) =
         Proxy::start_with_console(&empty_folder("ready"), "ready", &config_with_console(&discovery, None));
     assert!(send_command(console, "readyz\n").starts_with("FAILURE no list"));
-    discovery.post(true, &list(&a, &b));
+    discovery.post(true, &list_entries(&a, &b));
     assert!(send_command(console, "readyz\n").starts_with("SUCCESS"));
-    // An open request keeps the process running.
+    // A request in flight keeps the process running after the stop signal.
     let (release, released) = std::sync::mpsc::channel();
     let mut released = Some(released);
     let slow = Backend::start(move |_| match released.take() {
@@ -35,9 +35,9 @@
     assert!(proxy.wait().success());
 }
 
-/// Guards against rejections whose cause operators can't see.
+/// Guards against rejections whose cause is not visible to operators: console and log report the causes.
 #[test]
-fn tells_why_requests_ended_without_a_response() {
+fn causes_of_requests_without_a_response_are_reported() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::Hang);
     let config = config_with_console(&discovery, None);
@@ -61,60 +61,63 @@
 #[test]
 fn excluded_backend_receives_nothing_until_included() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
-    let (proxy, console) =
-        Proxy::start_with_console(&empty_folder("ban"), "ban", &config_with_console(&discovery, None));
-    discovery.post(true, &list(&a, &b));
+    let (a, b) = start_backends();
+    let (proxy, console) = Proxy::start_with_console(
+        &empty_folder("exclusion"),
+        "exclusion",
+        &config_with_console(&discovery, None),
+    );
+    discovery.post(true, &list_entries(&a, &b));
     let mut client = proxy.client();
     assert!(send_command(console, "exclude s-none\n").starts_with("FAILURE no backend is called s-none"));
     assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
     assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
-    assert_eq!(served(&mut client, "out", 40), "b".repeat(40));
-    // Whatever the list reports: active once more, removed, returned.
+    assert_eq!(serving_backends(&mut client, "excluded", 40), "b".repeat(40));
+    // The exclusion lasts whatever the list reports: the backend as active, as removed, as restarted.
     discovery.post(false, &[entry("s-a", a.address, "active", 0)]);
-    assert_eq!(served(&mut client, "told", 20), "b".repeat(20));
+    assert_eq!(serving_backends(&mut client, "active", 20), "b".repeat(20));
     discovery.post(false, &[entry("s-a", a.address, "left", 0)]);
     discovery.post(false, &[entry("s-a", a.address, "active", 77_000)]);
-    assert_eq!(served(&mut client, "back", 20), "b".repeat(20));
-    // Two exclusions need one inclusion.
+    assert_eq!(serving_backends(&mut client, "restarted", 20), "b".repeat(20));
+    // One inclusion ends the exclusion, although the command to exclude was sent twice.
     assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
     assert!(send_command(console, "exclude s-b\n").starts_with("SUCCESS"));
-    // The backend is in slow start, so it may not get the first requests.
-    let mut tries = 0..50;
-    let serves_again =
-        tries.any(|n| client.exchange(&request("read", &format!("again-{n}"), "")).body == b"a");
-    assert!(serves_again, "it serves again");
+    // The backend is in slow start, so it may not receive the first requests.
+    let mut requests = 0..50;
+    let is_reincluded =
+        requests.any(|n| client.exchange(&request("read", &format!("included-{n}"), "")).body == b"a");
+    assert!(is_reincluded, "the included backend served none of 50 requests");
     assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a was not out"));
     assert!(send_command(console, "include s-none\n").starts_with("FAILURE"));
 }
 
 #[test]
-fn starts_with_a_damaged_exclusions_file() {
+fn damaged_exclusions_file_is_set_aside_at_start() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
+    let (a, b) = start_backends();
     let folder = empty_folder("damaged");
     fs::write(folder.join("haventrack-n7.bans.json"), "{\"version\":1,\"bans\":{\"out\":{\"s-a\":1")
-        .expect("written");
+        .expect("the file is written");
     let (mut proxy, console) =
         Proxy::start_with_console(&folder, "damaged", &config_with_console(&discovery, None));
-    discovery.post(true, &list(&a, &b));
+    discovery.post(true, &list_entries(&a, &b));
     assert!(send_command(console, "exclude s-b\n").starts_with("SUCCESS"));
     assert!(folder.join("haventrack-n7.bans.damaged").exists());
     let mut client = proxy.client();
-    assert_eq!(served(&mut client, "damaged", 10), "a".repeat(10));
+    assert_eq!(serving_backends(&mut client, "damaged", 10), "a".repeat(10));
     drop(client);
     proxy.terminate();
     assert!(proxy.remaining_log().contains("set aside"));
 }
 
-/// Console commands are answered within a second while clients keep the process busy.
+/// Console commands are answered within 1 s while clients send requests without pause.
 #[test]
 fn console_answers_in_time_under_full_load() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
+    let (a, b) = start_backends();
     let (proxy, console) =
         Proxy::start_with_console(&empty_folder("load"), "load", &config_with_console(&discovery, None));
-    discovery.post(true, &list(&a, &b));
+    discovery.post(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..8)
@@ -131,16 +134,16 @@
             })
         })
         .collect();
-    let slowest = (0..60).map(|n| {
+    let response_times = (0..60).map(|n| {
         let began = std::time::Instant::now();
         let line = ["readyz\n", "exclude s-a\n", "include s-a\n"][n % 3];
         assert!(send_command(console, line).starts_with("SUCCESS"), "{line}");
         began.elapsed()
     });
-    let slowest = slowest.max();
+    let slowest = response_times.max();
     stop.store(true, Ordering::Relaxed);
     for client in clients {
-        client.join().expect("a client");
+        client.join().expect("the client thread finishes");
     }
-    assert!(slowest < Some(std::time::Duration::from_secs(1)), "{slowest:?}");
+    assert!(slowest < Some(std::time::Duration::from_secs(1)), "slowest response: {slowest:?}");
 }
--- a/crates/proxy-server/tests/operations/main.rs
+++ b/crates/proxy-server/tests/operations/main.rs
@@ -1,4 +1,5 @@
-//! Operation over loopback sockets: the console, exclusions of backends, reloads, and the replacement of the process.
+//! Operation of the proxy over loopback sockets: the console, exclusions of backends, reloads, process
+//! replacement, and exhausted resources.
 
 mod console;
 mod reload;
@@ -12,23 +13,25 @@
 use std::thread;
 use support::{Backend, Client, entry, ok, request, send_command};
 
-/// Repeats a command until its response has this prefix: the process may not have received its list yet.
+/// Sends a command until its response has this prefix; the process may not have received its list yet.
 fn wait_for_response(console: SocketAddr, line: &str, prefix: &str) {
     while !send_command(console, line).starts_with(prefix) {
         thread::yield_now();
     }
 }
 
-fn backends() -> (Backend, Backend) {
+/// Starts two backends that respond with their names.
+fn start_backends() -> (Backend, Backend) {
     (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")))
 }
 
-fn list(a: &Backend, b: &Backend) -> [Value; 2] {
+/// The entries of two backends in discovery's list.
+fn list_entries(a: &Backend, b: &Backend) -> [Value; 2] {
     [entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]
 }
 
-/// Sends requests on one connection; returns the names of the backends that served them.
-fn served(client: &mut Client, name: &str, count: usize) -> String {
+/// Sends requests on one connection; returns the names of the backends that served them, one letter each.
+fn serving_backends(client: &mut Client, name: &str, count: usize) -> String {
     let responses = (0..count).map(|n| client.exchange(&request("read", &format!("{name}-{n}"), "")));
-    responses.map(|response| String::from_utf8(response.body).expect("text")).collect()
+    responses.map(|response| String::from_utf8(response.body).expect("the body is UTF-8")).collect()
 }
--- a/crates/proxy-server/tests/operations/replacement.rs
+++ b/crates/proxy-server/tests/operations/replacement.rs
@@ -1,72 +1,80 @@
-//! Replacement of the process while it serves, and its shutdown.
+//! Process replacement while clients send requests, and shutdown.
 
 use crate::support::*;
-use crate::{backends, list, served, wait_for_response};
+use crate::{list_entries, serving_backends, start_backends, wait_for_response};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::{fs, thread};
 
 #[test]
-fn exclusion_outlives_the_process_and_applies_to_both() {
+fn exclusion_lasts_over_a_replacement_and_applies_to_both_processes() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
+    let (a, b) = start_backends();
     let folder = empty_folder("outlives");
     let (mut old, old_console) =
         Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
-    discovery.post(true, &list(&a, &b));
+    discovery.post(true, &list_entries(&a, &b));
     assert!(send_command(old_console, "exclude s-a\n").starts_with("SUCCESS"));
-    let mut reused = old.client();
-    assert_eq!(served(&mut reused, "kept", 3), "bbb");
+    let mut reused_client = old.client();
+    assert_eq!(serving_backends(&mut reused_client, "reused", 3), "bbb");
     let (new, new_console) =
         Proxy::start_with_console(&folder, "new", &config_with_console(&discovery, Some(old.address)));
     wait_for_response(new_console, "readyz\n", "SUCCESS");
-    let mut fresh = new.client();
-    assert_eq!(served(&mut fresh, "fresh", 20), "b".repeat(20), "the exclusion applied from the start");
+    let mut new_client = new.client();
+    assert_eq!(
+        serving_backends(&mut new_client, "new", 20),
+        "b".repeat(20),
+        "the exclusion did not apply from the start"
+    );
     // A command to the new process applies to the old one as well.
     assert!(send_command(new_console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
     old.wait_for_log("excluded backends now: none");
     assert!(send_command(new_console, "exclude s-b\n").starts_with("SUCCESS"));
     old.wait_for_log("excluded backends now: s-b");
     while b.take_request_count() > 0 {}
-    let answer = reused.exchange(&request("read", "kept-last", ""));
-    assert!(answer.body != b"b", "{}", answer.head);
+    let response = reused_client.exchange(&request("read", "reused-last", ""));
+    assert!(response.body != b"b", "the old process used an excluded backend: {}", response.head);
     old.terminate();
-    drop(reused);
+    drop(reused_client);
     assert!(old.wait().success());
     assert_eq!(b.take_request_count(), 0);
 }
 
 #[test]
-fn new_process_that_dies_before_ready_changes_nothing() {
+fn new_process_that_ends_before_readiness_does_not_affect_the_old_one() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
-    let folder = empty_folder("dies");
+    let (a, b) = start_backends();
+    let folder = empty_folder("never-ready");
     let (old, console) = Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
-    discovery.post(true, &list(&a, &b));
+    discovery.post(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
-    let silent = Discovery::start();
+    let unresponsive_discovery = Discovery::start();
     for n in 0..3 {
-        let (new, new_console) =
-            Proxy::start_with_console(&folder, "new", &config_with_console(&silent, Some(old.address)));
+        let (new, new_console) = Proxy::start_with_console(
+            &folder,
+            "new",
+            &config_with_console(&unresponsive_discovery, Some(old.address)),
+        );
         assert!(send_command(new_console, "readyz\n").starts_with("FAILURE"));
         for m in 0..20 {
-            let answer = old.client().exchange(&request("read", &format!("beside-{n}-{m}"), ""));
-            assert_eq!(answer.status(), 200, "{}", answer.head);
+            let response = old.client().exchange(&request("read", &format!("during-{n}-{m}"), ""));
+            assert_eq!(response.status(), 200, "{}", response.head);
         }
         drop(new);
     }
     let mut client = old.client();
-    assert_eq!(served(&mut client, "after", 10).len(), 10);
+    assert_eq!(serving_backends(&mut client, "after", 10).len(), 10);
 }
 
-/// Continuous clients, on reused and on new connections, observe no fault during successive replacements.
+/// Clients that send requests without pause, on reused and on new connections, observe no failure during
+/// successive process replacements.
 #[test]
 fn replacement_rejects_and_resets_nothing() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
+    let (a, b) = start_backends();
     let folder = empty_folder("replaced");
     let (mut old, console) = Proxy::start_with_console(&folder, "p0", &config_with_console(&discovery, None));
-    discovery.post(true, &list(&a, &b));
+    discovery.post(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let (address, stop, exchanged) =
         (old.address, Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
@@ -80,69 +88,70 @@
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    let answer = client.exchange(&request("read", &format!("load-{number}-{n}"), ""));
-                    assert_eq!(answer.status(), 200, "{}", answer.head);
+                    let response = client.exchange(&request("read", &format!("load-{number}-{n}"), ""));
+                    assert_eq!(response.status(), 200, "{}", response.head);
                     exchanged.fetch_add(1, Ordering::Relaxed);
-                    // Half of them reconnect each time; the others when the proxy requests it.
-                    if number % 2 == 0 || answer.header("connection") == Some("close") {
+                    // Half of the clients reconnect after each response, the others when the proxy requests
+                    // it.
+                    if number % 2 == 0 || response.header("connection") == Some("close") {
                         client = connect();
                     }
                 }
             })
         })
         .collect();
-    let go_on = |more: usize| {
-        let until = exchanged.load(Ordering::Relaxed) + more;
-        while exchanged.load(Ordering::Relaxed) < until && clients.iter().all(|c| !c.is_finished()) {
+    let wait_for_exchanges = |count: usize| {
+        let target = exchanged.load(Ordering::Relaxed) + count;
+        while exchanged.load(Ordering::Relaxed) < target && clients.iter().all(|c| !c.is_finished()) {
             thread::yield_now();
         }
     };
     for name in ["p1", "p2"] {
-        go_on(200);
+        wait_for_exchanges(200);
         let (new, console) =
             Proxy::start_with_console(&folder, name, &config_with_console(&discovery, Some(address)));
         wait_for_response(console, "readyz\n", "SUCCESS");
         old.terminate();
-        go_on(200);
+        wait_for_exchanges(200);
         assert!(old.wait().success());
         old = new;
     }
-    go_on(200);
+    wait_for_exchanges(200);
     stop.store(true, Ordering::Relaxed);
     for client in clients {
-        client.join().expect("a client that observed no fault");
+        client.join().expect("the client observed no failure");
     }
 }
 
-/// Learned limits are restored; an unreadable snapshot is ignored.
+/// Learned limits are restored from the snapshot; an unreadable snapshot is logged and ignored.
 #[test]
 fn new_process_restores_learned_limits() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
+    let (a, b) = start_backends();
     let folder = empty_folder("learnt");
     let (old, console) = Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
-    discovery.post(true, &list(&a, &b));
+    discovery.post(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let file = folder.join("haventrack-n7.learnt.json");
     while !file.exists() {
         thread::yield_now();
     }
-    let successor = |name: &str, receivers: &str| {
+    let logged_by_new_process = |name: &str, text: &str| {
         let config = config_with_console(&discovery, Some(old.address));
         let (mut new, _) = Proxy::start_with_console(&folder, name, &config);
-        new.wait_for_log(receivers)
+        new.wait_for_log(text)
     };
-    successor("reads", "restored learned limits from the snapshot");
+    logged_by_new_process("reads", "restored learned limits from the snapshot");
     // A folder in place of the snapshot cannot be read.
-    fs::remove_file(&file).expect("the file is there");
-    fs::create_dir(&file).expect("a folder in its place");
-    assert!(successor("cannot-read", "learned limits were not restored").contains("directory"));
+    fs::remove_file(&file).expect("the snapshot is removed");
+    fs::create_dir(&file).expect("the folder is created");
+    assert!(logged_by_new_process("cannot-read", "learned limits were not restored").contains("directory"));
     assert_eq!(old.client().exchange(&request("read", "after", "")).status(), 200);
 }
 
-/// A keyed request that is open in the old process at its stop signal finishes there, once.
+/// A keyed request that is in flight in the old process at the stop signal completes there, with one attempt.
 #[test]
-fn open_requests_finish_once_in_the_old_process() {
+fn request_in_flight_completes_once_in_the_old_process() {
     let discovery = Discovery::start();
     let (release, released) = std::sync::mpsc::channel::<()>();
     let mut released = Some(released);
@@ -172,14 +181,18 @@
     assert_eq!(backend.take_request_count(), 0, "nothing was retried");
 }
 
-/// Idle connections are closed during shutdown, but none on which a request has begun.
+/// Idle connections are closed during shutdown, but not a connection on which the head of a request has
+/// begun.
 #[test]
-fn partial_head_is_answered_during_shutdown() {
+fn partially_sent_request_is_answered_during_shutdown() {
     let discovery = Discovery::start();
-    let (a, b) = backends();
-    let (mut proxy, console) =
-        Proxy::start_with_console(&empty_folder("half"), "half", &config_with_console(&discovery, None));
-    discovery.post(true, &list(&a, &b));
+    let (a, b) = start_backends();
+    let (mut proxy, console) = Proxy::start_with_console(
+        &empty_folder("partial-head"),
+        "partial-head",
+        &config_with_console(&discovery, None),
+    );
+    discovery.post(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let (mut idle, mut partial) = (proxy.client(), proxy.client());
     for (client, id) in [(&mut idle, "1"), (&mut partial, "2")] {
@@ -188,13 +201,13 @@
     proxy.terminate();
     wait_for_response(console, "readyz\n", "FAILURE");
     let complete = request("read", "3", "");
-    let (begun, rest) = complete.split_at(30);
+    let (first_part, rest) = complete.split_at(30);
     // The request begins while the other connection is idle and about to be closed.
-    partial.send(begun);
-    assert!(idle.is_closed_cleanly(), "it is idle");
+    partial.send(first_part);
+    assert!(idle.is_closed_cleanly(), "the idle connection was not closed");
     partial.send(rest);
-    let got = partial.receive();
-    assert_eq!((got.status(), got.header("connection")), (200, Some("close")), "{}", got.head);
+    let response = partial.receive();
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")), "{}", response.head);
     assert!(partial.is_closed_cleanly());
     drop((idle, partial));
     assert!(proxy.wait().success());
