--- a/crates/proxy-server/tests/support/backend.rs
+++ b/crates/proxy-server/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! Scripted backends.
+//! Backends with scripted responses.
 
 use super::TEST_TIMEOUT;
 use super::http_message::{HttpMessage, read_message, response_bytes};
@@ -10,22 +10,22 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a backend does with a request.
+/// The action that a backend takes for a request.
 pub enum BackendAction {
     /// Writes these bytes.
     Write(Vec<u8>),
     /// Writes these bytes and closes the connection.
     WriteAndClose(Vec<u8>),
-    /// Waits for the test's signal, then acts.
+    /// Waits for a message from the test, at most [`TEST_TIMEOUT`], then executes the action.
     WaitThen(Receiver<()>, Box<BackendAction>),
-    /// Waits for this time, then acts.
+    /// Sleeps for this time, then executes the action.
     DelayThen(Duration, Box<BackendAction>),
-    /// Never responds.
+    /// Never responds, and keeps the connection open.
     Hang,
 }
 
 impl BackendAction {
-    /// Returns whether the connection stays open.
+    /// Executes the action. Returns whether the connection stays open.
     fn execute(self, stream: &mut TcpStream) -> bool {
         match self {
             Self::Write(bytes) => stream.write_all(&bytes).is_ok(),
@@ -33,8 +33,8 @@
                 let _ = stream.write_all(&bytes);
                 false
             }
-            Self::WaitThen(released, action) => {
-                let _ = released.recv_timeout(TEST_TIMEOUT);
+            Self::WaitThen(release, action) => {
+                let _ = release.recv_timeout(TEST_TIMEOUT);
                 action.execute(stream)
             }
             Self::DelayThen(delay, action) => {
@@ -51,28 +51,32 @@
     BackendAction::Write(response_bytes("200 OK", "", body.as_bytes()))
 }
 
-/// A listener whose queue is full, and the connection that fills it: others are established only once the queue is emptied.
+/// A listener whose accept queue is full, and the connection that fills it. Other connections are established
+/// only after the queue has been emptied.
 pub fn listener_with_full_queue() -> (TcpListener, TcpStream) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-    socket.listen(0).expect("it listens");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind to a free port");
+    socket.listen(0).expect("listen on the socket");
     let listener = TcpListener::from(socket);
-    let filler = TcpStream::connect(listener.local_addr().expect("an address")).expect("the queue takes one");
+    let filler =
+        TcpStream::connect(listener.local_addr().expect("local address")).expect("fill the accept queue");
     (listener, filler)
 }
 
 type Script = Box<dyn FnMut(&HttpMessage) -> BackendAction + Send>;
 
-/// A backend that acts by a script and passes the requests that it received to the test.
+/// A backend that executes the actions of a script and passes each received request to the test.
 pub struct Backend {
     pub address: SocketAddr,
+    /// The received requests, in order over all connections.
     pub requests: Receiver<HttpMessage>,
 }
 
 impl Backend {
+    /// Starts a backend; `script` chooses the action for each request.
     pub fn start(script: impl FnMut(&HttpMessage) -> BackendAction + Send + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let address = listener.local_addr().expect("local address");
         let (sender, requests) = channel();
         let script: Arc<Mutex<Script>> = Arc::new(Mutex::new(Box::new(script)));
         thread::spawn(move || {
@@ -86,12 +90,12 @@
         Self { address, requests }
     }
 
-    /// The next request.
+    /// Waits for the next request.
     pub fn next_request(&self) -> HttpMessage {
-        self.requests.recv_timeout(TEST_TIMEOUT).expect("the backend receives a request")
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request to the backend")
     }
 
-    /// The number of requests since the last one that the test took; takes them.
+    /// Discards the requests that the test has not taken yet, and returns their number.
     pub fn take_request_count(&self) -> usize {
         self.requests.try_iter().count()
     }
@@ -103,18 +107,19 @@
     script: &Mutex<Script>,
     sender: &Sender<HttpMessage>,
 ) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+    let mut reader = BufReader::new(stream.try_clone().expect("clone the stream"));
     while let Some(mut request) = read_message(&mut reader) {
         request.connection = connection;
-        let action = script.lock().expect("a script")(&request);
-        // A request that is answered with a close is passed on after it, so that the test's next step cannot precede it.
-        let closes = matches!(action, BackendAction::WriteAndClose(_));
-        if !closes {
+        let action = script.lock().expect("lock the script")(&request);
+        // A request whose action closes the connection is passed to the test after the close, so that the
+        // test's next step cannot precede the close.
+        let closes_connection = matches!(action, BackendAction::WriteAndClose(_));
+        if !closes_connection {
             let _ = sender.send(request.clone());
         }
         if !action.execute(&mut stream) {
             let _ = stream.shutdown(Shutdown::Both);
-            if closes {
+            if closes_connection {
                 let _ = sender.send(request);
             }
             return;
--- a/crates/proxy-server/tests/support/client.rs
+++ b/crates/proxy-server/tests/support/client.rs
@@ -5,10 +5,11 @@
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// The proxy's own health check.
+/// A request to the health check endpoint of the proxy itself.
 pub const HEALTH_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// A request of a class, in the form that clients use. `id` is also its idempotency key.
+/// A request of this class with a response deadline of 15 s. Only class `submit` has an idempotency key,
+/// equal to `id`.
 pub fn request(class: &str, id: &str, body: &str) -> String {
     let method = if class == "read" { "GET" } else { "POST" };
     let key = if class == "submit" { format!("Idempotency-Key: {id}\r\n") } else { String::new() };
@@ -19,23 +20,25 @@
     )
 }
 
-/// A client on one connection.
+/// A client with one connection to the proxy.
 pub struct Client {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Connects to the proxy.
     pub fn connect(address: SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).expect("the proxy accepts");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        Self { reader: BufReader::new(stream.try_clone().expect("a clone")), stream }
+        let stream = TcpStream::connect(address).expect("connect to the proxy");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+        Self { reader: BufReader::new(stream.try_clone().expect("clone the stream")), stream }
     }
 
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("the proxy reads");
+        self.stream.write_all(text.as_bytes()).expect("write to the proxy");
     }
 
+    /// Reads one response; fails the test if the connection ends before it.
     pub fn receive(&mut self) -> HttpMessage {
         read_message(&mut self.reader).expect("a complete response")
     }
@@ -46,7 +49,8 @@
         self.receive()
     }
 
-    /// Whether the proxy closes the connection without a reset and without another byte.
+    /// Waits for the end of the connection. Returns false if more bytes or a reset arrive, or nothing within
+    /// [`TEST_TIMEOUT`].
     pub fn is_closed_cleanly(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 64]), Ok(0))
     }
--- a/crates/proxy-server/tests/support/configuration.rs
+++ b/crates/proxy-server/tests/support/configuration.rs
@@ -1,16 +1,16 @@
-//! Configurations of proxies under test.
+//! Configurations of the proxies under test.
 
 use super::discovery::Discovery;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// A backend's entry in discovery's list.
+/// The entry of a backend in a discovery list. `phase` is `active`, `leaving` or `left`.
 pub fn entry(id: &str, address: SocketAddr, phase: &str, up_since_ms: u64) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": 0,
            "phase": phase, "size": 1.0, "up_since_ms": up_since_ms})
 }
 
-/// The balancer's settings: one class of each effect.
+/// Settings of the balancer with a retryable, a keyed and a non-idempotent request class.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aimUs": 10_000_000, "deadlineUs": 20_000_000, "worth": 1.0, "lateWorth": 0.5,
@@ -25,14 +25,14 @@
         "safety": {"coldFrom": 0.3, "coldUs": 8_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}})
 }
 
-/// A configuration without known backends.
+/// A configuration whose list of known backends is complete and empty.
 pub fn config(name: &str, discovery: &Discovery) -> Value {
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"revision": 0, "complete": true, "members": []}, "settings": settings()})
 }
 
-/// A configuration with a console; `listen` is the address of the process that is replaced, if any.
+/// A configuration with a console. `listen` is the address of the process to be replaced, if there is one.
 pub fn config_with_console(discovery: &Discovery, listen: Option<SocketAddr>) -> Value {
     let mut config = config("n7", discovery);
     config["console"] = json!("127.0.0.1:0");
@@ -42,10 +42,10 @@
     config
 }
 
-/// A configuration whose classes all have this deadline, and half of it as their latency objective.
+/// A configuration in which each class has this response deadline, and half of it as its latency objective.
 pub fn config_with_deadline(name: &str, discovery: &Discovery, deadline_ms: u64) -> Value {
     let mut config = config(name, discovery);
-    for class in config["settings"]["classes"].as_array_mut().expect("classes") {
+    for class in config["settings"]["classes"].as_array_mut().expect("the classes are an array") {
         class["aimUs"] = (deadline_ms * 500).into();
         class["deadlineUs"] = (deadline_ms * 1_000).into();
     }
--- a/crates/proxy-server/tests/support/discovery.rs
+++ b/crates/proxy-server/tests/support/discovery.rs
@@ -15,7 +15,7 @@
     list: Option<Value>,
 }
 
-/// Serves the backend list that the test posts, and records the revision that each call knows.
+/// Serves the list of backends that the test posts, and records the revision (`after`) of each call.
 pub struct Discovery {
     pub address: SocketAddr,
     posted: Arc<(Mutex<PostedList>, Condvar)>,
@@ -31,19 +31,20 @@
     let mut stream = stream;
     loop {
         let request = read_message(&mut reader)?;
-        let parameter = |name: &str| {
+        let query_parameter = |name: &str| {
             let (_, rest) = request.first_line().split_once(name)?;
             let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-            Some(digits.parse::<u64>().expect("a number"))
+            Some(digits.parse::<u64>().expect("a numeric parameter"))
         };
-        let (after, wait) = (parameter("after="), parameter("wait_ms="));
+        let (after, wait) = (query_parameter("after="), query_parameter("wait_ms="));
         calls.send(after).ok()?;
-        // A watch is answered when its wait is over, with an empty change where nothing has changed.
+        // A watch without a change is answered with an empty list at the end of its wait.
         let wait = wait.map_or(TEST_TIMEOUT, Duration::from_millis);
         let (lock, changed) = posted;
-        let posted = lock.lock().expect("the list");
-        let is_known = |posted: &mut PostedList| posted.list.is_none() || after == Some(posted.revision);
-        let (posted, _) = changed.wait_timeout_while(posted, wait, is_known).expect("the list");
+        let posted = lock.lock().expect("lock the list");
+        let has_no_newer_list =
+            |posted: &mut PostedList| posted.list.is_none() || after == Some(posted.revision);
+        let (posted, _) = changed.wait_timeout_while(posted, wait, has_no_newer_list).expect("lock the list");
         let list = match &posted.list {
             _ if after == Some(posted.revision) => {
                 json!({"revision": after, "complete": false, "members": []})
@@ -58,10 +59,10 @@
 }
 
 impl Discovery {
-    /// A service that leaves every call unanswered until a list is posted.
+    /// Starts a service that answers no call until a list is posted.
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let address = listener.local_addr().expect("local address");
         let posted = Arc::new((Mutex::new(PostedList { revision: 0, list: None }), Condvar::new()));
         let (sender, calls) = channel();
         let shared = Arc::clone(&posted);
@@ -76,20 +77,21 @@
         Self { address, posted, calls }
     }
 
-    /// The revision that the next call knows.
+    /// Waits for the next call and returns the revision it was made for; `None` is a call for the complete
+    /// list.
     pub fn next_call(&self) -> Option<u64> {
-        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call")
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery")
     }
 
-    /// The number of calls since the last one that the test took; takes them.
+    /// Discards the calls that the test has not taken yet, and returns their number.
     pub fn take_call_count(&self) -> usize {
         self.calls.try_iter().count()
     }
 
-    /// Posts a list without waiting for the proxy; returns its revision.
+    /// Posts a list without waiting for the proxy to apply it; returns its revision.
     pub fn post_without_waiting(&self, complete: bool, members: &[Value]) -> u64 {
         let (lock, changed) = &*self.posted;
-        let mut posted = lock.lock().expect("the list");
+        let mut posted = lock.lock().expect("lock the list");
         posted.revision += 1;
         let revision = posted.revision;
         posted.list = Some(json!({"revision": revision, "complete": complete, "members": members}));
@@ -98,9 +100,9 @@
         revision
     }
 
-    /// Posts a list and waits until the proxy has applied it: its next watch is for later revisions.
+    /// Posts a list and waits until the proxy has applied it, which its watch for later revisions shows.
     pub fn post(&self, complete: bool, members: &[Value]) {
         let revision = self.post_without_waiting(complete, members);
-        while self.calls.recv_timeout(TEST_TIMEOUT).expect("another watch") != Some(revision) {}
+        while self.calls.recv_timeout(TEST_TIMEOUT).expect("a watch for later revisions") != Some(revision) {}
     }
 }
--- a/crates/proxy-server/tests/support/mod.rs
+++ b/crates/proxy-server/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Test harness: the proxy executable with scripted backends, discovery and clients on loopback sockets. Nothing here waits
-//! for a fixed time: tests wait for events, and time-outs only end a test that has failed.
-#![allow(dead_code, unused_imports, reason = "each test target uses a part of it")]
+//! Test harness: runs the proxy executable with scripted backends, discovery and clients on loopback sockets.
+//! The harness waits for events, not for fixed times; a timeout expires only in a test that has failed.
+#![allow(dead_code, unused_imports, reason = "each test target uses only some of these items")]
 
 mod backend;
 mod client;
@@ -20,5 +20,5 @@
 
 use std::time::Duration;
 
-/// Ends a test that waits for an event that does not come.
+/// How long a test waits for an event before it fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
