--- a/crates/proxy-server/tests/proxy/backend_failures.rs
+++ b/crates/proxy-server/tests/proxy/backend_failures.rs
@@ -1,4 +1,5 @@
-//! Backends that fail at each point of an exchange, and settings that change while connections are open.
+//! Backends that fail at each point of an exchange, and settings that change while connections are open or
+//! requests are in flight.
 
 use crate::support::*;
 use std::io::{BufRead, BufReader, Read};
@@ -7,33 +8,34 @@
 use std::thread;
 use std::time::Duration;
 
-/// At an idle limit of 0 no connection is reused, and a change applies to open connections.
+/// With an idle limit of 0 no connection is reused, and a changed limit applies to open connections.
 #[test]
 fn idle_limit_follows_the_settings() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut proxy = Proxy::start("idle-limit", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let ask = |proxy: &Proxy, id: &str| {
+    let send_and_get_connection = |proxy: &Proxy, id: &str| {
         assert_eq!(proxy.client().exchange(&request("charge", id, "x")).status(), 200);
         backend.next_request().connection
     };
-    let (first, second) = (ask(&proxy, "1"), ask(&proxy, "2"));
-    assert_eq!(first, second, "an open connection is reused");
+    let (first, second) = (send_and_get_connection(&proxy, "1"), send_and_get_connection(&proxy, "2"));
+    assert_eq!(first, second, "an open connection must be reused");
     let mut changed = config("idle-limit", &discovery);
     changed["settings"]["permissions"]["connIdleUs"] = 0.into();
     proxy.reload(&changed.to_string());
     proxy.wait_for_log("reloaded the configuration");
-    let (third, fourth) = (ask(&proxy, "3"), ask(&proxy, "4"));
+    let (third, fourth) = (send_and_get_connection(&proxy, "3"), send_and_get_connection(&proxy, "4"));
     assert!(third != second && fourth != third, "{second} {third} {fourth}");
     proxy.reload(&config("idle-limit", &discovery).to_string());
     proxy.wait_for_log("reloaded the configuration");
-    let (fifth, sixth) = (ask(&proxy, "5"), ask(&proxy, "6"));
+    let (fifth, sixth) = (send_and_get_connection(&proxy, "5"), send_and_get_connection(&proxy, "6"));
     assert_eq!(fifth, sixth);
 }
 
-/// Settings that only a restart applies are logged at each reload while they differ from those in force.
+/// Settings that only a restart can apply are logged at each reload, as long as they differ from those in
+/// force.
 #[test]
-fn names_settings_that_require_a_restart() {
+fn logs_settings_that_require_a_restart() {
     let discovery = Discovery::start();
     let mut proxy = Proxy::start("stays", &discovery, &[]);
     let mut changed = config("stays", &discovery);
@@ -45,7 +47,7 @@
         assert!(line.contains("settings.failureDomains settings.kinds"), "{line}");
         proxy.wait_for_log("reloaded the configuration");
     }
-    // Settings that are in force again are not named.
+    // Settings that equal those in force again are not logged.
     proxy.reload(&config("stays", &discovery).to_string());
     proxy.wait_for_log("reloaded the configuration");
     proxy.terminate();
@@ -53,20 +55,20 @@
     assert!(!log.contains("settings that require a restart were not applied"), "{log}");
 }
 
-/// Where a backend ends the exchange.
+/// The point of the exchange at which a backend ends the connection.
 #[derive(Clone, Copy, Debug)]
 enum BreakPoint {
-    /// Before reading anything.
+    /// Before it reads anything.
     Start,
-    /// After reading a part of the request's head.
+    /// After it has read a part of the request head.
     WithinRequestHead,
-    /// After reading the head, while a large body is being sent.
+    /// After it has read the head, while the proxy sends a large body.
     WithinRequestBody,
-    /// After reading the complete request.
+    /// After it has read the complete request.
     AfterRequest,
-    /// After writing a part of the response's head.
+    /// After it has written a part of the response head.
     WithinResponseHead,
-    /// After writing a part of the response's body.
+    /// After it has written a part of the response body.
     WithinResponseBody,
 }
 
@@ -79,23 +81,23 @@
     BreakPoint::WithinResponseBody,
 ];
 
-/// How a connection ends.
+/// How a backend ends a connection.
 #[derive(Clone, Copy, Debug)]
 enum ConnectionEnd {
     Close,
     Reset,
-    /// The backend shuts down its sending side and continues to read.
+    /// The backend shuts down its sending side and reads until the proxy closes.
     HalfClose,
 }
 
-/// A backend that fails at this point, and reports the id of each request that it read completely.
+/// Starts a backend that fails at this point. It reports the id of each request that it has read completely.
 fn start_failing_backend(
     break_point: BreakPoint,
     connection_end: ConnectionEnd,
     sender: Sender<String>,
 ) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+    let address = listener.local_addr().expect("local address");
     thread::spawn(move || {
         for stream in listener.incoming() {
             let (Ok(stream), sender) = (stream, sender.clone()) else { return };
@@ -147,14 +149,14 @@
     Some(())
 }
 
-/// An unsafe request never reaches two backends completely, and is never retried after one may have started it, wherever
-/// and however the first one fails.
+/// A non-idempotent request never reaches two backends completely, and is never retried after a backend may
+/// have started to process it, at whichever point and in whichever way the first backend fails.
 #[test]
-fn unsafe_request_reaches_at_most_one_backend_completely() {
+fn non_idempotent_request_reaches_at_most_one_backend_completely() {
     for (index, break_point) in BREAK_POINTS.into_iter().enumerate() {
         for connection_end in [ConnectionEnd::Close, ConnectionEnd::Reset, ConnectionEnd::HalfClose] {
             let discovery = Discovery::start();
-            let (sender, completed): (_, Receiver<String>) = channel();
+            let (sender, complete_requests): (_, Receiver<String>) = channel();
             let members: Vec<_> = (0..2)
                 .map(|i| {
                     entry(
@@ -171,14 +173,14 @@
                 "y".repeat(if matches!(break_point, BreakPoint::WithinRequestBody) { 60_000 } else { 1 });
             for round in 0..3 {
                 let id = format!("{round}");
-                let got = proxy.client().exchange(&request("charge", &id, &body));
+                let response = proxy.client().exchange(&request("charge", &id, &body));
                 assert!(
-                    matches!(got.status(), 502 | 503),
+                    matches!(response.status(), 502 | 503),
                     "{break_point:?} {connection_end:?}: {}",
-                    got.status()
+                    response.status()
                 );
-                // The id is reported before the failure, and the response follows it.
-                let copies = completed.try_iter().filter(|received| *received == id).count();
+                // The backend reports the id before it fails, and the response follows the failure.
+                let copies = complete_requests.try_iter().filter(|received| *received == id).count();
                 let max_copies = usize::from(matches!(
                     break_point,
                     BreakPoint::AfterRequest
@@ -187,32 +189,32 @@
                 ));
                 assert!(
                     copies <= max_copies,
-                    "{break_point:?} {connection_end:?}: {copies} backends received it completely"
+                    "{break_point:?} {connection_end:?}: {copies} backends received the complete request"
                 );
                 assert!(
-                    got.status() == 502 || copies == 0,
-                    "{break_point:?} {connection_end:?}: rejected, and may have run"
+                    response.status() == 502 || copies == 0,
+                    "{break_point:?} {connection_end:?}: rejected although it may have run"
                 );
             }
         }
     }
 }
 
-/// A second response arrives on an idle connection: the next request is sent on another connection and gets its own
-/// response.
+/// A second response arrives on an idle connection. The next request must be sent on another connection and
+/// get its own response.
 #[test]
 fn second_response_on_an_idle_connection_is_discarded() {
     let discovery = Discovery::start();
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+    let address = listener.local_addr().expect("local address");
     let (sender, connections) = channel();
-    let (write_second, released) = channel::<()>();
+    let (write_second_response, released) = channel::<()>();
     thread::spawn(move || {
         for (number, stream) in listener.incoming().enumerate() {
             let Ok(stream) = stream else { return };
-            let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+            let mut reader = BufReader::new(stream.try_clone().expect("clone the stream"));
             let Some(request) = read_message(&mut reader) else { return };
-            let id = request.header("x-correlation-id").expect("an id").to_owned();
+            let id = request.header("x-correlation-id").expect("a correlation id").to_owned();
             write_bytes(&stream, &response_bytes("200 OK", "", id.as_bytes()));
             let _ = sender.send((number, id.clone()));
             if released.recv().is_err() {
@@ -220,65 +222,73 @@
             }
             write_bytes(&stream, &response_bytes("200 OK", "", format!("{id} again").as_bytes()));
             let _ = sender.send((number, id));
-            // The connection stays open while the next one is served.
+            // Leaves the connection open while the next one is served.
             std::mem::forget(stream);
         }
     });
     let proxy = Proxy::start("second-answer", &discovery, &[entry("s-1", address, "active", 0)]);
     for (round, id) in ["a", "b", "c"].into_iter().enumerate() {
         assert_eq!(proxy.client().exchange(&request("charge", id, "x")).body, id.as_bytes());
-        let received = connections.recv_timeout(TEST_TIMEOUT).expect("it came");
-        assert_eq!(received, (round, id.to_owned()), "on a connection of its own");
-        write_second.send(()).expect("the backend waits");
-        connections.recv_timeout(TEST_TIMEOUT).expect("the second answer is written");
+        let received = connections.recv_timeout(TEST_TIMEOUT).expect("a report of the request");
+        assert_eq!(received, (round, id.to_owned()), "each request must be sent on a connection of its own");
+        write_second_response.send(()).expect("signal the backend");
+        connections.recv_timeout(TEST_TIMEOUT).expect("a report of the second response");
     }
 }
 
-/// An idle limit shorter than the safety margin: connections are reused for half of the limit, and never later.
+/// With an idle limit shorter than the safety margin, connections are reused for half of the limit and never
+/// later.
 #[test]
 fn does_not_reuse_connections_beyond_a_short_idle_limit() {
-    const IDLE: Duration = Duration::from_millis(800);
+    const IDLE_LIMIT: Duration = Duration::from_millis(800);
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("short-idle", &discovery);
     config["settings"]["permissions"]["connIdleUs"] = 800_000.into();
     let proxy = Proxy::start_with_config("short-idle", &config);
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    let ask = |id: &str| {
+    let send_and_get_connection = |id: &str| {
         assert_eq!(proxy.client().exchange(&request("charge", id, "x")).status(), 200);
         backend.next_request().connection
     };
-    let mut used = 0;
+    let mut checked_reuses = 0;
     for round in 0..3 {
-        let began = std::time::Instant::now();
-        let (first, second) = (ask(&format!("a-{round}")), ask(&format!("b-{round}")));
-        // On a busy machine more than half of the limit may have passed between the two.
-        let quick = began.elapsed() < IDLE / 2;
-        assert!(!quick || first == second, "it was idle for less");
-        used += usize::from(quick);
-        thread::sleep(IDLE / 2);
-        assert!(ask(&format!("c-{round}")) > second, "it was idle for half of the limit");
+        let started_at = std::time::Instant::now();
+        let (first, second) =
+            (send_and_get_connection(&format!("a-{round}")), send_and_get_connection(&format!("b-{round}")));
+        // On a busy machine more than half of the limit may have passed between the two requests.
+        let within_reuse_limit = started_at.elapsed() < IDLE_LIMIT / 2;
+        assert!(
+            !within_reuse_limit || first == second,
+            "a connection must be reused within half of the limit"
+        );
+        checked_reuses += usize::from(within_reuse_limit);
+        thread::sleep(IDLE_LIMIT / 2);
+        assert!(
+            send_and_get_connection(&format!("c-{round}")) > second,
+            "a connection must not be reused after half of the limit"
+        );
     }
-    assert!(used > 0, "the machine is too busy to tell");
+    assert!(checked_reuses > 0, "the machine was too busy to check any reuse");
 }
 
-/// A retryable class becomes unsafe while a request of it is in flight. That request keeps its rules; later ones are sent
-/// once.
+/// A keyed class becomes non-idempotent while a request of it is in flight. That request is still retried by
+/// its old rules; later requests are sent once.
 #[test]
-fn class_that_becomes_unsafe_applies_to_later_requests() {
+fn class_that_becomes_non_idempotent_applies_to_later_requests() {
     let discovery = Discovery::start();
     let (release, released) = channel::<()>();
     let released = std::sync::Arc::new(std::sync::Mutex::new(Some(released)));
     let backends = [0, 1].map(|_| {
         let released = std::sync::Arc::clone(&released);
         Backend::start(move |received| {
-            let breaks = || Box::new(BackendAction::WriteAndClose(Vec::new()));
+            let close = || Box::new(BackendAction::WriteAndClose(Vec::new()));
             match received.header("x-correlation-id") {
-                Some("before") => match released.lock().expect("a word").take() {
-                    Some(released) => BackendAction::WaitThen(released, breaks()),
+                Some("before") => match released.lock().expect("lock the receiver").take() {
+                    Some(released) => BackendAction::WaitThen(released, close()),
                     None => ok("again"),
                 },
-                Some("after") => *breaks(),
+                Some("after") => *close(),
                 _ => ok("there"),
             }
         })
@@ -286,33 +296,37 @@
     let proxy_config = config("turns-unsafe", &discovery);
     let mut proxy = Proxy::start_with_config("turns-unsafe", &proxy_config.clone());
     discovery.post(true, &[0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0)));
-    let mut before = proxy.client();
-    before.send(&request("submit", "before", "x"));
-    while released.lock().expect("a word").is_some() {
+    let mut client_before_reload = proxy.client();
+    client_before_reload.send(&request("submit", "before", "x"));
+    while released.lock().expect("lock the receiver").is_some() {
         thread::yield_now();
     }
     let mut changed = proxy_config;
     changed["settings"]["classes"][1]["effect"] = "fragile".into();
     proxy.reload(&changed.to_string());
     proxy.wait_for_log("reloaded the configuration");
-    release.send(()).expect("the backend waits");
-    assert_eq!(before.receive().body, b"again", "it was accepted with a key");
-    // Without a key the request is valid only under the new settings.
-    let after = request("submit", "after", "x").replace("Idempotency-Key: after\r\n", "");
-    assert_eq!(proxy.client().exchange(&after).status(), 502, "it may have run");
+    release.send(()).expect("signal the backend");
+    assert_eq!(
+        client_before_reload.receive().body,
+        b"again",
+        "a request accepted with a key must be retried"
+    );
+    // A request without a key is valid only under the new settings.
+    let request_after_reload = request("submit", "after", "x").replace("Idempotency-Key: after\r\n", "");
+    assert_eq!(proxy.client().exchange(&request_after_reload).status(), 502, "the request may have run");
     assert_eq!(proxy.client().exchange(&request("read", "last", "")).status(), 200);
     let received = backends.iter().flat_map(|b| b.requests.try_iter());
     let ids: Vec<_> =
         received.filter_map(|received| received.header("x-correlation-id").map(str::to_owned)).collect();
-    let copies = |wanted: &str| ids.iter().filter(|id| *id == wanted).count();
-    assert_eq!((copies("before"), copies("after")), (2, 1), "{ids:?}");
+    let attempts = |request_id: &str| ids.iter().filter(|id| *id == request_id).count();
+    assert_eq!((attempts("before"), attempts("after")), (2, 1), "{ids:?}");
 }
 
-/// During a stall the response arrives and then the attempt times out: the response counts, the request is not retried, and
-/// the backend has no fault.
+/// While the process is stopped, the response arrives and then the attempt times out. The response is used,
+/// the request is not retried, and the backend is not charged with a failure.
 #[test]
-fn response_received_during_a_stall_precedes_the_time_out() {
-    /// A first attempt times out after a quarter of this, which is shorter than the stall.
+fn response_received_during_a_stall_precedes_the_timeout() {
+    /// Microseconds. A first attempt times out after a quarter of this, which is shorter than [`STALL`].
     const LATENCY_OBJECTIVE_US: u64 = 2_400_000;
     const STALL: Duration = Duration::from_secs(1);
     let discovery = Discovery::start();
@@ -321,8 +335,8 @@
     let backends = [0, 1].map(|_| {
         let released = std::sync::Arc::clone(&released);
         Backend::start(move |received| {
-            let first = || released.lock().expect("a word").take();
-            match (received.header("x-correlation-id") == Some("late")).then(first).flatten() {
+            let take_release = || released.lock().expect("lock the receiver").take();
+            match (received.header("x-correlation-id") == Some("late")).then(take_release).flatten() {
                 Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
                 None => ok("there"),
             }
@@ -337,11 +351,11 @@
     }
     let mut client = proxy.client();
     client.send(&request("read", "late", ""));
-    while released.lock().expect("a word").is_some() {
+    while released.lock().expect("lock the receiver").is_some() {
         thread::yield_now();
     }
     proxy.signal("-STOP");
-    release.send(()).expect("the backend waits");
+    release.send(()).expect("signal the backend");
     thread::sleep(STALL);
     proxy.signal("-CONT");
     assert_eq!(client.receive().body, b"first");
--- a/crates/proxy-server/tests/proxy/client_disconnects.rs
+++ b/crates/proxy-server/tests/proxy/client_disconnects.rs
@@ -1,168 +1,177 @@
-//! Clients that disconnect while their request waits: it is not sent to a backend.
+//! Clients that disconnect before their request is sent: it must not reach a backend.
 
 use crate::support::*;
-use crate::{fill, full_backend};
+use crate::{fill_concurrency_limit, start_blocking_backend};
 use socket2::SockRef;
 use std::io::BufReader;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// How long after its client's disconnect an attempt, first or retry, may still start.
+/// How long after the disconnect of its client a request's first attempt or retry may still start.
 pub const DISCONNECT_BOUND: Duration = Duration::from_millis(100);
-/// When the kernel has retried a connect that found its backend's queue full.
-pub const CONNECT_RETRY_AFTER: Duration = Duration::from_millis(1_300);
+/// Longer than the kernel waits before it retries a connect to a full accept queue, which is one second.
+pub const CONNECT_RETRY_TIME: Duration = Duration::from_millis(1_300);
 const CLASSES: [&str; 3] = ["read", "submit", "charge"];
 
-/// A backend to which connections are established only once its queue is emptied.
-pub struct SlowBackend {
+/// A backend with a full accept queue: connections to it are established only after the test has emptied the
+/// queue.
+pub struct SlowConnectBackend {
     listener: TcpListener,
     pub address: SocketAddr,
     _filler: TcpStream,
 }
 
-impl SlowBackend {
+impl SlowConnectBackend {
+    /// Starts the backend with its accept queue filled.
     pub fn start() -> Self {
         let (listener, filler) = listener_with_full_queue();
-        // Ends a test in which no connection arrives.
-        SockRef::from(&listener).set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        let address = listener.local_addr().expect("an address");
+        // Fails a test in which no connection arrives.
+        SockRef::from(&listener).set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+        let address = listener.local_addr().expect("local address");
         Self { listener, address, _filler: filler }
     }
 
-    /// Answers the request on this connection and returns its id; `None` where none is sent.
+    /// Answers the request on this connection and returns its id. Returns `None` if the connection ends
+    /// without a request.
     fn serve_connection(stream: &TcpStream) -> Option<String> {
-        stream.set_nonblocking(false).expect("blocking");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        stream.set_nonblocking(false).expect("set blocking mode");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         let request = read_message(&mut BufReader::new(stream))?;
         write_bytes(stream, &response_bytes("200 OK", "Connection: close\r\n", b"late"));
-        Some(request.header("x-correlation-id").expect("an id").to_owned())
+        Some(request.header("x-correlation-id").expect("a correlation id").to_owned())
     }
 
-    /// Empties the queue and returns the ids of the requests on all connections that are established then, and of a client
-    /// that connects now and stays.
+    /// Empties the accept queue and serves all connections that are established then, and a new client that
+    /// stays connected. Returns the ids of all received requests.
     fn accept_all(&self, proxy: &Proxy) -> Vec<String> {
-        drop(self.listener.accept().expect("the filler"));
+        drop(self.listener.accept().expect("accept the filler connection"));
         let mut received = Vec::new();
-        self.listener.set_nonblocking(true).expect("non-blocking");
-        let emptied = Instant::now();
-        // A kernel that found the queue full retries after a second.
-        while emptied.elapsed() < CONNECT_RETRY_AFTER {
+        self.listener.set_nonblocking(true).expect("set non-blocking mode");
+        let emptied_at = Instant::now();
+        // A kernel that found the queue full retries the connect after one second.
+        while emptied_at.elapsed() < CONNECT_RETRY_TIME {
             synchronize(proxy);
             if let Ok((stream, _)) = self.listener.accept() {
                 received.extend(Self::serve_connection(&stream));
             }
         }
-        self.listener.set_nonblocking(false).expect("blocking");
-        let mut stays = proxy.client();
-        stays.send(&request("read", "stays", ""));
-        let (stream, _) = self.listener.accept().expect("a connection");
+        self.listener.set_nonblocking(false).expect("set blocking mode");
+        let mut connected_client = proxy.client();
+        connected_client.send(&request("read", "stays", ""));
+        let (stream, _) = self.listener.accept().expect("accept a connection");
         received.extend(Self::serve_connection(&stream));
-        assert_eq!(stays.receive().body, b"late");
+        assert_eq!(connected_client.receive().body, b"late");
         received
     }
 }
 
-/// Waits until the proxy has processed all earlier events: responses on other connections show that. A single one may have
-/// been handled in the same poll of the sockets.
+/// Waits until the proxy has processed all earlier events, which responses on other connections show. One
+/// response is not enough: its request may have been handled in the same poll of the sockets as an earlier
+/// event.
 pub fn synchronize(proxy: &Proxy) {
     (0..10).for_each(|_| assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200));
 }
 
-/// Sends requests until [`DISCONNECT_BOUND`] has passed.
+/// Sends health checks until [`DISCONNECT_BOUND`] has passed.
 fn wait_for_disconnect_bound(proxy: &Proxy) {
-    let left = Instant::now();
-    while left.elapsed() < DISCONNECT_BOUND {
+    let started_at = Instant::now();
+    while started_at.elapsed() < DISCONNECT_BOUND {
         synchronize(proxy);
     }
 }
 
-/// Closes the connection with a reset.
+/// Closes the connection of a client with a reset.
 fn reset(client: Client) {
-    SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("a linger");
+    SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("set SO_LINGER");
     drop(client);
 }
 
 #[test]
 fn request_is_dropped_after_disconnect_during_connect() {
-    for (class, resets) in [("read", false), ("submit", false), ("charge", false), ("charge", true)] {
-        let (discovery, slow_backend) = (Discovery::start(), SlowBackend::start());
-        let name = format!("left-dialling-{class}-{resets}");
-        let proxy = Proxy::start(&name, &discovery, &[entry("s-1", slow_backend.address, "active", 0)]);
-        let mut leaver = proxy.client();
-        leaver.send(&request(class, "leaver", if class == "read" { "" } else { "x" }));
+    for (class, closes_with_reset) in
+        [("read", false), ("submit", false), ("charge", false), ("charge", true)]
+    {
+        let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
+        let name = format!("left-dialling-{class}-{closes_with_reset}");
+        let proxy =
+            Proxy::start(&name, &discovery, &[entry("s-1", slow_connect_backend.address, "active", 0)]);
+        let mut disconnecting_client = proxy.client();
+        disconnecting_client.send(&request(class, "leaver", if class == "read" { "" } else { "x" }));
         synchronize(&proxy);
-        if resets {
-            reset(leaver);
+        if closes_with_reset {
+            reset(disconnecting_client);
         } else {
-            drop(leaver);
+            drop(disconnecting_client);
         }
         synchronize(&proxy);
-        assert_eq!(slow_backend.accept_all(&proxy), ["stays"], "{class}");
+        assert_eq!(slow_connect_backend.accept_all(&proxy), ["stays"], "{class}");
     }
 }
 
-/// The close follows bytes of a pipelined request, behind which the HTTP library does not detect it.
+/// The close follows bytes of a pipelined request. The HTTP library does not detect a close behind unread
+/// bytes.
 #[test]
 fn detects_disconnect_behind_pipelined_bytes() {
     for pipelined in ["G", "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"] {
-        let (discovery, slow_backend) = (Discovery::start(), SlowBackend::start());
+        let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
         let name = format!("left-pipelining-{}", pipelined.len());
-        let proxy = Proxy::start(&name, &discovery, &[entry("s-1", slow_backend.address, "active", 0)]);
-        let mut leaver = proxy.client();
-        leaver.send(&format!("{}{pipelined}", request("charge", "leaver", "x")));
+        let proxy =
+            Proxy::start(&name, &discovery, &[entry("s-1", slow_connect_backend.address, "active", 0)]);
+        let mut disconnecting_client = proxy.client();
+        disconnecting_client.send(&format!("{}{pipelined}", request("charge", "leaver", "x")));
         synchronize(&proxy);
-        drop(leaver);
+        drop(disconnecting_client);
         synchronize(&proxy);
-        assert_eq!(slow_backend.accept_all(&proxy), ["stays"], "{pipelined:?}");
+        assert_eq!(slow_connect_backend.accept_all(&proxy), ["stays"], "{pipelined:?}");
     }
 }
 
-/// More bytes than the proxy reads ahead precede the close, or a part of a body that is streamed.
+/// The close follows more bytes than the proxy reads ahead, or a part of a streamed body.
 #[test]
-fn detects_disconnect_behind_unread_bytes_in_time() {
+fn detects_disconnect_behind_unread_bytes_within_the_bound() {
     for (name, text) in [
         ("left-far-ahead", format!("{}{}", request("charge", "leaver", "x"), "G".repeat(60_000))),
         ("left-in-a-body", request("charge", "leaver", &"y".repeat(2_000_000))[..120_000].to_owned()),
     ] {
-        let (discovery, slow_backend) = (Discovery::start(), SlowBackend::start());
+        let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
         let mut config = config(name, &discovery);
         config["limits"]["memory_mb"] = 8.into();
         let proxy = Proxy::start_with_config(name, &config);
-        discovery.post(true, &[entry("s-1", slow_backend.address, "active", 0)]);
-        let mut leaver = proxy.client();
-        // The kernel buffers all of it: otherwise the close does not arrive.
-        leaver.send(&text);
+        discovery.post(true, &[entry("s-1", slow_connect_backend.address, "active", 0)]);
+        let mut disconnecting_client = proxy.client();
+        // Few enough bytes for the kernel's buffers: otherwise the close would not reach the proxy.
+        disconnecting_client.send(&text);
         synchronize(&proxy);
-        drop(leaver);
+        drop(disconnecting_client);
         wait_for_disconnect_bound(&proxy);
-        assert_eq!(slow_backend.accept_all(&proxy), ["stays"], "{name}");
+        assert_eq!(slow_connect_backend.accept_all(&proxy), ["stays"], "{name}");
     }
 }
 
-/// The client wrote and closed during a stall, or while its connection was in the kernel's queue: the proxy finds the
-/// request and the close in the same poll.
+/// The client sends its request and closes while the process is stopped, on an accepted connection or one in
+/// the accept queue. The proxy finds the request and the close in the same poll.
 #[test]
 fn request_is_dropped_after_disconnect_before_it_is_read() {
-    for (class, resets) in CLASSES.into_iter().flat_map(|class| [(class, false), (class, true)]) {
+    for (class, closes_with_reset) in CLASSES.into_iter().flat_map(|class| [(class, false), (class, true)]) {
         let discovery = Discovery::start();
         let backend = Backend::start(|_| ok("there"));
-        let name = format!("left-unheard-{class}-{resets}");
+        let name = format!("left-unheard-{class}-{closes_with_reset}");
         let proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
-        for (round, connected) in [false, true].into_iter().enumerate() {
-            let before = connected.then(|| {
+        for (round, is_accepted) in [false, true].into_iter().enumerate() {
+            let accepted_client = is_accepted.then(|| {
                 let mut client = proxy.client();
                 assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200);
                 client
             });
             proxy.signal("-STOP");
-            let mut leaver = before.unwrap_or_else(|| proxy.client());
+            let mut disconnecting_client = accepted_client.unwrap_or_else(|| proxy.client());
             let body = if class == "read" { "" } else { "x" };
-            leaver.send(&request(class, &format!("leaver-{round}"), body));
-            if resets {
-                reset(leaver);
+            disconnecting_client.send(&request(class, &format!("leaver-{round}"), body));
+            if closes_with_reset {
+                reset(disconnecting_client);
             } else {
-                drop(leaver);
+                drop(disconnecting_client);
             }
             proxy.signal("-CONT");
             synchronize(&proxy);
@@ -171,41 +180,41 @@
             assert_eq!(
                 backend.next_request().header("x-correlation-id"),
                 Some(id.as_str()),
-                "{class} {connected}"
+                "{class} {is_accepted}"
             );
         }
     }
 }
 
-/// A half-closed connection looks like a closed one to the proxy, so its request is not sent to a backend. The client may
-/// wait for a response, and gets one at once.
+/// The proxy cannot distinguish a half-closed connection from a closed one, so it does not send the request
+/// to a backend. The client may still wait for a response, and gets one at once.
 #[test]
-fn half_closed_client_gets_a_response_and_no_attempt() {
+fn half_closed_client_gets_a_response_without_a_new_attempt() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::Hang);
     let proxy = Proxy::start("half-closed", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    // Before the request was read: nothing ran.
+    // Closed before the proxy has read the request: nothing has run.
     proxy.signal("-STOP");
-    let mut early = proxy.client();
-    early.send(&request("charge", "early", "x"));
-    early.stream.shutdown(Shutdown::Write).expect("shut down");
+    let mut client_before_read = proxy.client();
+    client_before_read.send(&request("charge", "early", "x"));
+    client_before_read.stream.shutdown(Shutdown::Write).expect("shut down the sending side");
     proxy.signal("-CONT");
-    assert_eq!(early.receive().status(), 503);
-    assert!(early.is_closed_cleanly());
-    // While the request is in flight: it may have run.
-    let mut late = proxy.client();
-    late.send(&request("charge", "late", "x"));
+    assert_eq!(client_before_read.receive().status(), 503);
+    assert!(client_before_read.is_closed_cleanly());
+    // Closed while the request is in flight: it may have run.
+    let mut client_in_flight = proxy.client();
+    client_in_flight.send(&request("charge", "late", "x"));
     assert_eq!(backend.next_request().header("x-correlation-id"), Some("late"));
-    late.stream.shutdown(Shutdown::Write).expect("shut down");
-    assert_eq!(late.receive().status(), 502);
-    assert!(late.is_closed_cleanly());
+    client_in_flight.stream.shutdown(Shutdown::Write).expect("shut down the sending side");
+    assert_eq!(client_in_flight.receive().status(), 502);
+    assert!(client_in_flight.is_closed_cleanly());
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// A client disconnects while its attempt runs and reconnects with the same key: the second request is independent, and the
-/// first attempt is not cancelled.
+/// A client disconnects while its request is in flight and sends another request with the same idempotency
+/// key: the second request is served independently, and the first attempt is not cancelled.
 #[test]
-fn client_that_reconnects_with_its_key_is_served() {
+fn client_that_reconnects_with_its_idempotency_key_is_served() {
     let discovery = Discovery::start();
     let (release, released) = std::sync::mpsc::channel();
     let mut released = Some(released);
@@ -215,57 +224,61 @@
     });
     let proxy = Proxy::start("comes-again", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let text = request("submit", "first", "x");
-    let mut leaver = proxy.client();
-    leaver.send(&text);
+    let mut disconnecting_client = proxy.client();
+    disconnecting_client.send(&text);
     backend.next_request();
-    drop(leaver);
+    drop(disconnecting_client);
     synchronize(&proxy);
-    let repeated = text.replace("Correlation-Id: first", "Correlation-Id: second");
-    assert_eq!(proxy.client().exchange(&repeated).body, b"again");
+    let request_with_same_key = text.replace("Correlation-Id: first", "Correlation-Id: second");
+    assert_eq!(proxy.client().exchange(&request_with_same_key).body, b"again");
     assert_eq!(backend.next_request().header("idempotency-key"), Some("first"));
-    release.send(()).expect("the backend waits");
+    release.send(()).expect("signal the backend");
 }
 
-/// During a stall the connection is established and the client disconnects: the proxy finds both in the same poll.
+/// While the process is stopped, the connection to the backend is established and the client disconnects. The
+/// proxy finds both events in the same poll.
 #[test]
-fn connection_established_during_a_stall_carries_no_abandoned_request() {
-    let mut broken = Vec::new();
-    for (class, leaves_first) in CLASSES.into_iter().flat_map(|class| [(class, false), (class, true)]) {
-        let (discovery, slow_backend) = (Discovery::start(), SlowBackend::start());
-        let name = format!("left-dialled-{class}-{leaves_first}");
-        let proxy = Proxy::start(&name, &discovery, &[entry("s-1", slow_backend.address, "active", 0)]);
-        let mut leaver = proxy.client();
-        leaver.send(&request(class, "leaver", if class == "read" { "" } else { "x" }));
+fn connection_established_during_a_stall_carries_no_request_of_a_disconnected_client() {
+    let mut failures = Vec::new();
+    for (class, disconnects_first) in CLASSES.into_iter().flat_map(|class| [(class, false), (class, true)]) {
+        let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
+        let name = format!("left-dialled-{class}-{disconnects_first}");
+        let proxy =
+            Proxy::start(&name, &discovery, &[entry("s-1", slow_connect_backend.address, "active", 0)]);
+        let mut disconnecting_client = proxy.client();
+        disconnecting_client.send(&request(class, "leaver", if class == "read" { "" } else { "x" }));
         synchronize(&proxy);
         proxy.signal("-STOP");
-        let mut leaver = Some(leaver);
-        if leaves_first {
-            drop(leaver.take());
+        let mut disconnecting_client = Some(disconnecting_client);
+        if disconnects_first {
+            drop(disconnecting_client.take());
         }
-        drop(slow_backend.listener.accept().expect("the filler"));
-        let (came_up, _) = slow_backend.listener.accept().expect("the retried connection");
-        drop(leaver);
+        drop(slow_connect_backend.listener.accept().expect("accept the filler connection"));
+        let (established, _) = slow_connect_backend.listener.accept().expect("accept the retried connection");
+        drop(disconnecting_client);
         std::thread::sleep(DISCONNECT_BOUND);
         proxy.signal("-CONT");
         synchronize(&proxy);
-        let mut stays = proxy.client();
-        stays.send(&request("read", "stays", ""));
-        // The connection may be reused for the next request, or may have been closed.
-        let first = SlowBackend::serve_connection(&came_up).or_else(|| {
-            SlowBackend::serve_connection(&slow_backend.listener.accept().expect("another connection").0)
+        let mut connected_client = proxy.client();
+        connected_client.send(&request("read", "stays", ""));
+        // The proxy may reuse the connection for the next request, or may have closed it.
+        let received_id = SlowConnectBackend::serve_connection(&established).or_else(|| {
+            SlowConnectBackend::serve_connection(
+                &slow_connect_backend.listener.accept().expect("accept another connection").0,
+            )
         });
-        if first.as_deref() != Some("stays") {
-            broken.push((class, leaves_first, first));
+        if received_id.as_deref() != Some("stays") {
+            failures.push((class, disconnects_first, received_id));
         }
     }
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(failures.is_empty(), "{failures:?}");
 }
 
-/// Pipelined requests follow the open one, within or beyond what the proxy reads ahead; the response to the open one is
-/// small, or streamed and never read.
+/// Pipelined requests follow the request in flight, within or beyond the bytes that the proxy reads ahead.
+/// The response to the request in flight is small, or streamed and never read.
 #[test]
 fn no_pipelined_request_starts_after_disconnect() {
-    for (name, body_size, size, is_stalled) in [
+    for (name, body_size, response_size, is_stalled) in [
         ("several", 0, 5, false),
         ("several-stood", 0, 5, true),
         ("several-far", 20_000, 5, false),
@@ -279,22 +292,22 @@
         let backend = Backend::start(move |_| match released.take() {
             Some(released) => BackendAction::WaitThen(
                 released,
-                Box::new(BackendAction::Write(response_bytes("200 OK", "", &vec![b'z'; size]))),
+                Box::new(BackendAction::Write(response_bytes("200 OK", "", &vec![b'z'; response_size]))),
             ),
             None => ok("there"),
         });
         let proxy = Proxy::start(name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
-        let mut leaver = proxy.client();
-        leaver.send(&request("charge", "open", "x"));
+        let mut client = proxy.client();
+        client.send(&request("charge", "open", "x"));
         backend.next_request();
-        (0..3).for_each(|n| leaver.send(&request("charge", &format!("behind-{n}"), &"y".repeat(body_size))));
+        (0..3).for_each(|n| client.send(&request("charge", &format!("behind-{n}"), &"y".repeat(body_size))));
         synchronize(&proxy);
         if is_stalled {
             proxy.signal("-STOP");
         }
-        drop(leaver);
+        drop(client);
         std::thread::sleep(DISCONNECT_BOUND);
-        release.send(()).expect("the backend waits");
+        release.send(()).expect("signal the backend");
         std::thread::sleep(DISCONNECT_BOUND);
         proxy.signal("-CONT");
         synchronize(&proxy);
@@ -304,19 +317,19 @@
     }
 }
 
-/// At the limit of connections others wait in the kernel's queue: a request whose client disconnected there is not sent to
-/// a backend.
+/// At the connection limit new connections wait in the accept queue. A request must not be sent to a backend
+/// if its client disconnected there.
 #[test]
-fn request_is_dropped_after_disconnect_in_the_listener_queue() {
+fn request_is_dropped_after_disconnect_in_the_accept_queue() {
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
+    let (backend, release_senders) = start_blocking_backend();
     let mut config = config("left-queued", &discovery);
     config["limits"]["sockets"] = 48.into();
     let proxy = Proxy::start_with_config("left-queued", &config);
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    let mut first = fill(&proxy, &backend);
-    // Open requests keep their connections; those without capacity in the backend are queued.
-    let waiting: Vec<_> = (0..48)
+    let mut blocked_clients = fill_concurrency_limit(&proxy, &backend);
+    // These requests find no capacity in the backend and are queued, with their connections open.
+    let queued_clients: Vec<_> = (0..48)
         .map(|n| {
             let mut client = proxy.client();
             client.send(&request("read", &format!("waits-{n}"), ""));
@@ -324,26 +337,26 @@
         })
         .collect();
     std::thread::sleep(DISCONNECT_BOUND);
-    let leavers = (0..6).map(|n| {
-        let mut leaver = proxy.client();
-        leaver.send(&request("charge", &format!("leaver-{n}"), "x"));
-        leaver
+    let disconnecting_clients = (0..6).map(|n| {
+        let mut disconnecting_client = proxy.client();
+        disconnecting_client.send(&request("charge", &format!("leaver-{n}"), "x"));
+        disconnecting_client
     });
-    drop(leavers.collect::<Vec<_>>());
+    drop(disconnecting_clients.collect::<Vec<_>>());
     std::thread::sleep(DISCONNECT_BOUND);
-    for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
-        release.send(()).expect("the backend waits");
+    for (release, client) in release_senders.iter().zip(blocked_clients.iter_mut().rev()) {
+        release.send(()).expect("signal the backend");
         assert_eq!(client.receive().status(), 200);
     }
-    drop(first);
-    for mut client in waiting {
+    drop(blocked_clients);
+    for mut client in queued_clients {
         assert!(matches!(client.receive().status(), 200 | 503));
     }
     assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
     let ids: Vec<_> = backend
         .requests
         .try_iter()
-        .map(|received| received.header("x-correlation-id").expect("an id").to_owned())
+        .map(|received| received.header("x-correlation-id").expect("a correlation id").to_owned())
         .collect();
     assert!(ids.iter().all(|id| !id.starts_with("leaver")), "{ids:?}");
 }
--- a/crates/proxy-server/tests/proxy/limits.rs
+++ b/crates/proxy-server/tests/proxy/limits.rs
@@ -1,49 +1,51 @@
-//! Bounded resources: capacity, descriptors, connections.
+//! Limits on capacity, descriptors and connections.
 
 use crate::support::*;
-use crate::{fill, full_backend};
+use crate::{fill_concurrency_limit, start_blocking_backend};
 
 #[test]
-fn rejects_without_capacity_with_retry_after() {
+fn rejection_for_lack_of_capacity_has_retry_after() {
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
+    let (backend, release_senders) = start_blocking_backend();
     let proxy = Proxy::start("refused", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let mut first = fill(&proxy, &backend);
+    let mut blocked_clients = fill_concurrency_limit(&proxy, &backend);
     let rejected = proxy.client().exchange(&request("charge", "2", "x").replace("15000", "500"));
     assert_eq!(rejected.status(), 503);
-    let wait: f64 = rejected.header("retry-after").expect("Retry-After").parse().expect("seconds");
-    assert!(wait > 0.0);
-    for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
-        release.send(()).expect("the backend waits");
+    let retry_after_s: f64 =
+        rejected.header("retry-after").expect("a Retry-After header").parse().expect("a number of seconds");
+    assert!(retry_after_s > 0.0);
+    for (release, client) in release_senders.iter().zip(blocked_clients.iter_mut().rev()) {
+        release.send(()).expect("signal the backend");
         assert_eq!(client.receive().body, b"first");
     }
     assert_eq!(backend.take_request_count(), 0, "a rejected request is never sent");
 }
 
 #[test]
-fn forgets_a_queued_request_whose_client_disconnected() {
+fn drops_queued_request_after_client_disconnect() {
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
+    let (backend, release_senders) = start_blocking_backend();
     let proxy = Proxy::start("left", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let mut first = fill(&proxy, &backend);
-    let mut leaver = proxy.client();
-    leaver.send(&request("charge", "2", "x"));
-    // Responses on other connections show that the proxy has processed all earlier events. A single one may have been
-    // handled in the same poll of the sockets.
+    let mut blocked_clients = fill_concurrency_limit(&proxy, &backend);
+    let mut disconnecting_client = proxy.client();
+    disconnecting_client.send(&request("charge", "2", "x"));
+    // Responses on other connections show that the proxy has processed all earlier events. One response is
+    // not enough: its request may have been handled in the same poll of the sockets as an earlier event.
     let synchronize =
         || (0..10).for_each(|_| assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200));
     synchronize();
-    drop(leaver);
+    drop(disconnecting_client);
     synchronize();
-    for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
-        release.send(()).expect("the backend waits");
+    for (release, client) in release_senders.iter().zip(blocked_clients.iter_mut().rev()) {
+        release.send(()).expect("signal the backend");
         assert_eq!(client.receive().status(), 200);
     }
     assert_eq!(proxy.client().exchange(&request("charge", "3", "x")).status(), 200);
     assert_eq!(backend.next_request().header("x-correlation-id"), Some("3"));
 }
 
-/// Each backend receives one request and never responds; there are more backends than descriptors for them.
+/// Each backend receives one request and never responds. The proxy has fewer descriptors than it needs for
+/// connections to all backends.
 #[test]
 fn descriptor_shortage_ejects_no_backend() {
     let discovery = Discovery::start();
@@ -62,7 +64,7 @@
         })
         .collect();
     let statuses: Vec<_> = clients.into_iter().map(|mut client| client.receive().status()).collect();
-    assert!(statuses.contains(&503), "some get no descriptor: {statuses:?}");
+    assert!(statuses.contains(&503), "no request was rejected for lack of descriptors: {statuses:?}");
     proxy.terminate();
     let log = proxy.remaining_log();
     assert!(!log.contains("ejected"), "{log}");
@@ -74,7 +76,7 @@
     let mut config = config("idle", &discovery);
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_with_config("idle", &config);
-    // More connections than the proxy may have, and none sends anything.
+    // More connections than the proxy may open, none of which sends anything.
     let clients: Vec<_> = (0..64).map(|_| proxy.client()).collect();
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 503);
     drop(clients);
--- a/crates/proxy-server/tests/proxy/main.rs
+++ b/crates/proxy-server/tests/proxy/main.rs
@@ -1,4 +1,4 @@
-//! The HTTP proxy over loopback sockets, with backends, clients and discovery that fail in many ways.
+//! Tests of the HTTP proxy over loopback sockets, with failures of backends, clients and discovery.
 
 mod backend_failures;
 mod client_disconnects;
@@ -19,12 +19,12 @@
 use std::sync::mpsc::{Sender, channel};
 use support::*;
 
-/// The concurrency limit of a single backend at the start.
+/// The initial concurrency limit of a proxy for its only backend, in requests.
 const INITIAL_CONCURRENCY_LIMIT: usize = 2;
 
-/// A backend that holds as many requests as its initial concurrency limit allows, and the senders that release them. Later
-/// requests are answered at once.
-fn full_backend() -> (Backend, Vec<Sender<()>>) {
+/// Starts a backend that delays its responses to as many requests as the initial concurrency limit allows,
+/// until the returned senders are signalled. Later requests are answered at once.
+fn start_blocking_backend() -> (Backend, Vec<Sender<()>>) {
     let (mut receivers, mut senders) = (Vec::new(), Vec::new());
     for _ in 0..INITIAL_CONCURRENCY_LIMIT {
         let (sender, receiver) = channel();
@@ -38,13 +38,13 @@
     (backend, senders)
 }
 
-/// Clients whose requests take the initial concurrency limit of the backend.
-fn fill(proxy: &Proxy, backend: &Backend) -> Vec<Client> {
-    let fill = (0..INITIAL_CONCURRENCY_LIMIT).map(|i| {
+/// Sends requests until the initial concurrency limit of the backend is reached; returns their clients.
+fn fill_concurrency_limit(proxy: &Proxy, backend: &Backend) -> Vec<Client> {
+    let clients = (0..INITIAL_CONCURRENCY_LIMIT).map(|i| {
         let mut client = proxy.client();
         client.send(&request("charge", &format!("fill-{i}"), "x"));
         backend.next_request();
         client
     });
-    fill.collect()
+    clients.collect()
 }
--- a/crates/proxy-server/tests/proxy/requests.rs
+++ b/crates/proxy-server/tests/proxy/requests.rs
@@ -1,35 +1,40 @@
-//! Requests of clients, valid and not.
+//! Valid and invalid requests of clients.
 
 use crate::support::*;
 use std::io::Read;
 use std::sync::mpsc::channel;
 
 #[test]
-fn requests_and_responses_pass_unchanged() {
+fn forwards_requests_and_responses_unchanged() {
     let discovery = Discovery::start();
     let backend =
         Backend::start(|_| BackendAction::Write(response_bytes("200 OK", "", b"\x00\xffbody\r\n\r\n")));
     let proxy = Proxy::start("unchanged", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let got = proxy.client().exchange(&request("submit", "5c0f", "some body"));
-    assert_eq!((got.status(), got.body.as_slice()), (200, b"\x00\xffbody\r\n\r\n".as_slice()));
+    let response = proxy.client().exchange(&request("submit", "5c0f", "some body"));
+    assert_eq!((response.status(), response.body.as_slice()), (200, b"\x00\xffbody\r\n\r\n".as_slice()));
     let received = backend.next_request();
     assert_eq!(received.first_line(), "POST /submit?key=7f3a HTTP/1.1");
     assert_eq!(received.header("x-correlation-id"), Some("5c0f"));
     assert_eq!(received.header("idempotency-key"), Some("5c0f"));
     assert_eq!(received.body, b"some body");
-    let left: u64 = received.header("x-time-left-ms").expect("the time left").parse().expect("a number");
-    assert!(left < 15_000, "the proxy waits for less than the client does, not {left} ms");
+    let time_left_ms: u64 =
+        received.header("x-time-left-ms").expect("a time left").parse().expect("a number");
+    assert!(
+        time_left_ms < 15_000,
+        "the backend must get less time than the client waits, and got {time_left_ms} ms"
+    );
 }
 
 #[test]
 fn connection_serves_successive_requests() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|received| ok(received.header("x-correlation-id").expect("an id")));
+    let backend =
+        Backend::start(|received| ok(received.header("x-correlation-id").expect("a correlation id")));
     let proxy = Proxy::start("kept", &discovery, &[entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     for id in ["a", "b", "c"] {
-        let got = client.exchange(&request("read", id, ""));
-        assert_eq!((got.status(), got.body.as_slice()), (200, id.as_bytes()));
+        let response = client.exchange(&request("read", id, ""));
+        assert_eq!((response.status(), response.body.as_slice()), (200, id.as_bytes()));
     }
 }
 
@@ -38,56 +43,71 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start("nonsense", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let good = request("submit", "7", "x");
+    let valid_request = request("submit", "7", "x");
     let cases = [
         ("\x01\x02 nonsense\r\n\r\n".to_owned(), 400),
-        (good.replace("/submit", "/nothing"), 400),
-        (good.replace("X-Service-Class: submit", "X-Service-Class: read"), 400),
-        (good.replace("X-Correlation-Id: 7\r\n", ""), 400),
-        (good.replace("X-Time-Left-Ms: 15000\r\n", ""), 400),
-        (good.replace("15000", "-5"), 400),
-        (good.replace("15000", "99999999999999999999999"), 400),
-        (good.replace("Idempotency-Key: 7\r\n", ""), 400),
-        (good.replace("POST", "GET"), 405),
-        // Numbers and duplicate headers that other implementations may interpret differently.
-        (good.replace("15000", "+480"), 400),
-        (good.replace("15000", " "), 400),
-        (good.replace("15000", "480, 15000"), 400),
-        (good.replace("X-Time-Left-Ms: 15000\r\n", "X-Time-Left-Ms: 480\r\nX-Time-Left-Ms: 15000\r\n"), 400),
-        (good.replace("X-Correlation-Id: 7\r\n", "X-Correlation-Id: 7\r\nX-Correlation-Id: 8\r\n"), 400),
-        (good.replace("Idempotency-Key: 7\r\n", "Idempotency-Key: 7\r\nIdempotency-Key: 7\r\n"), 400),
-        (good.replace("Content-Length: 1", "Content-Length: +1"), 400),
-        (good.replace("Content-Length: 1", "Content-Length: -1"), 400),
-        (good.replace("Content-Length: 1", "Content-Length: 1\r\nContent-Length: 2"), 400),
-        (good.replace("Content-Length: 1", "Content-Length: 99999999999999999999999"), 400),
-        // The response does not wait for the body.
-        (good.replace("Content-Length: 1\r\n\r\nx", "Content-Length: 60000000\r\n\r\n"), 413),
+        (valid_request.replace("/submit", "/nothing"), 400),
+        (valid_request.replace("X-Service-Class: submit", "X-Service-Class: read"), 400),
+        (valid_request.replace("X-Correlation-Id: 7\r\n", ""), 400),
+        (valid_request.replace("X-Time-Left-Ms: 15000\r\n", ""), 400),
+        (valid_request.replace("15000", "-5"), 400),
+        (valid_request.replace("15000", "99999999999999999999999"), 400),
+        (valid_request.replace("Idempotency-Key: 7\r\n", ""), 400),
+        (valid_request.replace("POST", "GET"), 405),
+        // Numbers and repeated headers that other implementations may interpret differently.
+        (valid_request.replace("15000", "+480"), 400),
+        (valid_request.replace("15000", " "), 400),
+        (valid_request.replace("15000", "480, 15000"), 400),
+        (
+            valid_request
+                .replace("X-Time-Left-Ms: 15000\r\n", "X-Time-Left-Ms: 480\r\nX-Time-Left-Ms: 15000\r\n"),
+            400,
+        ),
+        (
+            valid_request
+                .replace("X-Correlation-Id: 7\r\n", "X-Correlation-Id: 7\r\nX-Correlation-Id: 8\r\n"),
+            400,
+        ),
+        (
+            valid_request.replace("Idempotency-Key: 7\r\n", "Idempotency-Key: 7\r\nIdempotency-Key: 7\r\n"),
+            400,
+        ),
+        (valid_request.replace("Content-Length: 1", "Content-Length: +1"), 400),
+        (valid_request.replace("Content-Length: 1", "Content-Length: -1"), 400),
+        (valid_request.replace("Content-Length: 1", "Content-Length: 1\r\nContent-Length: 2"), 400),
+        (valid_request.replace("Content-Length: 1", "Content-Length: 99999999999999999999999"), 400),
+        // The proxy responds without waiting for the body.
+        (valid_request.replace("Content-Length: 1\r\n\r\nx", "Content-Length: 60000000\r\n\r\n"), 413),
     ];
-    for (text, status) in cases {
-        let line = text.lines().next().unwrap_or_default().to_owned();
+    for (request_text, status) in cases {
+        let request_line = request_text.lines().next().unwrap_or_default().to_owned();
         let mut client = proxy.client();
-        assert_eq!(client.exchange(&text).status(), status, "{line}");
-        assert!(client.is_closed_cleanly(), "what follows a malformed request may belong to it: {line}");
+        assert_eq!(client.exchange(&request_text).status(), status, "{request_line}");
+        assert!(
+            client.is_closed_cleanly(),
+            "bytes after a malformed request may belong to it, so the connection must close: {request_line}"
+        );
     }
     assert_eq!(backend.take_request_count(), 0);
-    assert_eq!(proxy.client().exchange(&good).status(), 200);
+    assert_eq!(proxy.client().exchange(&valid_request).status(), 200);
 }
 
-/// Request smuggling: an implementation that uses the length finds another request in the body.
+/// Guards against request smuggling: an implementation that uses the length finds a second request in the
+/// body.
 #[test]
 fn rejects_requests_with_both_length_and_transfer_encoding() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start("smuggled", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let hidden = request("charge", "hidden", "x");
-    let body = format!("0\r\n\r\n{hidden}");
+    let hidden_request = request("charge", "hidden", "x");
+    let body = format!("0\r\n\r\n{hidden_request}");
     let length = format!("Content-Length: {}\r\n", body.len());
     let encoding = "Transfer-Encoding: chunked\r\n";
     for fields in [format!("{length}{encoding}"), format!("{encoding}{length}")] {
         let mut client = proxy.client();
         let head = request("charge", "outer", "").replace("Content-Length: 0\r\n", &fields);
-        let got = client.exchange(&format!("{head}{body}"));
-        assert!((400..500).contains(&got.status()), "{}", got.head);
+        let response = client.exchange(&format!("{head}{body}"));
+        assert!((400..500).contains(&response.status()), "{}", response.head);
         assert!(client.is_closed_cleanly());
     }
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
@@ -95,7 +115,7 @@
 }
 
 #[test]
-fn rejects_a_second_request_with_an_open_id() {
+fn rejects_second_request_with_the_id_of_a_request_in_flight() {
     let discovery = Discovery::start();
     let (release, released) = channel();
     let mut released = Some(released);
@@ -109,46 +129,52 @@
     backend.next_request();
     assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).status(), 409);
     assert_eq!(backend.take_request_count(), 0);
-    release.send(()).expect("the backend waits");
+    release.send(()).expect("signal the backend");
     assert_eq!(first.receive().body, b"first");
     assert_eq!(
         proxy.client().exchange(&request("charge", "1", "x")).body,
         b"later",
-        "the id is available again"
+        "the id must be usable after its request has ended"
     );
 }
 
-/// The connections have to end within 3 s. The time is checked loosely for busy machines.
+/// The connections have to end within 3 s. The test allows a third of
+/// [`TEST_TIMEOUT`], for busy machines.
 #[test]
-fn idle_and_incomplete_requests_end_with_an_error_or_a_close() {
+fn idle_connections_and_incomplete_requests_time_out() {
     let discovery = Discovery::start();
     let proxy = Proxy::start("half", &discovery, &[]);
-    let good = request("charge", "1", "body");
-    let began = std::time::Instant::now();
-    let halves = ["", "P", &good[..40], &good[..good.len() - 2]].map(|half| {
-        let mut client = proxy.client();
-        client.send(half);
-        client
-    });
-    let mut asked = proxy.client();
-    assert_eq!(asked.exchange(HEALTH_REQUEST).status(), 200);
-    for mut client in halves {
-        let mut rest = Vec::new();
-        client.reader.read_to_end(&mut rest).expect("no reset");
-        assert!(rest.is_empty() || rest.starts_with(b"HTTP/1.1 408 "), "{}", String::from_utf8_lossy(&rest));
+    let valid_request = request("charge", "1", "body");
+    let started_at = std::time::Instant::now();
+    let incomplete_clients =
+        ["", "P", &valid_request[..40], &valid_request[..valid_request.len() - 2]].map(|partial_request| {
+            let mut client = proxy.client();
+            client.send(partial_request);
+            client
+        });
+    let mut idle_client = proxy.client();
+    assert_eq!(idle_client.exchange(HEALTH_REQUEST).status(), 200);
+    for mut client in incomplete_clients {
+        let mut remaining_bytes = Vec::new();
+        client.reader.read_to_end(&mut remaining_bytes).expect("a close without a reset");
+        assert!(
+            remaining_bytes.is_empty() || remaining_bytes.starts_with(b"HTTP/1.1 408 "),
+            "{}",
+            String::from_utf8_lossy(&remaining_bytes)
+        );
     }
-    assert!(asked.is_closed_cleanly(), "an open connection that is not used");
-    assert!(began.elapsed() < TEST_TIMEOUT / 3, "{:?}", began.elapsed());
+    assert!(idle_client.is_closed_cleanly(), "an idle connection must be closed");
+    assert!(started_at.elapsed() < TEST_TIMEOUT / 3, "{:?}", started_at.elapsed());
 }
 
 #[test]
-fn body_at_the_limit_passes() {
+fn forwards_64_kib_body() {
     let discovery = Discovery::start();
     let body = "y".repeat(64 * 1024);
-    let answered = body.clone();
-    let backend = Backend::start(move |_| ok(&answered));
+    let response_body = body.clone();
+    let backend = Backend::start(move |_| ok(&response_body));
     let proxy = Proxy::start("cap", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let got = proxy.client().exchange(&request("submit", "1", &body));
-    assert_eq!((got.status(), got.body.len()), (200, body.len()));
+    let response = proxy.client().exchange(&request("submit", "1", &body));
+    assert_eq!((response.status(), response.body.len()), (200, body.len()));
     assert_eq!(backend.next_request().body.len(), body.len());
 }
--- a/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
+++ b/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
@@ -1,8 +1,9 @@
-//! Clients that disconnect after a first attempt, or while their request is queued: no attempt starts after that.
+//! Clients that disconnect after a first attempt has started, or while their request is queued: no attempt
+//! may start after the disconnect.
 
-use crate::client_disconnects::{CONNECT_RETRY_AFTER, DISCONNECT_BOUND, SlowBackend, synchronize};
+use crate::client_disconnects::{CONNECT_RETRY_TIME, DISCONNECT_BOUND, SlowConnectBackend, synchronize};
 use crate::support::*;
-use crate::{fill, full_backend};
+use crate::{fill_concurrency_limit, start_blocking_backend};
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{Receiver, channel};
@@ -10,16 +11,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// Why a retry would follow the first attempt.
+/// How the first attempt fails, so that a retry would follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FirstFailure {
-    /// A response other than 200.
+    /// The backend responds with status 500.
     Error,
-    /// The connection is closed.
+    /// The backend closes the connection without a response.
     Reset,
     /// The backend rejects the request as unprocessed.
     Unprocessed,
-    /// No response within the time of an attempt.
+    /// The backend does not respond before the attempt times out.
     Late,
 }
 
@@ -28,27 +29,28 @@
 enum ClientBehaviour {
     Stays,
     Disconnects,
-    /// During a stall it disconnects, and then the first attempt fails.
+    /// While the process is stopped it disconnects, and then the first attempt fails.
     DisconnectsDuringStall,
-    /// During a stall the first attempt fails, and then the client disconnects.
+    /// While the process is stopped the first attempt fails, and then the client disconnects.
     DisconnectsAfterFailureDuringStall,
-    /// It disconnects from a proxy that has a tenth of a core.
+    /// It disconnects from a proxy that runs for a tenth of the time.
     DisconnectsFromThrottledProxy,
 }
 
-/// Microseconds.
+/// The latency objective of the retryable class, in microseconds.
 const LATENCY_OBJECTIVE_US: u64 = 3_200_000;
-/// Longer than a first attempt without a response may take under this objective.
+/// Longer than the timeout of a first attempt under [`LATENCY_OBJECTIVE_US`].
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// A process that runs for 10 ms in each 100 ms.
+/// Makes the proxy run for only 10 ms in each 100 ms, until it is dropped.
 struct ThrottledProcess(std::process::Child);
 
 impl ThrottledProcess {
     fn of(proxy: &Proxy) -> Self {
         let pid = proxy.child.id();
-        let round = format!("while kill -STOP {pid} && sleep 0.09 && kill -CONT {pid}; do sleep 0.01; done");
-        Self(std::process::Command::new("sh").args(["-c", &round]).spawn().expect("a shell"))
+        let throttle_loop =
+            format!("while kill -STOP {pid} && sleep 0.09 && kill -CONT {pid}; do sleep 0.01; done");
+        Self(std::process::Command::new("sh").args(["-c", &throttle_loop]).spawn().expect("start a shell"))
     }
 }
 
@@ -61,15 +63,16 @@
 
 type SharedReceiver = Arc<Mutex<Option<Receiver<()>>>>;
 
-/// A backend whose first request of the client "leaver" fails once the test signals it; all others are served.
-fn start_failing_once(failing: FirstFailure, released: SharedReceiver) -> Backend {
+/// Starts a backend that fails the first request with the id `leaver` when the test signals it. All other
+/// requests are served.
+fn start_failing_once(first_failure: FirstFailure, released: SharedReceiver) -> Backend {
     Backend::start(move |received| {
-        let first = || released.lock().expect("a receiver").take();
+        let take_release = || released.lock().expect("lock the receiver").take();
         let is_leaver = received.header("x-correlation-id") == Some("leaver");
-        let Some(released) = is_leaver.then(first).flatten() else {
+        let Some(released) = is_leaver.then(take_release).flatten() else {
             return ok("there");
         };
-        let failure = match failing {
+        let failure = match first_failure {
             FirstFailure::Error => BackendAction::Write(response_bytes("500 Internal Server Error", "", b"")),
             FirstFailure::Reset => BackendAction::WriteAndClose(Vec::new()),
             FirstFailure::Unprocessed => {
@@ -82,33 +85,34 @@
     })
 }
 
-/// The ids of the requests that backends have received since the last call.
+/// Takes the ids of the requests that the backends have received since the last call.
 fn take_ids(backends: &[Backend]) -> Vec<String> {
     let received = backends.iter().flat_map(|backend| backend.requests.try_iter());
     received.filter_map(|received| received.header("x-correlation-id").map(str::to_owned)).collect()
 }
 
-/// Lets the first attempt fail and the client disconnect. Returns the client if it stays.
+/// Makes the first attempt fail and the client disconnect, as its behaviour requires. Returns the client if
+/// it stays connected.
 fn run_client_behaviour(
     behaviour: ClientBehaviour,
     proxy: &Proxy,
-    mut leaver: Client,
+    mut client: Client,
     fail_first_attempt: impl Fn(),
 ) -> Option<Client> {
     match behaviour {
         ClientBehaviour::Stays => {
             fail_first_attempt();
-            assert_eq!(leaver.receive().status(), 200);
-            return Some(leaver);
+            assert_eq!(client.receive().status(), 200);
+            return Some(client);
         }
         ClientBehaviour::Disconnects | ClientBehaviour::DisconnectsFromThrottledProxy => {
-            drop(leaver);
+            drop(client);
             thread::sleep(DISCONNECT_BOUND);
             fail_first_attempt();
         }
         ClientBehaviour::DisconnectsDuringStall => {
             proxy.signal("-STOP");
-            drop(leaver);
+            drop(client);
             thread::sleep(DISCONNECT_BOUND);
             fail_first_attempt();
             proxy.signal("-CONT");
@@ -116,7 +120,7 @@
         ClientBehaviour::DisconnectsAfterFailureDuringStall => {
             proxy.signal("-STOP");
             fail_first_attempt();
-            drop(leaver);
+            drop(client);
             thread::sleep(DISCONNECT_BOUND);
             proxy.signal("-CONT");
         }
@@ -124,71 +128,77 @@
     None
 }
 
-/// The number of attempts for a request whose first attempt fails in this way.
-fn count_attempts(name: &str, failing: FirstFailure, behaviour: ClientBehaviour) -> usize {
+/// Returns the number of attempts for a request whose first attempt fails in this way.
+fn count_attempts(name: &str, first_failure: FirstFailure, behaviour: ClientBehaviour) -> usize {
     let (release, released) = channel();
     let released = Arc::new(Mutex::new(Some(released)));
-    let backends = [0, 1].map(|_| start_failing_once(failing, Arc::clone(&released)));
+    let backends = [0, 1].map(|_| start_failing_once(first_failure, Arc::clone(&released)));
     let discovery = Discovery::start();
     let mut config = config(name, &discovery);
     config["settings"]["classes"][0]["aimUs"] = LATENCY_OBJECTIVE_US.into();
     let proxy = Proxy::start_with_config(name, &config);
     let members = [0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0));
     discovery.post(true, &members);
-    // After these requests latencies have been measured, and each backend has a reusable connection.
+    // These requests give the proxy measured latencies and a reusable connection to each backend.
     for n in 0..8 {
         assert_eq!(proxy.client().exchange(&request("read", &format!("usual-{n}"), "")).status(), 200);
     }
     take_ids(&backends);
-    let throttled =
+    let throttled_process =
         (behaviour == ClientBehaviour::DisconnectsFromThrottledProxy).then(|| ThrottledProcess::of(&proxy));
-    let mut leaver = proxy.client();
-    leaver.send(&request("read", "leaver", ""));
+    let mut client = proxy.client();
+    client.send(&request("read", "leaver", ""));
     let mut ids = Vec::new();
     while ids.is_empty() {
         ids = take_ids(&backends);
     }
     let fail_first_attempt = || {
-        // A backend that hangs does not wait for the signal.
+        // A backend that never responds does not receive the signal.
         let _ = release.send(());
-        thread::sleep(if failing == FirstFailure::Late { ATTEMPT_TIMEOUT } else { DISCONNECT_BOUND / 2 });
+        thread::sleep(if first_failure == FirstFailure::Late {
+            ATTEMPT_TIMEOUT
+        } else {
+            DISCONNECT_BOUND / 2
+        });
     };
-    let staying = run_client_behaviour(behaviour, &proxy, leaver, fail_first_attempt);
+    let connected_client = run_client_behaviour(behaviour, &proxy, client, fail_first_attempt);
     synchronize(&proxy);
-    drop(throttled);
+    drop(throttled_process);
     proxy.signal("-CONT");
     assert_eq!(proxy.client().exchange(&request("read", "stays", "")).status(), 200);
     ids.extend(take_ids(&backends));
-    drop(staying);
+    drop(connected_client);
     ids.iter().filter(|id| *id == "leaver").count()
 }
 
-/// No retry follows a disconnect, however the first attempt fails and however late the process detects both. A client that
-/// stays shows that a retry would follow.
+/// No retry follows a disconnect, however the first attempt fails and however late the process detects both
+/// events. The case of a client that stays connected shows that a retry would follow otherwise.
 #[test]
 fn no_retry_after_the_client_disconnected() {
-    let moments = [
+    let behaviours = [
         ClientBehaviour::Stays,
         ClientBehaviour::Disconnects,
         ClientBehaviour::DisconnectsDuringStall,
         ClientBehaviour::DisconnectsAfterFailureDuringStall,
         ClientBehaviour::DisconnectsFromThrottledProxy,
     ];
-    let mut wrong = Vec::new();
-    for failing in [FirstFailure::Error, FirstFailure::Reset, FirstFailure::Unprocessed, FirstFailure::Late] {
-        for behaviour in moments {
-            let name = format!("further-{failing:?}-{behaviour:?}");
+    let mut failures = Vec::new();
+    for first_failure in
+        [FirstFailure::Error, FirstFailure::Reset, FirstFailure::Unprocessed, FirstFailure::Late]
+    {
+        for behaviour in behaviours {
+            let name = format!("further-{first_failure:?}-{behaviour:?}");
             let expected = if behaviour == ClientBehaviour::Stays { 2 } else { 1 };
-            let attempts = count_attempts(&name, failing, behaviour);
+            let attempts = count_attempts(&name, first_failure, behaviour);
             if attempts != expected {
-                wrong.push((failing, behaviour, attempts));
+                failures.push((first_failure, behaviour, attempts));
             }
         }
     }
-    assert!(wrong.is_empty(), "{wrong:?}");
+    assert!(failures.is_empty(), "{failures:?}");
 }
 
-/// A connect that is refused late is a failed attempt as well.
+/// A connect that is refused late counts as a failed attempt too.
 #[test]
 fn no_retry_after_disconnect_during_a_refused_connect() {
     for behaviour in [
@@ -197,42 +207,42 @@
         ClientBehaviour::DisconnectsDuringStall,
         ClientBehaviour::DisconnectsAfterFailureDuringStall,
     ] {
-        let (discovery, slow_backend) = (Discovery::start(), SlowBackend::start());
+        let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
         let backend = Backend::start(|_| ok("there"));
         let name = format!("refused-{behaviour:?}");
-        let at_slow = entry("s-1", slow_backend.address, "active", 0);
-        let proxy = Proxy::start(&name, &discovery, std::slice::from_ref(&at_slow));
-        let mut leaver = proxy.client();
-        leaver.send(&request("charge", "leaver", "x"));
+        let slow_entry = entry("s-1", slow_connect_backend.address, "active", 0);
+        let proxy = Proxy::start(&name, &discovery, std::slice::from_ref(&slow_entry));
+        let mut client = proxy.client();
+        client.send(&request("charge", "leaver", "x"));
         synchronize(&proxy);
-        discovery.post(true, &[at_slow, entry("s-2", backend.address, "active", 0)]);
-        let refuse_connect = |slow_backend: SlowBackend| {
-            drop(slow_backend);
-            // The kernel retries, and finds no listener.
-            thread::sleep(CONNECT_RETRY_AFTER);
+        discovery.post(true, &[slow_entry, entry("s-2", backend.address, "active", 0)]);
+        let refuse_connect = |slow_connect_backend: SlowConnectBackend| {
+            drop(slow_connect_backend);
+            // The kernel retries the connect and finds no listener.
+            thread::sleep(CONNECT_RETRY_TIME);
         };
         match behaviour {
             ClientBehaviour::Stays => {
-                refuse_connect(slow_backend);
-                assert_eq!(leaver.receive().body, b"there");
+                refuse_connect(slow_connect_backend);
+                assert_eq!(client.receive().body, b"there");
             }
             ClientBehaviour::DisconnectsDuringStall => {
                 proxy.signal("-STOP");
-                drop(leaver);
-                refuse_connect(slow_backend);
+                drop(client);
+                refuse_connect(slow_connect_backend);
                 proxy.signal("-CONT");
             }
             ClientBehaviour::DisconnectsAfterFailureDuringStall => {
                 proxy.signal("-STOP");
-                refuse_connect(slow_backend);
-                drop(leaver);
+                refuse_connect(slow_connect_backend);
+                drop(client);
                 thread::sleep(DISCONNECT_BOUND);
                 proxy.signal("-CONT");
             }
             _ => {
-                drop(leaver);
+                drop(client);
                 thread::sleep(DISCONNECT_BOUND);
-                refuse_connect(slow_backend);
+                refuse_connect(slow_connect_backend);
             }
         }
         synchronize(&proxy);
@@ -240,17 +250,18 @@
         let ids = backend
             .requests
             .try_iter()
-            .map(|received| received.header("x-correlation-id").expect("an id").to_owned());
+            .map(|received| received.header("x-correlation-id").expect("a correlation id").to_owned());
         let expected: &[&str] =
             if behaviour == ClientBehaviour::Stays { &["leaver", "stays"] } else { &["stays"] };
         assert_eq!(ids.collect::<Vec<_>>(), expected, "{behaviour:?}");
     }
 }
 
-/// A backend that reports the id of each request when its head is read, and responds once the sender is dropped.
+/// Starts a backend that reports the id of each request when it has read the head, and responds after the
+/// returned sender has been dropped.
 fn start_head_reporting_backend() -> (SocketAddr, Receiver<String>, std::sync::mpsc::Sender<()>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+    let address = listener.local_addr().expect("local address");
     let ((sender, heads), (release, released)) = (channel(), channel::<()>());
     let released = Arc::new(Mutex::new(released));
     thread::spawn(move || {
@@ -278,14 +289,14 @@
     (address, heads, release)
 }
 
-/// The close follows more bytes than the proxy reads ahead, or a part of a streamed body, and then capacity becomes
-/// available. The times before the disconnect differ, so that a periodic check would not find them all.
+/// The close follows more bytes than the proxy reads ahead, or a part of a streamed body, and then capacity
+/// becomes available. The times before the disconnect vary, so that a periodic check would miss some of them.
 #[test]
 fn queued_request_is_dropped_after_disconnect_behind_unread_bytes() {
-    let mut broken = Vec::new();
-    let far = format!("{}{}", request("charge", "leaver", "x"), "G".repeat(60_000));
-    let body = request("charge", "leaver", &"y".repeat(2_000_000))[..120_000].to_owned();
-    for (name, text) in [("held-far-ahead", far), ("held-in-a-body", body)] {
+    let mut failures = Vec::new();
+    let beyond_read_ahead = format!("{}{}", request("charge", "leaver", "x"), "G".repeat(60_000));
+    let partial_body = request("charge", "leaver", &"y".repeat(2_000_000))[..120_000].to_owned();
+    for (name, request_text) in [("held-far-ahead", beyond_read_ahead), ("held-in-a-body", partial_body)] {
         for round in 0..6 {
             let discovery = Discovery::start();
             let (address, heads, release) = start_head_reporting_backend();
@@ -294,61 +305,61 @@
             config["limits"]["memory_mb"] = 8.into();
             let proxy = Proxy::start_with_config(&name, &config);
             discovery.post(true, &[entry("s-1", address, "active", 0)]);
-            let mut first = [0, 1].map(|n| {
+            let mut blocked_clients = [0, 1].map(|n| {
                 let mut client = proxy.client();
                 client.send(&request("charge", &format!("fill-{n}"), "x"));
-                heads.recv_timeout(TEST_TIMEOUT).expect("it has capacity");
+                heads.recv_timeout(TEST_TIMEOUT).expect("a request to the backend");
                 client
             });
-            let mut leaver = proxy.client();
-            leaver.send(&text);
+            let mut disconnecting_client = proxy.client();
+            disconnecting_client.send(&request_text);
             synchronize(&proxy);
             thread::sleep(round * Duration::from_millis(40));
-            drop(leaver);
+            drop(disconnecting_client);
             thread::sleep(DISCONNECT_BOUND);
             drop(release);
-            for client in &mut first {
+            for client in &mut blocked_clients {
                 assert_eq!(client.receive().status(), 200);
             }
             assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
             let ids: Vec<_> = heads.try_iter().collect();
             if ids != ["stays"] {
-                broken.push((name, ids));
+                failures.push((name, ids));
             }
         }
     }
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(failures.is_empty(), "{failures:?}");
 }
 
-/// During a stall capacity becomes available for a queued request, and its client disconnects.
+/// While the process is stopped, capacity becomes available for a queued request and its client disconnects.
 #[test]
 fn queued_request_is_dropped_after_disconnect_during_a_stall() {
-    for leaves_first in [false, true] {
+    for disconnects_first in [false, true] {
         let discovery = Discovery::start();
-        let (backend, releases) = full_backend();
-        let name = format!("held-stood-{leaves_first}");
+        let (backend, release_senders) = start_blocking_backend();
+        let name = format!("held-stood-{disconnects_first}");
         let proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
-        let mut first = fill(&proxy, &backend);
-        let mut leaver = proxy.client();
-        leaver.send(&request("charge", "leaver", "x"));
+        let mut blocked_clients = fill_concurrency_limit(&proxy, &backend);
+        let mut disconnecting_client = proxy.client();
+        disconnecting_client.send(&request("charge", "leaver", "x"));
         synchronize(&proxy);
         proxy.signal("-STOP");
-        let mut leaver = Some(leaver);
-        if leaves_first {
-            drop(leaver.take());
+        let mut disconnecting_client = Some(disconnecting_client);
+        if disconnects_first {
+            drop(disconnecting_client.take());
         }
-        for release in &releases {
-            release.send(()).expect("the backend waits");
+        for release in &release_senders {
+            release.send(()).expect("signal the backend");
         }
         thread::sleep(DISCONNECT_BOUND);
-        drop(leaver);
+        drop(disconnecting_client);
         thread::sleep(DISCONNECT_BOUND);
         proxy.signal("-CONT");
-        for client in &mut first {
+        for client in &mut blocked_clients {
             assert_eq!(client.receive().status(), 200);
         }
         assert_eq!(proxy.client().exchange(&request("charge", "stays", "x")).status(), 200);
-        assert_eq!(backend.next_request().header("x-correlation-id"), Some("stays"), "{leaves_first}");
-        assert_eq!(backend.take_request_count(), 0, "{leaves_first}");
+        assert_eq!(backend.next_request().header("x-correlation-id"), Some("stays"), "{disconnects_first}");
+        assert_eq!(backend.take_request_count(), 0, "{disconnects_first}");
     }
 }
--- a/crates/proxy-server/tests/proxy/startup.rs
+++ b/crates/proxy-server/tests/proxy/startup.rs
@@ -1,10 +1,10 @@
-//! Starts that fail.
+//! Start-up with an invalid configuration.
 
 use crate::support::*;
 use std::io::Read;
 
 #[test]
-fn invalid_configuration_ends_the_start_with_one_line() {
+fn invalid_configuration_exits_with_one_line() {
     let bad_address = r#"{"listen":"here","discovery":"127.0.0.1:1","settings":{}}"#;
     for (name, config, expected) in [
         ("no-json", "{", "malformed configuration"),
@@ -12,10 +12,15 @@
         ("bad-address", bad_address, "listen"),
     ] {
         let mut child = spawn_proxy(name, config);
-        let mut text = String::new();
-        child.stderr.take().expect("standard error").read_to_string(&mut text).expect("text");
-        assert_eq!(child.wait().expect("it ends").code(), Some(1));
-        assert_eq!(text.lines().count(), 1, "{text}");
-        assert!(text.contains(expected), "{text}");
+        let mut error_output = String::new();
+        child
+            .stderr
+            .take()
+            .expect("piped standard error")
+            .read_to_string(&mut error_output)
+            .expect("read standard error");
+        assert_eq!(child.wait().expect("wait for the exit").code(), Some(1));
+        assert_eq!(error_output.lines().count(), 1, "{error_output}");
+        assert!(error_output.contains(expected), "{error_output}");
     }
 }
