--- a/crates/proxy-server/tests/proxy/discovery.rs
+++ b/crates/proxy-server/tests/proxy/discovery.rs
@@ -1,4 +1,4 @@
-//! Changes of discovery's list and of its address.
+//! Changes of the discovery list and of the address of discovery.
 
 use crate::support::*;
 use std::io::Read;
@@ -18,8 +18,8 @@
         assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
         backend.next_request();
         discovery.post(false, &[entry("s-1", backend.address, phase, 0)]);
-        let short = request("read", "2", "").replace("15000", "300");
-        assert_eq!(proxy.client().exchange(&short).status(), 503, "{phase}");
+        let short_request = request("read", "2", "").replace("15000", "300");
+        assert_eq!(proxy.client().exchange(&short_request).status(), 503, "{phase}");
         assert_eq!(backend.take_request_count(), 0, "{phase}");
         discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
         assert_eq!(proxy.client().exchange(&request("read", "3", "")).status(), 200);
@@ -30,7 +30,7 @@
 fn opens_a_new_connection_to_a_restarted_backend() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    // A start counts from when it is reported, so slow start is disabled here.
+    // Slow start begins when the restart is reported, so it is disabled here.
     let mut config = config("restarted", &discovery);
     config["settings"]["safety"]["coldUs"] = 1.into();
     let proxy = Proxy::start_with_config("restarted", &config);
@@ -39,13 +39,14 @@
     assert_eq!(client.exchange(&request("charge", "1", "x")).status(), 200);
     assert_eq!(client.exchange(&request("charge", "2", "x")).status(), 200);
     let (first, second) = (backend.next_request().connection, backend.next_request().connection);
-    assert_eq!(first, second, "the connection is reused");
+    assert_eq!(first, second, "the connection must be reused");
     discovery.post(false, &[entry("s-1", backend.address, "active", 2_000)]);
     assert_eq!(client.exchange(&request("charge", "3", "x")).status(), 200);
     assert_ne!(backend.next_request().connection, second);
 }
 
-/// A connection that was in use while its backend was removed belongs to a process that has ended.
+/// Guards against reuse of a connection that was in use while its backend was removed: its peer is a process
+/// that has ended.
 #[test]
 fn never_reuses_connections_of_a_removed_backend() {
     for complete in [false, true] {
@@ -56,23 +57,27 @@
             Some(released) => BackendAction::WaitThen(released, Box::new(ok("of the old one"))),
             None => ok("of the new one"),
         });
-        let here = |id: &str| entry(id, backend.address, "active", 0);
-        let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[here("s-1")]);
+        let active_entry = |id: &str| entry(id, backend.address, "active", 0);
+        let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[active_entry("s-1")]);
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         assert_eq!(backend.next_request().connection, 0);
-        let left = entry("s-1", backend.address, "left", 0);
-        discovery.post(complete, if complete { &[] } else { std::slice::from_ref(&left) });
-        discovery.post(false, &[here("s-1")]);
-        release.send(()).expect("the backend waits");
+        let removed_entry = entry("s-1", backend.address, "left", 0);
+        discovery.post(complete, if complete { &[] } else { std::slice::from_ref(&removed_entry) });
+        discovery.post(false, &[active_entry("s-1")]);
+        release.send(()).expect("signal the backend");
         assert_eq!(client.receive().body, b"of the old one");
         for id in ["2", "3"] {
             assert_eq!(client.exchange(&request("charge", id, "x")).body, b"of the new one");
             assert_eq!(backend.next_request().connection, 1);
         }
-        discovery.post(true, &[here("s-2")]);
+        discovery.post(true, &[active_entry("s-2")]);
         assert_eq!(client.exchange(&request("charge", "4", "x")).status(), 200);
-        assert_eq!(backend.next_request().connection, 2, "another backend at the same address");
+        assert_eq!(
+            backend.next_request().connection,
+            2,
+            "another backend at the same address needs a new connection"
+        );
     }
 }
 
@@ -80,20 +85,20 @@
 fn skips_invalid_list_entries() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let good = entry("s-1", backend.address, "active", 0);
-    let odd = |name: &str, value: serde_json::Value| {
+    let valid_entry = entry("s-1", backend.address, "active", 0);
+    let entry_with = |name: &str, value: serde_json::Value| {
         let mut entry = entry("s-odd", backend.address, "active", 0);
         entry[name] = value;
         entry
     };
     let members = [
         serde_json::Value::Null,
-        odd("host_port", "nowhere".into()),
-        odd("phase", "dancing".into()),
-        odd("locality", "mars".into()),
-        odd("cell", (-1).into()),
-        odd("id", 7.into()),
-        good,
+        entry_with("host_port", "nowhere".into()),
+        entry_with("phase", "dancing".into()),
+        entry_with("locality", "mars".into()),
+        entry_with("cell", (-1).into()),
+        entry_with("id", 7.into()),
+        valid_entry,
     ];
     let proxy = Proxy::start("odd", &discovery, &members);
     assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
@@ -110,7 +115,7 @@
 }
 
 #[test]
-fn polled_discovery_is_watched_whatever_list_was_configured() {
+fn polled_discovery_is_watched_without_a_valid_configured_list() {
     for known in [serde_json::Value::Null, "nonsense".into()] {
         let discovery = Discovery::start();
         let backend = Backend::start(|_| ok("there"));
@@ -123,11 +128,11 @@
     }
 }
 
-/// A fleet so large that not all of its watches can be answered at once: a restarted proxy serves the configured list and
-/// polls for changes on its schedule; a proxy whose complete list is empty polls at once, for the changes since that list; a
-/// proxy without any list polls at once for the complete list.
+/// In a fleet so large that not all of its watches can be answered at once, a restarted proxy uses the
+/// configured list and polls for changes on its schedule. A proxy whose complete list is empty polls at once
+/// for the changes since that list. A proxy without any list polls at once for the complete list.
 #[test]
-fn large_fleet_proxy_serves_the_configured_list_and_polls_for_changes() {
+fn large_fleet_proxy_uses_the_configured_list_and_polls_for_changes() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("turns", &discovery);
@@ -143,12 +148,12 @@
     let proxy = Proxy::start_with_config("turns-back", &config);
     assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
     assert_eq!(discovery.next_call(), Some(7));
-    // The call stays open while discovery has nothing newer; the current list serves.
+    // The call stays open while discovery has no newer list; the configured list remains in force.
     assert_eq!(proxy.client().exchange(&request("read", "2", "")).status(), 200);
 }
 
-/// Guards against a large fleet without lists whose snapshots and watches take the service's time twice, also where the first
-/// call failed.
+/// Guards against separate calls for the list and the watch, also after a failed first call: in a large fleet
+/// without lists they would load the discovery service twice.
 #[test]
 fn large_fleet_proxy_without_a_list_requests_it_and_starts_its_watch_in_one_call() {
     let backend = Backend::start(|_| ok("there"));
@@ -168,12 +173,15 @@
     config["settings"]["membershipMode"] = "on_request".into();
     config["settings"]["balancers"] = 30.into();
     let proxy = Proxy::start_with_config("overloaded", &config);
-    let target = |message: HttpMessage| message.first_line().to_owned();
+    let request_line = |message: HttpMessage| message.first_line().to_owned();
     for _ in 0..2 {
-        let call = target(service.next_request());
-        assert!(call.starts_with("GET /discovery/hosts?after=0&"), "the empty list was configured: {call}");
+        let call = request_line(service.next_request());
+        assert!(
+            call.starts_with("GET /discovery/hosts?after=0&"),
+            "the call must be for changes since the configured empty list: {call}"
+        );
     }
-    assert!(target(service.next_request()).starts_with("GET /discovery/hosts?after=3&"));
+    assert!(request_line(service.next_request()).starts_with("GET /discovery/hosts?after=3&"));
     assert_eq!(proxy.client().exchange(&request("read", "1", "")).body, b"there");
 }
 
@@ -181,92 +189,103 @@
 fn backend_that_drains_during_connect_receives_nothing() {
     let discovery = Discovery::start();
     let (listener, filler) = listener_with_full_queue();
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let proxy = Proxy::start("slow-connect", &discovery, &[entry("s-1", address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    // A response on another connection shows that the proxy has read the request.
+    // The response on another connection shows that the proxy has read the request.
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
     discovery.post(false, &[entry("s-1", address, "leaving", 0)]);
-    drop(listener.accept().expect("the filler"));
-    let (mut stream, _) = listener.accept().expect("the proxy's connection");
-    let got = client.receive();
-    assert_eq!(got.status(), 503, "it never ran, so a retry is safe");
-    let mut sent = Vec::new();
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-    let _ = stream.read_to_end(&mut sent);
-    assert!(sent.is_empty(), "{}", String::from_utf8_lossy(&sent));
+    drop(listener.accept().expect("accept the filler connection"));
+    let (mut stream, _) = listener.accept().expect("accept the connection of the proxy");
+    let response = client.receive();
+    assert_eq!(response.status(), 503, "the request has never run, so the client may retry it");
+    let mut received_bytes = Vec::new();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+    let _ = stream.read_to_end(&mut received_bytes);
+    assert!(received_bytes.is_empty(), "{}", String::from_utf8_lossy(&received_bytes));
     drop(filler);
 }
 
 #[test]
-fn reload_switches_discovery_without_interruption() {
-    let (old, new) = (Discovery::start(), Discovery::start());
+fn reload_switches_discovery_without_interrupting_requests() {
+    let (old_discovery, new_discovery) = (Discovery::start(), Discovery::start());
     let (release, released) = channel();
     let mut released = Some(released);
-    let before = Backend::start(move |_| match released.take() {
+    let old_backend = Backend::start(move |_| match released.take() {
         Some(released) => BackendAction::WaitThen(released, Box::new(ok("taken before"))),
         None => ok("before"),
     });
-    let after = Backend::start(|_| ok("after"));
-    let mut proxy = Proxy::start("sighup", &old, &[entry("s-1", before.address, "active", 0)]);
+    let new_backend = Backend::start(|_| ok("after"));
+    let mut proxy = Proxy::start("sighup", &old_discovery, &[entry("s-1", old_backend.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    before.next_request();
-    // An invalid file changes nothing.
+    old_backend.next_request();
+    // A reload of an invalid file changes nothing.
     proxy.reload("{");
     proxy.wait_for_log("reload failed, the previous configuration remains in force");
     assert_eq!(proxy.client().exchange(&request("read", "2", "")).body, b"before");
     for round in 0..2 {
-        let (from, to, name) = if round == 0 { (&old, &new, "s-2") } else { (&new, &old, "s-3") };
+        let (from, to, name) = if round == 0 {
+            (&old_discovery, &new_discovery, "s-2")
+        } else {
+            (&new_discovery, &old_discovery, "s-3")
+        };
         from.take_call_count();
         to.take_call_count();
         proxy.reload(&config("sighup", to).to_string());
-        assert_eq!(to.next_call(), None, "the revision of another service is not used");
-        // Until the new service has sent its list, the old list serves.
+        assert_eq!(to.next_call(), None, "the revision of the previous service must not be used");
+        // The old list remains in force until the new service has sent its list.
         assert_eq!(proxy.client().exchange(&request("read", "3", "")).status(), 200);
-        to.post(true, &[entry(name, after.address, "active", 0)]);
+        to.post(true, &[entry(name, new_backend.address, "active", 0)]);
         assert_eq!(proxy.client().exchange(&request("read", "4", "")).body, b"after");
     }
-    release.send(()).expect("the backend waits");
+    release.send(()).expect("signal the backend");
     assert_eq!(client.receive().body, b"taken before");
 }
 
-/// Discovery moves to an address without a listener and back: the newest address is followed.
+/// The configured discovery address changes to one without a listener and back. The proxy must use the latest
+/// address.
 #[test]
 fn follows_discovery_to_an_unreachable_address_and_back() {
     let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok("there")));
     let members = [entry("s-1", backend.address, "active", 0)];
     let mut proxy = Proxy::start("moves", &discovery, &members);
-    let nowhere = {
-        let gone = TcpListener::bind("127.0.0.1:0").expect("a port");
-        gone.local_addr().expect("an address")
+    let unreachable_address = {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        listener.local_addr().expect("local address")
     };
     for round in 0..3 {
-        let mut away = config("moves", &discovery);
-        away["discovery"] = nowhere.to_string().into();
-        proxy.reload(&away.to_string());
+        let mut moved_config = config("moves", &discovery);
+        moved_config["discovery"] = unreachable_address.to_string().into();
+        proxy.reload(&moved_config.to_string());
         proxy.wait_for_log("discovery is at");
         let id = format!("{round}");
-        assert_eq!(proxy.client().exchange(&request("read", &id, "")).status(), 200, "the old list serves");
+        assert_eq!(
+            proxy.client().exchange(&request("read", &id, "")).status(),
+            200,
+            "the old list must remain in force"
+        );
         discovery.take_call_count();
         proxy.reload(&config("moves", &discovery).to_string());
         assert_eq!(discovery.next_call(), None);
         discovery.post(true, &members);
     }
     discovery.post(false, &[entry("s-1", backend.address, "leaving", 0)]);
-    let short = request("read", "drained", "").replace("15000", "300");
-    assert_eq!(proxy.client().exchange(&short).status(), 503);
+    let short_request = request("read", "drained", "").replace("15000", "300");
+    assert_eq!(proxy.client().exchange(&short_request).status(), 503);
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
 }
 
-/// Guards against one update that moves a backend to another start and another address and leaves its old address in use.
+/// Guards against use of the old address after one update that reports both a restart and a new address of a
+/// backend.
 #[test]
-fn restarted_backend_is_served_at_its_new_address_alone() {
+fn restarted_backend_receives_requests_only_at_its_new_address() {
     const CLIENTS: usize = 6;
-    /// How long clients send after the move.
+    /// How long clients send requests after the move.
     const AFTER_MOVE: Duration = Duration::from_millis(2_500);
-    /// The grace of a drain, and what discovery and backends may take to post and record.
+    /// The grace period of a drain, plus the time that discovery may take to post the update and a backend to
+    /// record a request.
     const GRACE: Duration = Duration::from_millis(1_050 + 150);
 
     let response = |body: &str| {
@@ -274,12 +293,13 @@
     };
     let discovery = Discovery::start();
     let has_moved = Arc::new(AtomicBool::new(false));
-    let moved = Arc::clone(&has_moved);
-    // Its connections end with their responses: after the move, another service has the port.
-    let old =
-        Backend::start(move |_| response(if moved.load(Ordering::Acquire) { "stranger" } else { "old" }));
+    let has_moved_in_script = Arc::clone(&has_moved);
+    // Each connection ends with its response. After the move another service uses the port.
+    let old = Backend::start(move |_| {
+        response(if has_moved_in_script.load(Ordering::Acquire) { "stranger" } else { "old" })
+    });
     let new = Backend::start(|_| ok("new"));
-    let neighbours = [Backend::start(|_| ok("neighbour")), Backend::start(|_| ok("neighbour"))];
+    let other_backends = [Backend::start(|_| ok("neighbour")), Backend::start(|_| ok("neighbour"))];
     let mut config = config("moved", &discovery);
     config["settings"]["safety"]["coldUs"] = 1.into();
     let mut proxy = Proxy::start_with_config("moved", &config);
@@ -287,16 +307,16 @@
         true,
         &[
             entry("s-0", old.address, "active", 1_000),
-            entry("s-1", neighbours[0].address, "active", 1_000),
-            entry("s-2", neighbours[1].address, "active", 1_000),
+            entry("s-1", other_backends[0].address, "active", 1_000),
+            entry("s-2", other_backends[1].address, "active", 1_000),
         ],
     );
 
     let stop = AtomicBool::new(false);
-    let answers = Mutex::new(Vec::new());
+    let responses = Mutex::new(Vec::new());
     let moved_at = thread::scope(|scope| {
         for number in 0..CLIENTS {
-            let (proxy, stop, answers) = (&proxy, &stop, &answers);
+            let (proxy, stop, responses) = (&proxy, &stop, &responses);
             scope.spawn(move || {
                 let mut client = proxy.client();
                 for round in 0.. {
@@ -304,7 +324,7 @@
                         return;
                     }
                     let response = client.exchange(&request("read", &format!("{number}-{round}"), ""));
-                    answers.lock().expect("the answers").push(response);
+                    responses.lock().expect("lock the responses").push(response);
                     thread::sleep(Duration::from_millis(20));
                 }
             });
@@ -319,18 +339,22 @@
     });
 
     let is_after_grace = |message: &HttpMessage| message.received_at > moved_at + GRACE;
-    let stale = old.requests.try_iter().filter(is_after_grace).count();
-    assert_eq!(stale, 0, "requests reached the port that the backend has left");
-    let answers = answers.into_inner().expect("the answers");
-    let stranger_answers = answers.iter().filter(|a| is_after_grace(a) && a.body == b"stranger").count();
-    assert_eq!(stranger_answers, 0, "clients got answers of another service");
-    assert!(answers.iter().all(|answer| answer.status() == 200), "the backends can serve all");
-    let at_new = new.requests.try_iter().count();
-    let at_neighbours =
-        neighbours.iter().map(|n| n.requests.try_iter().filter(|m| m.received_at > moved_at).count());
-    let at_neighbours: usize = at_neighbours.sum();
+    let requests_at_old_address = old.requests.try_iter().filter(is_after_grace).count();
+    assert_eq!(requests_at_old_address, 0, "requests reached the former address of the backend");
+    let responses = responses.into_inner().expect("lock the responses");
+    let responses_of_other_service =
+        responses.iter().filter(|a| is_after_grace(a) && a.body == b"stranger").count();
+    assert_eq!(responses_of_other_service, 0, "clients got responses of another service");
+    assert!(responses.iter().all(|response| response.status() == 200), "every request must be served");
+    let requests_at_new_address = new.requests.try_iter().count();
+    let requests_at_other_backends =
+        other_backends.iter().map(|n| n.requests.try_iter().filter(|m| m.received_at > moved_at).count());
+    let requests_at_other_backends: usize = requests_at_other_backends.sum();
     proxy.terminate();
     let log = proxy.remaining_log();
-    println!("SHARE {at_new} {at_neighbours}");
-    println!("LOG {log}");
+    println!(
+        "requests after the move: {requests_at_new_address} at the new address, \
+         {requests_at_other_backends} at the other backends"
+    );
+    println!("log of the proxy:\n{log}");
 }
--- a/crates/proxy-server/tests/proxy/discovery_outage/service.rs
+++ b/crates/proxy-server/tests/proxy/discovery_outage/service.rs
@@ -1,4 +1,4 @@
-//! The scripted discovery service, whose state the test sets.
+//! A scripted discovery service whose availability the test sets.
 
 use crate::support::*;
 use serde_json::{Value, json};
@@ -10,50 +10,52 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the service takes for a call; it has one queue.
+/// The time that the service spends on a call. It processes one call at a time.
 const CALL_COST: Duration = Duration::from_millis(160);
-/// Longer than the longest wait of a watch and its slack.
+/// Longer than the longest wait of a watch and its slack together.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
-/// A call that may wait for at least this time is a watch.
+/// A call whose wait is at least this long counts as a watch.
 const MIN_WATCH_WAIT: Duration = Duration::from_secs(1);
 
-/// The state of the service.
+/// The availability of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
+    /// Calls are answered.
     Up,
     /// Connections are refused.
     NotListening,
-    /// Connections are neither refused nor established: the listener's queue is full.
+    /// Connections are neither refused nor established, because the accept queue is full.
     QueueFull,
     /// Each call is answered with 503 at once.
     Rejecting,
     /// Calls are read and never answered, not even after the recovery.
     Silent,
-    /// As `Up`, but new watches are never answered.
+    /// Like [`State::Up`], but new watches are never answered.
     SilentWatches,
 }
 
 /// A call to the service.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
+    /// When the service received it.
     pub at: Instant,
-    /// The revision that the caller knows.
+    /// The revision since which the caller requests changes; `None` requests the complete list.
     pub after: Option<u64>,
-    /// How long the caller lets the call wait.
+    /// How long the service may wait for a change before it responds.
     pub wait: Option<Duration>,
 }
 
-/// What the service received and did, in order.
+/// An event of the service. Events are reported in order.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     Call(Call),
-    /// A call was answered at this time.
+    /// The time at which a call was answered.
     Answered(Instant),
     /// A call was answered with an error.
     Failed,
 }
 
-/// A call that may wait for a second or more.
+/// A call whose wait is at least [`MIN_WATCH_WAIT`].
 pub struct Watch {
     pub at: Instant,
     pub wait: Duration,
@@ -63,21 +65,21 @@
     state: State,
     revision: u64,
     members: Vec<Value>,
-    open: Vec<TcpStream>,
+    connections: Vec<TcpStream>,
     fillers: Vec<TcpStream>,
 }
 
 struct Shared {
     service_state: Mutex<ServiceState>,
     changed: Condvar,
-    /// Serialises the processing of calls.
+    /// Serializes the processing of calls.
     queue: Mutex<()>,
     socket: Socket,
 }
 
 impl Shared {
     fn service_state(&self) -> MutexGuard<'_, ServiceState> {
-        self.service_state.lock().expect("the state")
+        self.service_state.lock().expect("lock the state")
     }
 
     fn state(&self) -> State {
@@ -85,26 +87,27 @@
     }
 }
 
-/// Discovery as one service for all proxies, whose state the test sets.
+/// One central discovery service for all proxies.
 pub struct Service {
     pub address: SocketAddr,
     shared: Arc<Shared>,
     events: Receiver<Event>,
 }
 
-/// A socket bound to a free port. A port bound by number stays reserved while the socket does not listen.
+/// Creates a socket bound to a free port. The port is bound by its number, so that it stays reserved while
+/// the socket does not listen.
 fn bind_free_port() -> Socket {
     for _ in 0..100 {
-        let probe = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = probe.local_addr().expect("an address");
-        drop(probe);
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_reuse_address(true).expect("an option");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let address = listener.local_addr().expect("local address");
+        drop(listener);
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+        socket.set_reuse_address(true).expect("set SO_REUSEADDR");
         if socket.bind(&address.into()).is_ok() {
             return socket;
         }
     }
-    panic!("no port");
+    panic!("no free port");
 }
 
 fn query_parameter(call: &HttpMessage, name: &str) -> Option<u64> {
@@ -135,18 +138,18 @@
             State::Silent | State::SilentWatches => continue,
         }
         {
-            let _processing = shared.queue.lock().expect("the queue");
+            let _processing = shared.queue.lock().expect("lock the queue");
             thread::sleep(CALL_COST);
         }
-        let same = |service_state: &mut ServiceState| {
+        let has_no_change = |service_state: &mut ServiceState| {
             (after == Some(service_state.revision))
                 && matches!(service_state.state, State::Up | State::SilentWatches)
         };
         let service_state = shared.service_state();
         let (service_state, _) = shared
             .changed
-            .wait_timeout_while(service_state, wait.unwrap_or_default(), same)
-            .expect("the state");
+            .wait_timeout_while(service_state, wait.unwrap_or_default(), has_no_change)
+            .expect("lock the state");
         if !matches!(service_state.state, State::Up | State::SilentWatches) {
             return None;
         }
@@ -160,7 +163,7 @@
     }
 }
 
-/// Accepts connections whenever the service is reachable.
+/// Accepts connections while the service is reachable.
 fn accept_connections(listener: &TcpListener, shared: &Arc<Shared>, sender: &Sender<Event>) {
     loop {
         let accepted = listener.accept();
@@ -168,55 +171,56 @@
         let is_unreachable = |service_state: &mut ServiceState| {
             matches!(service_state.state, State::NotListening | State::QueueFull)
         };
-        let waited = shared.changed.wait_timeout_while(service_state, EVENT_TIMEOUT, is_unreachable);
-        if waited.expect("the state").1.timed_out() {
+        let wait_result = shared.changed.wait_timeout_while(service_state, EVENT_TIMEOUT, is_unreachable);
+        if wait_result.expect("lock the state").1.timed_out() {
             return;
         }
         let Ok((stream, _)) = accepted else { continue };
-        shared.service_state().open.push(stream.try_clone().expect("a clone"));
+        shared.service_state().connections.push(stream.try_clone().expect("clone the stream"));
         let (shared, sender) = (Arc::clone(shared), sender.clone());
         thread::spawn(move || serve(&shared, stream, &sender));
     }
 }
 
 impl Service {
+    /// Starts a service that is up and serves these backends.
     pub fn start(members: &[Value]) -> Self {
         let socket = bind_free_port();
-        let address = socket.local_addr().expect("an address").as_socket().expect("IPv4");
-        socket.listen(64).expect("it listens");
-        let listener = TcpListener::from(socket.try_clone().expect("a clone"));
+        let address = socket.local_addr().expect("local address").as_socket().expect("an IPv4 address");
+        socket.listen(64).expect("listen on the socket");
+        let listener = TcpListener::from(socket.try_clone().expect("clone the socket"));
         let members = members.to_vec();
         let service_state = Mutex::new(ServiceState {
             state: State::Up,
             revision: 7,
             members,
-            open: Vec::new(),
+            connections: Vec::new(),
             fillers: Vec::new(),
         });
         let shared =
             Arc::new(Shared { service_state, changed: Condvar::new(), queue: Mutex::new(()), socket });
         let (sender, events) = channel();
-        let served = Arc::clone(&shared);
-        thread::spawn(move || accept_connections(&listener, &served, &sender));
+        let shared_with_listener = Arc::clone(&shared);
+        thread::spawn(move || accept_connections(&listener, &shared_with_listener, &sender));
         Self { address, shared, events }
     }
 
-    /// Sets the state. When the service goes down its connections are closed.
+    /// Sets the availability. Closes all connections when the service becomes unavailable.
     pub fn set_state(&self, state: State) {
         let mut service_state = self.shared.service_state();
         if state == State::NotListening {
-            self.shared.socket.shutdown(Shutdown::Both).expect("it stops listening");
+            self.shared.socket.shutdown(Shutdown::Both).expect("stop listening on the socket");
         }
         if matches!(service_state.state, State::NotListening | State::QueueFull) {
-            self.shared.socket.listen(64).expect("it listens again");
+            self.shared.socket.listen(64).expect("listen on the socket again");
             service_state.fillers.clear();
         }
         if state == State::QueueFull {
-            self.shared.socket.listen(0).expect("it listens");
+            self.shared.socket.listen(0).expect("listen on the socket");
         }
         service_state.state = state;
         if state != State::Up && state != State::SilentWatches {
-            for stream in service_state.open.drain(..) {
+            for stream in service_state.connections.drain(..) {
                 drop(stream.shutdown(Shutdown::Both));
             }
         }
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Opens two connections: one is accepted and left unused, one fills the queue.
+    /// Opens two connections: one is accepted and left unused, the other fills the accept queue.
     fn fill_queue(&self) {
         let fillers =
             (0..2).map_while(|_| TcpStream::connect_timeout(&self.address, Duration::from_secs(1)).ok());
@@ -235,7 +239,7 @@
         self.shared.service_state().fillers = fillers;
     }
 
-    /// Replaces the list.
+    /// Replaces the list and increments its revision.
     pub fn post(&self, members: &[Value]) {
         let mut service_state = self.shared.service_state();
         service_state.revision += 1;
@@ -244,10 +248,12 @@
         self.shared.changed.notify_all();
     }
 
+    /// Waits for the next event.
     pub fn next_event(&self) -> Event {
-        self.events.recv_timeout(EVENT_TIMEOUT).expect("an event")
+        self.events.recv_timeout(EVENT_TIMEOUT).expect("an event of the service")
     }
 
+    /// Waits for the next call and skips other events.
     pub fn next_call(&self) -> Call {
         loop {
             if let Event::Call(call) = self.next_event() {
@@ -256,8 +262,8 @@
         }
     }
 
-    /// When the next call is answered.
-    pub fn next_answer(&self) -> Instant {
+    /// Waits until a call is answered, and returns the time of the response.
+    pub fn next_response_time(&self) -> Instant {
         loop {
             if let Event::Answered(at) = self.next_event() {
                 return at;
@@ -265,6 +271,7 @@
         }
     }
 
+    /// Waits for the next watch.
     pub fn wait_for_watch(&self) -> Watch {
         loop {
             if let Call { at, wait: Some(wait), .. } = self.next_call()
--- a/crates/proxy-server/tests/proxy/oversized_lists.rs
+++ b/crates/proxy-server/tests/proxy/oversized_lists.rs
@@ -1,4 +1,4 @@
-//! Lists that are longer than the proxy reads.
+//! Discovery lists that exceed the size limit of the proxy.
 
 use crate::support::*;
 use serde_json::{Value, json};
@@ -10,15 +10,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The largest list that is read, in bytes, as the log states it.
+/// The largest list that the proxy reads, in bytes, as its log states it.
 const MAX_LIST_BYTES: usize = 4_194_304;
-/// The size of an oversized list, in bytes: far more than the kernel buffers for a connection.
+/// The size of an oversized list in bytes; far more than the kernel buffers for a connection.
 const OVERSIZED_BYTES: usize = 64 << 20;
-/// The bytes of a list that may be in the kernel's buffers of both sides when the reader closes the connection.
+/// The number of bytes of a list that the kernel's buffers of both sides may contain when the reader closes
+/// the connection.
 const MAX_BUFFERED_BYTES: usize = 16 << 20;
-/// The shortest delay between two calls for an oversized list.
+/// The minimum delay between two calls for an oversized list.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(3_700);
-/// Longer than the longest delay between two calls.
+/// Longer than the maximum delay between two calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(45);
 
 /// How the length of an oversized list is sent.
@@ -26,38 +27,40 @@
 enum LengthForm {
     /// In a `Content-Length` header.
     Length,
+    /// In chunks of the chunked transfer coding.
     Chunked,
 }
 
-/// What discovery serves.
+/// The list that discovery serves.
 #[derive(Clone, Debug)]
 enum List {
     /// A complete list of this revision.
-    Of(u64, Vec<Value>),
+    Complete(u64, Vec<Value>),
+    /// A list of [`OVERSIZED_BYTES`].
     Oversized,
 }
 
-/// Discovery whose list may be oversized.
+/// A discovery service whose list may be oversized.
 struct OversizedDiscovery {
     address: SocketAddr,
     list: Arc<Mutex<List>>,
     calls: Receiver<(Instant, Option<u64>)>,
-    /// Bytes written of oversized lists.
+    /// The number of bytes of oversized lists written so far.
     written: Arc<AtomicUsize>,
 }
 
 fn write_oversized(stream: &mut TcpStream, form: LengthForm, written: &AtomicUsize) -> std::io::Result<()> {
-    let part = vec![b' '; 64 << 10];
+    let chunk = vec![b' '; 64 << 10];
     match form {
         LengthForm::Length => write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {OVERSIZED_BYTES}\r\n\r\n")?,
         LengthForm::Chunked => write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?,
     }
-    for _ in 0..OVERSIZED_BYTES / part.len() {
+    for _ in 0..OVERSIZED_BYTES / chunk.len() {
         if form == LengthForm::Chunked {
-            write!(stream, "{:x}\r\n", part.len())?;
+            write!(stream, "{:x}\r\n", chunk.len())?;
         }
-        stream.write_all(&part)?;
-        written.fetch_add(part.len(), Ordering::SeqCst);
+        stream.write_all(&chunk)?;
+        written.fetch_add(chunk.len(), Ordering::SeqCst);
         if form == LengthForm::Chunked {
             stream.write_all(b"\r\n")?;
         }
@@ -75,24 +78,24 @@
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     loop {
         let call = read_message(&mut reader)?;
-        let number = |name: &str| {
+        let query_parameter = |name: &str| {
             let (_, rest) = call.first_line().split_once(name)?;
             rest.split(['&', ' ']).next()?.parse::<u64>().ok()
         };
-        let (after, wait) = (number("after="), number("wait_ms=").unwrap_or_default());
-        let until = Instant::now() + Duration::from_millis(wait);
+        let (after, wait) = (query_parameter("after="), query_parameter("wait_ms=").unwrap_or_default());
+        let wait_end = Instant::now() + Duration::from_millis(wait);
         sender.send((Instant::now(), after)).ok()?;
         let list = loop {
-            let list = list.lock().expect("a list").clone();
-            let has_changed = !matches!(list, List::Of(revision, _) if after == Some(revision));
-            if has_changed || Instant::now() >= until {
+            let list = list.lock().expect("lock the list").clone();
+            let has_changed = !matches!(list, List::Complete(revision, _) if after == Some(revision));
+            if has_changed || Instant::now() >= wait_end {
                 break list;
             }
             thread::sleep(Duration::from_millis(5));
         };
         match list {
             List::Oversized => write_oversized(&mut stream, form, written).ok()?,
-            List::Of(revision, members) => {
+            List::Complete(revision, members) => {
                 let has_changed = after != Some(revision);
                 let members = if has_changed { members } else { Vec::new() };
                 let text =
@@ -105,8 +108,8 @@
 
 impl OversizedDiscovery {
     fn start(form: LengthForm, list: List) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let address = listener.local_addr().expect("local address");
         let (sender, calls) = channel();
         let (list, written) = (Arc::new(Mutex::new(list)), Arc::<AtomicUsize>::default());
         let shared = (Arc::clone(&list), Arc::clone(&written));
@@ -122,11 +125,11 @@
     }
 
     fn set_list(&self, list: List) {
-        *self.list.lock().expect("a list") = list;
+        *self.list.lock().expect("lock the list") = list;
     }
 
     fn next_call(&self) -> (Instant, Option<u64>) {
-        self.calls.recv_timeout(CALL_TIMEOUT).expect("a call")
+        self.calls.recv_timeout(CALL_TIMEOUT).expect("a call to discovery")
     }
 }
 
@@ -141,10 +144,15 @@
     config
 }
 
-/// Asserts that a delay follows a call for an oversized list, and that little of it is transferred.
-fn assert_polled_rarely(discovery: &OversizedDiscovery, first: Instant) {
-    let (second, _) = discovery.next_call();
-    assert!(second - first >= MIN_RETRY_DELAY, "polled again after {:?}", second - first);
+/// Asserts that the proxy delays its next call after an oversized list, and that little of the list is
+/// transferred.
+fn assert_polled_rarely(discovery: &OversizedDiscovery, first_call_at: Instant) {
+    let (second_call_at, _) = discovery.next_call();
+    assert!(
+        second_call_at - first_call_at >= MIN_RETRY_DELAY,
+        "polled after {:?}",
+        second_call_at - first_call_at
+    );
     let written = discovery.written.load(Ordering::SeqCst);
     assert!(written <= 2 * MAX_BUFFERED_BYTES, "{written} bytes for two calls");
 }
@@ -158,8 +166,8 @@
         LengthForm::Length => format!("{OVERSIZED_BYTES} bytes"),
         LengthForm::Chunked => format!("over {MAX_LIST_BYTES} bytes"),
     };
-    let bound = format!("at most {MAX_LIST_BYTES}");
-    assert!(lines[0].contains(&size) && lines[0].contains(&bound), "{}", lines[0]);
+    let limit = format!("at most {MAX_LIST_BYTES}");
+    assert!(lines[0].contains(&size) && lines[0].contains(&limit), "{}", lines[0]);
     assert_eq!(log.matches("discovery: ").count(), 1, "{log}");
 }
 
@@ -170,31 +178,36 @@
     (LengthForm::Chunked, true),
 ];
 
-/// Runs all cases in parallel, since each waits most of its time.
+/// Runs all cases in parallel, since each mostly waits, and asserts that none has failed.
 fn run_in_parallel(case: impl Fn(LengthForm, bool) + Send + Sync + 'static) {
     let case = Arc::new(case);
     let runs = CASES.map(|(form, is_polled)| {
         let case = Arc::clone(&case);
         thread::spawn(move || case(form, is_polled))
     });
-    let failed = runs.into_iter().zip(CASES).filter_map(|(run, of)| run.join().err().map(|_| of));
-    let failed: Vec<_> = failed.collect();
-    assert!(failed.is_empty(), "{failed:?}");
+    let failures =
+        runs.into_iter().zip(CASES).filter_map(|(run, case_input)| run.join().err().map(|_| case_input));
+    let failures: Vec<_> = failures.collect();
+    assert!(failures.is_empty(), "{failures:?}");
 }
 
-/// Regression: the list was polled ten times a second, and its size was not logged.
+/// Guards against polling an oversized list ten times a second without logging its size.
 #[test]
-fn oversized_list_is_logged_once_and_polled_rarely_until_it_is_shorter() {
+fn oversized_list_is_logged_once_and_polled_rarely_until_it_is_short_enough() {
     run_in_parallel(|form, is_polled| {
         let backend = Backend::start(|_| ok("there"));
         let discovery = OversizedDiscovery::start(form, List::Oversized);
         let name = format!("long-{form:?}-{is_polled}");
         let mut proxy =
             Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &[]));
-        let (first, _) = discovery.next_call();
-        assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 503, "no list, and none is configured");
-        assert_polled_rarely(&discovery, first);
-        discovery.set_list(List::Of(9, vec![entry("s-1", backend.address, "active", 0)]));
+        let (first_call_at, _) = discovery.next_call();
+        assert_eq!(
+            proxy.client().exchange(HEALTH_REQUEST).status(),
+            503,
+            "neither discovery nor the configuration provides a list"
+        );
+        assert_polled_rarely(&discovery, first_call_at);
+        discovery.set_list(List::Complete(9, vec![entry("s-1", backend.address, "active", 0)]));
         while discovery.next_call().1 != Some(9) {}
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"there");
@@ -203,7 +216,7 @@
 }
 
 #[test]
-fn configured_list_serves_beside_an_oversized_one() {
+fn configured_list_is_used_while_discovery_is_oversized() {
     run_in_parallel(|form, is_polled| {
         let backend = Backend::start(|_| ok("there"));
         let discovery = OversizedDiscovery::start(form, List::Oversized);
@@ -211,8 +224,8 @@
         let known = [entry("s-1", backend.address, "active", 0)];
         let mut proxy =
             Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &known));
-        let (first, _) = discovery.next_call();
-        assert_polled_rarely(&discovery, first);
+        let (first_call_at, _) = discovery.next_call();
+        assert_polled_rarely(&discovery, first_call_at);
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"there");
         assert_logged_once(&mut proxy, form);
@@ -220,21 +233,21 @@
 }
 
 #[test]
-fn current_list_serves_when_discovery_becomes_oversized() {
+fn current_list_remains_in_force_when_discovery_becomes_oversized() {
     run_in_parallel(|form, is_polled| {
         let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let initial = List::Of(5, vec![entry("s-1", old.address, "active", 0)]);
+        let initial = List::Complete(5, vec![entry("s-1", old.address, "active", 0)]);
         let discovery = OversizedDiscovery::start(form, initial);
         let name = format!("grown-{form:?}-{is_polled}");
         let mut proxy =
             Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &[]));
         while discovery.next_call().1 != Some(5) {}
         discovery.set_list(List::Oversized);
-        let (first, _) = discovery.next_call();
-        assert_polled_rarely(&discovery, first);
+        let (first_call_at, _) = discovery.next_call();
+        assert_polled_rarely(&discovery, first_call_at);
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"old");
-        discovery.set_list(List::Of(6, vec![entry("s-2", new.address, "active", 0)]));
+        discovery.set_list(List::Complete(6, vec![entry("s-2", new.address, "active", 0)]));
         while discovery.next_call().1 != Some(6) {}
         assert_eq!(proxy.client().exchange(&request("charge", "2", "x")).body, b"new");
         assert_logged_once(&mut proxy, form);
