--- a/crates/control-plane/src/runtime/discovery.rs
+++ b/crates/control-plane/src/runtime/discovery.rs
@@ -106,17 +106,14 @@
         return text_response(StatusCode::NOT_FOUND, format!("only {PATH} is here"));
     }
     if request.method() != Method::GET {
-        return text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is supported".into());
+        return text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered".into());
     }
     let query = match DiscoveryQuery::parse(request.uri().query()) {
         Ok(query) => query,
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     if !state.is_ready.get() {
-        return text_response(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "the list of backends is not complete yet".into(),
-        );
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "no whole list was heard yet".into());
     }
     if let Some(after) = query.after {
         state.wait_for_changes(after, Instant::now() + Duration::from_millis(query.wait_ms)).await;
