--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Framing and encoding: messages round-trip, and other bytes are rejected.
+//! Framing and encoding: messages round-trip, and malformed bytes are rejected.
 
 mod strategies;
 
@@ -15,21 +15,21 @@
 use strategies::message;
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// A stream that returns its bytes in pieces of these sizes.
-struct Pieces {
+/// A stream whose reads return chunks of at most these sizes, in rotation.
+struct ChunkedStream {
     bytes: Vec<u8>,
     position: usize,
-    sizes: Vec<usize>,
+    chunk_sizes: Vec<usize>,
     reads: usize,
 }
 
-impl AsyncRead for Pieces {
+impl AsyncRead for ChunkedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
         into: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let size = self.sizes[self.reads % self.sizes.len()];
+        let size = self.chunk_sizes[self.reads % self.chunk_sizes.len()];
         let size = size.min(into.remaining()).min(self.bytes.len() - self.position);
         into.put_slice(&self.bytes[self.position..self.position + size]);
         self.position += size;
@@ -38,15 +38,15 @@
     }
 }
 
-fn reader(bytes: Vec<u8>, sizes: Vec<usize>) -> FrameReader<Pieces> {
-    FrameReader::new(Pieces { bytes, position: 0, sizes, reads: 0 })
+fn reader(bytes: Vec<u8>, chunk_sizes: Vec<usize>) -> FrameReader<ChunkedStream> {
+    FrameReader::new(ChunkedStream { bytes, position: 0, chunk_sizes, reads: 0 })
 }
 
-/// Reads all messages. Returns them and how the stream ended.
-fn read_all(bytes: Vec<u8>, sizes: Vec<usize>) -> (Vec<Message>, Result<(), CodecError>) {
+/// Reads messages up to the end of the stream or the first error. Returns both.
+fn read_all(bytes: Vec<u8>, chunk_sizes: Vec<usize>) -> (Vec<Message>, Result<(), CodecError>) {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
-        let (mut reader, mut messages) = (reader(bytes, sizes), Vec::new());
+        let (mut reader, mut messages) = (reader(bytes, chunk_sizes), Vec::new());
         loop {
             match reader.read().await {
                 Ok(Some(message)) => messages.push(message),
@@ -61,10 +61,10 @@
     #[test]
     fn reads_written_messages_for_any_split_of_the_stream(
         messages in vec(message(), 0..6),
-        sizes in vec(1_usize..200, 1..5),
+        chunk_sizes in vec(1_usize..200, 1..5),
     ) {
         let bytes: Vec<u8> = messages.iter().flat_map(|m| encode(m).expect("short enough")).collect();
-        let (received_messages, end) = read_all(bytes, sizes);
+        let (received_messages, end) = read_all(bytes, chunk_sizes);
         prop_assert_eq!(received_messages, messages);
         prop_assert!(end.is_ok());
     }
@@ -72,24 +72,24 @@
     #[test]
     fn reports_truncation_after_the_complete_messages(
         messages in vec(message(), 1..4),
-        cut in any::<prop::sample::Index>(),
-        sizes in vec(1_usize..200, 1..5),
+        truncation in any::<prop::sample::Index>(),
+        chunk_sizes in vec(1_usize..200, 1..5),
     ) {
         let frames: Vec<Vec<u8>> = messages.iter().map(|m| encode(m).expect("short enough")).collect();
         let (last, before) = frames.split_last().expect("at least one");
-        // The cut is after its first byte and before its last one.
-        let received = 1 + cut.index(last.len() - 1);
+        // The last frame is truncated after its first byte at the earliest and before its last byte.
+        let received = 1 + truncation.index(last.len() - 1);
         let mut bytes = before.concat();
         bytes.extend_from_slice(&last[..received]);
-        let (received_messages, end) = read_all(bytes, sizes);
+        let (received_messages, end) = read_all(bytes, chunk_sizes);
         prop_assert_eq!(received_messages.as_slice(), &messages[..before.len()]);
-        let cut_off = matches!(end, Err(CodecError::Truncated { received: r }) if r == received);
-        prop_assert!(cut_off, "{:?}", end);
+        let is_truncated = matches!(end, Err(CodecError::Truncated { received: r }) if r == received);
+        prop_assert!(is_truncated, "{:?}", end);
     }
 
     #[test]
     fn decodes_arbitrary_bytes_to_an_error_or_an_encodable_message(bytes in vec(any::<u8>(), 0..400)) {
-        // A message that these bytes happen to encode can be encoded again; nothing panics.
+        // If the bytes happen to decode to a message, the message round-trips. Nothing panics.
         if let Ok(message) = decode(&bytes) {
             let encoded = encode(&message).expect("short enough");
             prop_assert_eq!(decode(&encoded[4..]).expect("encodable"), message);
@@ -99,11 +99,11 @@
 
     #[test]
     fn does_not_panic_on_a_corrupted_byte(
-        message in message(), at in any::<prop::sample::Index>(), byte in any::<u8>(),
+        message in message(), index in any::<prop::sample::Index>(), byte in any::<u8>(),
     ) {
         let mut bytes = encode(&message).expect("short enough");
-        let at = at.index(bytes.len());
-        bytes[at] = byte;
+        let index = index.index(bytes.len());
+        bytes[index] = byte;
         let (received_messages, end) = read_all(bytes, vec![64]);
         prop_assert!(received_messages.len() <= 1 || end.is_err(), "one frame is never read as several messages");
     }
@@ -123,8 +123,8 @@
         prop_assert_eq!(decode_backend_body(&body), Ok(backend));
         let mut longer = body.to_vec();
         longer.push(0);
-        let left_over = matches!(decode_backend_body(&longer), Err(BodyError::Malformed { .. }));
-        prop_assert!(left_over);
+        let is_malformed = matches!(decode_backend_body(&longer), Err(BodyError::Malformed { .. }));
+        prop_assert!(is_malformed);
         let _ = decode_backend_body(&garbage);
     }
 }
@@ -136,12 +136,13 @@
 #[test]
 fn rejects_messages_over_the_length_limit_when_writing_and_reading() {
     let close = |bytes| Message::Close { reason: "x".repeat(bytes) };
-    // One byte for the variant, three for the length of the text.
-    let longest = MAX_MESSAGE_BYTES - 4;
-    assert_eq!(body_of(&close(longest)).len(), MAX_MESSAGE_BYTES);
-    let (received_messages, end) = read_all(encode(&close(longest)).expect("just fits"), vec![100_000]);
-    assert_eq!((received_messages, end.is_ok()), (vec![close(longest)], true));
-    let error = encode(&close(longest + 1)).expect_err("too long");
+    // The variant takes one byte, the length of the text three.
+    let max_reason_bytes = MAX_MESSAGE_BYTES - 4;
+    assert_eq!(body_of(&close(max_reason_bytes)).len(), MAX_MESSAGE_BYTES);
+    let (received_messages, end) =
+        read_all(encode(&close(max_reason_bytes)).expect("exactly at the limit"), vec![100_000]);
+    assert_eq!((received_messages, end.is_ok()), (vec![close(max_reason_bytes)], true));
+    let error = encode(&close(max_reason_bytes + 1)).expect_err("too long");
     assert!(
         matches!(error, CodecError::TooLong { bytes, max: MAX_MESSAGE_BYTES } if bytes == MAX_MESSAGE_BYTES + 1)
     );
@@ -164,8 +165,8 @@
     }
 }
 
-/// Hello and Welcome keep their variant numbers and begin with the version in every protocol version: else nodes of two
-/// versions could not report the mismatch.
+/// `Hello` and `Welcome` have the same variant numbers and begin with the version in every protocol version:
+/// otherwise nodes of two versions could not report the mismatch.
 #[test]
 fn reports_a_protocol_mismatch_regardless_of_the_remaining_bytes() {
     let hello = Message::Hello {
@@ -179,10 +180,10 @@
         let bytes = body_of(&message);
         assert_eq!(decode(&bytes).expect("this version"), message);
         let theirs = PROTOCOL_VERSION + 1;
-        let mut other = vec![bytes[0]];
-        other.push(u8::try_from(theirs).expect("one byte"));
-        other.extend_from_slice(b"\xff\xfe the rest in that version");
-        let error = decode(&other).expect_err("another version");
+        let mut other_version = vec![bytes[0]];
+        other_version.push(u8::try_from(theirs).expect("one byte"));
+        other_version.extend_from_slice(b"\xff\xfe the rest in that version");
+        let error = decode(&other_version).expect_err("another version");
         assert!(matches!(error, CodecError::ProtocolMismatch { theirs: t } if t == theirs), "{error}");
         assert!(
             error
@@ -196,18 +197,18 @@
 fn rejects_trailing_bytes() {
     let mut bytes = body_of(&Message::Heartbeat);
     bytes.extend_from_slice(b"ab");
-    let error = decode(&bytes).expect_err("too much");
+    let error = decode(&bytes).expect_err("trailing bytes");
     assert!(
         matches!(&error, CodecError::Malformed { bytes: 3, problem } if problem.to_string() == "2 bytes are left over"),
         "{error}"
     );
 }
 
-/// The encoded length of a list does not make the decoder allocate memory before the entries are read.
+/// The decoder does not allocate memory for the encoded length of a list before it has read the entries.
 #[test]
 fn rejects_a_list_longer_than_its_bytes() {
     let mut bytes = body_of(&Message::SnapshotRequest { source: 1, services: Vec::new() });
-    assert_eq!(bytes.pop(), Some(0), "the length of the list is last");
+    assert_eq!(bytes.pop(), Some(0), "the length of the list is the last byte");
     // u64::MAX as a varint.
     bytes.extend_from_slice(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
     assert!(matches!(decode(&bytes), Err(CodecError::Malformed { .. })));
@@ -233,8 +234,8 @@
 
 #[tokio::test]
 async fn counts_bytes_read_and_written() {
-    let (ours, theirs) = tokio::io::duplex(1 << 20);
-    let (mut writer, mut reader) = (FrameWriter::new(ours), FrameReader::new(theirs));
+    let (local, remote) = tokio::io::duplex(1 << 20);
+    let (mut writer, mut reader) = (FrameWriter::new(local), FrameReader::new(remote));
     let message = Message::Close { reason: "counted".into() };
     for _ in 0..3 {
         writer.write(&message).await.expect("written");
--- a/crates/control-plane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -1,4 +1,4 @@
-//! Errors in the configuration name the key.
+//! The configuration file: defaults, and errors that name the file and the key.
 
 use control_plane::config::{Config, RateLimitConfig};
 use std::path::Path;
@@ -15,19 +15,23 @@
 #[test]
 fn deployed_configuration_is_valid_and_has_the_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/control.toml");
-    let config = Config::from_file(&path).expect("good");
+    let config = Config::from_file(&path).expect("valid");
     assert_eq!(config.rate_limit, RateLimitConfig::default());
-    let minimal = parse(&format!("{SOURCE}{RELAY}{AGENT}")).expect("good");
+    let minimal = parse(&format!("{SOURCE}{RELAY}{AGENT}")).expect("valid");
     let (deployed, minimal) =
         ((config.source, config.relay, config.agent), (minimal.source, minimal.relay, minimal.agent));
     let (source, relay, agent) =
-        (deployed.0.expect("one"), deployed.1.expect("one"), deployed.2.expect("one"));
-    let (s, r, a) = (minimal.0.expect("one"), minimal.1.expect("one"), minimal.2.expect("one"));
+        (deployed.0.expect("[source]"), deployed.1.expect("[relay]"), deployed.2.expect("[agent]"));
+    let (default_source, default_relay, default_agent) =
+        (minimal.0.expect("[source]"), minimal.1.expect("[relay]"), minimal.2.expect("[agent]"));
     assert_eq!(
         (source.snapshot_interval_ms, source.max_connections),
-        (s.snapshot_interval_ms, s.max_connections)
+        (default_source.snapshot_interval_ms, default_source.max_connections)
+    );
+    assert_eq!(
+        (relay.max_connections, agent.max_connections),
+        (default_relay.max_connections, default_agent.max_connections)
     );
-    assert_eq!((relay.max_connections, agent.max_connections), (r.max_connections, a.max_connections));
 }
 
 #[test]
@@ -92,6 +96,6 @@
 
 #[test]
 fn reports_a_missing_file() {
-    let error = Config::from_file(Path::new("/nowhere/control.toml")).expect_err("none").to_string();
+    let error = Config::from_file(Path::new("/nowhere/control.toml")).expect_err("no such file").to_string();
     assert!(error.starts_with("cannot read /nowhere/control.toml: "), "{error}");
 }
--- a/crates/control-plane/tests/discovery_list.rs
+++ b/crates/control-plane/tests/discovery_list.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const START: u64 = 1_000_000;
+/// The revision of the empty list.
+const INITIAL_REVISION: u64 = 1_000_000;
 
 fn backend(port: u16) -> Backend {
     Backend {
@@ -22,29 +23,32 @@
     }
 }
 
-fn applied(service: u32, name: &str, state: State, body: Arc<[u8]>) -> AppliedRecord {
+/// A record of a backend as a replica reports it.
+fn applied_record(service: u32, name: &str, state: State, body: Arc<[u8]>) -> AppliedRecord {
     let key = Key { service, kind: Kind::Backend, name: name.into() };
     let version = Version { epoch: 1, revision: 1 };
     AppliedRecord { record: Record { key, version, state, body }, previous: None }
 }
 
-fn at(name: &str, state: State, port: u16) -> AppliedRecord {
+/// A record of a backend of service 1 on a port.
+fn backend_record(name: &str, state: State, port: u16) -> AppliedRecord {
     let body = if state == State::Gone { Arc::from([]) } else { encode_backend_body(&backend(port)) };
-    applied(1, name, state, body)
+    applied_record(1, name, state, body)
 }
 
-fn ids(list: &DiscoveryList, after: u64) -> (bool, Vec<(String, Phase)>) {
+/// The members that a request for changes after a revision returns, and whether the list is complete.
+fn changed_ids(list: &DiscoveryList, after: u64) -> (bool, Vec<(String, Phase)>) {
     let response = list.changes_after(after);
     (response.complete, response.members.iter().map(|m| (m.id.clone(), m.phase)).collect())
 }
 
 #[test]
 fn serializes_an_entry_in_the_discovery_protocol() {
-    let mut list = DiscoveryList::new(true, START);
-    assert_eq!(list.apply(&at("s-1", State::Draining, 3000)), Ok(true));
+    let mut list = DiscoveryList::new(true, INITIAL_REVISION);
+    assert_eq!(list.apply(&backend_record("s-1", State::Draining, 3000)), Ok(true));
     let json = serde_json::to_value(list.snapshot()).expect("json");
     let expected = serde_json::json!({
-        "revision": START + 1,
+        "revision": INITIAL_REVISION + 1,
         "complete": true,
         "members": [{
             "id": "s-1", "host_port": "127.0.0.1:3000", "locality": "a", "flavor": "m", "cell": 3,
@@ -56,68 +60,73 @@
 
 #[test]
 fn sends_the_complete_list_for_an_unknown_revision() {
-    let mut list = DiscoveryList::new(true, START);
+    let mut list = DiscoveryList::new(true, INITIAL_REVISION);
     for name in ["a", "b"] {
-        list.apply(&at(name, State::Active, 1)).expect("a backend");
+        list.apply(&backend_record(name, State::Active, 1)).expect("a backend");
     }
     let complete_list = vec![("a".to_owned(), Phase::Active), ("b".to_owned(), Phase::Active)];
-    for after in [0, 41, START - 1, START + 3, u64::MAX] {
-        assert_eq!(ids(&list, after), (true, complete_list.clone()), "after {after}");
+    for after in [0, 41, INITIAL_REVISION - 1, INITIAL_REVISION + 3, u64::MAX] {
+        assert_eq!(changed_ids(&list, after), (true, complete_list.clone()), "after {after}");
     }
-    assert_eq!(ids(&list, START), (false, complete_list));
-    assert_eq!(ids(&list, START + 1), (false, vec![("b".to_owned(), Phase::Active)]));
-    assert_eq!(ids(&list, START + 2), (false, Vec::new()));
+    assert_eq!(changed_ids(&list, INITIAL_REVISION), (false, complete_list));
+    assert_eq!(changed_ids(&list, INITIAL_REVISION + 1), (false, vec![("b".to_owned(), Phase::Active)]));
+    assert_eq!(changed_ids(&list, INITIAL_REVISION + 2), (false, Vec::new()));
 }
 
 #[test]
 fn lists_removed_entries_among_changes_only_and_drops_the_oldest() {
-    let mut list = DiscoveryList::new(true, START);
-    list.apply(&at("stays", State::Active, 1)).expect("a backend");
+    let mut list = DiscoveryList::new(true, INITIAL_REVISION);
+    list.apply(&backend_record("stays", State::Active, 1)).expect("a backend");
     for round in 0..MAX_REMOVED_ENTRIES + 10 {
         let name = format!("s-{round}");
-        list.apply(&at(&name, State::Active, 1)).expect("a backend");
-        list.apply(&at(&name, State::Gone, 1)).expect("a tombstone");
+        list.apply(&backend_record(&name, State::Active, 1)).expect("a backend");
+        list.apply(&backend_record(&name, State::Gone, 1)).expect("a tombstone");
     }
-    let stays = ("stays".to_owned(), Phase::Active);
-    assert_eq!(ids(&list, 0), (true, vec![stays.clone()]));
-    // Ten removed entries were dropped: a request from before one of them gets the complete list.
-    assert_eq!(ids(&list, START + 1), (true, vec![stays]));
+    let remaining = ("stays".to_owned(), Phase::Active);
+    assert_eq!(changed_ids(&list, 0), (true, vec![remaining.clone()]));
+    // Ten removed entries were dropped. A request for changes from before them returns the complete list.
+    assert_eq!(changed_ids(&list, INITIAL_REVISION + 1), (true, vec![remaining]));
     let revision = list.revision();
-    let (complete, left) = ids(&list, revision - 2 * 100);
-    assert!(!complete && left.len() == 100 && left.iter().all(|(_, phase)| *phase == Phase::Left));
+    let (complete, removed) = changed_ids(&list, revision - 2 * 100);
+    assert!(!complete && removed.len() == 100 && removed.iter().all(|(_, phase)| *phase == Phase::Left));
 }
 
 #[test]
 fn ignores_records_without_effect() {
-    let mut list = DiscoveryList::new(true, START);
-    assert_eq!(list.apply(&at("a", State::Active, 1)), Ok(true));
-    assert_eq!(list.apply(&at("a", State::Active, 1)), Ok(false));
-    assert_eq!(list.apply(&at("never", State::Gone, 1)), Ok(false));
-    let mut route = at("a", State::Gone, 1);
+    let mut list = DiscoveryList::new(true, INITIAL_REVISION);
+    assert_eq!(list.apply(&backend_record("a", State::Active, 1)), Ok(true));
+    assert_eq!(list.apply(&backend_record("a", State::Active, 1)), Ok(false));
+    assert_eq!(list.apply(&backend_record("never", State::Gone, 1)), Ok(false));
+    let mut route = backend_record("a", State::Gone, 1);
     route.record.key.kind = Kind::Route;
     assert_eq!(list.apply(&route), Ok(false));
-    assert_eq!(list.revision(), START + 1);
+    assert_eq!(list.revision(), INITIAL_REVISION + 1);
 }
 
 #[test]
-fn keeps_and_drains_an_entry_whose_new_body_is_malformed() {
-    let mut list = DiscoveryList::new(true, START);
-    list.apply(&at("a", State::Active, 7)).expect("a backend");
-    let bad = |state| applied(1, "a", state, Arc::from(&b"\xff"[..]));
-    assert!(list.apply(&bad(State::Active)).is_err());
-    assert_eq!(list.revision(), START + 1);
-    assert!(list.apply(&bad(State::Draining)).is_err());
-    assert_eq!(ids(&list, START + 1), (false, vec![("a".to_owned(), Phase::Leaving)]));
-    assert!(list.apply(&applied(1, "b", State::Active, Arc::from(&b"\xff"[..]))).is_err());
+fn malformed_body_does_not_replace_an_entry_but_its_drain_is_applied() {
+    let mut list = DiscoveryList::new(true, INITIAL_REVISION);
+    list.apply(&backend_record("a", State::Active, 7)).expect("a backend");
+    let malformed = |state| applied_record(1, "a", state, Arc::from(&b"\xff"[..]));
+    assert!(list.apply(&malformed(State::Active)).is_err());
+    assert_eq!(list.revision(), INITIAL_REVISION + 1);
+    assert!(list.apply(&malformed(State::Draining)).is_err());
+    assert_eq!(changed_ids(&list, INITIAL_REVISION + 1), (false, vec![("a".to_owned(), Phase::Leaving)]));
+    assert!(list.apply(&applied_record(1, "b", State::Active, Arc::from(&b"\xff"[..]))).is_err());
     assert_eq!(list.snapshot().members.len(), 1);
 }
 
 #[test]
 fn ids_include_the_service_when_there_are_several() {
-    let mut list = DiscoveryList::new(false, START);
+    let mut list = DiscoveryList::new(false, INITIAL_REVISION);
     for service in [1, 2] {
-        list.apply(&applied(service, "a", State::Active, encode_backend_body(&backend(service as u16))))
-            .expect("one");
+        list.apply(&applied_record(
+            service,
+            "a",
+            State::Active,
+            encode_backend_body(&backend(service as u16)),
+        ))
+        .expect("a backend");
     }
     let complete_list = list.snapshot();
     let ids: Vec<_> = complete_list.members.iter().map(|m| (m.id.as_str(), m.address.as_str())).collect();
@@ -125,12 +134,12 @@
 }
 
 proptest! {
-    /// A client that requests changes at arbitrary times has the same entries as the complete list.
+    /// A client that applies the changes at arbitrary times has the same entries as the complete list.
     #[test]
     fn changes_after_any_revision_reproduce_the_complete_list(
         steps in vec((0_u8..6, 0_u8..3, 1_u16..4, any::<bool>()), 0..80),
     ) {
-        let mut list = DiscoveryList::new(true, START);
+        let mut list = DiscoveryList::new(true, INITIAL_REVISION);
         let (mut known, mut after) = (BTreeMap::new(), 0);
         let mut watch = |list: &DiscoveryList| {
             let response = list.changes_after(after);
@@ -147,10 +156,10 @@
             let complete_list = list.snapshot().members.into_iter().map(|m| (m.id.clone(), m.clone()));
             (known.clone(), complete_list.collect::<BTreeMap<_, _>>())
         };
-        for (name, state, port, asks) in steps {
+        for (name, state, port, requests_changes) in steps {
             let state = [State::Active, State::Draining, State::Gone][usize::from(state)];
-            list.apply(&at(&format!("s-{name}"), state, port)).expect("a backend");
-            if asks {
+            list.apply(&backend_record(&format!("s-{name}"), state, port)).expect("a backend");
+            if requests_changes {
                 let (known, complete_list) = watch(&list);
                 prop_assert_eq!(known, complete_list);
             }
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Which relay a node connects to, and when.
+//! Failover between relays: which relay a node connects to, and when.
 
 use control_plane::Millis;
 use control_plane::failover::{Action, Failover};
@@ -15,7 +15,7 @@
             match failover.next_action(now) {
                 Action::Connect(relay) => break relay,
                 Action::WaitUntil(until) => {
-                    assert!(until > now, "a wait in the past would loop for ever");
+                    assert!(until > now, "a wait in the past would loop endlessly");
                     now = until;
                 }
             }
@@ -34,11 +34,12 @@
 fn subscribers_of_a_lost_relay_spread_over_the_others() {
     let relays = names("relay", 20);
     let agents = names("agent", 5_200);
-    let mut selections: Vec<Failover> =
+    let mut failovers: Vec<Failover> =
         agents.iter().zip(0..).map(|(name, seed)| Failover::new(name, &relays, seed)).collect();
+    // Connected subscribers by relay.
     let mut load = vec![0_usize; 20];
     let mut current = Vec::new();
-    for failover in &mut selections {
+    for failover in &mut failovers {
         let (relay, at, attempts) = connect(failover, |_| true, 0);
         assert!(at <= 300 && attempts == 1);
         load[relay] += 1;
@@ -46,25 +47,28 @@
     }
     // 260 on average; five standard deviations of a random choice (16) on either side.
     assert!(load.iter().all(|load| (180..=340).contains(load)), "{load:?}");
-    let lost = 7;
+    let lost_relay = 7;
     let before = load.clone();
-    let mut times = Vec::new();
-    for (failover, relay) in selections.iter_mut().zip(&current).filter(|(_, relay)| **relay == lost) {
+    let mut delays_ms = Vec::new();
+    for (failover, relay) in failovers.iter_mut().zip(&current).filter(|(_, relay)| **relay == lost_relay) {
         failover.on_lost(60_000);
-        let (next, at, attempts) = connect(failover, |relay| relay != lost, 60_000);
+        let (next, at, attempts) = connect(failover, |relay| relay != lost_relay, 60_000);
         assert!(next != *relay && attempts <= 2);
         load[next] += 1;
-        times.push(at - 60_000);
+        delays_ms.push(at - 60_000);
     }
-    for (index, (load, before)) in load.iter().zip(&before).enumerate().filter(|(index, _)| *index != lost) {
-        let more = load - before;
-        assert!(more <= 35, "relay {index} got {more} of {before} at once, 14 on average");
+    for (index, (load, before)) in
+        load.iter().zip(&before).enumerate().filter(|(index, _)| *index != lost_relay)
+    {
+        let added = load - before;
+        assert!(added <= 35, "relay {index} with {before} subscribers got {added} more, 14 on average");
     }
-    // Within half a second, and less than a third of them in any tenth of it.
-    assert!(times.iter().all(|time| *time <= 1_000));
-    for tenth in 0..5 {
-        let here = times.iter().filter(|time| (tenth * 100..(tenth + 1) * 100).contains(*time)).count();
-        assert!(here * 10 <= times.len() * 3, "{here} of {} within a tenth of a second", times.len());
+    // All reconnect within a second, and at most 30 % of them in each 100 ms of the first 500 ms.
+    assert!(delays_ms.iter().all(|delay| *delay <= 1_000));
+    for interval in 0..5 {
+        let count =
+            delays_ms.iter().filter(|delay| (interval * 100..(interval + 1) * 100).contains(*delay)).count();
+        assert!(count * 10 <= delays_ms.len() * 3, "{count} of {} within 100 ms", delays_ms.len());
     }
 }
 
@@ -103,7 +107,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// While no relay responds, all are tried in turn with growing delays.
+    /// While no relay responds, all are tried in rotation with increasing delays.
     #[test]
     fn backs_off_while_no_relay_responds(count in 1..8_usize, seed in any::<u64>()) {
         let relays = names("relay", count);
@@ -124,9 +128,9 @@
         }
         let (min, max) = (attempts.iter().min().expect("some"), attempts.iter().max().expect("some"));
         prop_assert!(*max <= min + 1, "{:?}", attempts);
-        // On average a round takes at least a second, and half a second for each relay.
+        // After the first, shorter backoffs a rotation takes a second or more, and on average 250 ms per relay.
         prop_assert!(attempts.iter().sum::<u32>() <= 120 * 4 + 20, "{:?}", attempts);
-        // Each relay is retried within seconds: the longest backoff, and half a second for each relay.
+        // Each relay is retried within the maximum backoff and half a second per relay.
         prop_assert!(u64::from(*min) >= 120_000 / (2_000 + 500 * count as u64) - 1, "{:?}", attempts);
     }
 
@@ -157,22 +161,22 @@
 }
 
 #[test]
-fn waits_without_relays() {
+fn waits_if_there_are_no_relays() {
     let mut failover = Failover::new("agent", &[], 1);
     assert!(matches!(failover.next_action(5), Action::WaitUntil(until) if until > 5));
     failover.on_lost(5);
     assert!(matches!(failover.next_action(6), Action::WaitUntil(until) if until > 6));
 }
 
-/// The same name and relays give the same order with any seed.
+/// The order depends on the names of the node and the relays, not on the seed.
 #[test]
 fn order_depends_on_names_only() {
     let relays = names("relay", 8);
-    let one = Failover::new("agent", &relays, 1);
-    assert_eq!(one.order(), Failover::new("agent", &relays, 2).order());
-    // With one more relay, the order of the others is unchanged.
-    let more = names("relay", 9);
-    let other = Failover::new("agent", &more, 1);
-    let common: Vec<usize> = other.order().iter().copied().filter(|index| *index < 8).collect();
-    assert_eq!(common, one.order());
+    let failover = Failover::new("agent", &relays, 1);
+    assert_eq!(failover.order(), Failover::new("agent", &relays, 2).order());
+    // An additional relay does not change the order of the others.
+    let more_relays = names("relay", 9);
+    let extended = Failover::new("agent", &more_relays, 1);
+    let common: Vec<usize> = extended.order().iter().copied().filter(|index| *index < 8).collect();
+    assert_eq!(common, failover.order());
 }
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the control plane: one frame of each message, the snapshot file, and the keys of the configuration.
+//! Golden files of the control plane: the frames of messages, the snapshot file, and the configuration keys.
 
 use control_plane::codec::{decode, encode, encode_backend_body};
 use control_plane::config::Config;
@@ -12,8 +12,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Bytes of the length before each message.
-const LENGTH_PREFIX: usize = 4;
+/// Length of the prefix before each message.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 fn golden() -> GoldenFiles {
     GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
@@ -42,7 +42,7 @@
     }
 }
 
-/// A record of every kind and in every state.
+/// Records of each kind and in each state.
 fn records() -> Vec<Record> {
     let record = |kind, name, revision, state, body: &[u8]| Record {
         key: key(kind, name),
@@ -134,19 +134,19 @@
 }
 
 #[test]
-fn frames_of_all_messages_keep_their_bytes() {
+fn frame_bytes_of_all_messages_are_unchanged() {
     let messages = messages();
     let frame = |message: &Message| encode(message).expect("short enough");
     let lines: Vec<String> =
         messages.iter().map(|(name, message)| format!("{name}: {}", hex(&frame(message)))).collect();
     golden().assert_lines("frames.txt", &lines);
     for (name, message) in messages {
-        let read = decode(&frame(&message)[LENGTH_PREFIX..]).expect(name);
-        assert_eq!(read, message, "{name}");
+        let decoded = decode(&frame(&message)[LENGTH_PREFIX_BYTES..]).expect(name);
+        assert_eq!(decoded, message, "{name}");
     }
 }
 
-/// An empty directory of one test, removed with it.
+/// The directory of one test, removed when this is dropped.
 struct Directory(PathBuf);
 
 impl Directory {
@@ -173,10 +173,10 @@
 }
 
 #[test]
-fn the_snapshot_file_keeps_its_bytes_and_names() {
+fn snapshot_file_bytes_and_names_are_unchanged() {
     let directory = Directory::new("snapshot");
     let path = directory.0.join("source-1.snapshot");
-    let _locked = lock(&path).expect("nobody else holds it");
+    let _lock = lock(&path).expect("not locked");
     let snapshot = Snapshot { source: 513, epoch: 9, head: version(70_000), records: records() };
     snapshot.write(&path).expect("written");
     golden().assert_bytes("source.snapshot", &fs::read(&path).expect("the file"));
@@ -184,7 +184,8 @@
     assert_eq!(directory.file_names(), ["source-1.snapshot", "source-1.snapshot.lock"]);
 }
 
-const EVERY_KEY: &str = r#"[source]
+/// A configuration with all keys.
+const ALL_KEYS: &str = r#"[source]
 id = 5
 name = "region-5"
 listen = "127.0.0.1:7101"
@@ -219,14 +220,14 @@
 relay_burst = 1004
 "#;
 
-/// Each section refuses a key that it does not know, and its error names all keys that it does.
+/// Each section rejects an unknown key, and the error lists all known keys.
 #[test]
-fn the_keys_of_the_configuration_keep_their_names() {
-    Config::parse(EVERY_KEY, Path::new("control.toml")).expect("good");
+fn configuration_keys_are_unchanged() {
+    Config::parse(ALL_KEYS, Path::new("control.toml")).expect("valid");
     let sections = ["[source]", "[relay]", "[[relay.sources]]", "[agent]", "[[agent.relays]]", "[pace]"];
     let mut lines: Vec<String> = Vec::new();
-    for text in std::iter::once(format!("unknown = 1\n{EVERY_KEY}"))
-        .chain(sections.iter().map(|section| EVERY_KEY.replace(section, &format!("{section}\nunknown = 1"))))
+    for text in std::iter::once(format!("unknown = 1\n{ALL_KEYS}"))
+        .chain(sections.iter().map(|section| ALL_KEYS.replace(section, &format!("{section}\nunknown = 1"))))
     {
         lines.push(Config::parse(&text, Path::new("control.toml")).expect_err("unknown").to_string());
     }
--- a/crates/control-plane/tests/message.rs
+++ b/crates/control-plane/tests/message.rs
@@ -9,17 +9,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Encoded messages round-trip; a truncated one is an error and never another message.
+    /// Encoded messages round-trip, and a truncated message never decodes to another one.
     #[test]
     fn decodes_encoded_messages_and_rejects_truncated_ones(message in message()) {
         let bytes = postcard::to_stdvec(&message).expect("encodable");
         prop_assert_eq!(postcard::from_bytes::<Message>(&bytes).expect("decodable"), message);
-        for cut in 0..bytes.len() {
-            prop_assert!(postcard::from_bytes::<Message>(&bytes[..cut]).is_err(), "cut at {}", cut);
+        for length in 0..bytes.len() {
+            prop_assert!(postcard::from_bytes::<Message>(&bytes[..length]).is_err(), "truncated to {} bytes", length);
         }
     }
 
-    /// Arbitrary bytes are an error or a message no longer than the bytes.
+    /// Arbitrary bytes decode to an error, or to a message whose encoding is no longer than these bytes.
     #[test]
     fn decodes_arbitrary_bytes_within_their_size(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(message) = postcard::from_bytes::<Message>(&bytes) {
--- a/crates/control-plane/tests/processes/commands.rs
+++ b/crates/control-plane/tests/processes/commands.rs
@@ -1,4 +1,4 @@
-//! Start and end of the processes, and the operators' commands.
+//! Start and end of the processes, and the commands of operators.
 
 use super::support::*;
 use control_plane::record::State::Active;
@@ -12,7 +12,7 @@
 
 #[test]
 fn sigterm_exits_with_code_0_and_persists_all_changes() {
-    let mut region = Region::new("ends", 1);
+    let mut region = Region::new("sigterm", 1);
     region.extra_keys.insert("source", "snapshot_every_ms = 3600000".into());
     let (mut source, mut relay) = (region.start_source(), region.start_relay(0));
     let (mut agent, discovery) = region.start_agent("a", &[1]);
@@ -22,18 +22,18 @@
         process.signal("TERM");
         assert_eq!(process.wait_for_exit().code(), Some(0));
     }
-    let persisted = read(&region.snapshot(), 1).expect("good").expect("a file");
+    let persisted = read(&region.snapshot(), 1).expect("valid").expect("a file");
     assert_eq!((persisted.head, persisted.records.len()), (last, 2));
 }
 
 #[test]
 fn persists_changes_while_the_source_runs() {
-    let mut region = Region::new("kept", 1);
+    let mut region = Region::new("persisted", 1);
     region.extra_keys.insert("source", "snapshot_every_ms = 20".into());
     let source = region.start_source();
     let last = ChangeWriter::new(region.source).set(1, &[("a-1", Active)]);
     wait_for("the snapshot", || {
-        let persisted = read(&region.snapshot(), 1).expect("never an incomplete file").expect("a file");
+        let persisted = read(&region.snapshot(), 1).expect("a complete file at any time").expect("a file");
         (persisted.head == last).then_some(())
     });
     source.kill();
@@ -64,7 +64,7 @@
 
 #[test]
 fn reports_a_locked_snapshot_and_an_address_in_use() {
-    let mut region = Region::new("twice", 1);
+    let mut region = Region::new("in-use", 1);
     let _source = region.start_source();
     region.source = address();
     let mut second_source = Process::spawn("source", &region.source_config());
@@ -94,10 +94,14 @@
         "{stderr}"
     );
 
-    let missing =
+    let without_section =
         run_program(&["agent", "--config", directory.write("none.toml", "").to_str().expect("text")]);
-    assert_eq!(missing.status.code(), Some(1));
-    assert!(text(&missing.stderr).contains("there is no section `[agent]`"), "{}", text(&missing.stderr));
+    assert_eq!(without_section.status.code(), Some(1));
+    assert!(
+        text(&without_section.stderr).contains("there is no section `[agent]`"),
+        "{}",
+        text(&without_section.stderr)
+    );
 }
 
 #[test]
@@ -111,25 +115,30 @@
         let path = path.to_str().expect("text").to_owned();
         run_program(&[&["write", "--source", &source], options, &[&path]].concat())
     };
-    let one = |name: &str, state: &str| {
+    let backend_entry = |name: &str, state: &str| {
         format!(
             r#"{{"service":7,"kind":"backend","name":"{name}","state":"{state}","backend":{{"address":"127.0.0.1:3000","locality":"a","flavor":"m","cell":1,"size":1.0,"up_since_ms":0}}}}"#
         )
     };
-    let written = write(&format!("[{},{}]", one("s-1", "active"), one("s-2", "draining")), &[]);
+    let written =
+        write(&format!("[{},{}]", backend_entry("s-1", "active"), backend_entry("s-2", "draining")), &[]);
     assert_eq!(written.status.code(), Some(0), "{}", text(&written.stderr));
     assert!(text(&written.stdout).starts_with("2 changes made, the last is change 2 of epoch "));
     let mut proxy = Proxy::new(discovery);
-    proxy.wait_for_exactly("what was written", &[("s-1", "active"), ("s-2", "leaving")]);
+    proxy.wait_for_exactly("the written backends", &[("s-1", "active"), ("s-2", "leaving")]);
     let removed = write(r#"[{"service":7,"kind":"backend","name":"s-1","state":"gone"}]"#, &["--parts"]);
     assert_eq!(removed.status.code(), Some(0), "{}", text(&removed.stderr));
-    proxy.wait_for_exactly("one removed", &[("s-2", "leaving")]);
+    proxy.wait_for_exactly("the removal", &[("s-2", "leaving")]);
 
-    let long = format!(
+    let too_long_name = format!(
         "[{{\"service\":7,\"kind\":\"route\",\"name\":\"{}\",\"state\":\"active\",\"body\":\"x\"}}]",
         "n".repeat(300)
     );
-    let second_invalid = format!("[{},{}]", one("s-9", "active"), one("s-8", "active").replace("1.0", "0.0"));
+    let second_invalid = format!(
+        "[{},{}]",
+        backend_entry("s-9", "active"),
+        backend_entry("s-8", "active").replace("1.0", "0.0")
+    );
     for (json, expected) in [
         ("{}", "changes.json: `.`: invalid type: map"),
         (r#"[{"service":-1}]"#, "changes.json: `[0].service`: invalid value"),
@@ -143,15 +152,15 @@
             "`[0]`: `x` is gone; leave out",
         ),
         (second_invalid.as_str(), "`[1]`: `backend.size` of `s-8` is 0, must be above 0"),
-        (long.as_str(), "the source refused: the name of `nnn"),
+        (too_long_name.as_str(), "the source refused: the name of `nnn"),
     ] {
         let rejected = write(json, &[]);
         assert_eq!(rejected.status.code(), Some(1), "{json}");
         assert!(text(&rejected.stderr).contains(expected), "{json}: {}", text(&rejected.stderr));
     }
-    // None of the changes in the partly valid file was applied: the next change is the only one that arrives.
-    assert_eq!(write(&format!("[{}]", one("s-3", "active")), &[]).status.code(), Some(0));
-    proxy.wait_until("the next", |backends| backends.contains_key("s-3"));
+    // No change of the file with one invalid entry was applied: only the next write adds a backend.
+    assert_eq!(write(&format!("[{}]", backend_entry("s-3", "active")), &[]).status.code(), Some(0));
+    proxy.wait_until("the next change", |backends| backends.contains_key("s-3"));
     assert_eq!(proxy.backends.len(), 2, "{:?}", proxy.backends);
 
     let unreachable = run_program(&[
--- a/crates/control-plane/tests/processes/faults.rs
+++ b/crates/control-plane/tests/processes/faults.rs
@@ -1,11 +1,11 @@
-//! Failures of relays and sources: killed, suspended, and restarted with fewer changes.
+//! Failures of relays and sources: killed, suspended, and restarted without their last changes.
 
 use super::support::*;
 use control_plane::record::State::{Active, Draining, Gone};
 
 #[test]
 fn agent_fails_over_from_a_killed_relay_without_loss() {
-    let region = Region::new("killed", 2);
+    let region = Region::new("relay-killed", 2);
     let _source = region.start_source();
     let mut relays = [Some(region.start_relay(0)), Some(region.start_relay(1))];
     let mut writer = ChangeWriter::new(region.source);
@@ -20,22 +20,22 @@
     let (second, lines) = region.wait_for_relay(&agent, lines);
     assert_ne!(second, first);
     let changed = [("a-1", "leaving"), ("a-3", "active"), ("a-4", "active")];
-    proxy.wait_for_exactly("the changes meanwhile", &changed);
-    // The list stayed, and the changes were received as changes.
+    proxy.wait_for_exactly("the changes during the failover", &changed);
+    // The proxy received only the changes, not a second complete list.
     assert_eq!(proxy.complete_lists, 1);
 
-    // Failover back to a relay that has just started without records.
+    // Failover back to the first relay, which has just restarted without records.
     let _restarted = region.start_relay(first);
     relays[second].take().expect("it runs").kill();
     writer.set(1, &[("a-1", Gone), ("a-5", Active)]);
     assert_eq!(region.wait_for_relay(&agent, lines).0, first);
-    proxy.wait_for_exactly("the rest", &[("a-3", "active"), ("a-4", "active"), ("a-5", "active")]);
+    proxy.wait_for_exactly("the last changes", &[("a-3", "active"), ("a-4", "active"), ("a-5", "active")]);
     assert_eq!(proxy.complete_lists, 1);
 }
 
 #[test]
 fn stalled_relay_does_not_undo_newer_changes() {
-    let region = Region::new("stalled", 2);
+    let region = Region::new("relay-stalled", 2);
     let _source = region.start_source();
     let mut relays = [Some(region.start_relay(0)), Some(region.start_relay(1))];
     let mut writer = ChangeWriter::new(region.source);
@@ -51,7 +51,7 @@
     let (second, lines) = region.wait_for_relay(&agent, lines);
     proxy.wait_for_exactly("the records of the other relay", &[("a-1", "leaving"), ("a-3", "active")]);
 
-    // The stalled relay only has old records, and is the only one left.
+    // The stalled relay has only old records, and is the only running one.
     let before = proxy.received.len();
     relays[second].take().expect("it runs").kill();
     stalled.signal("CONT");
@@ -66,8 +66,8 @@
 
 #[test]
 fn source_restarted_without_its_last_changes_converges_everywhere() {
-    let mut region = Region::new("epoch", 2);
-    // The snapshot is only written at the start and the end.
+    let mut region = Region::new("source-restarted", 2);
+    // The snapshot is written only at the start and at the end.
     region.extra_keys.insert("source", "snapshot_every_ms = 3600000".into());
     let mut source = region.start_source();
     let _relays = [region.start_relay(0), region.start_relay(1)];
@@ -95,7 +95,7 @@
         let all = [("a-1", "active"), ("a-2", "active"), ("a-3", "leaving")];
         proxy.wait_for_exactly("the persisted records", &all);
     }
-    // Its revisions repeat, and its changes are applied nevertheless because of the new epoch.
+    // The source reuses the lost revisions. Its changes are applied because their epoch is newer.
     let mut writer = ChangeWriter::new(region.source);
     let next = writer.set(1, &[("a-1", Gone), ("a-4", Draining)]);
     assert!(next.epoch > lost.epoch);
@@ -104,15 +104,15 @@
             "the next changes",
             &[("a-2", "active"), ("a-3", "leaving"), ("a-4", "leaving")],
         );
-        assert_eq!(proxy.complete_lists, 1, "repairs came as changes");
+        assert_eq!(proxy.complete_lists, 1, "repairs are sent as changes");
     }
 }
 
-/// While the source is unreachable, agents keep their records, agents that start meanwhile get those of the relays, and new
-/// changes arrive once the source is reachable again.
+/// While the source is unreachable, agents retain their records, and agents that start receive the records of
+/// the relays. New changes arrive once the source is reachable.
 #[test]
 fn relays_serve_replicated_records_while_a_source_is_unreachable() {
-    let region = Region::new("cut", 2);
+    let region = Region::new("source-unreachable", 2);
     let source = region.start_source();
     let relays = [region.start_relay(0), region.start_relay(1)];
     let mut writer = ChangeWriter::new(region.source);
@@ -134,7 +134,10 @@
     let mut writer = ChangeWriter::new(region.source);
     writer.set(1, &[("a-1", Draining), ("a-3", Active)]);
     for proxy in [&mut first, &mut late] {
-        proxy.wait_for_exactly("all", &[("a-1", "leaving"), ("a-2", "leaving"), ("a-3", "active")]);
+        proxy.wait_for_exactly(
+            "the new changes",
+            &[("a-1", "leaving"), ("a-2", "leaving"), ("a-3", "active")],
+        );
         assert_eq!(proxy.complete_lists, 1);
     }
 }
--- a/crates/control-plane/tests/processes/main.rs
+++ b/crates/control-plane/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Sources, relays and agents as processes over loopback, observed through the discovery protocol.
+//! Tests of sources, relays and agents as processes on loopback, observed through the discovery protocol.
 
 mod commands;
 mod faults;
@@ -20,8 +20,8 @@
     writer.set(1, &[("a-1", Active), ("a-2", Active)]);
     writer.set(2, &[("b-1", Active)]);
     let (_agent, discovery) = region.start_agent("one", &[1]);
-    let (_both, both) = region.start_agent("both", &[1, 2]);
-    let (mut one, mut both) = (Proxy::new(discovery), Proxy::new(both));
+    let (_agent_of_both, discovery_of_both) = region.start_agent("both", &[1, 2]);
+    let (mut one, mut both) = (Proxy::new(discovery), Proxy::new(discovery_of_both));
     one.wait_for_exactly("the initial records", &[("a-1", "active"), ("a-2", "active")]);
     both.wait_for_exactly("all services", &[("1/a-1", "active"), ("1/a-2", "active"), ("2/b-1", "active")]);
 
@@ -29,21 +29,21 @@
     writer.set(1, &[("a-1", Draining), ("a-3", Active), ("a-2", Gone)]);
     one.wait_for_exactly("the changes", &[("a-1", "leaving"), ("a-3", "active")]);
     let changed = [("1/a-1", "leaving"), ("1/a-3", "active"), ("2/b-1", "leaving"), ("2/b-2", "active")];
-    both.wait_for_exactly("the changes of both", &changed);
+    both.wait_for_exactly("the changes of both services", &changed);
     assert!(one.received.iter().all(|(id, _)| id.starts_with("a-")), "{:?}", one.received);
-    // They were received as changes, not as a new list.
+    // Each proxy received changes, not a second complete list.
     assert_eq!((one.complete_lists, both.complete_lists), (1, 1));
     assert!(one.received.contains(&("a-2".into(), "left".into())), "{:?}", one.received);
 }
 
 #[test]
-fn discovery_serves_the_list_once_it_is_complete_and_keeps_serving_it() {
+fn discovery_serves_the_list_once_it_is_complete_and_while_relays_are_lost() {
     let region = Region::new("ready", 1);
     let (agent, discovery) = region.start_agent("a", &[1]);
     assert_eq!(request_discovery(discovery, "/discovery/hosts").0, 503);
     let relay = region.start_relay(0);
     agent.wait_for_line("connected to relay");
-    // The relay has no records either.
+    // The relay has no records yet.
     assert_eq!(request_discovery(discovery, "/discovery/hosts").0, 503);
     let source = region.start_source();
     let mut proxy = Proxy::new(discovery);
@@ -51,7 +51,7 @@
     ChangeWriter::new(region.source).set(1, &[("a-1", Active)]);
     proxy.wait_for_exactly("the first backend", &[("a-1", "active")]);
 
-    // Without any relay the agent keeps serving its list.
+    // The agent continues to serve its list while no relay is reachable.
     source.kill();
     relay.kill();
     agent.wait_for_line("lost relay");
@@ -66,7 +66,7 @@
 
 #[test]
 fn rejects_invalid_queries_and_sends_the_complete_list_for_unknown_revisions() {
-    let region = Region::new("questions", 1);
+    let region = Region::new("queries", 1);
     let (_source, _relay) = (region.start_source(), region.start_relay(0));
     ChangeWriter::new(region.source).set(1, &[("a-1", Active)]);
     let (_agent, discovery) = region.start_agent("a", &[1]);
@@ -80,7 +80,8 @@
         let body = String::from_utf8(body).expect("text");
         assert!(actual == status && body.contains(expected), "{target}: {actual} {body}");
     }
-    // A revision of a former process, and an unknown one: the complete list is sent at once, regardless of `wait_ms`.
+    // A revision of a former process, and an unknown one: the complete list is sent immediately, regardless of
+    // `wait_ms`.
     for after in [41, u64::MAX] {
         let (status, body) =
             request_discovery(discovery, &format!("/discovery/hosts?after={after}&wait_ms=60000"));
@@ -92,7 +93,7 @@
 
 #[test]
 fn restarted_agent_sends_the_complete_list_to_a_known_proxy() {
-    let region = Region::new("anew", 1);
+    let region = Region::new("agent-restarted", 1);
     let (_source, _relay) = (region.start_source(), region.start_relay(0));
     let mut writer = ChangeWriter::new(region.source);
     writer.set(1, &[("a-1", Active), ("a-2", Active)]);
@@ -100,7 +101,7 @@
     let mut proxy = Proxy::new(discovery);
     proxy.wait_for_exactly("the list", &[("a-1", "active"), ("a-2", "active")]);
     agent.kill();
-    // There are as many entries as before, so revisions counted from zero would be the same.
+    // The number of entries is the same as before, so revisions counted from zero would be the same too.
     writer.set(1, &[("a-1", Gone), ("a-3", Active)]);
     let _agent = Process::start("agent", &region.directory.file("a.toml"));
     proxy.wait_for_exactly("the missed changes", &[("a-2", "active"), ("a-3", "active")]);
--- a/crates/control-plane/tests/snapshot.rs
+++ b/crates/control-plane/tests/snapshot.rs
@@ -1,4 +1,5 @@
-//! The snapshot file: written atomically; a damaged or foreign file is rejected and not overwritten.
+//! The snapshot file: it is written atomically, and a damaged file or one of another source is rejected and
+//! not overwritten.
 
 mod test_directory;
 
@@ -25,11 +26,11 @@
 
 #[test]
 fn reads_the_written_snapshot_and_accepts_a_missing_file() {
-    let directory = TestDirectory::new("snapshot-kept");
+    let directory = TestDirectory::new("snapshot-written");
     assert_eq!(read(&directory.file(FILE), 3).expect("no file"), None);
     for records in [5, 2] {
         snapshot(records).write(&directory.file(FILE)).expect("written");
-        assert_eq!(read(&directory.file(FILE), 3).expect("good"), Some(snapshot(records)));
+        assert_eq!(read(&directory.file(FILE), 3).expect("valid"), Some(snapshot(records)));
     }
 }
 
@@ -37,14 +38,14 @@
 fn rejects_any_corrupted_or_truncated_file_and_leaves_it() {
     let directory = TestDirectory::new("snapshot-damaged");
     snapshot(2).write(&directory.file(FILE)).expect("written");
-    let good = fs::read(directory.file(FILE)).expect("bytes");
-    let changed = (0..good.len()).map(|at| {
-        let mut bytes = good.clone();
-        bytes[at] ^= 1;
+    let valid = fs::read(directory.file(FILE)).expect("bytes");
+    let corrupted = (0..valid.len()).map(|index| {
+        let mut bytes = valid.clone();
+        bytes[index] ^= 1;
         bytes
     });
-    let cut = (0..good.len()).map(|at| good[..at].to_vec());
-    for bytes in changed.chain(cut) {
+    let truncated = (0..valid.len()).map(|length| valid[..length].to_vec());
+    for bytes in corrupted.chain(truncated) {
         fs::write(directory.file(FILE), &bytes).expect("written");
         let error = read(&directory.file(FILE), 3).expect_err("damaged");
         assert!(matches!(error, SnapshotError::Damaged(..)), "{error}");
@@ -63,10 +64,10 @@
 #[test]
 fn locks_the_file_exclusively() {
     let directory = TestDirectory::new("snapshot-lock");
-    let lock_file = lock(&directory.file(FILE)).expect("free");
+    let lock_file = lock(&directory.file(FILE)).expect("not locked");
     assert!(matches!(lock(&directory.file(FILE)), Err(SnapshotError::Locked(_))));
     drop(lock_file);
-    lock(&directory.file(FILE)).expect("free again");
+    lock(&directory.file(FILE)).expect("unlocked");
 }
 
 #[tokio::test]
@@ -74,27 +75,27 @@
     let directory = TestDirectory::new("snapshot-thread");
     let writer = SnapshotWriter::start(directory.file(FILE)).expect("a thread");
     writer.write(snapshot(4)).await.expect("written");
-    assert_eq!(read(&directory.file(FILE), 3).expect("good"), Some(snapshot(4)));
+    assert_eq!(read(&directory.file(FILE), 3).expect("valid"), Some(snapshot(4)));
     let failing = SnapshotWriter::start(directory.file("none/source.snapshot")).expect("a thread");
     let error = failing.write(snapshot(4)).await.expect_err("no directory").to_string();
     assert!(error.contains("none/source.snapshot.new"), "{error}");
 }
 
-/// Guards against a write that finds another one queued and is reported as the end of the writer.
+/// Guards against reporting that the writer has ended when a write finds another one queued.
 #[tokio::test]
 async fn writer_reports_a_queued_write_as_busy() {
     let directory = TestDirectory::new("snapshot-busy");
-    // The writer's thread waits here until the test reads.
+    // The writer's thread blocks on opening this named pipe until the test opens it for reading.
     let pipe = directory.file(FILE).with_extension("snapshot.new");
     assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo runs").success());
     let writer = SnapshotWriter::start(directory.file(FILE)).expect("a thread");
-    let abandoned = async || timeout(Duration::from_millis(100), writer.write(snapshot(4))).await;
-    assert!(abandoned().await.is_err(), "in progress");
-    assert!(abandoned().await.is_err(), "queued");
-    let refused = writer.write(snapshot(4)).await;
-    // Lets the two writes end, so that the writer's thread does.
+    let write_with_timeout = async || timeout(Duration::from_millis(100), writer.write(snapshot(4))).await;
+    assert!(write_with_timeout().await.is_err(), "in progress");
+    assert!(write_with_timeout().await.is_err(), "queued");
+    let rejected = writer.write(snapshot(4)).await;
+    // Lets the two writes end, and with them the writer's thread.
     let reader = fs::OpenOptions::new().read(true).open(&pipe);
     drop(writer);
     drop(reader);
-    assert!(matches!(refused, Err(SnapshotError::WriterBusy)), "{refused:?}");
+    assert!(matches!(rejected, Err(SnapshotError::WriterBusy)), "{rejected:?}");
 }
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -19,12 +19,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A store has the last change of each key, and its digests depend only on the live records.
+    /// A store contains the last change of each key. Its digests depend on the live records only.
     #[test]
     fn stores_the_last_change_of_each_key_and_bounded_tombstones(changes in changes(), max_tombstones in 0..20_usize) {
         let mut store = VersionedStore::new(4, 3).with_max_tombstones(max_tombstones);
-        let mut last: BTreeMap<Key, Record> = BTreeMap::new();
-        // Tombstones, the oldest first: those beyond the bound are dropped.
+        let mut last_records: BTreeMap<Key, Record> = BTreeMap::new();
+        // Tombstones, the oldest first. Those over the limit are dropped.
         let mut tombstones: Vec<Key> = Vec::new();
         for (index, change) in changes.iter().enumerate() {
             let record = store.write(change.clone()).expect("within bounds");
@@ -34,13 +34,13 @@
                 tombstones.push(change.key.clone());
             }
             tombstones.drain(..tombstones.len().saturating_sub(max_tombstones));
-            last.insert(change.key.clone(), record);
+            last_records.insert(change.key.clone(), record);
         }
-        let live: Vec<Record> = last.values().filter(|record| record.state != State::Gone).cloned().collect();
+        let live: Vec<Record> = last_records.values().filter(|record| record.state != State::Gone).cloned().collect();
         prop_assert_eq!(store.live_records().cloned().collect::<Vec<_>>(), live.clone());
         prop_assert_eq!(store.live_count(), live.len());
         prop_assert_eq!(store.tombstone_count(), tombstones.len());
-        for (key, record) in last.iter().filter(|(_, record)| record.state == State::Gone) {
+        for (key, record) in last_records.iter().filter(|(_, record)| record.state == State::Gone) {
             let is_retained = tombstones.contains(key);
             prop_assert_eq!(store.get(key), is_retained.then_some(record));
             prop_assert!(is_retained || store.tombstone_floor() >= record.version);
@@ -50,9 +50,9 @@
             prop_assert_eq!(store.service(service).cloned().collect::<Vec<_>>(), of_service.clone());
             prop_assert_eq!(store.digest(service) == 0, of_service.is_empty());
         }
-        // Restored in another order: the same digests.
-        let backwards = live.iter().rev().cloned().collect();
-        let restored = VersionedStore::restore(4, 9, store.head(), backwards);
+        // The digests do not depend on the order of restored records.
+        let reversed = live.iter().rev().cloned().collect();
+        let restored = VersionedStore::restore(4, 9, store.head(), reversed);
         prop_assert_eq!(restored.scope_digest(&Scope::All), store.scope_digest(&Scope::All));
         for service in 0..6 {
             prop_assert_eq!(restored.digest(service), store.digest(service));
@@ -60,19 +60,19 @@
         prop_assert!(restored.head() > store.head() && restored.head().revision == store.head().revision);
     }
 
-    /// Any single difference changes the digest.
+    /// Any difference in a single record changes the digest.
     #[test]
-    fn digest_shows_any_single_difference(changes in changes(), which in any::<prop::sample::Index>(), what in 0..4_u8) {
+    fn digest_differs_for_any_single_difference(changes in changes(), selected in any::<prop::sample::Index>(), modification in 0..4_u8) {
         let mut store = VersionedStore::new(0, 1);
         for change in changes {
             store.write(change).expect("within bounds");
         }
         let mut records: Vec<Record> = store.live_records().cloned().collect();
         prop_assume!(!records.is_empty());
-        let index = which.index(records.len());
+        let index = selected.index(records.len());
         let service = records[index].key.service;
         let record = &mut records[index];
-        match what {
+        match modification {
             0 => record.version.revision += 1_000,
             1 => record.state = if record.state == State::Active { State::Draining } else { State::Active },
             2 => record.body = [&record.body[..], &[0]].concat().into(),
@@ -93,7 +93,7 @@
     let mut store = VersionedStore::new(0, 1);
     let first = store.write(change.clone()).expect("within bounds");
     let mut store = VersionedStore::restore(0, 2, store.head(), vec![first.clone()]);
-    assert_eq!(store.get(&key), Some(&first), "a record has its former version");
+    assert_eq!(store.get(&key), Some(&first), "a restored record has its version");
     let second = store.write(change).expect("within bounds");
     assert_eq!(second.version, Version { epoch: 2, revision: 2 });
     assert_eq!(store.head(), second.version);
--- a/crates/control-plane/tests/strategies/mod.rs
+++ b/crates/control-plane/tests/strategies/mod.rs
@@ -1,4 +1,4 @@
-//! Strategies for arbitrary messages.
+//! Proptest strategies for messages.
 
 use control_plane::message::{
     KeyBound, Message, PROTOCOL_VERSION, ReplicaPosition, ServiceDigest, ServiceRange,
@@ -51,6 +51,7 @@
     vec(positions.prop_map(|(source, epoch, cursor)| ReplicaPosition { source, epoch, cursor }), 0..4)
 }
 
+/// Any message, with records and lists of limited length.
 pub fn message() -> impl Strategy<Value = Message> {
     let scope = prop_oneof![Just(Scope::All), btree_set(any::<u32>(), 0..20).prop_map(Scope::Services),];
     let bound = || {
@@ -104,8 +105,9 @@
         (any::<u16>(), any::<Vec<u32>>())
             .prop_map(|(source, services)| Message::SnapshotRequest { source, services }),
         (any::<u64>(), vec(change, 0..8)).prop_map(|(id, changes)| Message::Write { id, changes }),
-        (any::<u64>(), version(), proptest::option::of(".{0,20}"))
-            .prop_map(|(id, version, why)| { Message::Written { id, result: why.map_or(Ok(version), Err) } }),
+        (any::<u64>(), version(), proptest::option::of(".{0,20}")).prop_map(|(id, version, reason)| {
+            Message::Written { id, result: reason.map_or(Ok(version), Err) }
+        }),
         ".{0,40}".prop_map(|reason| Message::Close { reason }),
     ]
 }
--- a/crates/control-plane/tests/test_directory/mod.rs
+++ b/crates/control-plane/tests/test_directory/mod.rs
@@ -1,12 +1,13 @@
-//! Directories for the files of tests.
+//! Temporary directories for tests.
 
 use std::fs;
 use std::path::PathBuf;
 
-/// A directory of one test, removed when this is dropped.
+/// The directory of one test, removed when this is dropped.
 pub struct TestDirectory(PathBuf);
 
 impl TestDirectory {
+    /// Creates the directory. `test` is unique among the tests of one process.
     pub fn new(test: &str) -> Self {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{}", std::process::id()));
         fs::create_dir_all(&path).expect("a directory");
--- a/crates/control-plane/tests/upstream_link.rs
+++ b/crates/control-plane/tests/upstream_link.rs
@@ -1,4 +1,5 @@
-//! Many subscribers on one thread over real connections, in virtual time, which advances while no task can run.
+//! Many subscribers in one thread over TCP connections, with a paused clock that advances while all tasks
+//! wait.
 
 mod test_directory;
 
@@ -25,11 +26,11 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long anything may take, in virtual time.
+/// Time limit of each wait, in virtual time.
 const TIMEOUT: Duration = Duration::from_secs(7_200);
 const FOLLOWERS: usize = 120;
 
-/// An unused address, outside the range of the tests with processes.
+/// An unused address, outside the range of the tests with real processes.
 fn address() -> SocketAddr {
     static USED: AtomicU16 = AtomicU16::new(0);
     let [high, low, ..] = (std::process::id() as u16).to_be_bytes();
@@ -37,7 +38,7 @@
     SocketAddrV4::new(Ipv4Addr::new(127, 192 + (used % 32) as u8, high, low), 7500 + used / 32).into()
 }
 
-/// The task of a node with all its connections, which ends when this is dropped.
+/// The task of a node with all its connections, aborted when this is dropped.
 struct TaskGuard(JoinHandle<()>);
 
 impl Drop for TaskGuard {
@@ -47,7 +48,7 @@
 }
 
 fn start_relay(config: RelayConfig, rate_limit: RateLimitConfig) -> TaskGuard {
-    // With a task set of its own the connections end with it.
+    // The relay has its own task set, so aborting the task ends its connections too.
     TaskGuard(spawn_local(async move {
         LocalSet::new().run_until(relay::run(&config, &rate_limit, pending())).await.expect("it runs");
     }))
@@ -68,7 +69,7 @@
     }))
 }
 
-/// A subscriber that counts what happens to it.
+/// A subscriber that counts its connections and messages.
 struct CountingNode {
     subscriber: Subscriber,
     /// The connected relay.
@@ -77,9 +78,10 @@
     connections: usize,
     /// Received welcomes.
     welcomes: usize,
+    /// Connections that replaced an open one.
     moves: usize,
     losses: usize,
-    applied: usize,
+    applied_records: usize,
     received_bytes: u64,
 }
 
@@ -93,7 +95,7 @@
             welcomes: 0,
             moves: 0,
             losses: 0,
-            applied: 0,
+            applied_records: 0,
             received_bytes: 0,
         }
     }
@@ -106,7 +108,7 @@
     fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError> {
         self.welcomes += usize::from(matches!(message, Message::Welcome { .. }));
         let outcome = self.subscriber.on_message(message, now)?;
-        self.applied += outcome.applied.len();
+        self.applied_records += outcome.applied.len();
         Ok(outcome.replies)
     }
     fn tick(&mut self, now: Millis) -> Vec<Message> {
@@ -152,7 +154,7 @@
 async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "waited in vain for: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         sleep(Duration::from_millis(100)).await;
     }
 }
@@ -166,12 +168,12 @@
     Change { key, state: State::Active, body: vec![1; bytes].into() }
 }
 
-/// Nodes that follow one of several relays each.
+/// Nodes each of which is connected to one of several relays.
 struct Followers {
     relays: Vec<String>,
     nodes: Vec<Rc<RefCell<CountingNode>>>,
-    /// The name of the preferred relay of each node.
-    preferred: Vec<String>,
+    /// The names of the preferred relays, by node.
+    preferred_relays: Vec<String>,
 }
 
 impl Followers {
@@ -187,23 +189,24 @@
         };
         let nodes = (0..FOLLOWERS).map(start).collect();
         let preferred = |n| Failover::new(&format!("agent-{n}"), &names, 0).order()[0];
-        let preferred = (0..FOLLOWERS).map(|n| names[preferred(n)].clone()).collect();
-        Self { relays: names, nodes, preferred }
+        let preferred_relays = (0..FOLLOWERS).map(|n| names[preferred(n)].clone()).collect();
+        Self { relays: names, nodes, preferred_relays }
     }
 
     /// Whether each node is connected to its preferred relay.
     fn all_on_preferred(&self) -> bool {
-        let mut nodes = self.nodes.iter().zip(&self.preferred);
+        let mut nodes = self.nodes.iter().zip(&self.preferred_relays);
         nodes.all(|(node, preferred)| node.borrow().current_relay.as_ref() == Some(preferred))
     }
 
-    /// Whether each node is connected to another relay than the first one.
+    /// Whether each node is connected, and none to the first relay.
     fn none_on_first(&self) -> bool {
         self.all(|node| node.current_relay.as_ref().is_some_and(|relay| *relay != self.relays[0]))
     }
 
-    fn prefer_first(&self) -> usize {
-        self.preferred.iter().filter(|relay| **relay == self.relays[0]).count()
+    /// The number of nodes that prefer the first relay.
+    fn count_preferring_first(&self) -> usize {
+        self.preferred_relays.iter().filter(|relay| **relay == self.relays[0]).count()
     }
 
     fn all(&self, condition: impl Fn(&CountingNode) -> bool) -> bool {
@@ -238,54 +241,56 @@
     let mut running: Vec<_> = relays.iter().map(|relay| Some(start(relay))).collect();
     let followers = Followers::start(&relays);
     wait_for("all connected to the preferred relay", || followers.all_on_preferred()).await;
-    let of_first = followers.prefer_first();
+    let preferring_first = followers.count_preferring_first();
     assert!(
-        (FOLLOWERS / 6..FOLLOWERS / 2).contains(&of_first),
-        "{of_first} of {FOLLOWERS} prefer one of three"
+        (FOLLOWERS / 6..FOLLOWERS / 2).contains(&preferring_first),
+        "{preferring_first} of {FOLLOWERS} prefer one of three"
     );
 
     let mut writer = Writer::connect(source).await.expect("the source");
     writer.write((0..10).map(|n| change(format!("r-{n}"))).collect()).await.expect("written");
-    wait_for("all records", || followers.all(|node| node.applied == 10)).await;
+    wait_for("all records", || followers.all(|node| node.applied_records == 10)).await;
 
-    // Only the subscribers of the stopped relay move.
+    // Only the subscribers of the stopped relay connect to another one.
     running[0] = None;
     wait_for("all on the others", || followers.none_on_first()).await;
-    let lost = followers.nodes.iter().filter(|node| node.borrow().losses > 0).count();
-    assert_eq!(lost, of_first);
+    let disconnected = followers.nodes.iter().filter(|node| node.borrow().losses > 0).count();
+    assert_eq!(disconnected, preferring_first);
     writer.write(vec![change("r-10".into())]).await.expect("written");
-    wait_for("the next record", || followers.all(|node| node.applied == 11)).await;
+    wait_for("the next record", || followers.all(|node| node.applied_records == 11)).await;
 
-    // A listener that sends nothing: the subscribers probe it beside their working connection, and stay.
+    // A listener that sends nothing: the subscribers probe it without closing their working connection.
     let losses = followers.losses();
     let listener = SilentListener::bind(relays[0].address).await;
-    wait_for("probes, repeated without a response", || listener.accepted.get() > of_first).await;
+    wait_for("retried probes", || listener.accepted.get() > preferring_first).await;
     sleep(Duration::from_secs(10)).await;
     assert!(followers.none_on_first());
     assert_eq!(followers.losses(), losses);
     assert_eq!(followers.moves(), 0);
     drop(listener);
 
-    // The relay is restored: they return without losing a connection, and receive no record twice.
+    // The relay is restored: the subscribers return to it without a lost connection or a duplicate record.
     running[0] = Some(start(&relays[0]));
     wait_for("all back at the preferred relay", || followers.all_on_preferred()).await;
     writer.write(vec![change("r-11".into())]).await.expect("written");
-    wait_for("the last record", || followers.all(|node| node.applied == 12)).await;
+    wait_for("the last record", || followers.all(|node| node.applied_records == 12)).await;
     assert_eq!(followers.losses(), losses);
-    assert_eq!(followers.moves(), of_first);
+    assert_eq!(followers.moves(), preferring_first);
     assert!(followers.all(|node| node.received_bytes > 0));
-    // The node receives each welcome, also on a moved connection, and then repeats its pending requests.
+    // Each new connection delivers its welcome, after which the node sends its pending requests anew.
     assert!(followers.all(|node| node.connections == node.welcomes));
 }
 
-/// A subscriber that reads nothing for half a minute is disconnected, and may reconnect and resume at its position.
+/// A subscriber that reads nothing for half a minute is disconnected. It can reconnect and resume at its
+/// position.
 #[tokio::test(start_paused = true)]
 async fn disconnects_a_stalled_subscriber_which_resumes_at_its_position() {
     LocalSet::new().run_until(run_stalled_subscriber()).await;
 }
 
-/// Records that are more than the buffers of a connection hold.
+/// Number of records, which exceed the buffers of a connection in total.
 const RECORDS: usize = 40;
+/// Length of their bodies.
 const BODY_BYTES: usize = 60_000;
 
 async fn run_stalled_subscriber() {
@@ -320,7 +325,7 @@
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        // On the first connection it stalls after the first records.
+        // On the first connection the subscriber stalls after the first records.
         receive_records(&mut subscriber, stream, connections == 0).await;
         connections += 1;
     }
@@ -331,8 +336,8 @@
     subscriber.stores().map(|(_, store)| store.live_count()).sum()
 }
 
-/// Follows a relay until the connection ends or all records are stored. If it `stalls`, it stops reading for a while after the
-/// first records.
+/// Receives from a relay until the connection ends or all records are stored. If `stalls` is set, reading
+/// pauses for two minutes after the first records.
 async fn receive_records(subscriber: &mut Subscriber, stream: TcpStream, mut stalls: bool) {
     let (reader, writer) = stream.into_split();
     let (mut reader, mut writer) = (FrameReader::new(reader), FrameWriter::new(writer));
