--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -128,7 +128,7 @@
         }
         let (min, max) = (attempts.iter().min().expect("some"), attempts.iter().max().expect("some"));
         prop_assert!(*max <= min + 1, "{:?}", attempts);
-        // After the first, shorter backoffs a rotation takes a second or more, and on average 250 ms per relay.
+        // After the first backoffs a rotation takes a second or more, and on average 250 ms per relay.
         prop_assert!(attempts.iter().sum::<u32>() <= 120 * 4 + 20, "{:?}", attempts);
         // Each relay is retried within the maximum backoff and half a second per relay.
         prop_assert!(u64::from(*min) >= 120_000 / (2_000 + 500 * count as u64) - 1, "{:?}", attempts);
--- a/crates/control-plane/tests/processes/main.rs
+++ b/crates/control-plane/tests/processes/main.rs
@@ -80,8 +80,8 @@
         let body = String::from_utf8(body).expect("text");
         assert!(actual == status && body.contains(expected), "{target}: {actual} {body}");
     }
-    // A revision of a former process, and an unknown one: the complete list is sent immediately, regardless of
-    // `wait_ms`.
+    // For a revision of a former process and an unknown one, the complete list is sent immediately,
+    // regardless of `wait_ms`.
     for after in [41, u64::MAX] {
         let (status, body) =
             request_discovery(discovery, &format!("/discovery/hosts?after={after}&wait_ms=60000"));
--- a/crates/control-plane/tests/processes/malformed_input.rs
+++ b/crates/control-plane/tests/processes/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Malformed input: it ends its own connection with one error, and affects no other connection.
+//! Malformed input: it closes its own connection with an error and does not affect other connections.
 
 use super::support::*;
 use control_plane::codec::encode;
@@ -16,13 +16,13 @@
 fn close_reason(connection: &mut RawConnection) -> String {
     match connection.receive_all().pop() {
         Some(Message::Close { reason }) => reason,
-        other => panic!("no reason, but {other:?}"),
+        other => panic!("no close notice, but {other:?}"),
     }
 }
 
 #[test]
 fn malformed_input_ends_only_its_own_connection() {
-    let region = Region::new("hostile", 1);
+    let region = Region::new("malformed-input", 1);
     let source = region.start_source();
     let relay = region.start_relay(0);
     let mut writer = ChangeWriter::new(region.source);
@@ -32,23 +32,23 @@
     proxy.wait_for_exactly("the initial records", &[("a-1", "active")]);
     relay.wait_for_line("connected to source");
 
-    let good = encode(&hello(PROTOCOL_VERSION)).expect("short");
-    let other = encode(&hello(PROTOCOL_VERSION + 1)).expect("short");
-    let too_long = u32::try_from(MAX_MESSAGE_BYTES + 1).expect("fits").to_be_bytes();
+    let valid_hello = encode(&hello(PROTOCOL_VERSION)).expect("short");
+    let other_version = encode(&hello(PROTOCOL_VERSION + 1)).expect("short");
+    let too_long_prefix = u32::try_from(MAX_MESSAGE_BYTES + 1).expect("fits").to_be_bytes();
     let unexpected = encode(&Message::Heartbeat).expect("short");
-    let unknown = [0, 0, 0, 2, 250, 1];
+    let unknown_variant = [0, 0, 0, 2, 250, 1];
     let cases: [(&str, Vec<u8>, String); 6] = [
         (
-            "cut in the middle",
-            good[..good.len() - 2].to_vec(),
+            "truncated",
+            valid_hello[..valid_hello.len() - 2].to_vec(),
             format!(
                 "the connection ended after {} bytes of a message; a message is sent whole",
-                good.len() - 2
+                valid_hello.len() - 2
             ),
         ),
         (
             "too long",
-            too_long.to_vec(),
+            too_long_prefix.to_vec(),
             format!(
                 "a message of {} bytes is too long, {MAX_MESSAGE_BYTES} bytes at most are taken; send it in parts",
                 MAX_MESSAGE_BYTES + 1
@@ -56,17 +56,17 @@
         ),
         (
             "another version",
-            other,
+            other_version,
             format!(
                 "protocol {} is not spoken here, {PROTOCOL_VERSION} is; bring both parties to one version",
                 PROTOCOL_VERSION + 1
             ),
         ),
-        ("no message", unknown.to_vec(), "a message of 2 bytes is not understood (".into()),
+        ("unknown variant", unknown_variant.to_vec(), "a message of 2 bytes is not understood (".into()),
         ("hello missing", unexpected.clone(), "`Alive` makes no sense here: ".into()),
         (
             "hello twice",
-            [good.clone(), good.clone()].concat(),
+            [valid_hello.clone(), valid_hello.clone()].concat(),
             "`Hello` makes no sense here: it is said once, first".into(),
         ),
     ];
@@ -81,7 +81,7 @@
             // The reason is logged.
             process.wait_for_line_after(lines, expected);
         }
-        // Other connections stay open and receive changes.
+        // Other connections remain open and receive changes.
         let name = format!("b-{index}");
         writer.set(1, &[(&name, Draining)]);
         proxy.wait_until(what, |backends| {
@@ -93,17 +93,17 @@
         assert!(!lines.iter().any(|line| line.contains(lost)), "{lines:#?}");
     }
     assert_eq!(proxy.complete_lists, 1);
-    // There is one warning for each case.
+    // Each case logs one warning.
     for process in [&source, &relay] {
         let warnings = process.lines().into_iter().filter(|line| line.contains("WARN")).count();
         assert_eq!(warnings, cases.len(), "{:#?}", process.lines());
     }
 }
 
-/// An upstream of another protocol version, or one that sends malformed bytes, is sent a close notice; the agent connects to
-/// another relay.
+/// An agent sends a close notice to a relay that has another protocol version or sends malformed bytes, and
+/// connects to another relay.
 #[test]
-fn leaves_an_incompatible_upstream_with_a_close_notice() {
+fn sends_a_close_notice_to_an_incompatible_upstream() {
     let mut region = Region::new("upstream", 1);
     let _source = region.start_source();
     let _relay = region.start_relay(0);
@@ -118,28 +118,28 @@
         let address = address();
         let listener = std::net::TcpListener::bind(address).expect("a listener");
         region.relays.push(RelayEndpoint { name: name.into(), address });
-        let (report, received) = channel();
+        let (reason_sender, received) = channel();
         incompatible_relays.push(received);
-        // Ends with the test process. The first connection may be of another agent than the expected one.
+        // The thread ends with the test process. The agent of the other case may connect here too.
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("a connection");
-                stream.set_read_timeout(Some(TIMEOUT)).expect("a limit");
+                stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
                 stream.write_all(&bytes).expect("sent");
                 let mut received = Vec::new();
                 // Reads up to the end of the connection.
                 let _ = stream.read_to_end(&mut received);
-                let _ = report.send(String::from_utf8_lossy(&received).into_owned());
+                let _ = reason_sender.send(String::from_utf8_lossy(&received).into_owned());
             }
         });
     }
-    // A name for each that prefers one of the incompatible_relays, found by the order itself.
+    // Finds the name of an agent that prefers the relay with this index.
     let names: Vec<String> = region.relays.iter().map(|relay| relay.name.clone()).collect();
     let agent_that_prefers = |index: usize| {
         let found = (0..1000)
             .map(|n| format!("agent-{n}"))
             .find(|name| control_plane::failover::Failover::new(name, &names, 0).order()[0] == index);
-        found.expect("one of a thousand")
+        found.expect("one of a thousand names")
     };
     let expected_errors = ["is not spoken here", "is not understood"];
     for ((index, incompatible_relay), expected) in (1..).zip(incompatible_relays).zip(expected_errors) {
@@ -155,7 +155,7 @@
 
 #[test]
 fn closes_a_silent_connection_with_a_reason() {
-    let region = Region::new("mute", 1);
+    let region = Region::new("silent", 1);
     let _source = region.start_source();
     let mut connection = RawConnection::new(region.source);
     let reason = close_reason(&mut connection);
@@ -164,7 +164,7 @@
 
 #[test]
 fn rejects_connections_over_the_limit_and_reuses_freed_slots() {
-    let mut region = Region::new("full", 1);
+    let mut region = Region::new("connection-limit", 1);
     region.extra_keys.insert("relay", "connections = 2".into());
     let (_source, _relay) = (region.start_source(), region.start_relay(0));
     let relay = region.relays[0].address;
@@ -179,16 +179,16 @@
         assert!(matches!(received, Some(Message::Welcome { .. })), "{received:?}");
     }
     let (_, third) = subscribe();
-    let full = "2 subscribers are connected, no more are taken; try another relay";
-    assert_eq!(third, Some(Message::Close { reason: full.into() }));
+    let limit_reached = "2 subscribers are connected, no more are taken; try another relay";
+    assert_eq!(third, Some(Message::Close { reason: limit_reached.into() }));
     drop(first);
     wait_for("a free slot", || matches!(subscribe().1, Some(Message::Welcome { .. })).then_some(()));
 }
 
-/// A peer can neither fill the log nor forge a log line with its name.
+/// Guards against peers that fill the log or forge a log line with their name.
 #[test]
 fn escapes_and_shortens_peer_names_in_the_log() {
-    let region = Region::new("names", 1);
+    let region = Region::new("peer-names", 1);
     let source = region.start_source();
     let mut connection = RawConnection::new(region.source);
     let name = format!("x\nWARN forged {}", "y".repeat(100_000));
--- a/crates/control-plane/tests/processes/stalled_subscribers.rs
+++ b/crates/control-plane/tests/processes/stalled_subscribers.rs
@@ -1,5 +1,5 @@
-//! Subscribers that read slowly or not at all: they take no memory of a relay, delay no other subscriber, and receive the
-//! newest records.
+//! Subscribers that do not read: they do not grow the memory of a relay or delay other subscribers, and later
+//! receive the newest records.
 
 use super::support::*;
 use control_plane::message::Message;
@@ -7,19 +7,19 @@
 use control_plane::record::State::Active;
 use control_plane::subscriber::Subscriber;
 
-/// Records that are written in each round.
+/// Number of records written in each round.
 const RECORDS: usize = 100;
 /// Length of their bodies.
 const BODY_BYTES: usize = 4_000;
-/// Rounds of writes.
+/// Number of rounds.
 const ROUNDS: u8 = 50;
-/// The most that may be in flight to a connection that is not read: the socket buffers on both sides (the kernel doubles the
-/// configured 128 KB of each) and one message.
+/// Limit for the bytes in flight on a connection that is not read: the socket buffers on both sides (the
+/// kernel doubles the configured 128 KB of each) and one message.
 const MAX_IN_FLIGHT_BYTES: usize = 1 << 20;
 
 #[test]
 fn stalled_subscribers_delay_no_others_and_receive_the_newest_records_later() {
-    let mut region = Region::new("slow", 1);
+    let mut region = Region::new("stalled-subscribers", 1);
     let unlimited = 1_000_000_000;
     let rate_limit = format!(
         "agent_bytes_per_s = {unlimited}\nagent_burst = {unlimited}\nrelay_bytes_per_s = {unlimited}\nrelay_burst = {unlimited}"
@@ -42,22 +42,22 @@
         (0..RECORDS).map(|n| configuration_change(1, &format!("c-{n}"), BODY_BYTES, fill)).collect()
     };
     writer.write(round(0)).expect("written");
-    let before = relay.resident_memory_kb();
+    let memory_before_kb = relay.resident_memory_kb();
     for fill in 1..=ROUNDS {
         writer.write(round(fill)).expect("written");
-        // The next round begins when a subscriber that reads has received this one.
+        // The next round starts when the reading subscriber has received this one.
         let name = format!("a-{fill}");
         writer.set(1, &[(&name, Active)]);
         proxy.wait_until("a round", |backends| backends.contains_key(&name));
     }
-    let grown = relay.resident_memory_kb().saturating_sub(before);
+    let grown_kb = relay.resident_memory_kb().saturating_sub(memory_before_kb);
     let written = RECORDS * BODY_BYTES * usize::from(ROUNDS);
-    // With queues, the two stalled subscribers would take twice what was written.
-    assert!(grown < written as u64 / 1024 / 2, "{grown} KB more for {written} bytes written");
+    // Queues for the two stalled subscribers would take twice the written bytes.
+    assert!(grown_kb < written as u64 / 1024 / 2, "grew by {grown_kb} KB for {written} written bytes");
 
-    // Now it reads, and receives the newest version of each record instead of all versions.
+    // When it reads, it receives the newest version of each record, not all versions.
     let (mut records, mut bytes) = (0, 0);
-    let newest = |subscriber: &Subscriber| {
+    let has_newest = |subscriber: &Subscriber| {
         let store = subscriber.stores().find(|(source, _)| *source == 1);
         let found = store.map(|(_, store)| {
             let records = store.service(1).filter(|r| r.body.len() == BODY_BYTES);
@@ -65,7 +65,7 @@
         });
         found == Some(RECORDS)
     };
-    while !newest(&subscriber) {
+    while !has_newest(&subscriber) {
         let message = connection.receive().expect("an open connection");
         if let Message::Batch { records: received, .. } | Message::ServiceSnapshot { records: received, .. } =
             &message
--- a/crates/control-plane/tests/processes/support/change_writer.rs
+++ b/crates/control-plane/tests/processes/support/change_writer.rs
@@ -6,7 +6,6 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 
-/// A change of a backend.
 fn backend_change(service: u32, name: &str, state: State) -> Change {
     let backend = Backend {
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 3000),
@@ -20,13 +19,13 @@
     Change { key: Key { service, kind: Kind::Backend, name: name.into() }, state, body }
 }
 
-/// A change of a configuration with a body of `bytes` times `fill`.
+/// A change of a configuration whose body is `bytes` times the byte `fill`.
 pub fn configuration_change(service: u32, name: &str, bytes: usize, fill: u8) -> Change {
     let key = Key { service, kind: Kind::Configuration, name: name.into() };
     Change { key, state: State::Active, body: vec![fill; bytes].into() }
 }
 
-/// A blocking client that reconnects after errors.
+/// A blocking client. After an error it reconnects for the next write.
 pub struct ChangeWriter {
     runtime: tokio::runtime::Runtime,
     source: SocketAddr,
@@ -34,11 +33,13 @@
 }
 
 impl ChangeWriter {
+    /// Creates a client of the source at this address, which connects with the first write.
     pub fn new(source: SocketAddr) -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         Self { runtime, source, writer: None }
     }
 
+    /// Writes changes, in as many messages as needed. Returns the version of the last one.
     pub fn write(&mut self, changes: Vec<Change>) -> Result<Option<Version>, WriterError> {
         let Self { runtime, source, writer } = self;
         runtime.block_on(async {
@@ -52,7 +53,7 @@
         })
     }
 
-    /// Sets the states of backends of one service.
+    /// Writes the states of backends of one service. Returns the version of the last change.
     pub fn set(&mut self, service: u32, backends: &[(&str, State)]) -> Version {
         let changes = backends.iter().map(|(name, state)| backend_change(service, name, *state)).collect();
         self.write(changes).expect("written").expect("a version")
--- a/crates/control-plane/tests/processes/support/mod.rs
+++ b/crates/control-plane/tests/processes/support/mod.rs
@@ -1,5 +1,6 @@
-//! Sources, relays and agents as processes, a stand-in for the proxy that watches an agent, and clients that write changes
-//! or arbitrary bytes. Each process has an address of its own, which it has again after a restart, and ends with its test.
+//! Sources, relays and agents as processes, an emulated proxy that watches an agent, and clients that send
+//! changes or arbitrary bytes. Each process has its own address, which it uses after a restart too, and is
+//! killed at the end of its test.
 
 mod change_writer;
 mod process;
@@ -21,22 +22,23 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long anything may take before the test fails. No result depends on a time below it.
+/// Time limit of each wait. No test depends on shorter times.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until `condition` returns a value.
+/// Polls until `condition` returns a value. Panics after [`TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + TIMEOUT;
     loop {
         if let Some(found) = condition() {
             return found;
         }
-        assert!(Instant::now() < deadline, "waited in vain for: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         sleep(Duration::from_millis(10));
     }
 }
 
-/// An unused address: connections come from 127.0.0.1, and tests that run at the same time have other process ids.
+/// An unused address. The ephemeral ports of clients are on 127.0.0.1, and the addresses of concurrent test
+/// processes differ because they contain the process id.
 pub fn address() -> SocketAddr {
     static USED: AtomicU16 = AtomicU16::new(0);
     let [high, low, ..] = (std::process::id() as u16).to_be_bytes();
--- a/crates/control-plane/tests/processes/support/process.rs
+++ b/crates/control-plane/tests/processes/support/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the program, and their log lines.
+//! Processes of the control plane, and their log lines.
 
 use super::{TIMEOUT, wait_for};
 use std::fs;
@@ -16,26 +16,26 @@
     line_added: Condvar,
 }
 
-/// A process, killed when this is dropped.
+/// A process with its log lines, killed when this is dropped.
 pub struct Process {
     child: Child,
     log: Arc<Log>,
 }
 
-/// Runs the program to its end.
+/// Runs the program until it exits.
 pub fn run_program(arguments: &[&str]) -> Output {
     Command::new(PROGRAM).args(arguments).stdin(Stdio::null()).output().expect("the program")
 }
 
 impl Process {
-    /// Starts a process and waits until it listens.
+    /// Starts a process in a role (`source`, `relay` or `agent`) and waits until it listens.
     pub fn start(role: &str, config: &Path) -> Self {
         let process = Self::spawn(role, config);
         process.wait_for_line("listens on");
         process
     }
 
-    /// Starts a process.
+    /// Starts a process in a role without waiting for it.
     pub fn spawn(role: &str, config: &Path) -> Self {
         let mut command = Command::new(PROGRAM);
         command.arg(role).arg("--config").arg(config).stdin(Stdio::null()).stdout(Stdio::null());
@@ -57,7 +57,8 @@
         self.log.lines.lock().expect("the log").clone()
     }
 
-    /// Waits for a line that contains `text` after the first `skipped` lines. Returns it, and the number of lines up to it.
+    /// Waits for a line that contains `text` after the first `skipped` lines. Returns the line, and the
+    /// number of lines up to and including it.
     pub fn wait_for_line_after(&self, skipped: usize, text: &str) -> (String, usize) {
         let deadline = Instant::now() + TIMEOUT;
         let mut log = self.log.lines.lock().expect("the log");
@@ -77,24 +78,25 @@
         self.wait_for_line_after(0, text).0
     }
 
-    /// Sends a signal to this process.
+    /// Sends a signal by its name without `SIG`.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args(["-s", signal, &id]).status().expect("kill");
         assert!(status.success(), "signal {signal} to {id}");
     }
 
+    /// Waits until the process exits by itself.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        wait_for("the end of the process", || self.child.try_wait().expect("its state"))
+        wait_for("the exit of the process", || self.child.try_wait().expect("its state"))
     }
 
-    /// Kills the process, as a machine failure would.
+    /// Kills the process with SIGKILL, so that it persists nothing, as in a machine failure.
     pub fn kill(mut self) {
         self.child.kill().expect("killed");
         self.child.wait().expect("an exit status");
     }
 
-    /// Resident memory, KB.
+    /// Resident memory in KB.
     pub fn resident_memory_kb(&self) -> u64 {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
         let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("its memory");
--- a/crates/control-plane/tests/processes/support/proxy.rs
+++ b/crates/control-plane/tests/processes/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the proxy: a client of the discovery protocol.
+//! An emulated proxy: a client of the discovery protocol.
 
 use super::{TIMEOUT, wait_for};
 use serde_json::Value;
@@ -6,20 +6,20 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A backend in the discovery protocol.
+/// A backend as it is listed in the discovery protocol.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ListedBackend {
     pub address: String,
     pub phase: String,
 }
 
-/// The backends that a proxy knows, by id.
+/// The backends known to a proxy, by id.
 pub type ListedBackends = BTreeMap<String, ListedBackend>;
 
 /// Sends one request to discovery. Returns the status and the body of the response.
 pub fn request_discovery(discovery: SocketAddr, target: &str) -> (u16, Vec<u8>) {
     let mut stream = TcpStream::connect(discovery).expect("discovery");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a limit");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     write!(stream, "GET {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("written");
     let mut response = Vec::new();
     stream.read_to_end(&mut response).expect("a response");
@@ -28,24 +28,27 @@
     (status, response.split_off(head + 4))
 }
 
-/// Requests the complete list, then watches for changes.
+/// A proxy that requests the complete list and then watches for changes.
 pub struct Proxy {
     discovery: SocketAddr,
     after: Option<u64>,
+    /// The backends that were not removed.
     pub backends: ListedBackends,
-    /// All received entries in order: id and phase.
+    /// The ids and phases of all received entries, in order.
     pub received: Vec<(String, String)>,
     /// The number of responses with a complete list.
     pub complete_lists: usize,
 }
 
 impl Proxy {
+    /// Creates a proxy that has requested nothing from this address yet.
     pub fn new(discovery: SocketAddr) -> Self {
         let (backends, received) = (ListedBackends::new(), Vec::new());
         Self { discovery, after: None, backends, received, complete_lists: 0 }
     }
 
-    /// Requests the complete list or a watch. Returns whether there was a list.
+    /// Requests the complete list, or the changes since the last response. Returns `false` if the agent has
+    /// no complete list yet.
     pub fn poll(&mut self) -> bool {
         let target = match self.after {
             None => "/discovery/hosts".to_owned(),
@@ -78,7 +81,7 @@
         };
     }
 
-    /// Watches until the known backends satisfy a condition.
+    /// Watches until the known backends satisfy the condition.
     pub fn wait_until(&mut self, what: &str, condition: impl Fn(&ListedBackends) -> bool) {
         wait_for(what, || {
             let has_list = self.poll();
@@ -86,7 +89,7 @@
         });
     }
 
-    /// Watches until it knows these backends in these phases and no others.
+    /// Watches until exactly these backends are known, in these phases.
     pub fn wait_for_exactly(&mut self, what: &str, expected: &[(&str, &str)]) {
         let expected: BTreeMap<&str, &str> = expected.iter().copied().collect();
         self.wait_until(what, |backends| {
--- a/crates/control-plane/tests/processes/support/raw_connection.rs
+++ b/crates/control-plane/tests/processes/support/raw_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a source or relay on which a test sends arbitrary messages and bytes.
+//! A blocking connection to a source or relay on which tests send arbitrary messages and bytes.
 
 use super::TIMEOUT;
 use control_plane::codec::{FrameReader, FrameWriter};
@@ -7,9 +7,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// The socket's receive buffer, bytes.
+/// Size of the socket's receive buffer.
 const RECEIVE_BUFFER_BYTES: u32 = 128 << 10;
 
+/// A connection without a session: neither a hello nor heartbeats are sent by themselves.
 pub struct RawConnection {
     runtime: tokio::runtime::Runtime,
     reader: FrameReader<OwnedReadHalf>,
@@ -17,6 +18,7 @@
 }
 
 impl RawConnection {
+    /// Connects to this address.
     pub fn new(address: SocketAddr) -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let stream = runtime.block_on(async {
@@ -41,14 +43,14 @@
         self.runtime.block_on(self.writer.shutdown()).expect("shut down");
     }
 
-    /// The next message; `None` at the end of the connection.
+    /// Waits for the next message. `None` means that the peer has closed the connection.
     pub fn receive(&mut self) -> Option<Message> {
         let Self { runtime, reader, .. } = self;
         let received = runtime.block_on(async { tokio::time::timeout(TIMEOUT, reader.read()).await });
         received.expect("a message or the end in time").expect("a message")
     }
 
-    /// All messages up to the end of the connection.
+    /// Waits for all messages up to the end of the connection.
     pub fn receive_all(&mut self) -> Vec<Message> {
         std::iter::from_fn(|| self.receive()).collect()
     }
--- a/crates/control-plane/tests/processes/support/region.rs
+++ b/crates/control-plane/tests/processes/support/region.rs
@@ -1,4 +1,4 @@
-//! One source with its relays and agents, and their configuration files.
+//! A region: one source with its relays and agents, and their configuration files.
 
 use super::{Process, TestDirectory, address};
 use std::collections::BTreeMap;
@@ -6,21 +6,23 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A relay of the region.
+/// The name and address of a relay.
 pub struct RelayEndpoint {
     pub name: String,
     pub address: SocketAddr,
 }
 
+/// The addresses of a source and its relays, and the directory of their files.
 pub struct Region {
     pub directory: TestDirectory,
     pub source: SocketAddr,
     pub relays: Vec<RelayEndpoint>,
-    /// Additional lines, by section.
+    /// Additional lines of the configuration files, by section.
     pub extra_keys: BTreeMap<&'static str, String>,
 }
 
 impl Region {
+    /// Creates a region with this number of relays, and starts no process.
     pub fn new(test: &str, relays: usize) -> Self {
         let relays =
             (1..=relays).map(|n| RelayEndpoint { name: format!("relay-{n}"), address: address() }).collect();
@@ -31,10 +33,12 @@
         self.extra_keys.get(section).map_or("", String::as_str)
     }
 
+    /// The path of the source's snapshot file.
     pub fn snapshot(&self) -> PathBuf {
         self.directory.file("source.snapshot")
     }
 
+    /// Writes the configuration file of the source. Returns its path.
     pub fn source_config(&self) -> PathBuf {
         let (listen, snapshot) = (self.source, self.snapshot());
         let snapshot = snapshot.display();
@@ -61,7 +65,7 @@
         Process::start("relay", &self.directory.write(&format!("{name}.toml"), &text))
     }
 
-    /// Starts an agent of these services. Returns it, and the address of its discovery.
+    /// Starts an agent with these services in scope. Returns it and the address of its discovery.
     pub fn start_agent(&self, name: &str, services: &[u32]) -> (Process, SocketAddr) {
         let listen = address();
         let mut text = format!(
@@ -74,11 +78,11 @@
         (Process::start("agent", &self.directory.write(&format!("{name}.toml"), &text)), listen)
     }
 
-    /// Waits until an agent reports a connection to a relay after the first `skipped` log lines. Returns the relay's index,
-    /// and the number of lines up to the report.
+    /// Waits until an agent logs a connection to a relay after the first `skipped` log lines. Returns the
+    /// relay's index, and the number of lines up to and including that line.
     pub fn wait_for_relay(&self, agent: &Process, skipped: usize) -> (usize, usize) {
         let (line, lines) = agent.wait_for_line_after(skipped, "connected to relay");
         let index = self.relays.iter().position(|relay| line.contains(&format!("`{}`", relay.name)));
-        (index.expect("a relay of the list"), lines)
+        (index.expect("a relay of the region"), lines)
     }
 }
--- a/crates/control-plane/tests/publisher/limits.rs
+++ b/crates/control-plane/tests/publisher/limits.rs
@@ -5,7 +5,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The bytes sent never exceed the burst and what the rate adds, whenever messages are requested.
+    /// At any time, the total of sent bytes is at most the burst plus the rate multiplied by the time.
     #[test]
     fn never_exceeds_the_rate_limit(
         rate in 500..20_000_u32,
@@ -18,12 +18,12 @@
         let bytes = |message: &Message| 4 + postcard::to_stdvec(message).expect("encodable").len();
         let mut sent: usize = welcome.iter().map(bytes).sum();
         let mut now = 0;
-        let mut count = 0;
-        for (wait, writes, size) in steps {
-            now += wait;
+        let mut written = 0;
+        for (wait_ms, writes, size) in steps {
+            now += wait_ms;
             for index in 0..writes {
-                write(&mut source, change(index as u32 % 12, Kind::Backend, &format!("b{}", count % 50), State::Active, size));
-                count += 1;
+                write(&mut source, change(index as u32 % 12, Kind::Backend, &format!("b{}", written % 50), State::Active, size));
+                written += 1;
             }
             while let PublisherAction::Send(message) = source.next_action(SUBSCRIBER, now) {
                 sent += bytes(&message);
@@ -31,15 +31,15 @@
                     source.on_message(SUBSCRIBER, reply, now).expect("accepted");
                 }
                 let max = f64::from(burst) + f64::from(rate) * now as f64 / 1_000.0;
-                prop_assert!(sent as f64 <= max, "{sent} bytes after {now} ms, {max} at the most");
+                prop_assert!(sent as f64 <= max, "{sent} bytes after {now} ms, at most {max} allowed");
             }
             if let PublisherAction::WaitUntil(until) = source.next_action(SUBSCRIBER, now) {
-                prop_assert!(until > now, "a wait in the past would loop for ever");
+                prop_assert!(until > now, "a wait in the past would loop endlessly");
             }
         }
     }
 
-    /// The size that the rate limit counts is no less than the bytes on the wire, and not much more.
+    /// The size that counts towards the rate limit is at least the encoded size, and at most 20 bytes more.
     #[test]
     fn encoded_size_bound_is_a_tight_upper_bound(
         name in "[a-z]{0,200}",
@@ -71,8 +71,8 @@
         ];
         for message in messages {
             let bytes = 4 + postcard::to_stdvec(&message).expect("encodable").len();
-            prop_assert!(message.encoded_size_bound() >= bytes, "{} has the bound {}, is {bytes}", message.name(), message.encoded_size_bound());
-            prop_assert!(message.encoded_size_bound() <= bytes + 20, "{} has the bound {}, is {bytes}", message.name(), message.encoded_size_bound());
+            prop_assert!(message.encoded_size_bound() >= bytes, "{} has the bound {} for {bytes} bytes", message.name(), message.encoded_size_bound());
+            prop_assert!(message.encoded_size_bound() <= bytes + 20, "{} has the bound {} for {bytes} bytes", message.name(), message.encoded_size_bound());
         }
     }
 }
@@ -90,7 +90,7 @@
         change(2, Kind::Configuration, &"c".repeat(MAX_NAME_BYTES), State::Active, MAX_BODY_BYTES),
     );
     let mut sent = connect(&mut source, &mut subscriber, 0);
-    // The largest record exceeds the burst: it is sent when the bucket is full.
+    // The largest record exceeds the burst. It is sent when the token bucket is full.
     let mut now = 0;
     while now < 120_000 {
         now += 100;
@@ -105,9 +105,9 @@
     }
 }
 
-/// A request replaces the former one, so repeated requests take no memory.
+/// Guards against requests that accumulate in memory: a request replaces the pending one.
 #[test]
-fn repeated_requests_replace_one_another() {
+fn new_requests_replace_pending_ones() {
     let scope = services(0..20);
     let (mut source, mut subscriber) =
         (source(RateLimit { bytes_per_s: 100, burst_bytes: 2_000 }), Subscriber::new("agent", scope));
--- a/crates/control-plane/tests/publisher/main.rs
+++ b/crates/control-plane/tests/publisher/main.rs
@@ -1,4 +1,4 @@
-//! Which messages upstream sends to a subscriber, in which order and at which rate.
+//! Tests of the publisher: which messages it sends to a subscriber, in which order and at which rate.
 
 mod limits;
 mod rejections;
@@ -22,16 +22,19 @@
 use proptest::prelude::*;
 use std::sync::Arc;
 
-const FAST: RateLimit = RateLimit { bytes_per_s: 100_000_000, burst_bytes: 100_000_000 };
+/// High enough not to delay the messages of a test.
+const HIGH_RATE: RateLimit = RateLimit { bytes_per_s: 100_000_000, burst_bytes: 100_000_000 };
 
-/// The subscriber's connection.
+/// The id of the subscriber's connection.
 const SUBSCRIBER: u64 = 1;
 
+/// A change whose body has `size` bytes, or none if the record is removed.
 fn change(service: ServiceId, kind: Kind, name: &str, state: State, size: usize) -> Change {
     let body = if state == State::Gone { Arc::from([]) } else { vec![7; size].into() };
     Change { key: Key { service, kind, name: name.into() }, state, body }
 }
 
+/// Writes a change to the source on the connection of a writer.
 fn write(source: &mut Source, change: Change) -> Version {
     let responses =
         source.on_message(9, Message::Write { id: 1, changes: vec![change] }, 0).expect("accepted");
@@ -53,7 +56,7 @@
     Scope::Services(services.into_iter().collect())
 }
 
-/// Delivers messages in both directions until there are none at this time. Returns those of the source.
+/// Delivers all messages that are due in both directions. Returns those of the source.
 fn exchange(source: &mut Source, subscriber: &mut Subscriber, now: Millis) -> Vec<Message> {
     let mut sent = Vec::new();
     while let PublisherAction::Send(message) = source.next_action(SUBSCRIBER, now) {
@@ -65,7 +68,7 @@
     sent
 }
 
-/// Connects a subscriber and delivers all messages. Returns those of the source.
+/// Connects a subscriber anew and delivers all messages that are due. Returns those of the source.
 fn connect(source: &mut Source, subscriber: &mut Subscriber, now: Millis) -> Vec<Message> {
     source.disconnect(SUBSCRIBER);
     let welcome = source.on_message(SUBSCRIBER, subscriber.hello(), now).expect("hello is accepted");
@@ -73,13 +76,15 @@
     exchange(source, subscriber, now)
 }
 
+/// Asserts that the subscriber has exactly the live records of the source in its scope.
 fn assert_equal_records(source: &Source, subscriber: &Subscriber, scope: &Scope) {
-    let truth: Vec<&Record> =
+    let expected: Vec<&Record> =
         source.store().live_records().filter(|record| scope.contains(record.key.service)).collect();
     let stored: Vec<&Record> = subscriber.stores().flat_map(|(_, store)| store.live_records()).collect();
-    assert_eq!(truth, stored);
+    assert_eq!(expected, stored);
 }
 
+/// The records in batches.
 fn records(sent: &[Message]) -> Vec<&Record> {
     let batches = sent.iter().filter_map(|message| match message {
         Message::Batch { records, .. } => Some(records),
@@ -88,6 +93,7 @@
     batches.flatten().collect()
 }
 
+/// The services of service snapshots.
 fn snapshots(sent: &[Message]) -> Vec<ServiceId> {
     let snapshots = sent.iter().filter_map(|message| match message {
         Message::ServiceSnapshot { service, .. } => Some(*service),
--- a/crates/control-plane/tests/publisher/repair.rs
+++ b/crates/control-plane/tests/publisher/repair.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// More services than fit into one summary or one request; a part of the summary is lost.
+/// There are more services than fit into one summary or one request, and one part of the summary is lost.
 #[test]
 fn sends_many_services_in_parts_and_recovers_a_lost_one() {
-    let mut source = source(FAST);
+    let mut source = source(HIGH_RATE);
     for service in 0..10_000 {
         backend(&mut source, service * 3, "b", State::Active);
     }
@@ -27,8 +27,8 @@
         }
         now += 100;
     }
-    assert!(parts >= 6, "three parts, the second lost, and three more: {parts}");
-    assert_eq!(requests, 3, "4,096 services at a time");
+    assert!(parts >= 6, "three parts of which the second is lost, and three more, not {parts}");
+    assert_eq!(requests, 3, "4,096 services in each request");
     assert_equal_records(&source, &subscriber, &Scope::All);
 }
 
@@ -36,7 +36,7 @@
 fn repairs_only_differing_services_behind_the_tombstone_floor() {
     let scope = services(0..50);
     let store = VersionedStore::new(0, 1).with_max_tombstones(10);
-    let mut source = Source::new("source", store, FAST);
+    let mut source = Source::new("source", store, HIGH_RATE);
     let mut subscriber = Subscriber::new("agent", scope.clone());
     for service in 0..50 {
         for name in 0..20 {
@@ -45,8 +45,8 @@
     }
     connect(&mut source, &mut subscriber, 0);
     assert_equal_records(&source, &subscriber, &scope);
-    // While it is disconnected, more records of three services are removed than tombstones are retained, and a record out of
-    // scope changes.
+    // While the subscriber is disconnected, more records are removed than tombstones are retained, in three
+    // services, and a record out of scope changes.
     source.disconnect(SUBSCRIBER);
     for service in [3, 17, 41] {
         (0..6).for_each(|name| {
@@ -57,9 +57,9 @@
     assert_eq!(source.store().tombstone_count(), 10);
     let sent = connect(&mut source, &mut subscriber, 1_000);
     assert_eq!(sent.iter().filter(|message| matches!(message, Message::DigestSummary { .. })).count(), 1);
-    assert_eq!(snapshots(&sent), [3, 17, 41], "only these differ");
+    assert_eq!(snapshots(&sent), [3, 17, 41], "only these services differ");
     assert_equal_records(&source, &subscriber, &scope);
-    // As long as no tombstone is missing, the log suffices.
+    // While no tombstone is missing, the changes are sent from the log.
     source.disconnect(SUBSCRIBER);
     (0..10).for_each(|name| {
         backend(&mut source, 5, &format!("b{name}"), State::Gone);
@@ -73,11 +73,11 @@
     assert_equal_records(&source, &subscriber, &scope);
 }
 
-/// A restart of the source without loss costs a summary, and no records.
+/// After a restart of the source without lost changes, only a summary is sent.
 #[test]
 fn sends_no_records_for_a_new_epoch_without_differences() {
     let scope = services(0..50);
-    let mut source = source(FAST);
+    let mut source = source(HIGH_RATE);
     let mut subscriber = Subscriber::new("agent", scope.clone());
     for service in 0..50 {
         backend(&mut source, service, "b", State::Active);
@@ -85,7 +85,7 @@
     connect(&mut source, &mut subscriber, 0);
     let records = source.store().live_records().cloned().collect();
     let mut source =
-        Source::new("source", VersionedStore::restore(0, 2, source.store().head(), records), FAST);
+        Source::new("source", VersionedStore::restore(0, 2, source.store().head(), records), HIGH_RATE);
     let sent = connect(&mut source, &mut subscriber, 1_000);
     assert!(snapshots(&sent).is_empty());
     let version = backend(&mut source, 3, "b", State::Draining);
--- a/crates/control-plane/tests/publisher/send_order.rs
+++ b/crates/control-plane/tests/publisher/send_order.rs
@@ -1,11 +1,11 @@
-//! The order of messages, and what a subscriber is sent while it is slow or idle.
+//! The order of messages, and the messages to slow and idle subscribers.
 
 use super::*;
 
 #[test]
 fn slow_subscriber_receives_only_the_newest_records_without_queueing() {
     let scope = services(0..8);
-    let (mut source, mut subscriber) = (source(FAST), Subscriber::new("agent", scope.clone()));
+    let (mut source, mut subscriber) = (source(HIGH_RATE), Subscriber::new("agent", scope.clone()));
     connect(&mut source, &mut subscriber, 0);
     let before = source.retained_items(SUBSCRIBER);
     for round in 0..2_000 {
@@ -13,11 +13,11 @@
             let state = if round % 2 == 0 { State::Draining } else { State::Active };
             backend(&mut source, round % 8, name, state);
         }
-        assert_eq!(source.retained_items(SUBSCRIBER), before, "the send state grew");
+        assert_eq!(source.retained_items(SUBSCRIBER), before, "the send state has grown");
     }
     let sent = exchange(&mut source, &mut subscriber, 500);
     let received = records(&sent);
-    assert_eq!(received.len(), 16, "each of 16 records once");
+    assert_eq!(received.len(), 16, "each of 16 records is sent once");
     assert!(received.iter().all(|record| source.store().get(&record.key) == Some(record)));
     assert_equal_records(&source, &subscriber, &scope);
 }
@@ -25,8 +25,8 @@
 #[test]
 fn sends_drains_before_additions_before_other_changes_across_sources() {
     let mut sources: Vec<Source> =
-        (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), FAST)).collect();
-    let mut relay = Relay::new("relay", &[0, 1, 2], FAST);
+        (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), HIGH_RATE)).collect();
+    let mut relay = Relay::new("relay", &[0, 1, 2], HIGH_RATE);
     let scope = services(0..3);
     let mut subscriber = Subscriber::new("agent", scope);
     let mut publish = |sources: &mut [Source], relay: &mut Relay, now: Millis| {
@@ -53,7 +53,7 @@
     let hello = Subscriber::new("agent", services(0..3)).hello();
     relay.on_message(SUBSCRIBER, hello, 0).expect("hello is accepted");
     publish(&mut sources, &mut relay, 0);
-    // The least urgent changes are written first.
+    // The changes are written in reverse order of urgency.
     for (id, source) in sources.iter_mut().enumerate() {
         write(source, change(id as u32, Kind::Route, "route", State::Active, 10));
         for name in ["new", "newer"] {
@@ -68,11 +68,11 @@
     assert!(urgencies.is_sorted(), "{urgencies:?}");
 }
 
-/// With more changes of one urgency than the rate limit allows, the sources are served in rotation.
+/// If there are more changes of one urgency than the rate limit allows, the sources are served in rotation.
 #[test]
-fn sources_share_the_rate_limit_evenly() {
+fn divides_the_rate_limit_evenly_between_sources() {
     let mut sources: Vec<Source> =
-        (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), FAST)).collect();
+        (0..3).map(|id| Source::new("source", VersionedStore::new(id, 1), HIGH_RATE)).collect();
     let mut relay = Relay::new("relay", &[0, 1, 2], RateLimit { bytes_per_s: 2_000, burst_bytes: 2_000 });
     let mut subscriber = Subscriber::new("agent", services(0..3));
     for (id, source) in sources.iter_mut().enumerate() {
@@ -82,7 +82,7 @@
     let mut received = [0_usize; 3];
     for now in (0..30_000).step_by(50) {
         for (id, source) in sources.iter_mut().enumerate() {
-            // Far more than the rate limit allows, once all sources are connected.
+            // Once all sources are connected, far more is written than the rate limit allows.
             if now > 1_000 {
                 (0..20).for_each(|index| {
                     backend(source, id as u32, &format!("b{}", (now + index) % 997), State::Active);
@@ -110,16 +110,16 @@
 #[test]
 fn idle_upstream_sends_heartbeats_and_periodic_digests() {
     let scope = services([1]);
-    let (mut source, mut subscriber) = (source(FAST), Subscriber::new("agent", scope));
+    let (mut source, mut subscriber) = (source(HIGH_RATE), Subscriber::new("agent", scope));
     backend(&mut source, 1, "b", State::Active);
     connect(&mut source, &mut subscriber, 0);
-    let (mut messages, mut checks) = (0, 0);
+    let (mut messages, mut digests) = (0, 0);
     let mut now = 0;
     while now <= 60_000 {
         match source.next_action(SUBSCRIBER, now) {
             PublisherAction::Send(message) => {
                 messages += 1;
-                checks += usize::from(matches!(message, Message::Batch { scope_digest: Some(_), .. }));
+                digests += usize::from(matches!(message, Message::Batch { scope_digest: Some(_), .. }));
                 assert_eq!(subscriber.on_message(message, now).expect("accepted").replies, []);
             }
             PublisherAction::WaitUntil(until) => {
@@ -129,14 +129,15 @@
         }
     }
     assert!((55..=65).contains(&messages), "{messages} messages in a minute");
-    assert_eq!(checks, 6);
+    assert_eq!(digests, 6);
 }
 
-/// Changes out of scope are not sent, but the position is: else a long absence would require a long scan of the log.
+/// Changes out of scope are not sent, but the position is: otherwise a long scan of the log would be required
+/// after a long absence.
 #[test]
 fn changes_out_of_scope_cost_one_progress_message_per_second() {
     let scope = services([1]);
-    let (mut source, mut subscriber) = (source(FAST), Subscriber::new("agent", scope.clone()));
+    let (mut source, mut subscriber) = (source(HIGH_RATE), Subscriber::new("agent", scope.clone()));
     backend(&mut source, 1, "b", State::Active);
     connect(&mut source, &mut subscriber, 0);
     let mut sent = Vec::new();
--- a/crates/control-plane/tests/replica/main.rs
+++ b/crates/control-plane/tests/replica/main.rs
@@ -1,4 +1,4 @@
-//! How replicas at subscribers and relays handle messages in rare orders.
+//! Replicas at subscribers and relays that receive messages late, twice, or in an unusual order.
 
 mod relay;
 mod subscriber;
@@ -15,6 +15,7 @@
 use control_plane::subscriber::{MessageOutcome, Subscriber};
 use control_plane::upstream::Upstream;
 
+/// The id of the subscriber's connection.
 const SUBSCRIBER: u64 = 1;
 
 const ALL_SERVICES: ServiceRange = ServiceRange { first: 0, last: ServiceId::MAX };
@@ -22,33 +23,36 @@
 /// The digests of services 0 to 8 that have records.
 fn digests(store: &VersionedStore) -> Vec<ServiceDigest> {
     let digests = (0..9).map(|service| ServiceDigest { service, digest: store.digest(service) });
-    digests.filter(|one| one.digest != 0).collect()
+    digests.filter(|entry| entry.digest != 0).collect()
 }
 
-fn at(epoch: Epoch, revision: u64) -> Version {
+fn version(epoch: Epoch, revision: u64) -> Version {
     Version { epoch, revision }
 }
 
-/// The cursor of epoch 1 with these revisions, by urgency.
+/// A cursor of epoch 1 with these revisions, by urgency.
 fn cursor(revisions: [u64; 3]) -> Cursor {
-    revisions.map(|revision| at(1, revision))
+    revisions.map(|revision| version(1, revision))
 }
 
+/// A backend record of epoch 1.
 fn record(service: ServiceId, name: &str, revision: u64, state: State) -> Record {
     let key = Key { service, kind: Kind::Backend, name: name.into() };
     let body: &[u8] = if state == State::Gone { &[] } else { &[1, 2, 3] };
-    Record { key, version: at(1, revision), state, body: body.into() }
+    Record { key, version: version(1, revision), state, body: body.into() }
 }
 
+/// A batch of epoch 1 from source 0.
 fn batch(from: [u64; 3], to: [u64; 3], records: Vec<Record>) -> Message {
     Message::Batch { source: 0, epoch: 1, from: cursor(from), to: cursor(to), records, scope_digest: None }
 }
 
+/// A complete service snapshot of epoch 1 from source 0.
 fn snapshot(as_of: u64, service: ServiceId, records: Vec<Record>) -> Message {
     Message::ServiceSnapshot {
         source: 0,
         epoch: 1,
-        as_of: at(1, as_of),
+        as_of: version(1, as_of),
         service,
         after: None,
         through: None,
@@ -56,9 +60,9 @@
     }
 }
 
-/// A summary of epoch 1 at a revision, with the digests of these records.
+/// A summary of epoch 1 from source 0 at a revision, with the digests of these records.
 fn summary(to: u64, records: &[Record]) -> Message {
-    let store = VersionedStore::restore(0, 1, at(1, to), records.to_vec());
+    let store = VersionedStore::restore(0, 1, version(1, to), records.to_vec());
     let digests = digests(&store);
     Message::DigestSummary { source: 0, epoch: 1, range: ALL_SERVICES, to: cursor([to; 3]), digests }
 }
@@ -67,7 +71,7 @@
     subscriber.on_message(message, 0).expect("accepted")
 }
 
-/// The position that it reports.
+/// The position that the subscriber reports in its hello.
 fn position(subscriber: &Subscriber) -> Option<ReplicaPosition> {
     let Message::Hello { positions, .. } = subscriber.hello() else { panic!("not a hello") };
     positions.into_iter().next()
@@ -77,7 +81,7 @@
     subscriber.stores().flat_map(|(_, store)| store.live_records().cloned()).collect()
 }
 
-/// A subscriber of all services at a revision with these records.
+/// A subscriber of all services with these records, whose cursors are at this revision.
 fn subscriber_at(to: u64, records: &[Record]) -> Subscriber {
     let mut subscriber = Subscriber::new("agent", Scope::All);
     deliver(&mut subscriber, summary(to, records));
--- a/crates/control-plane/tests/replica/relay.rs
+++ b/crates/control-plane/tests/replica/relay.rs
@@ -1,8 +1,8 @@
-//! Replicas at a relay, and what it publishes from them.
+//! Replicas at a relay, and the messages that the relay publishes from them.
 
 use super::*;
 
-/// A relay at a revision with these records.
+/// A relay with these records, whose cursors are at this revision.
 fn relay_at(to: u64, records: &[Record]) -> Relay {
     let mut relay = Relay::new("relay", &[0], RateLimit::unbounded());
     relay.on_source_message(0, summary(to, records), 0).expect("accepted");
@@ -26,7 +26,7 @@
     assert_eq!(relay.on_message(SUBSCRIBER, message, 0), Ok(vec![]));
 }
 
-/// All messages that are due at one time.
+/// All messages that are due at time 0.
 fn sent_messages(relay: &mut Relay) -> Vec<Message> {
     std::iter::from_fn(|| match relay.next_action(SUBSCRIBER, 0) {
         PublisherAction::Send(message) => Some(message),
@@ -39,8 +39,9 @@
     matches!(message, Message::DigestSummary { .. })
 }
 
-/// A relay may have drains before it has additions. Its snapshot of a service then covers the version up to which it is
-/// complete, and includes the tombstones beyond that: else a relay at an older position could restore removed records.
+/// A relay may receive drains before earlier additions. Its snapshot of a service then covers the version up
+/// to which the relay is complete, and includes the tombstones beyond that: otherwise a relay at an older
+/// position could restore removed records at the subscriber.
 #[test]
 fn relay_snapshot_includes_tombstones_beyond_its_position() {
     let (old, removed) = (record(1, "a", 3, State::Active), record(1, "a", 9, State::Gone));
@@ -68,23 +69,23 @@
     relay
         .on_source_message(0, batch([5; 3], [8; 3], vec![record(1, "c", 7, State::Active)]), 0)
         .expect("accepted");
-    // `c` was not sent to it yet.
+    // `c` has not been sent to the subscriber yet.
     subscribe(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
-    let truth = VersionedStore::restore(0, 2, at(1, 4), vec![record(2, "b", 4, State::Active)]);
-    let digests = digests(&truth);
-    let (to, range) = ([truth.head(); 3], ALL_SERVICES);
-    let part = Message::DigestSummary { source: 0, epoch: 2, range, to, digests };
-    let responses = relay.on_source_message(0, part, 0).expect("accepted");
+    let source_store = VersionedStore::restore(0, 2, version(1, 4), vec![record(2, "b", 4, State::Active)]);
+    let digests = digests(&source_store);
+    let (to, range) = ([source_store.head(); 3], ALL_SERVICES);
+    let new_epoch = Message::DigestSummary { source: 0, epoch: 2, range, to, digests };
+    let responses = relay.on_source_message(0, new_epoch, 0).expect("accepted");
     assert_eq!(responses, [Message::SnapshotRequest { source: 0, services: vec![1, 2] }]);
     assert_eq!(sent_messages(&mut relay), [], "the new epoch may have lost `c`");
     let service = |service: ServiceId| Message::ServiceSnapshot {
         source: 0,
         epoch: 2,
-        as_of: truth.head(),
+        as_of: source_store.head(),
         service,
         after: None,
         through: None,
-        records: truth.service(service).cloned().collect(),
+        records: source_store.service(service).cloned().collect(),
     };
     relay.on_source_message(0, service(1), 0).expect("accepted");
     assert_eq!(sent_messages(&mut relay), [], "an incomplete repair is not published");
@@ -103,13 +104,14 @@
     let responses =
         relay.on_source_message(0, summary(5, &[records[0].clone(), repaired.clone()]), 0).expect("accepted");
     assert_eq!(responses, [Message::SnapshotRequest { source: 0, services: vec![2] }]);
-    // Changes during the repair are sent at once.
+    // Changes during the repair are sent immediately.
     let drained = record(1, "a", 6, State::Draining);
     relay.on_source_message(0, batch([5; 3], [6; 3], vec![drained.clone()]), 0).expect("accepted");
     let sent = sent_messages(&mut relay);
-    let check = sent.iter().any(|message| matches!(message, Message::Batch { scope_digest: Some(_), .. }));
+    let has_digest =
+        sent.iter().any(|message| matches!(message, Message::Batch { scope_digest: Some(_), .. }));
     assert!(
-        matches!(&sent[..], [Message::Batch { records, .. }] if *records == [drained]) && !check,
+        matches!(&sent[..], [Message::Batch { records, .. }] if *records == [drained]) && !has_digest,
         "{sent:?}"
     );
     send(&mut relay, Message::DigestRequest { source: 0 });
@@ -122,8 +124,8 @@
     );
 }
 
-/// Found by the simulation (seed 35): a relay received a removal in a repair, with a later version, and then the change
-/// itself. A subscriber that was sent everything up to that change would have missed the removal.
+/// Found by the simulation (seed 35): a relay received a removal in a repair, with a later version, and then
+/// the change itself. A subscriber that received everything up to that change would have missed the removal.
 #[test]
 fn relay_publishes_a_removal_at_its_log_position() {
     let old = record(1, "a", 1, State::Active);
@@ -136,7 +138,8 @@
     assert!(matches!(&sent[..], [Message::Batch { records, .. }, ..] if *records == [removed]), "{sent:?}");
 }
 
-/// Records that a repair changed at a relay lie before the cursors of its subscribers, so these are sent digests.
+/// Records changed by a repair at a relay may be before the cursors of its subscribers, so the relay sends
+/// digests to them.
 #[test]
 fn repair_at_a_relay_reaches_its_subscribers() {
     let mut relay = relay_at(5, &[record(1, "a", 3, State::Active)]);
@@ -148,7 +151,7 @@
         .expect("accepted");
     relay.on_source_message(0, snapshot(5, 2, vec![repaired.clone()]), 0).expect("accepted");
     assert!(matches!(sent_messages(&mut relay)[..], [Message::DigestSummary { .. }]));
-    // The same without a request for the service.
+    // The same applies to a snapshot that was not requested.
     let other = record(3, "c", 4, State::Active);
     relay.on_source_message(0, snapshot(5, 3, vec![other]), 0).expect("accepted");
     assert!(matches!(sent_messages(&mut relay)[..], [Message::DigestSummary { .. }]));
@@ -158,7 +161,8 @@
     assert!(matches!(sent_messages(&mut relay)[..], [Message::DigestSummary { .. }]));
 }
 
-/// A relay behind a subscriber sends nothing until it has caught up: neither of an older epoch nor older changes.
+/// A relay behind a subscriber sends neither changes of an older epoch nor older changes: it sends nothing
+/// until it has caught up.
 #[test]
 fn subscriber_ahead_of_its_relay_receives_nothing() {
     let mut relay = relay_at(5, &[record(1, "a", 3, State::Active)]);
@@ -172,15 +176,16 @@
         matches!(&sent[..], [Message::Batch { records, .. }, ..] if records.len() == 1 && records[0].urgency() == Urgency::Drain)
     );
     relay.disconnect(SUBSCRIBER);
-    subscribe(&mut relay, vec![ReplicaPosition { source: 0, epoch: 2, cursor: [at(2, 9); 3] }]);
+    subscribe(&mut relay, vec![ReplicaPosition { source: 0, epoch: 2, cursor: [version(2, 9); 3] }]);
     assert_eq!(sent_messages(&mut relay), []);
 }
 
-/// All records that a repair removed have the version of the repair; a cut between them would lose the rest.
+/// All records that a repair removed have the version of the repair. If a message ended between them, the
+/// cursor would skip the others.
 #[test]
 fn does_not_split_records_of_one_version() {
-    // The first count fits into a message of the usual size, the second into the largest message, the third into none, so it
-    // is repaired by digests.
+    // The first count fits into a message of the usual size, the second into a message of the maximum size.
+    // The third fits into none, so it is repaired by digests.
     for (count, by_digest) in [(600, false), (6_000, false), (20_000, true)] {
         let name = |index: usize| format!("backend-{index:06}");
         // Of two services only one is in scope.
@@ -189,7 +194,7 @@
             .collect();
         let to = count as u64;
         let mut sorted = records.clone();
-        sorted.sort_by(|one, other| one.key.cmp(&other.key));
+        sorted.sort_by(|left, right| left.key.cmp(&right.key));
         let rate_limit = RateLimit { bytes_per_s: 1_000_000, burst_bytes: 1_000_000 };
         let mut relay = Relay::new("relay", &[0], rate_limit);
         let load = |relay: &mut Relay, to: u64, records: &[Record]| {
@@ -219,8 +224,9 @@
         relay.on_message(SUBSCRIBER, subscriber.hello(), 0).expect("hello is accepted");
         exchange(&mut relay, &mut subscriber);
         assert_eq!(stored_records(&subscriber).len(), count / 2);
-        // All records are removed at the source. The relay receives this in a repair ten revisions later, with its cursors at
-        // the summary. The subscriber disconnects before, and reconnects with the cursor of the repaired relay.
+        // All records are removed at the source. The relay receives this in a repair ten revisions later,
+        // with its cursors at the summary. The subscriber disconnects before the repair, and reconnects with
+        // the cursor of the repaired relay.
         relay.disconnect(SUBSCRIBER);
         relay.on_source_message(0, summary(to + 1, &[]), 0).expect("accepted");
         for service in [1, 2] {
@@ -234,7 +240,7 @@
             .on_message(SUBSCRIBER, Message::Hello { protocol, name, scope, positions }, 0)
             .expect("hello is accepted");
         relay.on_source_message(0, batch([to + 1; 3], [to + 11; 3], vec![]), 0).expect("accepted");
-        // Advances the subscriber's own position likewise.
+        // Advances the subscriber's own position to the same revision.
         let ahead = Message::Batch {
             source: 0,
             epoch: 1,
--- a/crates/control-plane/tests/simulation/applied_records.rs
+++ b/crates/control-plane/tests/simulation/applied_records.rs
@@ -1,11 +1,12 @@
-//! Checks the sequence of records that a subscriber reports as applied, independently of the subscriber's own state.
+//! Invariant checker for the sequence of records that a subscriber reports as applied. It does not use the
+//! subscriber's own state.
 
 use control_plane::message::Message;
 use control_plane::record::{Epoch, Key, Record, Scope, State, Version};
 use control_plane::replica::AppliedRecord;
 use std::collections::BTreeMap;
 
-/// The epoch of a message; 0 of one without.
+/// The epoch of a message; 0 if the message has none.
 pub fn epoch(message: &Message) -> Epoch {
     match message {
         Message::Batch { epoch, .. }
@@ -15,36 +16,39 @@
     }
 }
 
-/// When a key was last applied.
+/// The last applied record of a key.
 struct LastApplied {
-    /// The epoch of the message.
+    /// The epoch of the message, which may be later than that of the record's version.
     epoch: Epoch,
     version: Version,
 }
 
+/// Reconstructs a subscriber's records from the applied ones and checks their order.
 pub struct AppliedRecordChecker {
     scope: Scope,
-    active_records: BTreeMap<Key, Record>,
-    /// By key, removed ones included.
+    live_records: BTreeMap<Key, Record>,
+    /// By key, including removed records.
     last_applied: BTreeMap<Key, LastApplied>,
     violations: Vec<String>,
 }
 
 impl AppliedRecordChecker {
+    /// Creates a checker for a subscriber with this scope that has no records yet.
     pub fn new(scope: Scope) -> Self {
-        Self { scope, active_records: BTreeMap::new(), last_applied: BTreeMap::new(), violations: Vec::new() }
+        Self { scope, live_records: BTreeMap::new(), last_applied: BTreeMap::new(), violations: Vec::new() }
     }
 
-    /// The records that are not removed.
-    pub fn active_records(&self) -> &BTreeMap<Key, Record> {
-        &self.active_records
+    /// The applied records that were not removed later.
+    pub fn live_records(&self) -> &BTreeMap<Key, Record> {
+        &self.live_records
     }
 
+    /// Descriptions of all violations so far.
     pub fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    /// Checks a record that was applied from a message of this epoch.
+    /// Checks a record that was applied from a message of `epoch`.
     pub fn check(&mut self, epoch: Epoch, applied: AppliedRecord) {
         let AppliedRecord { record, previous } = applied;
         let key = record.key.clone();
@@ -52,16 +56,17 @@
             self.violations.push(format!("{key:?} is out of scope"));
         }
         self.check_order(epoch, &record);
-        if self.active_records.get(&key) == Some(&record) {
-            self.violations.push(format!("{key:?}: {:?} came into force twice", record.version));
+        if self.live_records.get(&key) == Some(&record) {
+            self.violations.push(format!("{key:?}: {:?} was applied twice", record.version));
         }
         let replaced = if record.state == State::Gone {
-            self.active_records.remove(&key)
+            self.live_records.remove(&key)
         } else {
-            self.active_records.insert(key.clone(), record)
+            self.live_records.insert(key.clone(), record)
         };
         if replaced != previous {
-            self.violations.push(format!("{key:?}: reported to replace {previous:?}, replaced {replaced:?}"));
+            self.violations
+                .push(format!("{key:?}: reported as replacing {previous:?}, but replaced {replaced:?}"));
         }
     }
 
@@ -73,10 +78,11 @@
         if epoch < last.epoch {
             self.violations.push(format!("{key:?}: applied from epoch {epoch} after epoch {}", last.epoch));
         }
-        // The same version may be applied twice: in place of a damaged record.
+        // The same version may be applied twice, if it replaces a damaged record.
         if epoch == last.epoch && record.version < last.version {
             let (state, version) = (record.state, record.version);
-            self.violations.push(format!("{key:?}: {state:?} {version:?} came over {:?}", last.version));
+            self.violations
+                .push(format!("{key:?}: {state:?} {version:?} replaced the newer {:?}", last.version));
         }
     }
 }
--- a/crates/control-plane/tests/simulation/convergence.rs
+++ b/crates/control-plane/tests/simulation/convergence.rs
@@ -1,4 +1,4 @@
-//! After arbitrary events and faults, all subscribers converge to the records of the sources in their scope.
+//! After arbitrary events and faults, all nodes converge to the records of the sources in their scope.
 
 use crate::events::Event;
 use crate::link::Unreliability;
@@ -8,8 +8,10 @@
 use control_plane::record::{Kind, Scope, State};
 use proptest::prelude::*;
 
+/// Number of services.
 const SERVICES: u32 = 12;
-/// Ticks within which all nodes converge: twice the longest retry delay of a request (32 s), and a digest (10 s).
+/// Ticks within which all nodes converge: twice the maximum retry delay of a request (32 s), and the interval
+/// of digests (10 s).
 const MAX_CONVERGENCE_TICKS: usize = 800;
 
 fn states() -> impl Strategy<Value = State> {
@@ -35,15 +37,13 @@
 }
 
 fn scopes() -> impl Strategy<Value = Vec<Scope>> {
-    let some = prop::collection::btree_set(0..SERVICES, 0..8).prop_map(Scope::Services);
-    prop::collection::vec(prop_oneof![6 => some, 1 => Just(Scope::All)], 1..6)
+    let some_services = prop::collection::btree_set(0..SERVICES, 0..8).prop_map(Scope::Services);
+    prop::collection::vec(prop_oneof![6 => some_services, 1 => Just(Scope::All)], 1..6)
 }
 
 fn unreliabilities() -> impl Strategy<Value = Unreliability> {
-    (0..40_u8, 0..30_u8, 0..1_500_u64).prop_map(|(loss, duplication, max_delay)| Unreliability {
-        loss,
-        duplication,
-        max_delay,
+    (0..40_u8, 0..30_u8, 0..1_500_u64).prop_map(|(loss_percent, duplication_percent, max_delay)| {
+        Unreliability { loss_percent, duplication_percent, max_delay }
     })
 }
 
@@ -78,7 +78,7 @@
         simulation.end_faults();
         let ticks = simulation.run_until_converged(MAX_CONVERGENCE_TICKS);
         prop_assert_eq!(simulation.differences(), Vec::<String>::new(), "after {} ticks", ticks);
-        // They stay equal over the next digest and the messages in flight.
+        // The records stay equal after the messages in flight and the next digest.
         simulation.run(150);
         prop_assert_eq!(simulation.differences(), Vec::<String>::new(), "after convergence");
     }
--- a/crates/control-plane/tests/simulation/events.rs
+++ b/crates/control-plane/tests/simulation/events.rs
@@ -2,29 +2,30 @@
 
 use control_plane::record::{Kind, ServiceId, State};
 
-/// An event of a simulation. Numbers of nodes are taken modulo the number of such nodes; durations are in ticks.
+/// An event of a simulation. Indexes of nodes are taken modulo the number of such nodes. Durations are in
+/// ticks.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A source applies a change.
     Write { service: ServiceId, kind: Kind, name: u8, state: State, size: u16 },
-    /// Time passes.
+    /// Time passes without an event.
     Wait(u8),
-    /// All connections of a subscriber are interrupted.
+    /// The connections of a subscriber are interrupted for a duration.
     CutSubscriber(usize, u8),
-    /// The connection between a relay and a source is interrupted.
+    /// The connection between a relay and a source is interrupted for a duration.
     CutRelay(usize, usize, u8),
     /// A subscriber connects to another relay.
     ChangeRelay(usize, usize),
     /// A relay restarts without records.
     RestartRelay(usize),
-    /// A relay is suspended.
+    /// A relay is suspended for a duration.
     Suspend(usize, u8),
-    /// A source restarts without its last changes.
+    /// A source restarts without this number of its last changes.
     RestartSource(usize, u8),
 }
 
 impl Event {
-    /// The same event, tick by tick.
+    /// Splits a wait into waits of one tick each; other events are returned as they are.
     pub fn by_ticks(&self) -> Vec<Self> {
         match self {
             Self::Wait(count) => vec![Self::Wait(1); usize::from(*count)],
--- a/crates/control-plane/tests/simulation/faults.rs
+++ b/crates/control-plane/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Injected faults: the verification detects each, and with scope digests the nodes repair it.
+//! Fault injection: the verification detects each fault, and scope digests make the nodes repair it.
 
 use crate::applied_records::epoch;
 use crate::link::Unreliability;
@@ -14,7 +14,8 @@
     rate_limit: RateLimit { bytes_per_s: 12_000, burst_bytes: 120_000 },
     max_tombstones: MAX_TOMBSTONES,
 };
-/// Ticks within which any single fault is repaired: a digest (10 s), its requests and responses, sent twice.
+/// Ticks within which a single fault is repaired: the interval of digests (10 s), and the requests and
+/// responses, sent twice.
 const REPAIR_TICKS: usize = 300;
 
 /// One source, one relay and one subscriber; services 0 to 3 have backends.
@@ -35,8 +36,8 @@
     }
 }
 
-/// Drops the first record that is sent in a batch.
-fn lose_one(message: &mut Message, lost: &mut bool) {
+/// Drops the first record of the first batch with records.
+fn drop_first_record(message: &mut Message, lost: &mut bool) {
     if let Message::Batch { records, .. } = message
         && !*lost
         && !records.is_empty()
@@ -52,7 +53,7 @@
         let mut simulation = small_simulation(services(0..4));
         let mut lost = false;
         simulation.interceptor = Some(Box::new(move |message| {
-            lose_one(message, &mut lost);
+            drop_first_record(message, &mut lost);
             if !with_digests {
                 remove_scope_digest(message);
             }
@@ -68,7 +69,7 @@
 
 #[test]
 fn detects_a_wrong_scope() {
-    // The subscriber's scope is not the expected one.
+    // The subscriber's scope differs from the one that the checker expects.
     let mut simulation = small_simulation(services([1, 2]));
     simulation.check_with_scope(0, services([1, 3]));
     simulation.write(2, Kind::Backend, "a", State::Draining, 50);
@@ -86,13 +87,13 @@
 #[test]
 fn ignores_records_out_of_scope() {
     let mut simulation = small_simulation(services([1, 2]));
-    let mut foreign = None;
+    let mut out_of_scope = None;
     simulation.interceptor = Some(Box::new(move |message| {
         if let Message::Batch { records, .. } = message {
-            if foreign.is_none() {
-                foreign = records.first().cloned();
+            if out_of_scope.is_none() {
+                out_of_scope = records.first().cloned();
             }
-            records.extend(foreign.clone().map(|mut record| {
+            records.extend(out_of_scope.clone().map(|mut record| {
                 record.key.service = 3;
                 record
             }));
@@ -104,7 +105,8 @@
     assert_eq!(simulation.differences(), Vec::<String>::new());
 }
 
-/// A source restarts without its last changes; with the old epoch in all messages the loss can't be detected downstream.
+/// A source restarts without its last changes. If all messages have the old epoch, downstream nodes can't
+/// detect the loss.
 #[test]
 fn detects_an_ignored_epoch() {
     for ignored in [true, false] {
@@ -148,12 +150,12 @@
     }
 }
 
-/// Messages of a former epoch arrive late, from a relay that is behind.
+/// Messages of a former epoch arrive late, as from a relay that is behind.
 #[test]
 fn ignores_messages_of_a_former_epoch() {
     let mut simulation = small_simulation(services(0..4));
-    let old = Arc::new(std::sync::Mutex::new(Vec::new()));
-    let recorded = Arc::clone(&old);
+    let sent_messages = Arc::new(std::sync::Mutex::new(Vec::new()));
+    let recorded = Arc::clone(&sent_messages);
     simulation.interceptor = Some(Box::new(move |message| {
         recorded.lock().expect("no panic in an interceptor").push(message.clone());
         true
@@ -166,16 +168,16 @@
     simulation.restart_source(0, 1);
     simulation.run(REPAIR_TICKS);
     assert_eq!(simulation.differences(), Vec::<String>::new());
-    let former: Vec<Message> = old.lock().expect("no panic in an interceptor").clone();
+    let former: Vec<Message> = sent_messages.lock().expect("no panic in an interceptor").clone();
     let former = former.into_iter().filter(|message| epoch(message) == 1);
-    let mut outcome = 0;
+    let mut delivered = 0;
     for message in former {
         let now = simulation.now;
-        let response = simulation.subscribers[0].subscriber.on_message(message, now).expect("accepted");
-        assert!(response.applied.is_empty() && response.replies.is_empty());
-        outcome += 1;
+        let outcome = simulation.subscribers[0].subscriber.on_message(message, now).expect("accepted");
+        assert!(outcome.applied.is_empty() && outcome.replies.is_empty());
+        delivered += 1;
     }
-    assert!(outcome > 0);
+    assert!(delivered > 0);
     assert_eq!(simulation.differences(), Vec::<String>::new());
 }
 
@@ -204,13 +206,13 @@
     }
 }
 
-/// Upstream itself reverts a change within one epoch: only the checker of applied records detects this.
+/// Upstream itself reverts a change within one epoch, which only the checker of applied records detects.
 #[test]
 fn detects_an_older_record_replacing_a_newer_one() {
     let mut simulation = small_simulation(services(0..4));
     simulation.interceptor = Some(Box::new(|message| {
         remove_scope_digest(message);
-        // As if upstream were at a later position, and reverted its records.
+        // As if upstream had reverted its records and were at a later position.
         if let Message::ServiceSnapshot { as_of, records, .. } = message {
             as_of.revision += 100;
             for record in records {
@@ -224,17 +226,17 @@
     simulation.send_to_relay(0, Message::SnapshotRequest { source: 0, services: vec![1] });
     simulation.run(20);
     assert!(
-        simulation.violations().iter().any(|violation| violation.contains("came over")),
+        simulation.violations().iter().any(|violation| violation.contains("replaced the newer")),
         "{:?}",
         simulation.differences()
     );
 }
 
-/// An unreliable link alone causes no violation.
+/// A link that loses, duplicates and reorders messages causes no violation.
 #[test]
 fn recovers_from_an_unreliable_link() {
     let mut simulation = small_simulation(services(0..4));
-    simulation.unreliability = Unreliability { loss: 30, duplication: 30, max_delay: 800 };
+    simulation.unreliability = Unreliability { loss_percent: 30, duplication_percent: 30, max_delay: 800 };
     for round in 0..40 {
         let state = [State::Active, State::Draining, State::Gone][round % 3];
         simulation.write(
--- a/crates/control-plane/tests/simulation/link.rs
+++ b/crates/control-plane/tests/simulation/link.rs
@@ -1,24 +1,26 @@
-//! A connection between two nodes, less reliable than TCP: it loses, duplicates and reorders single messages.
+//! A connection between two nodes that is less reliable than TCP: it loses, duplicates and reorders messages.
 
 use control_plane::Millis;
 use control_plane::message::Message;
 
-/// How unreliable a link is.
+/// Rates and delays of the faults of a link.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Unreliability {
-    /// Lost messages, percent.
-    pub loss: u8,
-    /// Duplicated messages, percent.
-    pub duplication: u8,
-    /// The greatest delay of a message, milliseconds; each has its own, so messages are reordered.
+    /// Lost messages, in percent.
+    pub loss_percent: u8,
+    /// Duplicated messages, in percent of those that are not lost.
+    pub duplication_percent: u8,
+    /// Maximum delay of a message. Each message has its own delay, so messages are reordered. Duplicates are
+    /// delayed up to three times as long.
     pub max_delay: Millis,
 }
 
-/// splitmix64, from a seed that the test gives.
+/// The splitmix64 generator, with its state. A test gives the initial state as the seed.
 #[derive(Clone, Debug)]
 pub struct Random(pub u64);
 
 impl Random {
+    /// A number below `bound`; 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -42,6 +44,7 @@
 }
 
 impl Direction {
+    /// Sends a message, unless the link is cut or loses it.
     pub fn push(
         &mut self,
         message: Message,
@@ -50,10 +53,10 @@
         unreliability: &Unreliability,
         random: &mut Random,
     ) {
-        if is_cut || random.below(100) < unreliability.loss.into() {
+        if is_cut || random.below(100) < unreliability.loss_percent.into() {
             return;
         }
-        if random.below(100) < unreliability.duplication.into() {
+        if random.below(100) < unreliability.duplication_percent.into() {
             let arrives_at = now + random.below(unreliability.max_delay * 3 + 1);
             self.in_flight.push(InFlight { arrives_at, message: message.clone() });
         }
@@ -61,7 +64,7 @@
         self.in_flight.push(InFlight { arrives_at, message });
     }
 
-    /// The messages that have arrived, in the order of arrival.
+    /// Removes and returns the messages that have arrived by `now`, in the order of arrival.
     pub fn take(&mut self, now: Millis) -> Vec<Message> {
         let mut arrived: Vec<InFlight> =
             self.in_flight.extract_if(.., |in_flight| in_flight.arrives_at <= now).collect();
@@ -70,17 +73,21 @@
     }
 }
 
-/// A connection.
+/// A connection between a node and its upstream.
 #[derive(Debug)]
 pub struct Link {
+    /// Identifies the connection at its upstream.
     pub id: u64,
+    /// Messages to upstream.
     pub up: Direction,
+    /// Messages to the downstream node.
     pub down: Direction,
-    /// When downstream last received a message.
+    /// When the downstream node last received a message.
     pub last_received_at: Millis,
 }
 
 impl Link {
+    /// Creates a connection that is established at `now`.
     pub fn new(id: u64, now: Millis) -> Self {
         Self { id, up: Direction::default(), down: Direction::default(), last_received_at: now }
     }
--- a/crates/control-plane/tests/simulation/nodes.rs
+++ b/crates/control-plane/tests/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of a simulation and their settings.
+//! The simulated nodes and their settings.
 
 use crate::applied_records::AppliedRecordChecker;
 use crate::link::Link;
@@ -11,32 +11,38 @@
 use control_plane::subscriber::Subscriber;
 use std::collections::BTreeMap;
 
-/// The records of a source after one of its changes, tombstones included.
+/// The records of a source after one of its changes, including tombstones.
 #[derive(Clone)]
 pub struct HistoryEntry {
     pub head: Version,
     pub records: BTreeMap<Key, Record>,
 }
 
+/// A source with the records after each of its changes.
 pub struct SourceNode {
     pub source: Source,
-    /// The state after each change, from which a restart may continue.
+    /// The records after each change, the initial state included. A restart continues from one of them.
     pub history: Vec<HistoryEntry>,
 }
 
+/// A relay with its connections to the sources.
 pub struct RelayNode {
     pub relay: Relay,
-    /// The connection to each source.
+    /// The connections to the sources, by source.
     pub uplinks: Vec<Option<Link>>,
+    /// When the interruption of each of these connections ends.
     pub cut_until: Vec<Millis>,
     pub suspended_until: Millis,
 }
 
+/// A subscriber with its connection to a relay.
 pub struct SubscriberNode {
     pub subscriber: Subscriber,
+    /// The scope that the subscriber is expected to have.
     pub scope: Scope,
     pub checker: AppliedRecordChecker,
     pub uplink: Option<Link>,
+    /// The index of the relay that the subscriber connects to.
     pub relay: usize,
     pub cut_until: Millis,
 }
@@ -44,20 +50,22 @@
 /// Settings of all nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The limit of a relay to a subscriber.
+    /// The rate limit of a relay for each subscriber.
     pub rate_limit: RateLimit,
-    /// Tombstones that a source or relay retains at the most.
+    /// Maximum number of tombstones that a source or relay retains.
     pub max_tombstones: usize,
 }
 
 impl Settings {
+    /// Creates a source with this store.
     pub fn source(&self, store: VersionedStore) -> Source {
-        /// The limit of a source to a relay: enough for all changes of a test.
+        /// The rate limit of a source for each relay: enough for all changes of a test.
         const RELAY_LIMIT: RateLimit = RateLimit { bytes_per_s: 1_000_000, burst_bytes: 1_000_000 };
         let name = format!("source-{}", store.source());
         Source::new(&name, store.with_max_tombstones(self.max_tombstones), RELAY_LIMIT)
     }
 
+    /// Creates a relay of all sources, without records.
     pub fn relay(&self, index: usize, sources: usize) -> Relay {
         let ids: Vec<SourceId> = (0..sources as SourceId).collect();
         Relay::new(&format!("relay-{index}"), &ids, self.rate_limit).with_max_tombstones(self.max_tombstones)
--- a/crates/control-plane/tests/simulation/simulation.rs
+++ b/crates/control-plane/tests/simulation/simulation.rs
@@ -14,18 +14,19 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Virtual time of one tick.
+/// Virtual time that passes in one tick.
 pub const TICK: Millis = 100;
-/// A connection on which nothing was received for this long is closed.
+/// A node closes a connection on which it has received nothing for this time.
 const SILENCE_TIMEOUT: Millis = 2_500;
-/// Messages that one connection accepts in one tick.
+/// Maximum number of messages that are sent to downstream on one connection in one tick.
 const MAX_MESSAGES_PER_TICK: usize = 16;
 /// The id of connections from writers.
 const WRITER: u64 = 0;
 
-/// Changes a message from a relay to a subscriber; `false`: it is dropped.
+/// Inspects or changes a message from a relay to a subscriber. Returns `false` to drop the message.
 pub type Interceptor = Box<dyn FnMut(&mut Message) -> bool>;
 
+/// All simulated nodes, the faults of their links, and the virtual time.
 pub struct Simulation {
     pub now: Millis,
     pub sources: Vec<SourceNode>,
@@ -38,13 +39,14 @@
     settings: Settings,
 }
 
-/// The body of a record: different for different sizes.
+/// The body of a record. Bodies of different sizes have different contents.
 fn body(state: State, size: u16) -> Arc<[u8]> {
     let size = if state == State::Gone { 0 } else { size };
     (0..size).map(|index| (size ^ index) as u8).collect()
 }
 
 impl Simulation {
+    /// Creates nodes without connections or records, and one subscriber for each scope.
     pub fn new(sources: usize, relays: usize, scopes: &[Scope], settings: Settings, seed: u64) -> Self {
         let source = |id: usize| {
             let initial = HistoryEntry { head: Version { epoch: 1, revision: 0 }, records: BTreeMap::new() };
@@ -83,6 +85,7 @@
         service as usize % self.sources.len()
     }
 
+    /// Writes a change to the source of the service. Returns its version.
     pub fn write(&mut self, service: ServiceId, kind: Kind, name: &str, state: State, size: u16) -> Version {
         let source = self.source_of(service);
         let key = Key { service, kind, name: name.into() };
@@ -101,6 +104,7 @@
         version
     }
 
+    /// Applies an event. Only [`Event::Wait`] advances the time.
     pub fn apply(&mut self, event: &Event) {
         let ticks = |ticks: u8| Millis::from(ticks) * TICK;
         match *event {
@@ -132,6 +136,7 @@
         }
     }
 
+    /// Restarts a relay without records, which closes all its connections.
     pub fn restart_relay(&mut self, relay: usize) {
         for subscriber in 0..self.subscribers.len() {
             if self.subscribers[subscriber].relay == relay {
@@ -171,6 +176,7 @@
         }
     }
 
+    /// Advances all nodes by a number of ticks.
     pub fn run(&mut self, ticks: usize) {
         for _ in 0..ticks {
             self.tick();
@@ -201,7 +207,7 @@
         }
     }
 
-    /// Advances the connection of a relay to a source, on which the relay sends `requests`.
+    /// Advances the connection of a relay to a source. The relay sends `requests` on it.
     fn tick_uplink(&mut self, relay: usize, source: usize, requests: Vec<Message>) {
         let now = self.now;
         let node = &mut self.relays[relay];
@@ -214,7 +220,7 @@
         if uplink.is_none() && !is_cut {
             let mut link = Link::new(self.next_link, now);
             self.next_link += 1;
-            // A connection is only established if the hello arrives.
+            // The hello is not lost: without its arrival there is no connection.
             let hello = node.relay.hello(source as SourceId);
             for response in upstream.on_message(link.id, hello, now).expect("hello is accepted") {
                 link.down.push(response, now, is_cut, &self.unreliability, &mut self.random);
@@ -255,7 +261,7 @@
         self.receive_at_subscriber(subscriber);
     }
 
-    /// Connects a subscriber that has no connection, if its relay is reachable.
+    /// Connects a subscriber without a connection, if its relay is reachable.
     fn connect_subscriber(&mut self, subscriber: usize) {
         let now = self.now;
         let node = &mut self.subscribers[subscriber];
@@ -273,7 +279,7 @@
         node.uplink = Some(link);
     }
 
-    /// Delivers a subscriber's requests, and sends what its relay has for it.
+    /// Delivers a subscriber's requests to its relay, and sends the relay's messages.
     fn send_to_subscriber(&mut self, subscriber: usize) {
         let now = self.now;
         let node = &mut self.subscribers[subscriber];
@@ -301,15 +307,15 @@
             Scope::All => 1,
             Scope::Services(services) => services.len(),
         };
-        // The scope, and for each source: a cursor and no more services than there are in scope.
-        let max = scope + self.sources.len() * (1 + scope.max(64));
+        // The scope and, for each source, a cursor and at most as many services as there are in scope.
+        let max_items = scope + self.sources.len() * (1 + scope.max(64));
         assert!(
-            upstream.relay.retained_items(link.id) <= max,
-            "a subscriber's send state is beyond its bound"
+            upstream.relay.retained_items(link.id) <= max_items,
+            "the send state of a subscriber exceeds its limit"
         );
     }
 
-    /// Delivers the messages that arrive at a subscriber.
+    /// Delivers the messages that have arrived at a subscriber.
     fn receive_at_subscriber(&mut self, subscriber: usize) {
         let now = self.now;
         let node = &mut self.subscribers[subscriber];
@@ -329,7 +335,8 @@
         }
     }
 
-    /// Ends all faults: nothing is lost, interrupted or suspended from now on.
+    /// Ends all faults: from now on, no message is lost or delayed, no connection is interrupted, and no node
+    /// is suspended.
     pub fn end_faults(&mut self) {
         self.unreliability = Unreliability::default();
         for relay in &mut self.relays {
@@ -341,18 +348,19 @@
         }
     }
 
-    /// Runs until there are no differences, `max` ticks at the most. Returns the number of ticks.
-    pub fn run_until_converged(&mut self, max: usize) -> usize {
-        for ticks in 0..max {
+    /// Runs until there are no differences, for at most `max_ticks` ticks. Returns the number of ticks, which
+    /// is `max_ticks` if the nodes have not converged before.
+    pub fn run_until_converged(&mut self, max_ticks: usize) -> usize {
+        for ticks in 0..max_ticks {
             if self.differences().is_empty() {
                 return ticks;
             }
             self.tick();
         }
-        max
+        max_ticks
     }
 
-    /// Sends a message to a subscriber's relay on its connection.
+    /// Sends a message to a subscriber's relay on the subscriber's connection, without loss or delay.
     pub fn send_to_relay(&mut self, subscriber: usize, message: Message) {
         let node = &self.subscribers[subscriber];
         let link = node.uplink.as_ref().expect("it is connected").id;
@@ -360,7 +368,7 @@
         assert!(responses.is_empty());
     }
 
-    /// Checks a subscriber against another scope than its own, to inject a fault.
+    /// Sets the scope that a subscriber is checked against, to inject the fault of a wrong scope.
     pub fn check_with_scope(&mut self, subscriber: usize, scope: Scope) {
         self.subscribers[subscriber].scope = scope.clone();
         self.subscribers[subscriber].checker = AppliedRecordChecker::new(scope);
--- a/crates/control-plane/tests/simulation/verification.rs
+++ b/crates/control-plane/tests/simulation/verification.rs
@@ -1,4 +1,4 @@
-//! Comparison of all nodes with the records of the sources.
+//! Comparison of the records of all nodes with those of the sources.
 
 use crate::nodes::SourceNode;
 use crate::simulation::Simulation;
@@ -7,10 +7,11 @@
 use control_plane::store::VersionedStore;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Records by key.
 type Records = BTreeMap<Key, Record>;
 
 impl Simulation {
-    /// The differences of all nodes to the sources, and the violations.
+    /// The differences of all nodes from the sources, and the violations.
     pub fn differences(&self) -> Vec<String> {
         let mut differences = Vec::new();
         for (relay, node) in self.relays.iter().enumerate() {
@@ -27,13 +28,13 @@
             let stored = by_key(node.subscriber.stores().flat_map(|(_, store)| store.live_records()));
             compare(&format!("subscriber {subscriber}"), &expected, &stored, &mut differences);
             let label = format!("subscriber {subscriber}, as applied");
-            compare(&label, &expected, node.checker.active_records(), &mut differences);
+            compare(&label, &expected, node.checker.live_records(), &mut differences);
         }
         differences.extend(self.violations());
         differences
     }
 
-    /// Invalid sequences of applied records, and reported positions whose records are missing.
+    /// Invalid sequences of applied records, and nodes that lack records before their reported position.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for (subscriber, node) in self.subscribers.iter().enumerate() {
@@ -58,8 +59,9 @@
         violations
     }
 
-    /// Checks that a node has all that its reported position covers, for each urgency: the live records of the source up to
-    /// there are stored, and the removed ones are not. This holds at any time, also during losses and repairs.
+    /// Checks, for each urgency, that a node has all changes up to its reported position: the live records of
+    /// the source are stored, and the removed ones are not. This is true at any time, also during losses and
+    /// repairs.
     fn check_position(
         &self,
         label: &str,
@@ -84,7 +86,7 @@
                 let expected = (record.version, record.state);
                 let key = &record.key;
                 violations.push(format!(
-                    "{label}: claims {cursor:?} of {epoch}, {key:?} is {stored:?}, should be {expected:?}"
+                    "{label}: reports {cursor:?} of epoch {epoch}, but {key:?} is {stored:?}, should be {expected:?}"
                 ));
             }
         }
@@ -106,6 +108,7 @@
     records.map(|record| (record.key.clone(), record.clone())).collect()
 }
 
+/// Adds a description of each record that differs.
 fn compare(label: &str, expected: &Records, actual: &Records, differences: &mut Vec<String>) {
     let keys: BTreeSet<&Key> = expected.keys().chain(actual.keys()).collect();
     for key in keys {
