--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -76,7 +76,7 @@
 fn subscribers_return_to_a_restored_relay_over_a_minute() {
     let relays = names("relay", 10);
     let agents = names("agent", 2_000);
-    let mut return_times = Vec::new();
+    let mut return_times_ms = Vec::new();
     for (name, seed) in agents.iter().zip(0..) {
         let mut failover = Failover::new(name, &relays, seed);
         let preferred = failover.order()[0];
@@ -97,10 +97,11 @@
         assert_eq!(failover.next_probe(second), Some(0));
         failover.on_probe_succeeded(second);
         assert_eq!(failover.probe_at(), None);
-        return_times.push(first);
+        return_times_ms.push(first);
     }
-    assert!(return_times.len() > 150, "{} of 2,000 prefer one of ten", return_times.len());
-    let (min, max) = (return_times.iter().min().expect("some"), return_times.iter().max().expect("some"));
+    assert!(return_times_ms.len() > 150, "{} of 2,000 prefer one of ten", return_times_ms.len());
+    let (min, max) =
+        (return_times_ms.iter().min().expect("some"), return_times_ms.iter().max().expect("some"));
     assert!(max - min > 50_000, "they return within {} ms", max - min);
 }
 
--- a/crates/control-plane/tests/processes/main.rs
+++ b/crates/control-plane/tests/processes/main.rs
@@ -21,19 +21,20 @@
     writer.set(2, &[("b-1", Active)]);
     let (_agent, discovery) = region.start_agent("one", &[1]);
     let (_agent_of_both, discovery_of_both) = region.start_agent("both", &[1, 2]);
-    let (mut one, mut both) = (Proxy::new(discovery), Proxy::new(discovery_of_both));
-    one.wait_for_exactly("the initial records", &[("a-1", "active"), ("a-2", "active")]);
-    both.wait_for_exactly("all services", &[("1/a-1", "active"), ("1/a-2", "active"), ("2/b-1", "active")]);
+    let (mut one_service, mut both_services) = (Proxy::new(discovery), Proxy::new(discovery_of_both));
+    one_service.wait_for_exactly("the initial records", &[("a-1", "active"), ("a-2", "active")]);
+    both_services
+        .wait_for_exactly("all services", &[("1/a-1", "active"), ("1/a-2", "active"), ("2/b-1", "active")]);
 
     writer.set(2, &[("b-1", Draining), ("b-2", Active)]);
     writer.set(1, &[("a-1", Draining), ("a-3", Active), ("a-2", Gone)]);
-    one.wait_for_exactly("the changes", &[("a-1", "leaving"), ("a-3", "active")]);
+    one_service.wait_for_exactly("the changes", &[("a-1", "leaving"), ("a-3", "active")]);
     let changed = [("1/a-1", "leaving"), ("1/a-3", "active"), ("2/b-1", "leaving"), ("2/b-2", "active")];
-    both.wait_for_exactly("the changes of both services", &changed);
-    assert!(one.received.iter().all(|(id, _)| id.starts_with("a-")), "{:?}", one.received);
+    both_services.wait_for_exactly("the changes of both services", &changed);
+    assert!(one_service.received.iter().all(|(id, _)| id.starts_with("a-")), "{:?}", one_service.received);
     // Each proxy received changes, not a second complete list.
-    assert_eq!((one.complete_lists, both.complete_lists), (1, 1));
-    assert!(one.received.contains(&("a-2".into(), "left".into())), "{:?}", one.received);
+    assert_eq!((one_service.complete_lists, both_services.complete_lists), (1, 1));
+    assert!(one_service.received.contains(&("a-2".into(), "left".into())), "{:?}", one_service.received);
 }
 
 #[test]
--- a/crates/control-plane/tests/processes/malformed_input.rs
+++ b/crates/control-plane/tests/processes/malformed_input.rs
@@ -118,7 +118,7 @@
         let address = address();
         let listener = std::net::TcpListener::bind(address).expect("a listener");
         region.relays.push(RelayEndpoint { name: name.into(), address });
-        let (reason_sender, received) = channel();
+        let (bytes_sender, received) = channel();
         incompatible_relays.push(received);
         // The thread ends with the test process. The agent of the other case may connect here too.
         std::thread::spawn(move || {
@@ -129,7 +129,7 @@
                 let mut received = Vec::new();
                 // Reads up to the end of the connection.
                 let _ = stream.read_to_end(&mut received);
-                let _ = reason_sender.send(String::from_utf8_lossy(&received).into_owned());
+                let _ = bytes_sender.send(String::from_utf8_lossy(&received).into_owned());
             }
         });
     }
--- a/crates/control-plane/tests/processes/support/proxy.rs
+++ b/crates/control-plane/tests/processes/support/proxy.rs
@@ -9,7 +9,9 @@
 /// A backend as it is listed in the discovery protocol.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ListedBackend {
+    /// IP address and port, as in `host_port`.
     pub address: String,
+    /// `active` or `leaving`.
     pub phase: String,
 }
 
--- a/crates/control-plane/tests/processes/support/region.rs
+++ b/crates/control-plane/tests/processes/support/region.rs
@@ -15,6 +15,7 @@
 /// The addresses of a source and its relays, and the directory of their files.
 pub struct Region {
     pub directory: TestDirectory,
+    /// The address of the source, whether or not it runs.
     pub source: SocketAddr,
     pub relays: Vec<RelayEndpoint>,
     /// Additional lines of the configuration files, by section.
--- a/crates/control-plane/tests/publisher/main.rs
+++ b/crates/control-plane/tests/publisher/main.rs
@@ -68,7 +68,7 @@
     sent
 }
 
-/// Connects a subscriber anew and delivers all messages that are due. Returns those of the source.
+/// Connects or reconnects a subscriber and delivers all messages that are due. Returns those of the source.
 fn connect(source: &mut Source, subscriber: &mut Subscriber, now: Millis) -> Vec<Message> {
     source.disconnect(SUBSCRIBER);
     let welcome = source.on_message(SUBSCRIBER, subscriber.hello(), now).expect("hello is accepted");
--- a/crates/control-plane/tests/simulation/nodes.rs
+++ b/crates/control-plane/tests/simulation/nodes.rs
@@ -14,6 +14,7 @@
 /// The records of a source after one of its changes, including tombstones.
 #[derive(Clone)]
 pub struct HistoryEntry {
+    /// The version of the change; revision 0 for the initial state.
     pub head: Version,
     pub records: BTreeMap<Key, Record>,
 }
--- a/crates/control-plane/tests/simulation/simulation.rs
+++ b/crates/control-plane/tests/simulation/simulation.rs
@@ -28,13 +28,16 @@
 
 /// All simulated nodes, the faults of their links, and the virtual time.
 pub struct Simulation {
+    /// Virtual time.
     pub now: Millis,
     pub sources: Vec<SourceNode>,
     pub relays: Vec<RelayNode>,
     pub subscribers: Vec<SubscriberNode>,
+    /// Applies to all links.
     pub unreliability: Unreliability,
     pub random: Random,
     pub interceptor: Option<Interceptor>,
+    /// The id of the next connection.
     next_link: u64,
     settings: Settings,
 }
--- a/crates/control-plane/tests/upstream_link.rs
+++ b/crates/control-plane/tests/upstream_link.rs
@@ -277,7 +277,7 @@
     assert_eq!(followers.losses(), losses);
     assert_eq!(followers.moves(), preferring_first);
     assert!(followers.all(|node| node.received_bytes > 0));
-    // Each new connection delivers its welcome, after which the node sends its pending requests anew.
+    // Each new connection delivers its welcome, after which the node retries its pending requests.
     assert!(followers.all(|node| node.connections == node.welcomes));
 }
 
