--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -57,7 +57,8 @@
         attempt: u16,
     },
     /// An attempt became a session (such as a tunnel): the client has its response. Until its
-    /// [`AttemptResult`], the session occupies a slot, and its latency is not measured.
+    /// [`AttemptResult`], the session counts towards the concurrency limit of its backend, and its latency is
+    /// not measured.
     SessionEstablished {
         /// The request.
         request: RequestId,
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -2,9 +2,10 @@
 //!
 //! The basic algorithm: for each ready backend, an instance counts its requests in flight and adapts a
 //! concurrency limit by AIMD (additive increase, multiplicative decrease). A request is sent to the backend
-//! with the greatest free capacity (limit minus requests in flight). Without free capacity, it is queued for
-//! a tenth of its remaining time and then rejected. Comments that begin with `Deviation:` explain where and
-//! why the code differs from this; `docs/design.md` gives the reasons in detail.
+//! with the greatest free capacity (limit minus requests in flight). The limit, rounded down, is the number
+//! of slots that the instance has on the backend. Without free capacity, the request is queued for a tenth of
+//! its remaining time and then rejected. Comments that begin with `Deviation:` explain where and why the code
+//! differs from this; `docs/design.md` gives the reasons in detail.
 //!
 //! Four rules always apply. Each is enforced in one place:
 //!
@@ -34,8 +35,8 @@
 };
 use timer::Timer;
 
-/// Crossing zones counts as free up to this cost, as a fraction of a request's weight.
-const MAX_FREE_CROSSING_COST: f64 = 0.01;
+/// Highest cost of crossing zones that is treated as none, as a fraction of the mean weight of a request.
+const MAX_NEGLIGIBLE_CROSS_ZONE_COST: f64 = 0.01;
 
 /// Decision logic and state of one instance.
 pub struct Balancer {
@@ -53,7 +54,7 @@
     slot_budget: SlotBudget,
     /// Consecutive failures of the watch on discovery.
     subscribe_failures: u32,
-    /// Latest time that any call has passed.
+    /// Latest time that was passed to any call.
     latest_time: Micros,
     unserved: UnservedCounts,
 }
@@ -107,13 +108,13 @@
                 self.on_session_established(now, request, attempt, out);
             }
             Event::ResponseStarted { request, .. } => {
-                if let Some(slot) = self.requests.open.find(request) {
-                    self.requests.open[slot].is_streaming = true;
+                if let Some(request_index) = self.requests.open.find(request) {
+                    self.requests.open[request_index].is_streaming = true;
                 }
             }
             Event::ClientDisconnected(request) => {
-                if let Some(slot) = self.requests.open.find(request) {
-                    self.close(slot);
+                if let Some(request_index) = self.requests.open.find(request) {
+                    self.close(request_index);
                 }
             }
             Event::HealthCheckFinished { .. } => {}
@@ -156,18 +157,19 @@
     fn on_timer_expired(&mut self, now: Micros, token: u32, out: &mut Vec<Action>) {
         match Timer::from_token(token) {
             Some(Timer::Subscribe) => out.push(Action::Subscribe),
-            Some(Timer::QueueTimeout { slot }) => {
-                let queued_until = self.requests.open.get(slot).and_then(|request| request.queued_until);
-                // The request of this timer may have left the queue, and another one may use its slot.
+            Some(Timer::QueueTimeout { request_index }) => {
+                let queued_until =
+                    self.requests.open.get(request_index).and_then(|request| request.queued_until);
+                // The request of this timer may have left the queue, and another one may have its index.
                 if queued_until.is_some_and(|until| until <= now) {
-                    self.on_queue_timeout(now, slot, out);
+                    self.on_queue_timeout(now, request_index, out);
                 }
             }
             None => {}
         }
     }
 
-    fn crossing_is_free(&self) -> bool {
-        self.settings.cross_zone_cost <= MAX_FREE_CROSSING_COST
+    fn cross_zone_cost_is_negligible(&self) -> bool {
+        self.settings.cross_zone_cost <= MAX_NEGLIGIBLE_CROSS_ZONE_COST
     }
 }
--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -8,10 +8,10 @@
 
 /// The maximum queueing time of a request is its remaining time divided by this.
 const QUEUE_TIME_DIVISOR: Micros = 10;
-/// Number of slots from which on a rejected client is advised to wait for its full latency objective. With
-/// fewer slots, the advice is proportionally shorter.
+/// Sum of an instance's limits, in slots, from which on a rejected client is advised to wait for its full
+/// latency objective. With a lower sum, the advised delay is proportionally shorter.
 const FULL_RETRY_AFTER_SLOTS: f64 = 16.0;
-/// Lower bound of that advice, as a fraction of the latency objective.
+/// Minimum delay that a rejected client is advised to wait, as a fraction of the latency objective.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.125;
 
 impl Balancer {
@@ -32,10 +32,10 @@
             queued_until: None,
             attempts: SmallVec::new(),
         };
-        let slot = self.requests.open.add(open.id, open);
+        let request_index = self.requests.open.add(open.id, open);
         self.retry_budget.deposit();
         self.refresh_slot_budget(now);
-        self.dispatch(now, slot, out);
+        self.dispatch(now, request_index, out);
     }
 
     /// Takes a token of a tenant's quota; returns whether the tenant is over its quota.
@@ -57,17 +57,17 @@
     }
 
     /// Sends a request if there is capacity. Otherwise ends it if it cannot be served, or queues it.
-    pub(super) fn dispatch(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
-        if let Some(backend) = self.select(now, slot) {
-            return self.send(now, slot, backend, out);
+    pub(super) fn dispatch(&mut self, now: Micros, request_index: usize, out: &mut Vec<Action>) {
+        if let Some(backend) = self.select(now, request_index) {
+            return self.send(now, request_index, backend, out);
         }
-        let request = &self.requests.open[slot];
+        let request = &self.requests.open[request_index];
         let is_shed = request.is_over_quota && self.traffic.rejections.has_standing_queues();
         let cause =
             if is_shed { Some(UnservedCause::OverQuota) } else { self.unservable_cause(now, request) };
         match cause {
-            Some(cause) => self.end_unserved(slot, cause, out),
-            None => self.enqueue(now, slot, out),
+            Some(cause) => self.end_unserved(request_index, cause, out),
+            None => self.enqueue(now, request_index, out),
         }
     }
 
@@ -79,58 +79,58 @@
         self.is_too_late(now, request).then_some(UnservedCause::TooLate)
     }
 
-    fn enqueue(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
-        let wait = self.requests.open[slot].deadline.saturating_sub(now) / QUEUE_TIME_DIVISOR;
+    fn enqueue(&mut self, now: Micros, request_index: usize, out: &mut Vec<Action>) {
+        let wait = self.requests.open[request_index].deadline.saturating_sub(now) / QUEUE_TIME_DIVISOR;
         for kind in &mut self.kind_limits {
             kind.window.limit_was_used = true;
         }
-        self.requests.open[slot].queued_until = Some(now + wait);
-        self.requests.queue.push(slot);
-        out.push(Action::SetTimer { delay: wait, token: Timer::QueueTimeout { slot }.token() });
+        self.requests.open[request_index].queued_until = Some(now + wait);
+        self.requests.queue.push(request_index);
+        out.push(Action::SetTimer { delay: wait, token: Timer::QueueTimeout { request_index }.token() });
     }
 
-    pub(super) fn on_queue_timeout(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
-        let is_too_late = self.is_too_late(now, &self.requests.open[slot]);
-        if !is_too_late && let Some(backend) = self.select(now, slot) {
-            return self.send(now, slot, backend, out);
+    pub(super) fn on_queue_timeout(&mut self, now: Micros, request_index: usize, out: &mut Vec<Action>) {
+        let is_too_late = self.is_too_late(now, &self.requests.open[request_index]);
+        if !is_too_late && let Some(backend) = self.select(now, request_index) {
+            return self.send(now, request_index, backend, out);
         }
-        self.requests.dequeue(slot);
+        self.requests.dequeue(request_index);
         let cause = if is_too_late { UnservedCause::TooLate } else { UnservedCause::QueueTimeout };
-        self.end_unserved(slot, cause, out);
+        self.end_unserved(request_index, cause, out);
     }
 
-    /// Sends queued requests while there is capacity, in the order of their weight per work.
+    /// Sends queued requests while there is capacity, in descending order of their weight per work.
     pub(super) fn serve_queue(&mut self, now: Micros, out: &mut Vec<Action>) {
-        while let Some(slot) = self.most_valuable_queued() {
-            let Some(backend) = self.select(now, slot) else { return };
-            self.send(now, slot, backend, out);
+        while let Some(request_index) = self.next_queued() {
+            let Some(backend) = self.select(now, request_index) else { return };
+            self.send(now, request_index, backend, out);
         }
     }
 
-    /// The queued request of the highest value; among equal ones, the one that was queued first.
-    fn most_valuable_queued(&self) -> Option<usize> {
-        let better = |a, b| if self.value(b) > self.value(a) { b } else { a };
+    /// The queued request with the highest weight per work; among equal ones, the one that was queued first.
+    fn next_queued(&self) -> Option<usize> {
+        let better = |a, b| if self.weight_per_us(b) > self.weight_per_us(a) { b } else { a };
         self.requests.queue.iter().copied().reduce(better)
     }
 
     /// Weight of a request per microsecond of work.
-    fn value(&self, slot: usize) -> f64 {
-        let request = &self.requests.open[slot];
+    fn weight_per_us(&self, request_index: usize) -> f64 {
+        let request = &self.requests.open[request_index];
         let quota_factor = if request.is_over_quota { self.settings.over_quota_weight } else { 1.0 };
         let weight = self.settings.classes[request.class].priority_weight;
         weight * quota_factor / self.traffic.latencies.class_mean_us(request.class)
     }
 
     /// Ends a request for which no attempt can be started, unless one is still unfinished.
-    pub(super) fn end_unserved(&mut self, slot: usize, cause: UnservedCause, out: &mut Vec<Action>) {
-        if self.requests.open[slot].unfinished_attempts() == 0 {
-            self.finish(slot, cause, out);
+    pub(super) fn end_unserved(&mut self, request_index: usize, cause: UnservedCause, out: &mut Vec<Action>) {
+        if self.requests.open[request_index].unfinished_attempts() == 0 {
+            self.finish(request_index, cause, out);
         }
     }
 
     /// Issues a final response. No other function does (rule 1).
-    fn finish(&mut self, slot: usize, cause: UnservedCause, out: &mut Vec<Action>) {
-        let open = &self.requests.open[slot];
+    fn finish(&mut self, request_index: usize, cause: UnservedCause, out: &mut Vec<Action>) {
+        let open = &self.requests.open[request_index];
         if open.is_answered {
             return;
         }
@@ -148,30 +148,31 @@
         if lacked_capacity {
             self.traffic.rejections.record_rejection();
         }
-        self.close(slot);
+        self.close(request_index);
     }
 
     /// How long a rejected client should wait before a retry.
     ///
-    /// Deviation: an instance with few slots rejects mostly because requests coincided at this instance. A
-    /// retry probably reaches another instance and can still meet the objective, so the advice is short. With
-    /// many slots per instance, a rejection means that the fleet has no free capacity.
+    /// Deviation: the delay depends on the limits of the instance, not on the objective alone. An instance
+    /// with few slots rejects mostly because requests coincided at this instance. A retry probably reaches
+    /// another instance and can still meet the objective, so the delay is short. With many slots per
+    /// instance, a rejection means that the fleet has no free capacity.
     fn retry_after(&self, class: usize) -> Micros {
-        let fraction = self.slot_budget.slots / FULL_RETRY_AFTER_SLOTS;
+        let fraction = self.slot_budget.total_limit / FULL_RETRY_AFTER_SLOTS;
         let fraction = fraction.clamp(MIN_RETRY_AFTER_FRACTION, 1.0);
         (self.settings.classes[class].latency_objective as f64 * fraction) as Micros
     }
 
-    /// Marks a request as answered. Its slot is released once its attempts have ended.
-    pub(super) fn close(&mut self, slot: usize) {
-        self.requests.dequeue(slot);
-        let request = &mut self.requests.open[slot];
+    /// Marks a request as answered, and releases it if all its attempts have ended.
+    pub(super) fn close(&mut self, request_index: usize) {
+        self.requests.dequeue(request_index);
+        let request = &mut self.requests.open[request_index];
         request.is_answered = true;
         if request.unfinished_attempts() > 0 {
             return;
         }
         for attempt in &request.attempts {
-            self.fleet.backends.release_reference(attempt.backend_slot);
+            self.fleet.backends.release_reference(attempt.backend_index);
         }
         let id = request.id;
         self.requests.open.release(id);
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -4,26 +4,34 @@
 use crate::api::{Action, AttemptResult, Micros, RequestId};
 use crate::state::{Attempt, AttemptState};
 
-/// The limit of a backend counts as used if at least this fraction of its slots is in flight.
+/// Numerator of the fraction of a backend's slots that must be in flight for its limit to count as used.
 const USED_LIMIT_NUMERATOR: i64 = 3;
+/// Denominator of the fraction of a backend's slots that must be in flight for its limit to count as used.
 const USED_LIMIT_DENOMINATOR: i64 = 4;
 
 impl Balancer {
     /// Starts an attempt; no other function does. `select` has checked that the backend may get it.
-    pub(super) fn send(&mut self, now: Micros, slot: usize, backend_slot: usize, out: &mut Vec<Action>) {
-        self.requests.dequeue(slot);
-        let is_proxied = self.requests.open[slot].is_proxied;
-        let connection_idle_time = if is_proxied { self.reuse_connection(now, backend_slot, out) } else { 0 };
-        self.spend_warm_up_token(now, backend_slot);
-        self.count_attempt(now, backend_slot);
-        let request = &self.requests.open[slot];
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        request_index: usize,
+        backend_index: usize,
+        out: &mut Vec<Action>,
+    ) {
+        self.requests.dequeue(request_index);
+        let is_proxied = self.requests.open[request_index].is_proxied;
+        let connection_idle_time =
+            if is_proxied { self.reuse_connection(now, backend_index, out) } else { 0 };
+        self.spend_warm_up_token(now, backend_index);
+        self.count_attempt(now, backend_index);
+        let request = &self.requests.open[request_index];
         let timeout = self.attempt_timeout(now, request);
         let start_by = self.start_by(request);
-        let backend = &mut self.fleet.backends[backend_slot];
+        let backend = &mut self.fleet.backends[backend_index];
         backend.references += 1;
-        let request = &mut self.requests.open[slot];
+        let request = &mut self.requests.open[request_index];
         request.attempts.push(Attempt {
-            backend_slot,
+            backend_index,
             zone: backend.zone,
             cell: backend.cell,
             sent_at: now,
@@ -35,8 +43,8 @@
         out.push(Action::Send { request, backend, start_by, give_up_at: timeout.give_up_at });
     }
 
-    fn count_attempt(&mut self, now: Micros, backend_slot: usize) {
-        let backend = &mut self.fleet.backends[backend_slot];
+    fn count_attempt(&mut self, now: Micros, backend_index: usize) {
+        let backend = &mut self.fleet.backends[backend_index];
         if backend.in_flight == 0 {
             backend.unresponsive_since = now;
         }
@@ -45,7 +53,7 @@
         backend.in_flight += 1;
         self.requests.in_flight += 1;
         backend.window.limit_was_used |= i64::from(backend.in_flight) * USED_LIMIT_DENOMINATOR
-            >= backend.slots(self.slot_budget.spread) * USED_LIMIT_NUMERATOR;
+            >= backend.slots(self.slot_budget.limit_factor) * USED_LIMIT_NUMERATOR;
     }
 
     pub(super) fn on_attempt_finished(
@@ -54,8 +62,8 @@
         result: &AttemptResult<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(slot) = self.requests.open.find(result.request) else { return };
-        let request = &mut self.requests.open[slot];
+        let Some(request_index) = self.requests.open.find(result.request) else { return };
+        let request = &mut self.requests.open[request_index];
         let Some(attempt) = request.attempts.get_mut(usize::from(result.attempt)) else { return };
         if !attempt.is_unfinished() {
             return;
@@ -69,15 +77,15 @@
             self.traffic.rejections.record_response();
         }
         if was_session {
-            self.fleet.backends[attempt.backend_slot].sessions -= 1;
+            self.fleet.backends[attempt.backend_index].sessions -= 1;
             self.requests.sessions -= 1;
         } else {
             self.record_outcome(now, class, attempt, result, out);
         }
-        if result.is_answered || self.requests.open[slot].is_answered {
-            self.close(slot);
+        if result.is_answered || self.requests.open[request_index].is_answered {
+            self.close(request_index);
         } else {
-            self.retry(now, slot, result.outcome, out);
+            self.retry(now, request_index, result.outcome, out);
         }
         self.serve_queue(now, out);
     }
@@ -90,19 +98,19 @@
         attempt: u16,
         out: &mut Vec<Action>,
     ) {
-        let Some(slot) = self.requests.open.find(request) else { return };
-        let attempt = self.requests.open[slot].attempts.get_mut(usize::from(attempt));
+        let Some(request_index) = self.requests.open.find(request) else { return };
+        let attempt = self.requests.open[request_index].attempts.get_mut(usize::from(attempt));
         let Some(attempt) = attempt.filter(|attempt| attempt.state == AttemptState::InFlight) else { return };
         attempt.state = AttemptState::Session;
-        let backend_slot = attempt.backend_slot;
-        let backend = &mut self.fleet.backends[backend_slot];
+        let backend_index = attempt.backend_index;
+        let backend = &mut self.fleet.backends[backend_index];
         backend.in_flight = backend.in_flight.saturating_sub(1);
         backend.sessions += 1;
         backend.unresponsive_since = now;
         self.requests.in_flight = self.requests.in_flight.saturating_sub(1);
         self.requests.sessions += 1;
-        self.update_ejection(now, backend_slot, false, out);
-        self.close(slot);
+        self.update_ejection(now, backend_index, false, out);
+        self.close(request_index);
         self.serve_queue(now, out);
     }
 }
--- a/crates/balancer/src/balancer/connections.rs
+++ b/crates/balancer/src/balancer/connections.rs
@@ -13,12 +13,12 @@
     pub(super) fn reuse_connection(
         &mut self,
         now: Micros,
-        backend_slot: usize,
+        backend_index: usize,
         out: &mut Vec<Action>,
     ) -> Micros {
         let streams = self.streams_per_connection();
         let limit_us = self.idle_time_limit.current_us(now);
-        let backend = &mut self.fleet.backends[backend_slot];
+        let backend = &mut self.fleet.backends[backend_index];
         let connection = (backend.in_flight / streams) as usize;
         let used_at = backend.connections_idle_since.get(connection).copied().unwrap_or(now);
         if connection >= backend.connections_idle_since.len() {
@@ -34,9 +34,9 @@
     }
 
     /// Records that an attempt ended, and that its connection is idle from now on.
-    pub(super) fn mark_connection_idle(&mut self, now: Micros, backend_slot: usize) {
+    pub(super) fn mark_connection_idle(&mut self, now: Micros, backend_index: usize) {
         let streams = self.streams_per_connection();
-        let backend = &mut self.fleet.backends[backend_slot];
+        let backend = &mut self.fleet.backends[backend_index];
         let connection = (backend.in_flight / streams) as usize;
         if let Some(idle_since) = backend.connections_idle_since.get_mut(connection) {
             *idle_since = now;
--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -6,16 +6,16 @@
 use super::Balancer;
 use crate::api::{Action, Micros};
 
-/// Fraction of the ready backends that may be ejected at once.
+/// Maximum fraction of the ready backends that may be ejected at the same time.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
-/// The ejection duration is multiplied by a random factor from this value to 0.5 above it.
+/// Lower bound of the random factor on the duration of an ejection; its upper bound is 0.5 above it.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 
 impl Balancer {
     /// Adds an outcome to the backend's failure score. Its failures enter the baseline only with its next
     /// success, since failures of an unhealthy backend must not raise the baseline for the others.
-    pub(super) fn score_outcome(&mut self, backend_slot: usize, is_failure: bool, weight: f64) {
-        let health = &mut self.fleet.backends[backend_slot].health;
+    pub(super) fn score_outcome(&mut self, backend_index: usize, is_failure: bool, weight: f64) {
+        let health = &mut self.fleet.backends[backend_index].health;
         let baseline = self.traffic.failures.baseline();
         if is_failure {
             health.record_failure(baseline, weight);
@@ -29,13 +29,13 @@
     pub(super) fn update_ejection(
         &mut self,
         now: Micros,
-        backend_slot: usize,
+        backend_index: usize,
         is_failure: bool,
         out: &mut Vec<Action>,
     ) {
         let may_eject = is_failure && self.may_eject_another();
         let jitter = MIN_EJECTION_JITTER + self.rng.f64() / 2.0;
-        let backend = &mut self.fleet.backends[backend_slot];
+        let backend = &mut self.fleet.backends[backend_index];
         let health = &mut backend.health;
         if health.is_ejected() {
             if !is_failure {
--- a/crates/balancer/src/balancer/learned_state.rs
+++ b/crates/balancer/src/balancer/learned_state.rs
@@ -32,8 +32,8 @@
             estimate.updated_at = now;
         }
         for learned in &state.backends {
-            let Some(slot) = self.fleet.backends.find(learned.backend) else { continue };
-            let backend = &mut self.fleet.backends[slot];
+            let Some(backend_index) = self.fleet.backends.find(learned.backend) else { continue };
+            let backend = &mut self.fleet.backends[backend_index];
             if backend.started_at == learned.started_at {
                 backend.limit = learned.limit;
                 backend.uses_kind_limit = learned.is_shared;
--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -6,8 +6,10 @@
 use crate::api::{Action, Backend, MembershipUpdate, Micros, Readiness};
 use crate::state::{BackendState, SECOND, SampleWindow, WarmUpBudget};
 
-/// Minimum delay before a failed watch is renewed; it doubles with each consecutive failure.
+/// Minimum delay before a watch on discovery is renewed after its first failure. It doubles with each
+/// consecutive failure.
 const MIN_SUBSCRIBE_DELAY: Micros = SECOND / 8;
+/// Maximum number of times that the delay before the renewal of a watch doubles.
 const MAX_SUBSCRIBE_DOUBLINGS: u32 = 3;
 
 impl Balancer {
@@ -30,8 +32,8 @@
         for entry in entries {
             self.update_backend(now, entry);
         }
-        let crossing_is_free = self.crossing_is_free();
-        self.fleet.rebuild(self.settings.zone, crossing_is_free, self.settings.instance_index);
+        let cross_zone_cost_is_negligible = self.cross_zone_cost_is_negligible();
+        self.fleet.rebuild(self.settings.zone, cross_zone_cost_is_negligible, self.settings.instance_index);
         self.serve_queue(now, out);
     }
 
@@ -46,12 +48,12 @@
     fn update_backend(&mut self, now: Micros, entry: &Backend) {
         let is_listed = entry.readiness != Readiness::Removed;
         let machine_kind = self.clamped_machine_kind(entry);
-        let backend_slot = match self.fleet.backends.find(entry.id) {
-            Some(backend_slot) => backend_slot,
+        let backend_index = match self.fleet.backends.find(entry.id) {
+            Some(backend_index) => backend_index,
             None if !is_listed => return,
             None => self.add_backend(now, entry),
         };
-        let backend = &mut self.fleet.backends[backend_slot];
+        let backend = &mut self.fleet.backends[backend_index];
         if !backend.is_ready {
             backend.unused_since = now;
         }
@@ -62,15 +64,15 @@
         backend.machine_kind = machine_kind;
         if backend.started_at != entry.started_at {
             backend.started_at = entry.started_at;
-            self.reset_backend(now, backend_slot);
+            self.reset_backend(now, backend_index);
         }
     }
 
     fn add_backend(&mut self, now: Micros, entry: &Backend) -> usize {
         let backend = BackendState::new(now, entry, self.clamped_machine_kind(entry));
-        let backend_slot = self.fleet.backends.add(entry.id, backend);
-        self.reset_backend(now, backend_slot);
-        backend_slot
+        let backend_index = self.fleet.backends.add(entry.id, backend);
+        self.reset_backend(now, backend_index);
+        backend_index
     }
 
     /// The machine kind of an entry; the last known one if it is out of the range of the settings.
@@ -79,8 +81,8 @@
     }
 
     /// Discards the state of a backend's previous process.
-    fn reset_backend(&mut self, now: Micros, backend_slot: usize) {
-        let backend = &mut self.fleet.backends[backend_slot];
+    fn reset_backend(&mut self, now: Micros, backend_index: usize) {
+        let backend = &mut self.fleet.backends[backend_index];
         let kind = usize::from(backend.machine_kind);
         backend.limit = self.kind_limits[kind].limit * instance_fraction(&self.settings, backend);
         backend.uses_kind_limit = true;
--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -4,9 +4,9 @@
 use crate::api::{Action, AttemptResult, Micros, Outcome};
 use crate::state::Attempt;
 
-/// Minimum sample of a failure, as a multiple of the back-off threshold.
+/// Minimum latency sample of an attempt that failed, as a multiple of the back-off threshold.
 const MIN_FAILURE_SAMPLE: f64 = 2.0;
-/// Maximum of any sample, as a multiple of the back-off threshold.
+/// Maximum latency sample of any attempt, as a multiple of the back-off threshold.
 const MAX_SAMPLE: f64 = 3.0;
 /// Weight of a timeout in the failure score; above 1, since the client also lost time waiting.
 const TIMEOUT_WEIGHT: f64 = 1.25;
@@ -21,9 +21,9 @@
         result: &AttemptResult<'_>,
         out: &mut Vec<Action>,
     ) {
-        let (backend_slot, outcome) = (attempt.backend_slot, result.outcome);
+        let (backend_index, outcome) = (attempt.backend_index, result.outcome);
         self.requests.in_flight = self.requests.in_flight.saturating_sub(1);
-        let backend = &mut self.fleet.backends[backend_slot];
+        let backend = &mut self.fleet.backends[backend_index];
         backend.in_flight = backend.in_flight.saturating_sub(1);
         if outcome == Outcome::NotSent {
             // The trial was not sent: another request may be the trial of the ejected backend.
@@ -33,25 +33,26 @@
         }
         let kind = usize::from(backend.machine_kind);
         let was_unresponsive = backend.unresponsive_since <= attempt.sent_at;
-        self.mark_connection_idle(now, backend_slot);
+        self.mark_connection_idle(now, backend_index);
         let latency = self.traffic.latencies.get_mut(class, kind);
-        let has_baseline = latency.has_baseline() || self.slot_budget.spread > 1.0;
+        let has_baseline = latency.has_baseline() || self.slot_budget.limit_factor > 1.0;
         let objective = self.settings.classes[class].latency_objective;
         let threshold = latency.backoff_threshold(objective, &self.traffic.rejections);
-        // Deviation: even a quick failure is a bad sample; otherwise quick errors would raise limits.
+        // Deviation: the basic algorithm uses the latency alone as the sample. Here, a failure counts as a
+        // latency above the threshold however quick it was; otherwise, quick errors would raise limits.
         let min_sample = if outcome == Outcome::Ok { 0.0 } else { MIN_FAILURE_SAMPLE };
         let sample = (result.elapsed as f64 / threshold).clamp(min_sample, MAX_SAMPLE);
-        let is_failure = self.apply_outcome(now, class, backend_slot, result, was_unresponsive);
+        let is_failure = self.apply_outcome(now, class, backend_index, result, was_unresponsive);
         let is_lost = is_failure && matches!(outcome, Outcome::Timeout | Outcome::Reset);
         if is_lost && self.idle_time_limit.record_loss(now, attempt.connection_idle_time) {
             return;
         }
         self.score_outcome(
-            backend_slot,
+            backend_index,
             is_failure,
             if outcome == Outcome::Timeout { TIMEOUT_WEIGHT } else { 1.0 },
         );
-        self.update_ejection(now, backend_slot, is_failure, out);
+        self.update_ejection(now, backend_index, is_failure, out);
         if is_unrelated_to_load(&attempt, outcome) {
             return;
         }
@@ -59,8 +60,8 @@
         if has_baseline && outcome != Outcome::Error {
             self.adjust_kind_limit(now, kind, sample);
         }
-        self.adjust_limit(now, backend_slot, sample);
-        self.apply_load_report(now, backend_slot, result.load_report);
+        self.adjust_limit(now, backend_index, sample);
+        self.apply_load_report(now, backend_index, result.load_report);
     }
 
     /// Updates latency, throughput and responsiveness; returns whether the outcome is a backend failure.
@@ -68,11 +69,11 @@
         &mut self,
         now: Micros,
         class: usize,
-        backend_slot: usize,
+        backend_index: usize,
         result: &AttemptResult<'_>,
         was_unresponsive: bool,
     ) -> bool {
-        let backend = &mut self.fleet.backends[backend_slot];
+        let backend = &mut self.fleet.backends[backend_index];
         let latency = self.traffic.latencies.get_mut(class, usize::from(backend.machine_kind));
         match result.outcome {
             Outcome::Ok => {
--- a/crates/balancer/src/balancer/retries.rs
+++ b/crates/balancer/src/balancer/retries.rs
@@ -5,13 +5,16 @@
 use crate::api::{Action, DedupScope, Idempotency, Micros, Outcome, UnservedCause};
 use crate::state::{OpenRequest, RetryScope};
 
-/// The short timeout of a retryable attempt, as a fraction of the latency objective. It doubles with each
-/// attempt, and is used if it is at least `MIN_TIMEOUT_MULTIPLE` times the mean latency of the class.
-const TIMEOUT_OBJECTIVE_FRACTION: f64 = 0.25;
-const MIN_TIMEOUT_MULTIPLE: f64 = 5.0;
-/// The timeout in the other case, as a multiple of the mean latency of the class.
-const LONG_TIMEOUT_MULTIPLE: f64 = 24.0;
+/// Short timeout of a retryable attempt, as a fraction of the latency objective. It doubles with each earlier
+/// attempt of the request that had a short timeout.
+const SHORT_TIMEOUT_OBJECTIVE_FRACTION: f64 = 0.25;
+/// Minimum short timeout, as a multiple of the mean latency of the class. If the short timeout is below this,
+/// the long one applies, since a timeout would then be more likely due to heavy work than to a lost attempt.
+const MIN_SHORT_TIMEOUT_MEAN_MULTIPLE: f64 = 5.0;
+/// Long timeout of a retryable attempt, as a multiple of the mean latency of the class.
+const LONG_TIMEOUT_MEAN_MULTIPLE: f64 = 24.0;
 
+/// When an attempt times out, and what a timeout means.
 pub(super) struct AttemptTimeout {
     pub(super) give_up_at: Micros,
     /// Whether a timeout means that the attempt was lost.
@@ -72,29 +75,36 @@
     }
 
     /// Retries a request after a failed attempt if idempotency, time and the retry budget allow it.
-    pub(super) fn retry(&mut self, now: Micros, slot: usize, outcome: Outcome, out: &mut Vec<Action>) {
-        let request = &self.requests.open[slot];
+    pub(super) fn retry(
+        &mut self,
+        now: Micros,
+        request_index: usize,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
+        let request = &self.requests.open[request_index];
         if request.unfinished_attempts() > 0 || request.queued_until.is_some() {
             return;
         }
         if let Some(cause) = self.unservable_cause(now, request) {
-            return self.end_unserved(slot, cause, out);
+            return self.end_unserved(request_index, cause, out);
         }
         if !outcome.never_executed() {
             if self.retry_budget.is_empty() {
-                return self.end_unserved(slot, UnservedCause::RetryBudget, out);
+                return self.end_unserved(request_index, UnservedCause::RetryBudget, out);
             }
             self.retry_budget.withdraw(outcome.is_broken_connection());
         }
-        self.dispatch(now, slot, out);
+        self.dispatch(now, request_index, out);
     }
 
     /// Timeout of an attempt that starts now.
     ///
-    /// Deviation: if work takes a small part of the time that clients wait, an attempt without a response
-    /// long after its expected latency is lost (for example because its connection broke silently). Waiting
-    /// for it until the deadline would leave no time for a retry, occupy its slot, and make a backend that
-    /// responds to all other attempts look unresponsive.
+    /// Deviation: the basic algorithm waits for a response until the deadline of the request. If work takes a
+    /// small part of that time, an attempt without a response long after its expected latency is lost (for
+    /// example because its connection broke silently). Waiting for it until the deadline would leave no time
+    /// for a retry, occupy a slot of its backend, and make a backend that responds to all other attempts look
+    /// unresponsive.
     pub(super) fn attempt_timeout(&self, now: Micros, request: &OpenRequest) -> AttemptTimeout {
         let class = &self.settings.classes[request.class];
         let is_last = request.attempts.len() + 1 >= request.max_attempts;
@@ -102,11 +112,11 @@
             return AttemptTimeout { give_up_at: request.deadline, means_loss: false };
         }
         let mean_us = self.traffic.latencies.class_mean_us(request.class);
-        let short_us = class.latency_objective as f64 * TIMEOUT_OBJECTIVE_FRACTION;
-        let means_loss = mean_us * MIN_TIMEOUT_MULTIPLE <= short_us;
+        let short_us = class.latency_objective as f64 * SHORT_TIMEOUT_OBJECTIVE_FRACTION;
+        let means_loss = mean_us * MIN_SHORT_TIMEOUT_MEAN_MULTIPLE <= short_us;
         let doublings = request.attempts.iter().filter(|attempt| attempt.timeout_means_loss).count() as i32;
         let timeout_us =
-            if means_loss { short_us * 2_f64.powi(doublings) } else { mean_us * LONG_TIMEOUT_MULTIPLE };
+            if means_loss { short_us * 2_f64.powi(doublings) } else { mean_us * LONG_TIMEOUT_MEAN_MULTIPLE };
         let give_up_at = request.deadline.min(now.saturating_add(timeout_us as Micros));
         AttemptTimeout { give_up_at, means_loss }
     }
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -9,46 +9,47 @@
 const FIRST_USE_WINDOW_US: f64 = 4e6;
 /// Number of backends in each sample of a large fleet: one of the preferred backends, then one of all.
 const SAMPLE_SIZE: usize = 64;
-/// Fraction of a backend's limit that requests beyond their tenant's quota may fill.
+/// Fraction of a backend's limit that applies to requests beyond their tenant's quota.
 const OVER_QUOTA_LIMIT_FRACTION: f64 = 0.6;
-/// An attempt is overdue at this multiple of its class's mean latency.
+/// Time without a response after which an attempt is overdue, as a multiple of its class's mean latency.
 const OVERDUE_MEAN_MULTIPLE: f64 = 4.0;
-/// Bounds of that time, as fractions of the latency objective.
-const MIN_OVERDUE_FRACTION: f64 = 0.25;
-const MAX_OVERDUE_FRACTION: f64 = 0.8;
+/// Minimum time without a response after which an attempt is overdue, as a fraction of the latency objective.
+const MIN_OVERDUE_OBJECTIVE_FRACTION: f64 = 0.25;
+/// Maximum time without a response after which an attempt is overdue, as a fraction of the latency objective.
+const MAX_OVERDUE_OBJECTIVE_FRACTION: f64 = 0.8;
 
-/// Requirements of a request's next attempt on its backend.
+/// What a backend must fulfil to get the next attempt of a request.
 struct Criteria {
     scope: RetryScope,
-    /// Factor on limits before they are rounded to slots.
-    slot_factor: f64,
+    /// Factor on the limit of a backend before it is rounded down to a number of slots.
+    limit_factor: f64,
     /// Time without a response after which a backend with attempts in flight is skipped.
     overdue_time: Micros,
     /// Whether the request may be the trial of an ejected backend, since it may be retried afterwards.
     is_retryable: bool,
     /// Whether this instance has no attempt in flight.
     is_idle: bool,
-    /// Slots of the backends to which the request was already sent.
-    tried_slots: SmallVec<[usize; 2]>,
+    /// Indices of the backends to which the request was already sent.
+    tried_backends: SmallVec<[usize; 2]>,
 }
 
 /// The backend with the most free slots so far; ties are broken at random.
 #[derive(Default)]
 struct BestCandidate {
-    backend_slot: Option<usize>,
+    backend_index: Option<usize>,
     free_slots: i64,
     ties: u32,
 }
 
 impl BestCandidate {
-    fn offer(&mut self, backend_slot: usize, free_slots: i64, rng: &mut fastrand::Rng) {
-        let is_tie = self.backend_slot.is_some() && free_slots == self.free_slots;
-        if self.backend_slot.is_some() && free_slots < self.free_slots {
+    fn offer(&mut self, backend_index: usize, free_slots: i64, rng: &mut fastrand::Rng) {
+        let is_tie = self.backend_index.is_some() && free_slots == self.free_slots;
+        if self.backend_index.is_some() && free_slots < self.free_slots {
             return;
         }
         self.ties = if is_tie { self.ties + 1 } else { 1 };
         if self.ties == 1 || rng.u32(0..self.ties) == 0 {
-            self.backend_slot = Some(backend_slot);
+            self.backend_index = Some(backend_index);
             self.free_slots = free_slots;
         }
     }
@@ -68,33 +69,37 @@
 impl Balancer {
     /// The backend with the greatest free capacity, in the local zone first.
     ///
-    /// Deviation: if crossing zones has a cost, other zones are used only if the local one has no free
-    /// capacity. An instance without a slot on any backend may have one request in flight; otherwise it could
-    /// serve none.
+    /// Deviation: the basic algorithm ignores zones. Here, if crossing zones has a cost, other zones are used
+    /// only if the local one has no free capacity.
     ///
-    /// Deviation: on a large fleet, a random sample of the preferred backends is examined. If none of these
-    /// has free capacity, a sample of all backends is. If one backend in ten has free capacity, a sample
-    /// contains none of these in one of 800 cases; the request is then queued and selection is retried later.
-    pub(super) fn select(&mut self, now: Micros, slot: usize) -> Option<usize> {
-        let criteria = self.criteria(now, slot)?;
+    /// Deviation: in the basic algorithm, a backend without a slot gets no requests. Here, an instance
+    /// without a slot on any backend may have one request in flight; otherwise it could serve none.
+    ///
+    /// Deviation: the basic algorithm compares all backends, which costs too much on a large fleet. There, a
+    /// random sample of the preferred backends is examined. If none of these has free capacity, a sample of
+    /// all backends is. If one backend in ten has free capacity, a sample contains none of these in one of
+    /// 800 cases; the request is then queued and selection is retried later.
+    pub(super) fn select(&mut self, now: Micros, request_index: usize) -> Option<usize> {
+        let criteria = self.attempt_criteria(now, request_index)?;
         let mut candidates = Candidates::default();
         let is_sampled = criteria.scope == RetryScope::Anywhere && self.fleet.ready.len() > LARGE_FLEET;
         let count = if is_sampled { 2 * SAMPLE_SIZE } else { self.fleet.ready.len() };
         for nth in 0..count {
             let position = match is_sampled {
                 true if nth < SAMPLE_SIZE => self.rng.usize(self.fleet.preferred.clone()),
-                true if candidates.preferred.backend_slot.is_some() => break,
+                true if candidates.preferred.backend_index.is_some() => break,
                 true => self.rng.usize(0..self.fleet.ready.len()),
                 false => nth,
             };
             self.consider(now, self.fleet.ready[position], &criteria, &mut candidates);
         }
-        candidates.preferred.backend_slot.or(candidates.other_zones.backend_slot).or(candidates.fallback)
+        candidates.preferred.backend_index.or(candidates.other_zones.backend_index).or(candidates.fallback)
     }
 
-    /// `None` if no attempt may start now.
-    fn criteria(&self, now: Micros, slot: usize) -> Option<Criteria> {
-        let request = &self.requests.open[slot];
+    /// The criteria for the next attempt of a request. `None` if no backend may get it now: rule 2 forbids
+    /// another attempt, or this instance has its maximum number of requests in flight.
+    fn attempt_criteria(&self, now: Micros, request_index: usize) -> Option<Criteria> {
+        let request = &self.requests.open[request_index];
         let scope = self.retry_scope(now, request);
         let in_flight = self.requests.in_flight;
         // Sessions count too, but must not block all other requests.
@@ -106,38 +111,39 @@
         let class = &self.settings.classes[request.class];
         Some(Criteria {
             scope,
-            slot_factor: self.slot_budget.spread * quota_factor,
+            limit_factor: self.slot_budget.limit_factor * quota_factor,
             overdue_time: self.overdue_time(request.class),
             is_retryable: class.idempotency != Idempotency::NonIdempotent,
             is_idle: in_flight == 0,
-            tried_slots: request.attempts.iter().map(|attempt| attempt.backend_slot).collect(),
+            tried_backends: request.attempts.iter().map(|attempt| attempt.backend_index).collect(),
         })
     }
 
     fn overdue_time(&self, class: usize) -> Micros {
         let objective = self.settings.classes[class].latency_objective as f64;
         let time = self.traffic.latencies.class_mean_us(class) * OVERDUE_MEAN_MULTIPLE;
-        time.clamp(objective * MIN_OVERDUE_FRACTION, objective * MAX_OVERDUE_FRACTION) as Micros
+        time.clamp(objective * MIN_OVERDUE_OBJECTIVE_FRACTION, objective * MAX_OVERDUE_OBJECTIVE_FRACTION)
+            as Micros
     }
 
     /// Adds a backend to the candidates if it meets the criteria.
     fn consider(
         &mut self,
         now: Micros,
-        backend_slot: usize,
+        backend_index: usize,
         criteria: &Criteria,
         candidates: &mut Candidates,
     ) {
-        let backend = &self.fleet.backends[backend_slot];
+        let backend = &self.fleet.backends[backend_index];
         if !criteria.scope.contains(backend.zone, backend.cell)
-            || criteria.tried_slots.contains(&backend_slot)
+            || criteria.tried_backends.contains(&backend_index)
             || !self.is_available(now, backend, criteria)
         {
             return;
         }
-        let remaining_limit = backend.limit * criteria.slot_factor + backend.dither;
+        let remaining_limit = backend.limit * criteria.limit_factor + backend.rounding_offset;
         if criteria.is_idle && remaining_limit > candidates.fallback_limit {
-            candidates.fallback = Some(backend_slot);
+            candidates.fallback = Some(backend_index);
             candidates.fallback_limit = remaining_limit;
         }
         let free_slots = free_slots(now, backend, criteria);
@@ -147,7 +153,7 @@
             } else {
                 &mut candidates.other_zones
             };
-            best.offer(backend_slot, free_slots, &mut self.rng);
+            best.offer(backend_index, free_slots, &mut self.rng);
         }
     }
 
@@ -157,9 +163,9 @@
             // An ejected backend gets a single trial, by a request that may be retried.
             return now >= until && !backend.health.trial_in_flight && criteria.is_retryable;
         }
-        // Deviation: a backend with attempts in flight and no response for a long time may hang, and is
-        // skipped. A backend that rejects requests looks the least loaded, and is skipped for about the
-        // duration of a request.
+        // Deviation: the basic algorithm looks at free capacity alone. Here, a backend with attempts in
+        // flight and no response for a long time is skipped, since it may hang. A backend that rejects
+        // requests would look the least loaded, and is skipped for about the duration of a request.
         let is_unresponsive =
             backend.in_flight > 0 && now > backend.unresponsive_since + criteria.overdue_time;
         let has_token = |budget| self.warm_up_tokens(now, backend, budget) >= 1.0;
@@ -170,11 +176,12 @@
 /// Free slots of a backend; `i64::MAX` if it is due for its first use by this instance.
 fn free_slots(now: Micros, backend: &BackendState, criteria: &Criteria) -> i64 {
     let used = i64::from(backend.in_flight + backend.sessions);
-    let free_slots = backend.slots(criteria.slot_factor) - used;
-    // Deviation: a backend that became ready or may be readmitted is preferred once. Otherwise an instance
-    // with little traffic would never use it.
+    let free_slots = backend.slots(criteria.limit_factor) - used;
+    // Deviation: in the basic algorithm, only free capacity decides. Here, a backend that became ready or may
+    // be readmitted is preferred once; otherwise, an instance with little traffic would never use it. The
+    // rounding offset differs between instances, so that they do this at different times.
     let unused_time_us = now.saturating_sub(backend.unused_since) as f64;
-    let is_due = unused_time_us > (1.0 - backend.dither) * FIRST_USE_WINDOW_US;
+    let is_due = unused_time_us > (1.0 - backend.rounding_offset) * FIRST_USE_WINDOW_US;
     let is_first_use = is_due && free_slots > 0 && criteria.is_idle && backend.warm_up.is_none();
     if is_first_use { i64::MAX } else { free_slots }
 }
--- a/crates/balancer/src/balancer/slow_start.rs
+++ b/crates/balancer/src/balancer/slow_start.rs
@@ -5,9 +5,10 @@
 use crate::api::Micros;
 use crate::state::{BackendState, SECOND, WarmUpBudget};
 
-/// All instances together may send this fraction of the rate that overloads a warming backend.
+/// Rate that all instances together may send to a warming backend, as a fraction of the rate that overloads
+/// it.
 const OVERLOAD_MARGIN: f64 = 0.3;
-/// A budget accumulates at most its rate per second divided by this, but at least one token.
+/// Divisor of a budget's rate per second that gives its maximum number of tokens, which is at least one.
 const BURST_DIVISOR: f64 = 4.0;
 
 impl Balancer {
@@ -30,13 +31,13 @@
     }
 
     /// Takes a token from a warming backend's budget; removes the budget once the backend is warm.
-    pub(super) fn spend_warm_up_token(&mut self, now: Micros, backend_slot: usize) {
-        let backend = &self.fleet.backends[backend_slot];
+    pub(super) fn spend_warm_up_token(&mut self, now: Micros, backend_index: usize) {
+        let backend = &self.fleet.backends[backend_index];
         let Some(budget) = backend.warm_up else { return };
         let tokens = self.warm_up_tokens(now, backend, &budget) - 1.0;
         let warm_at = budget.started_at.saturating_add(self.settings.safety.warm_up_duration);
         let is_warm = now >= warm_at;
-        self.fleet.backends[backend_slot].warm_up =
+        self.fleet.backends[backend_index].warm_up =
             (!is_warm).then_some(WarmUpBudget { tokens, updated_at: now, ..budget });
     }
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -39,7 +39,8 @@
     pub(crate) rejections: RejectionRate,
 }
 
+/// Duration of one second.
 pub(crate) const SECOND: Micros = 1_000_000;
 /// Fractional part of the golden ratio. The fractional parts of its multiples are evenly distributed over
 /// 0..1 for any number of instances.
-pub(crate) const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
+pub(crate) const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
--- a/crates/balancer/src/state/backend.rs
+++ b/crates/balancer/src/state/backend.rs
@@ -38,7 +38,7 @@
     pub(crate) is_ready: bool,
     /// When it became ready or was ejected, if it has got no request since then; `Micros::MAX` otherwise.
     pub(crate) unused_since: Micros,
-    /// Attempts of open requests that refer to its slot.
+    /// Number of attempts of open requests that refer to its index.
     pub(crate) references: u32,
     /// When its process started; `None` if it warmed up long ago.
     pub(crate) started_at: Option<Micros>,
@@ -47,8 +47,9 @@
     pub(crate) sessions: u32,
     /// Concurrency limit of this instance, in requests; not rounded.
     pub(crate) limit: f64,
-    /// Added to the limit before it is rounded down, 0 to 1.
-    pub(crate) dither: f64,
+    /// Added to the limit before it is rounded down to a number of slots; from 0 to below 1. It differs
+    /// between instances: of many instances with a limit of 0.3, three in ten have a slot.
+    pub(crate) rounding_offset: f64,
     /// Whether the limit is derived from that of its machine kind, since no window of its own has changed it.
     pub(crate) uses_kind_limit: bool,
     pub(crate) reported: ReportedFactor,
@@ -56,7 +57,7 @@
     pub(crate) health: Health,
     /// Time of its last response, or of its first attempt in flight if that is later.
     pub(crate) unresponsive_since: Micros,
-    /// End of the time during which it counts as having no capacity, after it rejected a request.
+    /// End of the time during which it gets no requests, after it rejected one.
     pub(crate) rejecting_until: Micros,
     /// `Some` while it is warming up.
     pub(crate) warm_up: Option<WarmUpBudget>,
@@ -80,13 +81,13 @@
 
     /// The limit as a number of slots; `factor` scales the limit before it is rounded down.
     ///
-    /// With a limit below 1, the dither determines which instances have a slot, so that the sum of slots over
-    /// all instances does not grow with their number. A backend that is warming up always has a slot, since
-    /// the slow-start budget already bounds that sum: with both bounds, hardly any of many instances ever
-    /// sent it a request.
+    /// With a limit below 1, the rounding offset determines which instances have a slot, so that the sum of
+    /// slots over all instances does not grow with their number. A backend that is warming up always has a
+    /// slot, since the slow-start budget already bounds that sum: with both bounds, hardly any of many
+    /// instances ever sent it a request.
     pub(crate) fn slots(&self, factor: f64) -> i64 {
         // A cast is much cheaper than `floor`.
-        ((self.limit * factor + self.dither) as i64).max(i64::from(self.warm_up.is_some()))
+        ((self.limit * factor + self.rounding_offset) as i64).max(i64::from(self.warm_up.is_some()))
     }
 
     fn is_removable(&self) -> bool {
@@ -94,8 +95,8 @@
     }
 }
 
-/// The backends that are listed, or that an attempt of an open request refers to. A slot is reused only when
-/// no attempt refers to it; otherwise the attempt's outcome would be attributed to another backend.
+/// The backends that are listed, or that an attempt of an open request refers to. An index is reused only
+/// when no attempt refers to it; otherwise the attempt's outcome would be attributed to another backend.
 pub(crate) type Backends = SlotMap<BackendState>;
 
 impl Backends {
@@ -108,9 +109,9 @@
     }
 
     /// Removes one reference of an attempt, and the backend if it is unlisted and has no other references.
-    pub(crate) fn release_reference(&mut self, slot: usize) {
-        self[slot].references -= 1;
-        let backend = &self[slot];
+    pub(crate) fn release_reference(&mut self, backend_index: usize) {
+        self[backend_index].references -= 1;
+        let backend = &self[backend_index];
         if backend.is_removable() {
             self.release(backend.id);
         }
--- a/crates/balancer/src/state/backend_tests.rs
+++ b/crates/balancer/src/state/backend_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the reuse of backend slots.
+//! Tests of the reuse of backend indices.
 
 use super::*;
 
@@ -7,19 +7,19 @@
 }
 
 #[test]
-fn reuses_the_slots_of_removed_backends() {
+fn reuses_the_indices_of_removed_backends() {
     let mut backends = Backends::default();
     for id in 0..1_000 {
         backends.mark_all_unlisted();
         backends.add(id, listed(id));
         backends.remove_unlisted();
     }
-    assert!(backends.capacity() <= 4, "{} slots", backends.capacity());
+    assert!(backends.capacity() <= 4, "capacity {}", backends.capacity());
     assert_eq!(backends.len(), 1);
 }
 
 #[test]
-fn keeps_a_slot_while_a_request_refers_to_it() {
+fn keeps_an_index_while_an_attempt_refers_to_it() {
     let mut backends = Backends::default();
     let first = backends.add(1, listed(1));
     backends[first].references = 2;
--- a/crates/balancer/src/state/health.rs
+++ b/crates/balancer/src/state/health.rs
@@ -12,13 +12,14 @@
 /// Failure score at which a backend is ejected. It is reached with the third consecutive failure, or the
 /// second consecutive timeout, if one attempt in fifty fails on healthy backends.
 const EJECTION_SCORE: f64 = 8.0;
-/// The number of consecutive ejections decreases by one for each such interval without an ejection.
+/// Time without an ejection after which the number of consecutive ejections decreases by one.
 const EJECTION_DECAY_INTERVAL: Micros = 30 * SECOND;
-/// Duration of the first ejection. It doubles with each consecutive ejection, up to `MAX_EJECTION_DOUBLINGS`
-/// times.
+/// Duration of the first ejection, before jitter. It doubles with each consecutive ejection, up to
+/// `MAX_EJECTION_DOUBLINGS` times.
 const BASE_EJECTION_DURATION: Micros = SECOND;
+/// Maximum number of times that the duration of an ejection doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Upper bound of that decrease.
+/// Maximum by which the number of consecutive ejections decreases between two ejections.
 const MAX_DECAYED_EJECTIONS: Micros = 64;
 
 /// Health of one backend.
--- a/crates/balancer/src/state/idle_time_limit.rs
+++ b/crates/balancer/src/state/idle_time_limit.rs
@@ -3,12 +3,12 @@
 use super::SECOND;
 use crate::api::Micros;
 
-/// Only an idle time above this is taken as the cause of a lost request. Intermediaries do not drop idle
-/// connections sooner, and a timeout is then more likely due to heavy work.
+/// Minimum idle time of a connection that is taken as the cause of a lost request. Intermediaries do not drop
+/// idle connections sooner, and a timeout is then more likely due to heavy work.
 pub(crate) const MIN_SUSPECT_IDLE_TIME: Micros = SECOND / 2;
-/// The limit after a loss, as a fraction of the connection's idle time before the lost request.
+/// Limit of the idle time after a loss, as a fraction of the connection's idle time before the lost request.
 const BACKOFF_RATIO: f64 = 0.5;
-/// Time in which the limit doubles.
+/// Time in which the limit of the idle time doubles.
 const DOUBLING_TIME: Micros = 60 * SECOND;
 
 /// The limit at a point in time; it grows exponentially from then on.
--- a/crates/balancer/src/state/latency.rs
+++ b/crates/balancer/src/state/latency.rs
@@ -3,22 +3,25 @@
 use super::RejectionRate;
 use crate::api::Micros;
 
-/// Weight of a new sample in the averages.
+/// Weight of a new sample in a moving average, 0 to 1.
 pub(crate) const AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
 /// Initial mean, as a fraction of the latency objective.
 const INITIAL_MEAN_FRACTION: f64 = 0.25;
 /// Relative growth of the baseline per second, so that it adapts to a fleet that became slower.
 const BASELINE_GROWTH_PER_S: f64 = 0.01;
-/// The back-off threshold as a multiple of the baseline. The first applies while requests are rejected for
-/// lack of capacity (queues on the backends persist), the second while none is rejected (queues drain).
-/// Between these, the multiple is interpolated by the rejected fraction.
-const THRESHOLD_WITH_STANDING_QUEUES: f64 = 1.8;
-const THRESHOLD_WITH_DRAINING_QUEUES: f64 = 6.0;
-/// Bounds of the back-off threshold, as fractions of the latency objective. Lower bound: a shorter wait does
-/// no harm, and limits lowered by it cause rejections, which lower the threshold and so keep the limits low.
-/// Upper bound: limits must fall before objectives are missed.
-const MIN_THRESHOLD_FRACTION: f64 = 0.05;
-const MAX_THRESHOLD_FRACTION: f64 = 0.3;
+/// Back-off threshold, as a multiple of the baseline latency, while many requests are rejected for lack of
+/// capacity: queues on the backends then persist. With fewer rejections, the multiple is interpolated between
+/// this one and `DRAINING_QUEUES_BASELINE_MULTIPLE` by the rejected fraction.
+const STANDING_QUEUES_BASELINE_MULTIPLE: f64 = 1.8;
+/// Back-off threshold, as a multiple of the baseline latency, while no request is rejected for lack of
+/// capacity: queues on the backends then drain.
+const DRAINING_QUEUES_BASELINE_MULTIPLE: f64 = 6.0;
+/// Minimum back-off threshold, as a fraction of the latency objective. A shorter wait does no harm, and
+/// limits lowered by it cause rejections, which lower the threshold and so keep the limits low.
+const MIN_THRESHOLD_OBJECTIVE_FRACTION: f64 = 0.05;
+/// Maximum back-off threshold, as a fraction of the latency objective: limits must fall before objectives are
+/// missed.
+const MAX_THRESHOLD_OBJECTIVE_FRACTION: f64 = 0.3;
 
 /// Latency of one class on one machine kind.
 #[derive(Clone, Copy)]
@@ -58,11 +61,11 @@
 
     /// The latency above which a limit backs off, in microseconds.
     pub(crate) fn backoff_threshold(&self, objective: Micros, rejections: &RejectionRate) -> f64 {
-        let (standing, draining) = (THRESHOLD_WITH_STANDING_QUEUES, THRESHOLD_WITH_DRAINING_QUEUES);
-        let over_baseline = draining + (standing - draining) * rejections.queue_pressure();
+        let (standing, draining) = (STANDING_QUEUES_BASELINE_MULTIPLE, DRAINING_QUEUES_BASELINE_MULTIPLE);
+        let baseline_multiple = draining + (standing - draining) * rejections.queue_pressure();
         let objective = objective as f64;
-        (self.baseline_us * over_baseline)
-            .clamp(objective * MIN_THRESHOLD_FRACTION, objective * MAX_THRESHOLD_FRACTION)
+        (self.baseline_us * baseline_multiple)
+            .clamp(objective * MIN_THRESHOLD_OBJECTIVE_FRACTION, objective * MAX_THRESHOLD_OBJECTIVE_FRACTION)
     }
 }
 
--- a/crates/balancer/src/state/limits.rs
+++ b/crates/balancer/src/state/limits.rs
@@ -3,7 +3,8 @@
 use super::SampleWindow;
 use crate::api::Micros;
 
-/// Initial limit of a backend, summed over all instances. A lower one would leave large backends unused.
+/// Initial limit of a backend, in requests, summed over all instances. A lower one would leave large backends
+/// unused.
 const INITIAL_LIMIT: f64 = 1.5;
 
 /// Concurrency limit of one backend of a machine kind, summed over all instances.
@@ -25,13 +26,15 @@
     }
 }
 
-/// Over how many backends an instance with few slots spreads its requests, and how many requests it may have
-/// in flight.
+/// How an instance whose limits add up to few slots scales its limits, and how many requests it may have in
+/// flight.
 pub(crate) struct SlotBudget {
-    /// Sum of the limits of the preferred backends.
-    pub(crate) slots: f64,
-    /// Factor on each limit before it is rounded to slots; 1 or more.
-    pub(crate) spread: f64,
+    /// Sum of the limits of the preferred backends, in requests; neither scaled nor rounded.
+    pub(crate) total_limit: f64,
+    /// Factor on each limit before it is rounded down to a number of slots; 1 or more. Above 1, the instance
+    /// has slots on more backends.
+    pub(crate) limit_factor: f64,
+    /// Maximum number of requests in flight; `u32::MAX` unless the limits are scaled.
     pub(crate) max_in_flight: u32,
     /// Time of the last computation; `None` before the first one.
     pub(crate) computed_at: Option<Micros>,
@@ -39,6 +42,6 @@
 
 impl SlotBudget {
     pub(crate) fn new() -> Self {
-        Self { slots: 0.0, spread: 1.0, max_in_flight: u32::MAX, computed_at: None }
+        Self { total_limit: 0.0, limit_factor: 1.0, max_in_flight: u32::MAX, computed_at: None }
     }
 }
--- a/crates/balancer/src/state/rejection_rate.rs
+++ b/crates/balancer/src/state/rejection_rate.rs
@@ -1,8 +1,8 @@
 //! The fraction of requests that is rejected for lack of capacity.
 
-/// Weight of a new request in the average.
-const WEIGHT: f64 = 1.0 / 64.0;
-/// Rejected fraction from which on queues on the backends are taken as standing (persistent).
+/// Weight of a new request in the moving average, 0 to 1.
+const REQUEST_WEIGHT: f64 = 1.0 / 64.0;
+/// Fraction of rejected requests, 0 to 1, from which on queues on the backends are assumed to persist.
 const STANDING_QUEUE_FRACTION: f64 = 0.1;
 
 /// Moving average of the fraction of rejections for lack of capacity.
@@ -14,14 +14,14 @@
 
 impl RejectionRate {
     pub(crate) fn record_rejection(&mut self) {
-        self.fraction += (1.0 - self.fraction) * WEIGHT;
+        self.fraction += (1.0 - self.fraction) * REQUEST_WEIGHT;
     }
 
     pub(crate) fn record_response(&mut self) {
-        self.fraction -= self.fraction * WEIGHT;
+        self.fraction -= self.fraction * REQUEST_WEIGHT;
     }
 
-    /// From 0 (queues drain) to 1 (standing queues).
+    /// From 0 (no rejections; queues on the backends drain) to 1 (queues persist).
     pub(crate) fn queue_pressure(&self) -> f64 {
         (self.fraction / STANDING_QUEUE_FRACTION).min(1.0)
     }
--- a/crates/balancer/src/state/request.rs
+++ b/crates/balancer/src/state/request.rs
@@ -16,11 +16,13 @@
 /// An attempt of an open request.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    /// Slot of its backend.
-    pub(crate) backend_slot: usize,
-    /// Zone and cell of the backend at the time of the send. This group remembers the idempotency key, even
-    /// if discovery assigns the backend to another group later.
+    /// Index of its backend in the fleet.
+    pub(crate) backend_index: usize,
+    /// Zone of the backend at the time of the send. The backends of this zone remember the idempotency key,
+    /// even if discovery assigns the backend to another zone later.
     pub(crate) zone: u16,
+    /// Cell of the backend at the time of the send. The backends of this cell remember the idempotency key,
+    /// even if discovery assigns the backend to another cell later.
     pub(crate) cell: u16,
     pub(crate) sent_at: Micros,
     /// How long its connection had been idle before it was sent.
@@ -94,7 +96,7 @@
 #[derive(Default)]
 pub(crate) struct Requests {
     pub(crate) open: SlotMap<OpenRequest>,
-    /// Slots of the requests that wait for capacity, in the order in which they were queued.
+    /// Indices of the requests that wait for capacity, in the order in which they were queued.
     pub(crate) queue: Vec<usize>,
     /// Attempts in flight, sessions excluded.
     pub(crate) in_flight: u32,
@@ -103,9 +105,9 @@
 
 impl Requests {
     /// Removes a request from the queue if it is queued.
-    pub(crate) fn dequeue(&mut self, slot: usize) {
-        if self.open[slot].queued_until.take().is_some() {
-            self.queue.retain(|&queued| queued != slot);
+    pub(crate) fn dequeue(&mut self, request_index: usize) {
+        if self.open[request_index].queued_until.take().is_some() {
+            self.queue.retain(|&queued| queued != request_index);
         }
     }
 }
--- a/crates/balancer/src/state/retry_budget.rs
+++ b/crates/balancer/src/state/retry_budget.rs
@@ -1,9 +1,9 @@
 //! The retry budget: bounds the retries of attempts that may have executed.
 
-/// Tokens that each request deposits.
-const RETRY_FRACTION: f64 = 0.1;
+/// Number of tokens that each request deposits.
+const TOKENS_PER_REQUEST: f64 = 0.1;
 /// Maximum number of tokens.
-const MAX_BURST: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 /// Tokens that a retry costs after a failure that may indicate load.
 const FULL_COST: f64 = 1.0;
 /// Tokens that a retry costs after a failure that does not indicate load: twice as many are allowed.
@@ -17,12 +17,12 @@
 impl RetryBudget {
     /// A full budget.
     pub(crate) fn new() -> Self {
-        Self { tokens: MAX_BURST }
+        Self { tokens: MAX_TOKENS }
     }
 
     /// Credits one request.
     pub(crate) fn deposit(&mut self) {
-        self.tokens = (self.tokens + RETRY_FRACTION).min(MAX_BURST);
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
     /// Debits one retry. `is_unrelated_to_load`: whether the failure before it does not indicate load.
--- a/crates/balancer/tests/common/fixtures.rs
+++ b/crates/balancer/tests/common/fixtures.rs
@@ -2,14 +2,20 @@
 
 use balancer::api::*;
 
+/// One millisecond.
 pub const MS: Micros = 1_000;
+/// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Indices of the classes of [`settings`].
+/// Index of the idempotent class of [`settings`].
 pub const IDEMPOTENT: u8 = 0;
+/// Index of the non-idempotent class of [`settings`].
 pub const NON_IDEMPOTENT: u8 = 1;
+/// Index of the keyed class of [`settings`] whose dedup scope is every backend.
 pub const KEYED_ALL: u8 = 2;
+/// Index of the keyed class of [`settings`] whose dedup scope is one zone.
 pub const KEYED_ZONE: u8 = 3;
+/// Index of the keyed class of [`settings`] whose dedup scope is one cell.
 pub const KEYED_CELL: u8 = 4;
 
 /// A class with a latency objective of 500 ms and a deadline of 2 s.
@@ -72,7 +78,8 @@
     Settings { zone_count: 1, ..settings() }
 }
 
-/// A warm backend. Even ids are in zone 0 and odd ones in zone 1; each cell has three backends.
+/// A backend that warmed up long ago. Even ids are in zone 0 and odd ones in zone 1; each cell has three
+/// backends.
 pub fn backend(id: BackendId) -> Backend {
     Backend {
         id,
@@ -84,7 +91,7 @@
     }
 }
 
-/// `count` warm backends, all in zone 0 and cell 0.
+/// `count` backends that warmed up long ago, all in zone 0 and cell 0.
 pub fn one_zone(count: u32) -> Vec<Backend> {
     (0..count).map(|id| Backend { zone: 0, cell: 0, ..backend(id) }).collect()
 }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -152,6 +152,9 @@
         }
         sends
     };
-    let (slow, usual) = (sends_to_even(true), sends_to_even(false));
-    assert!(slow * 4 < usual * 3, "{slow} sends to slow backends, {usual} when they are not slow");
+    let (sends_if_slow, sends_if_equal) = (sends_to_even(true), sends_to_even(false));
+    assert!(
+        sends_if_slow * 4 < sends_if_equal * 3,
+        "{sends_if_slow} sends to slow backends, {sends_if_equal} when they are not slow"
+    );
 }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -229,7 +229,7 @@
     sends
 }
 
-/// 20 instances with steady traffic use 10 warm backends, one of which restarts.
+/// 20 instances with steady traffic use 10 backends that warmed up long ago, one of which restarts.
 #[test]
 fn all_instances_together_stay_within_the_budget_of_a_warming_backend() {
     let mut settings = settings();
--- a/crates/balancer/tests/slot_budget.rs
+++ b/crates/balancer/tests/slot_budget.rs
@@ -31,7 +31,8 @@
     proxy.attempts_in_flight().iter().map(|sent| sent.backend).collect()
 }
 
-/// One of `instance_count` instances, with warm backends in its zone; crossing zones is free.
+/// One of `instance_count` instances, with backends in its zone that warmed up long ago; crossing zones costs
+/// nothing.
 fn instance(instance_index: u32, instance_count: u32, backends: u32) -> EmulatedProxy {
     let settings = Settings { instance_index, instance_count, cross_zone_cost: 0.0, ..settings() };
     EmulatedProxy::new(settings, (0..backends).map(backend_in_zone_0))
@@ -41,9 +42,9 @@
     Backend { zone: 0, ..backend(id) }
 }
 
-/// With 100 instances and 60 backends, spreading over three backends under load made each instance compete
-/// with the others on every backend. While nothing is rejected, three are right: two concurrent requests must
-/// find free slots.
+/// Guards against instances that compete on every backend under load: with 100 instances and 60 backends,
+/// each instance had slots on three backends. While no request is rejected, three are right, since two
+/// concurrent requests must find free slots.
 #[test]
 fn a_small_instance_spreads_over_fewer_backends_while_requests_are_rejected() {
     let (mut idle, mut loaded) = (0, 0);
@@ -91,8 +92,8 @@
     assert!((0..40).filter(|&instance_index| sends_two(instance_index)).count() > 20);
 }
 
-/// Guards against random dithers for each pair of instance and backend: some instances never had a slot on
-/// any backend, and rejected requests that coincided.
+/// Guards against random rounding offsets for each pair of instance and backend: some instances never had a
+/// slot on any backend, and rejected requests that coincided.
 #[test]
 fn slots_are_distributed_evenly_over_instances_and_backends() {
     let (mut by_backend, mut by_instance) = (vec![0; 60], Vec::new());
