--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! What the service costs as it grows: lines through figures of the real program, what a page takes from them, and a run of
-//! the fleet that is planned.
+//! Measurements of growth: how the resource use of one proxy grows with its load, the check of figures that a
+//! page quotes from results, and a run of the planned fleet.
 
 pub mod figures;
 pub mod fleet;
--- a/crates/testbed/src/scale/slopes/busy.rs
+++ b/crates/testbed/src/scale/slopes/busy.rs
@@ -1,113 +1,120 @@
-//! Figures of a proxy under requests: steady ones, and ones that wait.
+//! Measurements of a proxy with client connections: requests at a steady rate, idle connections and requests
+//! in flight.
 
 use super::agent::Agent;
 use super::backends::Backends;
-use super::idle::REST;
-use super::load::{self, Load, Open};
+use super::idle::IDLE_TIME;
+use super::load::{self, Load, OpenRequests};
+use super::proxy_process::{ProxyProcess, SettingsSpec};
 use super::quantities::Family;
-use super::sheet::Sheet;
-use super::subject::{Shape, Subject};
-use super::{Bench, ScaleError, fit};
+use super::samples::Samples;
+use super::{MeasurementSettings, ScaleError, fit};
 use crate::http1;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// The steady rate, requests a second: a proxy's part of the plan's peak.
-const STEADY: f64 = 540.0;
-/// Backends and connections of clients where neither is what changes.
+/// The steady rate, requests per second: one proxy's part of the planned peak.
+const STEADY_PER_S: f64 = 540.0;
+/// Number of backends, in families that do not vary it.
 const BACKENDS: usize = 20;
+/// Number of client connections, in families that do not vary it.
 const CLIENTS: usize = 16;
-/// What a tenant may send in a second where every request is to be beyond its share.
-const NEXT_TO_NOTHING: f64 = 1e-6;
-/// Backends for each open request: a proxy begins with room for one request at a backend.
-const BACKENDS_PER_OPEN: usize = 2;
-/// Listeners that stand for all backends of open requests.
+/// Quota of a tenant, requests per second, so low that every request exceeds it.
+const TINY_QUOTA_PER_S: f64 = 1e-6;
+/// Backends per open request. A proxy starts with a concurrency limit of one request per backend.
+const BACKENDS_PER_OPEN_REQUEST: usize = 2;
+/// Listeners that all backends of open requests share.
 const LISTENERS: usize = 400;
-/// How long requests may take to be held.
-const HELD_TIMEOUT: Duration = Duration::from_secs(20);
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
-/// How long what taking them in set off may go on.
-const SETTLE: Duration = Duration::from_millis(100);
-/// The part of the requests that may be lost before the figures are none.
-const MAX_LOST: f64 = 0.01;
+/// Time limit until all open requests are in flight at backends.
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long the proxy may still process closed or accepted connections.
+const SETTLE_TIME: Duration = Duration::from_millis(100);
+/// Largest accepted fraction of unserved requests.
+const MAX_UNSERVED: f64 = 0.01;
 
-/// What one run of steady requests comes to.
-struct Steady {
+/// Results of one run at a steady rate.
+struct SteadyResult {
     requests: f64,
     seconds: f64,
     cpu_us: f64,
     wire_bytes: f64,
-    dials: f64,
+    dials_per_request: f64,
+    /// 99th percentile of the response time through the proxy minus that of direct requests, microseconds.
     added_p99_us: f64,
 }
 
-/// One run of steady requests: some that do not count, then those that do.
-async fn steady(bench: &Bench, load: Load, shape: Shape) -> Result<Steady, ScaleError> {
+/// Runs the load twice: a warm-up of a quarter of the duration, then the measurement.
+async fn run_steady(
+    settings: &MeasurementSettings,
+    load: Load,
+    spec: SettingsSpec,
+) -> Result<SteadyResult, ScaleError> {
     let backends = Backends::start(load.backends.len(), true)?;
     let agent = Agent::start(backends.addresses()).await?;
-    let subject = bench.subject(agent.address(), shape).await?;
-    agent.settled().await?;
-    let mut load = Load { proxy: subject.address(), backends: backends.addresses().to_vec(), ..load };
-    let span = std::mem::replace(&mut load.span, bench.span / 4);
-    asked(&load).await?;
-    load.span = span;
+    let proxy = settings.start_proxy(agent.address(), spec).await?;
+    agent.wait_until_applied().await?;
+    let mut load = Load { proxy: proxy.address(), backends: backends.addresses().to_vec(), ..load };
+    let duration = std::mem::replace(&mut load.duration, settings.duration / 4);
+    run_load(&load).await?;
+    load.duration = duration;
     load.seed ^= 1 << 20;
-    // The clients of the streams that did not count have closed; the proxy sees that before the count begins.
-    sleep(SETTLE).await;
-    let direct_before = (backends.bytes(), backends.accepted());
-    let (cpu, began) = (subject.cpu_us()?, Instant::now());
-    let [proxied, direct] = asked(&load).await?;
-    let (cpu_us, seconds) = (subject.cpu_us()? - cpu, began.elapsed().as_secs_f64());
-    let p99 = |times: &[f64]| fit::percentile(times, 0.99).unwrap_or(f64::NAN);
-    let requests = proxied.times.len() as f64;
-    // What the backends saw of the direct stream is the clients' own account of it.
-    let behind = (backends.bytes() - direct_before.0).saturating_sub(direct.bytes);
-    let straight = load.clients as u64;
-    let dials = (backends.accepted() - direct_before.1).saturating_sub(straight);
-    Ok(Steady {
+    // The warm-up's clients have closed their connections; the proxy processes that before the measurement.
+    sleep(SETTLE_TIME).await;
+    let before = (backends.wire_bytes(), backends.accepted());
+    let (cpu, began) = (proxy.cpu_us()?, Instant::now());
+    let [proxied, direct] = run_load(&load).await?;
+    let (cpu_us, seconds) = (proxy.cpu_us()? - cpu, began.elapsed().as_secs_f64());
+    let p99 = |response_times: &[f64]| fit::percentile(response_times, 0.99).unwrap_or(f64::NAN);
+    let requests = proxied.response_times.len() as f64;
+    // Both streams reach the same backends; what the clients counted of the direct stream is subtracted.
+    let proxied_backend_bytes = (backends.wire_bytes() - before.0).saturating_sub(direct.wire_bytes);
+    let direct_connections = load.clients as u64;
+    let dials = (backends.accepted() - before.1).saturating_sub(direct_connections);
+    Ok(SteadyResult {
         requests,
         seconds,
         cpu_us,
-        wire_bytes: (proxied.bytes + behind) as f64,
-        dials: dials as f64 / requests,
-        added_p99_us: p99(&proxied.times) - p99(&direct.times),
+        wire_bytes: (proxied.wire_bytes + proxied_backend_bytes) as f64,
+        dials_per_request: dials as f64 / requests,
+        added_p99_us: p99(&proxied.response_times) - p99(&direct.response_times),
     })
 }
 
-async fn asked(load: &Load) -> Result<[load::Stream; 2], ScaleError> {
-    let thread = load::pair(load.clone());
-    // The agent has to go on answering on this thread meanwhile.
+async fn run_load(load: &Load) -> Result<[load::StreamResult; 2], ScaleError> {
+    let thread = load::run_both(load.clone());
+    // The agent runs on this thread and must respond in the meantime.
     while !thread.is_finished() {
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
-    let streams = thread.join().map_err(|_| ScaleError::Proxy("the clients ended".into()))??;
+    let streams = thread.join().map_err(|_| ScaleError::Proxy("the client thread panicked".into()))??;
     for stream in &streams {
-        let all = stream.times.len() + stream.lost;
-        if stream.times.is_empty() || stream.lost as f64 > MAX_LOST * all as f64 {
-            return Err(ScaleError::Lost { lost: stream.lost, all });
+        let total = stream.response_times.len() + stream.unserved;
+        if stream.response_times.is_empty() || stream.unserved as f64 > MAX_UNSERVED * total as f64 {
+            return Err(ScaleError::Unserved { unserved: stream.unserved, total });
         }
     }
     Ok(streams)
 }
 
-/// One run at one size of one of the families with steady requests.
+/// Measures one run of a family with a steady rate at this size.
 pub(super) async fn requests(
-    bench: &Bench,
+    settings: &MeasurementSettings,
     family: Family,
     size: usize,
-    sheet: &mut Sheet,
+    samples: &mut Samples,
 ) -> Result<(), ScaleError> {
-    let (mut backends, mut shape) = (BACKENDS, Shape::default());
+    let (mut backends, mut spec) = (BACKENDS, SettingsSpec::default());
     let mut load = Load {
         proxy: ([127, 0, 0, 1], 0).into(),
         backends: Vec::new(),
         clients: CLIENTS,
-        per_s: STEADY,
-        span: bench.span,
+        per_s: STEADY_PER_S,
+        duration: settings.duration,
         tenants: 0,
-        seed: bench.seed,
+        seed: settings.seed,
     };
     match family {
         Family::Rate => load.per_s = size as f64,
@@ -115,96 +122,102 @@
         Family::Clients => load.clients = size,
         _ => {
             load.tenants = size;
-            shape = Shape { tenants: size, allowance: NEXT_TO_NOTHING, ..shape };
+            spec = SettingsSpec { tenants: size, allowance_per_s: TINY_QUOTA_PER_S, ..spec };
         }
     }
-    // Their addresses come with the backends themselves.
+    // Placeholders: only their number counts until the backends have started.
     load.backends = vec![load.proxy; backends];
-    let got = steady(bench, load, shape).await?;
-    let request_cpu = got.cpu_us / got.requests;
+    let result = run_steady(settings, load, spec).await?;
+    let request_cpu_us = result.cpu_us / result.requests;
     match family {
         Family::Rate => {
-            sheet.add("cpu_us_per_request", size, got.cpu_us / got.seconds);
-            sheet.add("wire_bytes_per_request", size, got.wire_bytes / got.seconds);
-            sheet.add("added_p99_us_by_rate", size, got.added_p99_us);
+            samples.add("cpu_us_per_request", size, result.cpu_us / result.seconds);
+            samples.add("wire_bytes_per_request", size, result.wire_bytes / result.seconds);
+            samples.add("added_p99_us_by_rate", size, result.added_p99_us);
         }
         Family::Fleet => {
-            sheet.add("request_cpu_us_by_backends", size, request_cpu);
-            sheet.add("request_dials_by_backends", size, got.dials);
-            sheet.add("added_p99_us_by_backends", size, got.added_p99_us);
+            samples.add("request_cpu_us_by_backends", size, request_cpu_us);
+            samples.add("request_dials_by_backends", size, result.dials_per_request);
+            samples.add("added_p99_us_by_backends", size, result.added_p99_us);
         }
         Family::Clients => {
-            sheet.add("request_cpu_us_by_clients", size, request_cpu);
-            sheet.add("added_p99_us_by_clients", size, got.added_p99_us);
+            samples.add("request_cpu_us_by_clients", size, request_cpu_us);
+            samples.add("added_p99_us_by_clients", size, result.added_p99_us);
         }
         _ => {
-            sheet.add("over_share_request_cpu_us_by_tenants", size, request_cpu);
-            sheet.add("over_share_added_p99_us_by_tenants", size, got.added_p99_us);
+            samples.add("over_share_request_cpu_us_by_tenants", size, request_cpu_us);
+            samples.add("over_share_added_p99_us_by_tenants", size, result.added_p99_us);
         }
     }
     Ok(())
 }
 
-/// One run at one number of connections that rest: each has asked once whether the proxy is up.
-pub(super) async fn idle_clients(bench: &Bench, size: usize, sheet: &mut Sheet) -> Result<(), ScaleError> {
+/// Measures one run with this number of idle connections, each after one `/up` request.
+pub(super) async fn idle_clients(
+    settings: &MeasurementSettings,
+    size: usize,
+    samples: &mut Samples,
+) -> Result<(), ScaleError> {
     let backends = Backends::start(BACKENDS, true)?;
     let agent = Agent::start(backends.addresses()).await?;
-    let subject = bench.subject(agent.address(), Shape::default()).await?;
-    agent.settled().await?;
+    let proxy = settings.start_proxy(agent.address(), SettingsSpec::default()).await?;
+    agent.wait_until_applied().await?;
     let mut clients = Vec::with_capacity(size);
     for _ in 0..size {
-        let mut stream = TcpStream::connect(subject.address()).await?;
+        let mut stream = TcpStream::connect(proxy.address()).await?;
         stream.write_all(b"GET /up HTTP/1.1\r\nHost: rig\r\n\r\n").await?;
-        let answer = http1::read(&mut stream, &mut Vec::new(), http1::MessageKind::Response).await?;
-        if answer.is_none_or(|answer| answer.status != 200 || answer.closes()) {
-            return Err(ScaleError::Lost { lost: size - clients.len(), all: size });
+        let response = http1::read(&mut stream, &mut Vec::new(), http1::MessageKind::Response).await?;
+        if response.is_none_or(|response| response.status != 200 || response.closes()) {
+            return Err(ScaleError::Unserved { unserved: size - clients.len(), total: size });
         }
         clients.push(stream);
     }
-    sleep(SETTLE).await;
-    sheet.add("memory_bytes_per_idle_client", size, subject.memory()?.resident);
-    let (cpu, began) = (subject.cpu_us()?, Instant::now());
-    sleep(REST).await;
-    let rest_per_s = (subject.cpu_us()? - cpu) / began.elapsed().as_secs_f64();
-    sheet.add("rest_cpu_us_per_idle_client", size, rest_per_s);
-    // One that the proxy has closed would have been counted as resting.
+    sleep(SETTLE_TIME).await;
+    samples.add("memory_bytes_per_idle_client", size, proxy.memory()?.resident);
+    let (cpu, began) = (proxy.cpu_us()?, Instant::now());
+    sleep(IDLE_TIME).await;
+    let idle_cpu_us_per_s = (proxy.cpu_us()? - cpu) / began.elapsed().as_secs_f64();
+    samples.add("rest_cpu_us_per_idle_client", size, idle_cpu_us_per_s);
+    // A connection that the proxy has closed would distort the result.
     let closed = clients.iter().filter(|stream| matches!(stream.try_read(&mut [0; 1]), Ok(0))).count();
-    if closed == 0 { Ok(()) } else { Err(ScaleError::Lost { lost: closed, all: size }) }
+    if closed == 0 { Ok(()) } else { Err(ScaleError::Unserved { unserved: closed, total: size }) }
 }
 
-/// One run at one number of requests that wait, beside as many backends as the largest size needs.
-pub(super) async fn open(
-    bench: &Bench,
+/// Measures one run with this number of requests in flight. Each run has as many backends as the largest size
+/// needs.
+pub(super) async fn open_requests(
+    settings: &MeasurementSettings,
     size: usize,
     largest: usize,
-    sheet: &mut Sheet,
+    samples: &mut Samples,
 ) -> Result<(), ScaleError> {
     let backends = Backends::start(LISTENERS, false)?;
-    let shared = backends.addresses().iter().copied().cycle();
-    let agent = Agent::start(&shared.take(largest * BACKENDS_PER_OPEN).collect::<Vec<_>>()).await?;
-    let subject: Subject = bench.subject(agent.address(), Shape::default()).await?;
-    agent.settled().await?;
-    sleep(SETTLE).await;
-    let cpu = subject.cpu_us()?;
-    let open = Open::send(subject.address(), size);
-    let end = Instant::now() + HELD_TIMEOUT;
-    while (backends.held() as usize) < size {
-        if Instant::now() > end || open.has_ended() {
-            return Err(ScaleError::NotHeld { held: backends.held() as usize, all: size });
+    let addresses = backends.addresses().iter().copied().cycle();
+    let agent =
+        Agent::start(&addresses.take(largest * BACKENDS_PER_OPEN_REQUEST).collect::<Vec<_>>()).await?;
+    let proxy: ProxyProcess = settings.start_proxy(agent.address(), SettingsSpec::default()).await?;
+    agent.wait_until_applied().await?;
+    sleep(SETTLE_TIME).await;
+    let cpu = proxy.cpu_us()?;
+    let open = OpenRequests::send(proxy.address(), size);
+    let deadline = Instant::now() + IN_FLIGHT_TIMEOUT;
+    while (backends.in_flight() as usize) < size {
+        if Instant::now() > deadline || open.has_ended() {
+            return Err(ScaleError::NotInFlight { in_flight: backends.in_flight() as usize, total: size });
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
-    sheet.add("open_cpu_us_per_open_request", size, subject.cpu_us()? - cpu);
-    sleep(SETTLE).await;
-    sheet.add("memory_bytes_per_open_request", size, subject.memory()?.resident);
-    let (cpu, began) = (subject.cpu_us()?, Instant::now());
-    sleep(REST).await;
-    let rest_per_s = (subject.cpu_us()? - cpu) / began.elapsed().as_secs_f64();
-    sheet.add("rest_cpu_us_per_open_request", size, rest_per_s);
-    backends.answer();
+    samples.add("open_cpu_us_per_open_request", size, proxy.cpu_us()? - cpu);
+    sleep(SETTLE_TIME).await;
+    samples.add("memory_bytes_per_open_request", size, proxy.memory()?.resident);
+    let (cpu, began) = (proxy.cpu_us()?, Instant::now());
+    sleep(IDLE_TIME).await;
+    let idle_cpu_us_per_s = (proxy.cpu_us()? - cpu) / began.elapsed().as_secs_f64();
+    samples.add("rest_cpu_us_per_open_request", size, idle_cpu_us_per_s);
+    backends.respond();
     while !open.has_ended() {
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
     let served = open.served()?;
-    if served == size { Ok(()) } else { Err(ScaleError::Lost { lost: size - served, all: size }) }
+    if served == size { Ok(()) } else { Err(ScaleError::Unserved { unserved: size - served, total: size }) }
 }
--- a/crates/testbed/src/scale/slopes/idle.rs
+++ b/crates/testbed/src/scale/slopes/idle.rs
@@ -1,139 +1,160 @@
-//! Figures of a proxy that nobody asks anything: by backends in its list, by tenants and by classes in its settings.
+//! Measurements of a proxy without client requests, by backends in its list and by tenants and classes in its
+//! settings.
 
-use super::agent::{Agent, silent};
-use super::probe::{Probe, Seen};
+use super::agent::{Agent, unused_addresses};
+use super::probe::{Probe, ProbeResult};
+use super::proxy_process::SettingsSpec;
 use super::quantities::Family;
-use super::sheet::Sheet;
-use super::subject::Shape;
-use super::{Bench, ScaleError, fit};
+use super::samples::Samples;
+use super::{MeasurementSettings, ScaleError, fit};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Backends beside which settings are measured.
+/// Number of backends while tenants and classes are measured.
 const FEW_BACKENDS: usize = 20;
-/// Changes of one entry of which each figure is the mean or median.
+/// Number of changes of one entry; each sample is their mean or median.
 const CHANGES: usize = 20;
-/// How long after an event requests may still wait for what it set off.
-const AFTERMATH: Duration = Duration::from_millis(20);
-/// Pause between two changes while requests are probed.
-const BETWEEN: Duration = Duration::from_millis(10);
-/// How long a start's work may go on after the process is up.
-const SETTLE: Duration = Duration::from_millis(100);
-
-/// How long a proxy is left at rest: the period of its watch on an agent, so that one call falls into it.
-pub(super) const REST: Duration = Duration::from_secs(1);
-
-/// Waits until whatever an event set off is over.
-async fn aftermath() {
-    sleep(AFTERMATH).await;
+/// How long the processing of an event may still delay requests after its acknowledgment.
+const PROCESSING_TIME: Duration = Duration::from_millis(20);
+/// Pause between two changes while the probe runs.
+const CHANGE_PAUSE: Duration = Duration::from_millis(10);
+/// How long work of the start may continue after the process is up.
+const SETTLE_TIME: Duration = Duration::from_millis(100);
+
+/// Duration of the measurement of a proxy without new events: the period of its long poll, so that it
+/// contains one.
+pub(super) const IDLE_TIME: Duration = Duration::from_secs(1);
+
+/// Waits until the proxy has processed an event.
+async fn wait_for_processing() {
+    sleep(PROCESSING_TIME).await;
 }
 
-/// One run at one number of backends.
-pub(super) async fn backends(bench: &Bench, size: usize, sheet: &mut Sheet) -> Result<(), ScaleError> {
-    let agent = Agent::start(&silent(size)).await?;
-    let subject = bench.subject(agent.address(), Shape::default()).await?;
-    agent.settled().await?;
-    sheet.add("start_cpu_us_per_backend", size, subject.cpu_us()?);
-    sleep(SETTLE).await;
-    let held = subject.memory()?.resident;
-    sheet.add("memory_bytes_per_backend", size, held);
-
-    let before = subject.cpu_us()?;
+/// Measures one run with this number of backends.
+pub(super) async fn backends(
+    settings: &MeasurementSettings,
+    size: usize,
+    samples: &mut Samples,
+) -> Result<(), ScaleError> {
+    let agent = Agent::start(&unused_addresses(size)).await?;
+    let proxy = settings.start_proxy(agent.address(), SettingsSpec::default()).await?;
+    agent.wait_until_applied().await?;
+    samples.add("start_cpu_us_per_backend", size, proxy.cpu_us()?);
+    sleep(SETTLE_TIME).await;
+    let loaded_bytes = proxy.memory()?.resident;
+    samples.add("memory_bytes_per_backend", size, loaded_bytes);
+
+    let before = proxy.cpu_us()?;
     let began = Instant::now();
-    sleep(REST).await;
-    let rest_per_s = (subject.cpu_us()? - before) / began.elapsed().as_secs_f64();
-    sheet.add("rest_cpu_us_per_backend", size, rest_per_s);
+    sleep(IDLE_TIME).await;
+    let idle_cpu_us_per_s = (proxy.cpu_us()? - before) / began.elapsed().as_secs_f64();
+    samples.add("rest_cpu_us_per_backend", size, idle_cpu_us_per_s);
 
-    let mut rng = fastrand::Rng::with_seed(bench.seed);
-    let (cpu, bytes) = (subject.cpu_us()?, agent.bytes());
+    let mut rng = fastrand::Rng::with_seed(settings.seed);
+    let (cpu, bytes) = (proxy.cpu_us()?, agent.wire_bytes());
     for _ in 0..CHANGES {
-        agent.change(rng.usize(0..size)).await?;
+        agent.toggle_draining(rng.usize(0..size)).await?;
     }
-    // The watch that follows a change is asked within it, its answer belongs to the next.
-    sheet.add("change_wire_bytes_per_backend", size, (agent.bytes() - bytes) as f64 / CHANGES as f64);
-    aftermath().await;
-    sheet.add("change_cpu_us_per_backend", size, (subject.cpu_us()? - cpu) / CHANGES as f64);
+    // The poll that follows a change is counted with it; the response to that poll is counted with the next
+    // change.
+    samples.add("change_wire_bytes_per_backend", size, (agent.wire_bytes() - bytes) as f64 / CHANGES as f64);
+    wait_for_processing().await;
+    samples.add("change_cpu_us_per_backend", size, (proxy.cpu_us()? - cpu) / CHANGES as f64);
 
-    let cpu = subject.cpu_us()?;
+    let cpu = proxy.cpu_us()?;
     for _ in 0..CHANGES {
         agent.replace(rng.usize(0..size)).await?;
     }
-    aftermath().await;
-    sheet.add("replacement_cpu_us_per_backend", size, (subject.cpu_us()? - cpu) / CHANGES as f64);
-
-    let (cpu, bytes) = (subject.cpu_us()?, agent.bytes());
-    agent.tell_all().await?;
-    sheet.add("list_wire_bytes_per_backend", size, (agent.bytes() - bytes) as f64);
-    aftermath().await;
-    sheet.add("list_cpu_us_per_backend", size, subject.cpu_us()? - cpu);
-    // The kernel notes a peak late: it may tell some pages less than were resident a moment before.
-    sheet.add("memory_peak_bytes_per_backend", size, subject.memory()?.peak.max(held));
-
-    let probe = Probe::start(subject.address());
-    sleep(SETTLE).await;
-    let (mut changes, mut replacements, mut rests) = (Vec::new(), Vec::new(), Vec::new());
+    wait_for_processing().await;
+    samples.add("replacement_cpu_us_per_backend", size, (proxy.cpu_us()? - cpu) / CHANGES as f64);
+
+    let (cpu, bytes) = (proxy.cpu_us()?, agent.wire_bytes());
+    agent.send_complete_list().await?;
+    samples.add("list_wire_bytes_per_backend", size, (agent.wire_bytes() - bytes) as f64);
+    wait_for_processing().await;
+    samples.add("list_cpu_us_per_backend", size, proxy.cpu_us()? - cpu);
+    // The kernel updates the peak late: it may be some pages below what was resident shortly before.
+    samples.add("memory_peak_bytes_per_backend", size, proxy.memory()?.peak.max(loaded_bytes));
+
+    let probe = Probe::start(proxy.address());
+    sleep(SETTLE_TIME).await;
+    let (mut changes, mut replacements, mut idle_spans) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..CHANGES {
         let began = Instant::now();
-        agent.change(rng.usize(0..size)).await?;
+        agent.toggle_draining(rng.usize(0..size)).await?;
         let ended = Instant::now();
-        sleep(BETWEEN).await;
+        sleep(CHANGE_PAUSE).await;
         changes.push((began, ended));
         let began_replacing = Instant::now();
         agent.replace(rng.usize(0..size)).await?;
         replacements.push((began_replacing, Instant::now()));
-        sleep(BETWEEN).await;
-        let began_resting = Instant::now();
+        sleep(CHANGE_PAUSE).await;
+        let began_idling = Instant::now();
         sleep(ended - began).await;
-        rests.push((began_resting, Instant::now()));
-        sleep(BETWEEN).await;
+        idle_spans.push((began_idling, Instant::now()));
+        sleep(CHANGE_PAUSE).await;
     }
     let began = Instant::now();
-    agent.tell_all().await?;
-    let whole = (began, Instant::now());
-    aftermath().await;
-    let seen = probe.end()?;
-    sheet.add("up_us_per_backend", size, seen.usual_us());
-    sheet.add("change_stall_us_per_backend", size, usual_longest(&seen, &changes));
-    sheet.add("replacement_stall_us_per_backend", size, usual_longest(&seen, &replacements));
-    sheet.add("rest_stall_us_per_backend", size, usual_longest(&seen, &rests));
-    sheet.add("list_stall_us_per_backend", size, seen.longest_us(whole.0, whole.1 + AFTERMATH));
+    agent.send_complete_list().await?;
+    let list_span = (began, Instant::now());
+    wait_for_processing().await;
+    let probed = probe.stop()?;
+    samples.add("up_us_per_backend", size, probed.median_us());
+    samples.add("change_stall_us_per_backend", size, median_stall_us(&probed, &changes));
+    samples.add("replacement_stall_us_per_backend", size, median_stall_us(&probed, &replacements));
+    samples.add("rest_stall_us_per_backend", size, median_stall_us(&probed, &idle_spans));
+    samples.add(
+        "list_stall_us_per_backend",
+        size,
+        probed.longest_stall_us(list_span.0, list_span.1 + PROCESSING_TIME),
+    );
     Ok(())
 }
 
-fn usual_longest(seen: &Seen, spans: &[(Instant, Instant)]) -> f64 {
-    let longest: Vec<f64> = spans.iter().map(|&(from, to)| seen.longest_us(from, to)).collect();
-    fit::median(&longest).unwrap_or(0.0)
+fn median_stall_us(probed: &ProbeResult, spans: &[(Instant, Instant)]) -> f64 {
+    let stalls_us: Vec<f64> = spans.iter().map(|&(from, to)| probed.longest_stall_us(from, to)).collect();
+    fit::median(&stalls_us).unwrap_or(0.0)
 }
 
-/// One run at one number of tenants: what holding them takes.
-pub(super) async fn tenants(bench: &Bench, size: usize, sheet: &mut Sheet) -> Result<(), ScaleError> {
-    let agent = Agent::start(&silent(FEW_BACKENDS)).await?;
-    let subject = bench.subject(agent.address(), Shape { tenants: size, ..Shape::default() }).await?;
-    agent.settled().await?;
-    sheet.add("start_cpu_us_per_tenant", size, subject.cpu_us()?);
-    sleep(SETTLE).await;
-    sheet.add("memory_bytes_per_tenant", size, subject.memory()?.resident);
+/// Measures one run with this number of tenants: the start and the memory.
+pub(super) async fn tenants(
+    settings: &MeasurementSettings,
+    size: usize,
+    samples: &mut Samples,
+) -> Result<(), ScaleError> {
+    let agent = Agent::start(&unused_addresses(FEW_BACKENDS)).await?;
+    let proxy = settings
+        .start_proxy(agent.address(), SettingsSpec { tenants: size, ..SettingsSpec::default() })
+        .await?;
+    agent.wait_until_applied().await?;
+    samples.add("start_cpu_us_per_tenant", size, proxy.cpu_us()?);
+    sleep(SETTLE_TIME).await;
+    samples.add("memory_bytes_per_tenant", size, proxy.memory()?.resident);
     Ok(())
 }
 
-/// The names of a family's figures of a configuration that is read again: memory before, its peak, the file, what it costs,
-/// and how long requests wait.
-struct Names {
+/// Names of a family's quantities of a reloaded configuration.
+struct ReloadQuantities {
+    /// Resident memory before the reload.
     memory: Option<&'static str>,
+    /// Peak resident memory after the reload.
     peak: Option<&'static str>,
+    /// Size of the configuration file.
     bytes: &'static str,
+    /// CPU time of the reload.
     cpu: &'static str,
+    /// Longest stall of requests during the reload.
     stall: &'static str,
 }
 
-const TENANTS: Names = Names {
+const TENANT_QUANTITIES: ReloadQuantities = ReloadQuantities {
     memory: None,
     peak: Some("memory_peak_bytes_per_tenant"),
     bytes: "config_bytes_per_tenant",
     cpu: "config_cpu_us_per_tenant",
     stall: "config_stall_us_per_tenant",
 };
-const CLASSES: Names = Names {
+const CLASS_QUANTITIES: ReloadQuantities = ReloadQuantities {
     memory: Some("memory_bytes_per_class"),
     peak: None,
     bytes: "config_bytes_per_class",
@@ -141,42 +162,42 @@
     stall: "config_stall_us_per_class",
 };
 
-/// One run at one number of tenants or classes: what it takes to read the configuration again.
-pub(super) async fn settings(
-    bench: &Bench,
+/// Measures one run with this number of tenants or classes: a reload of the configuration.
+pub(super) async fn reload(
+    settings: &MeasurementSettings,
     family: Family,
     size: usize,
-    sheet: &mut Sheet,
+    samples: &mut Samples,
 ) -> Result<(), ScaleError> {
-    let (names, shape) = if family == Family::Config {
-        (&TENANTS, Shape { tenants: size, ..Shape::default() })
+    let (quantities, spec) = if family == Family::Config {
+        (&TENANT_QUANTITIES, SettingsSpec { tenants: size, ..SettingsSpec::default() })
     } else {
-        (&CLASSES, Shape { classes: size, ..Shape::default() })
+        (&CLASS_QUANTITIES, SettingsSpec { classes: size, ..SettingsSpec::default() })
     };
-    let agent = Agent::start(&silent(FEW_BACKENDS)).await?;
-    let mut subject = bench.subject(agent.address(), shape).await?;
-    agent.settled().await?;
-    sleep(SETTLE).await;
-    if let Some(memory) = names.memory {
-        sheet.add(memory, size, subject.memory()?.resident);
+    let agent = Agent::start(&unused_addresses(FEW_BACKENDS)).await?;
+    let mut proxy = settings.start_proxy(agent.address(), spec).await?;
+    agent.wait_until_applied().await?;
+    sleep(SETTLE_TIME).await;
+    if let Some(memory) = quantities.memory {
+        samples.add(memory, size, proxy.memory()?.resident);
     }
 
-    let cpu = subject.cpu_us()?;
-    let bytes = subject.renew().await?;
-    aftermath().await;
-    sheet.add(names.cpu, size, subject.cpu_us()? - cpu);
-    sheet.add(names.bytes, size, bytes as f64);
-    if let Some(peak) = names.peak {
-        sheet.add(peak, size, subject.memory()?.peak);
+    let cpu = proxy.cpu_us()?;
+    let bytes = proxy.reload().await?;
+    wait_for_processing().await;
+    samples.add(quantities.cpu, size, proxy.cpu_us()? - cpu);
+    samples.add(quantities.bytes, size, bytes as f64);
+    if let Some(peak) = quantities.peak {
+        samples.add(peak, size, proxy.memory()?.peak);
     }
 
-    let probe = Probe::start(subject.address());
-    sleep(SETTLE).await;
+    let probe = Probe::start(proxy.address());
+    sleep(SETTLE_TIME).await;
     let began = Instant::now();
-    subject.renew().await?;
+    proxy.reload().await?;
     let ended = Instant::now();
-    aftermath().await;
-    let seen = probe.end()?;
-    sheet.add(names.stall, size, seen.longest_us(began, ended + AFTERMATH));
+    wait_for_processing().await;
+    let probed = probe.stop()?;
+    samples.add(quantities.stall, size, probed.longest_stall_us(began, ended + PROCESSING_TIME));
     Ok(())
 }
--- a/crates/testbed/src/scale/slopes/load.rs
+++ b/crates/testbed/src/scale/slopes/load.rs
@@ -1,9 +1,10 @@
-//! Clients: two steady streams side by side, one through the proxy and one straight to the backends, so that both meet the
-//! same machine at the same time; and requests that are sent and left open. On a thread of their own.
+//! Emulated clients on a thread of their own: two concurrent streams at a steady rate, one through the proxy
+//! and one direct to the backends, so that other load of the machine affects both alike; and requests that
+//! stay in flight.
 
 use super::ScaleError;
 use super::backends::BODY;
-use super::subject::{class, tenant};
+use super::proxy_process::{class_name, tenant_name};
 use crate::http1;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -17,159 +18,164 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{sleep_until, timeout};
 
-/// How long clients wait for what is open at a stream's end.
-const ENDS_TIMEOUT: Duration = Duration::from_secs(10);
-/// What clients say that they will wait, milliseconds.
-const WAITS_MS: u64 = 100_000;
-/// Connections that are opened at the same time; the kernel's queue of a listener holds more.
-const AT_ONCE: usize = 64;
+/// Time limit for the requests in flight at the end of a stream.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
+/// The clients' response deadline (`X-Time-Left-Ms`), milliseconds.
+const TIME_LEFT_MS: u64 = 100_000;
+/// Connections that are opened concurrently; fewer than the kernel's accept queue of a listener.
+const CONCURRENT_CONNECTS: usize = 64;
 
-/// What is asked.
+/// The load of one measurement; both streams have the same rate.
 #[derive(Clone, Debug)]
 pub(super) struct Load {
-    /// Through the proxy: its address, as often as there are connections.
+    /// Address of the proxy, for the proxied stream.
     pub(super) proxy: SocketAddr,
-    /// Straight: the backends.
+    /// Addresses of the backends, for the direct stream.
     pub(super) backends: Vec<SocketAddr>,
-    /// Connections to the proxy at the start; others are opened where all are busy.
+    /// Connections of each stream at the start; more are opened while all are busy.
     pub(super) clients: usize,
-    /// Requests a second, of either stream.
+    /// Requests per second of each stream.
     pub(super) per_s: f64,
-    pub(super) span: Duration,
-    /// Tenants that ask in turn; 0: none are named.
+    pub(super) duration: Duration,
+    /// Number of tenants that send in round-robin order; with 0, requests name no tenant.
     pub(super) tenants: usize,
     pub(super) seed: u64,
 }
 
-/// What came of one stream.
+/// Results of one stream.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Stream {
-    /// Times of the answers, microseconds.
-    pub(super) times: Vec<f64>,
-    /// Answers other than a backend's, or none.
-    pub(super) lost: usize,
-    /// Bytes on the wire, both ways.
-    pub(super) bytes: u64,
+pub(super) struct StreamResult {
+    /// Response times, microseconds.
+    pub(super) response_times: Vec<f64>,
+    /// Requests without a response from a backend.
+    pub(super) unserved: usize,
+    /// Bytes on the wire, in both directions.
+    pub(super) wire_bytes: u64,
 }
 
-struct Conn {
+struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-async fn connect(to: SocketAddr) -> io::Result<Conn> {
+async fn connect(to: SocketAddr) -> io::Result<Connection> {
     let stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
-    Ok(Conn { stream, buffer: Vec::new() })
+    Ok(Connection { stream, buffer: Vec::new() })
 }
 
 fn request(number: u64, tenants: usize) -> String {
     let account = match tenants {
         0 => String::new(),
-        tenants => format!("X-Account: {}\r\n", tenant(number as usize % tenants)),
+        tenants => format!("X-Account: {}\r\n", tenant_name(number as usize % tenants)),
     };
     format!(
         "GET /{0}?key={number:x} HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {number:016x}\r\n\
-         X-Service-Class: {0}\r\nX-Time-Left-Ms: {WAITS_MS}\r\n{account}\r\n",
-        class(0)
+         X-Service-Class: {0}\r\nX-Time-Left-Ms: {TIME_LEFT_MS}\r\n{account}\r\n",
+        class_name(0)
     )
 }
 
-/// The bytes of a request and its answer; `None`: not a backend's answer.
-async fn exchange(conn: &mut Conn, request: &str) -> io::Result<Option<usize>> {
-    conn.stream.write_all(request.as_bytes()).await?;
-    let answer = http1::read_sized(&mut conn.stream, &mut conn.buffer, http1::MessageKind::Response).await?;
-    let served = answer.filter(|(_, answer)| answer.status == 200 && answer.body == BODY);
+/// Sends a request and reads the response; returns the bytes of both, or `None` if the response is not a
+/// backend's.
+async fn exchange(connection: &mut Connection, request: &str) -> io::Result<Option<usize>> {
+    connection.stream.write_all(request.as_bytes()).await?;
+    let response =
+        http1::read_sized(&mut connection.stream, &mut connection.buffer, http1::MessageKind::Response)
+            .await?;
+    let served = response.filter(|(_, response)| response.status == 200 && response.body == BODY);
     Ok(served.map(|(length, _)| length + request.len()))
 }
 
-/// A stream of requests at a steady rate with some jitter, whatever becomes of them.
-async fn stream(load: Rc<Load>, to: Vec<SocketAddr>, seed: u64, first: u64) -> Stream {
+/// Sends requests at a steady rate with jitter, regardless of their outcome.
+async fn run_stream(load: Rc<Load>, to: Vec<SocketAddr>, seed: u64, first: u64) -> StreamResult {
     let idle = Rc::new(RefCell::new(VecDeque::new()));
     for &to in &to {
-        // One that can't be opened is opened, or seen to be lost, when it is used.
-        let conn = connect(to).await.ok();
-        idle.borrow_mut().push_back((to, conn));
+        // A connection that fails here is opened again when a request needs it.
+        let connection = connect(to).await.ok();
+        idle.borrow_mut().push_back((to, connection));
     }
-    let (seen, mut asked) = (Rc::new(RefCell::new(Stream::default())), JoinSet::new());
+    let (result, mut requests) = (Rc::new(RefCell::new(StreamResult::default())), JoinSet::new());
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (period, mut turn) = (1.0 / load.per_s, 0);
+    let (period, mut next_address) = (1.0 / load.per_s, 0);
     let began = Instant::now();
-    for number in 0..(load.per_s * load.span.as_secs_f64()) as u64 {
+    for number in 0..(load.per_s * load.duration.as_secs_f64()) as u64 {
         let due = began + Duration::from_secs_f64(period * (number as f64 + rng.f64()));
         sleep_until(due.into()).await;
-        while asked.try_join_next().is_some() {}
-        let conn = idle.borrow_mut().pop_front().unwrap_or_else(|| (to[turn % to.len()], None));
-        turn += 1;
-        let (idle, seen, tenants) = (Rc::clone(&idle), Rc::clone(&seen), load.tenants);
-        asked.spawn_local(async move {
+        while requests.try_join_next().is_some() {}
+        let idle_connection =
+            idle.borrow_mut().pop_front().unwrap_or_else(|| (to[next_address % to.len()], None));
+        next_address += 1;
+        let (idle, result, tenants) = (Rc::clone(&idle), Rc::clone(&result), load.tenants);
+        requests.spawn_local(async move {
             let request = request(first + number, tenants);
-            let answered = async {
-                let mut at = match conn.1 {
-                    Some(at) => at,
-                    None => connect(conn.0).await?,
+            let outcome = async {
+                let mut connection = match idle_connection.1 {
+                    Some(connection) => connection,
+                    None => connect(idle_connection.0).await?,
                 };
                 let sent = Instant::now();
-                let bytes = exchange(&mut at, &request).await?;
-                Ok::<_, io::Error>((bytes, sent.elapsed(), at))
+                let bytes = exchange(&mut connection, &request).await?;
+                Ok::<_, io::Error>((bytes, sent.elapsed(), connection))
             };
-            let answered = answered.await;
-            let mut seen = seen.borrow_mut();
-            if let Ok((Some(bytes), took, at)) = answered {
-                seen.times.push(took.as_secs_f64() * 1e6);
-                seen.bytes += bytes as u64;
-                idle.borrow_mut().push_back((conn.0, Some(at)));
+            let outcome = outcome.await;
+            let mut result = result.borrow_mut();
+            if let Ok((Some(bytes), response_time, connection)) = outcome {
+                result.response_times.push(response_time.as_secs_f64() * 1e6);
+                result.wire_bytes += bytes as u64;
+                idle.borrow_mut().push_back((idle_connection.0, Some(connection)));
             } else {
-                seen.lost += 1;
-                idle.borrow_mut().push_back((conn.0, None));
+                result.unserved += 1;
+                idle.borrow_mut().push_back((idle_connection.0, None));
             }
         });
     }
-    let ended = timeout(ENDS_TIMEOUT, async { while asked.join_next().await.is_some() {} }).await;
-    let left = if ended.is_ok() { 0 } else { asked.len() };
-    drop(asked);
-    let mut seen = seen.take();
-    seen.lost += left;
-    seen
+    let drained = timeout(DRAIN_TIMEOUT, async { while requests.join_next().await.is_some() {} }).await;
+    let unfinished = if drained.is_ok() { 0 } else { requests.len() };
+    drop(requests);
+    let mut result = result.take();
+    result.unserved += unfinished;
+    result
 }
 
-/// Both streams: through the proxy, and straight.
-pub(super) fn pair(load: Load) -> JoinHandle<io::Result<[Stream; 2]>> {
+/// Runs both streams: the proxied and the direct one.
+pub(super) fn run_both(load: Load) -> JoinHandle<io::Result<[StreamResult; 2]>> {
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let load = Rc::new(load);
-        let through = vec![load.proxy; load.clients];
-        let straight = load.backends.iter().copied().cycle().take(load.clients).collect();
+        let proxied_addresses = vec![load.proxy; load.clients];
+        let direct_addresses = load.backends.iter().copied().cycle().take(load.clients).collect();
         let seed = load.seed;
         Ok(LocalSet::new().block_on(&runtime, async {
             let (proxied, direct) = tokio::join!(
-                stream(Rc::clone(&load), through, seed, seed << 24),
-                stream(Rc::clone(&load), straight, seed ^ 1 << 40, seed << 24 | 1 << 60),
+                run_stream(Rc::clone(&load), proxied_addresses, seed, seed << 24),
+                run_stream(Rc::clone(&load), direct_addresses, seed ^ 1 << 40, seed << 24 | 1 << 60),
             );
             [proxied, direct]
         }))
     })
 }
 
-/// Requests that are left open, each on a connection of its own, until their answers have come.
-pub(super) struct Open {
+/// Requests in flight, each on a connection of its own, until their responses arrive.
+pub(super) struct OpenRequests {
     thread: JoinHandle<io::Result<usize>>,
 }
 
-impl Open {
-    /// Sends so many.
+impl OpenRequests {
+    /// Sends `count` requests.
     pub(super) fn send(proxy: SocketAddr, count: usize) -> Self {
         Self { thread: thread::spawn(move || send(proxy, count)) }
     }
 
-    /// Whether all have ended.
+    /// Whether all requests have ended.
     pub(super) fn has_ended(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// How many were answered by a backend, once all have ended.
+    /// Waits until all requests have ended; returns how many were served by a backend.
     pub(super) fn served(self) -> Result<usize, ScaleError> {
-        let served = self.thread.join().map_err(|_| ScaleError::Proxy("the clients ended".into()))?;
+        let served =
+            self.thread.join().map_err(|_| ScaleError::Proxy("the client thread panicked".into()))?;
         Ok(served?)
     }
 }
@@ -178,23 +184,23 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let served = Rc::new(Cell::new(0));
-        let mut open = JoinSet::new();
-        for first in (0..count).step_by(AT_ONCE) {
-            let mut opened = JoinSet::new();
-            for number in first..count.min(first + AT_ONCE) {
-                opened.spawn_local(async move { (number, connect(proxy).await) });
+        let mut requests = JoinSet::new();
+        for first in (0..count).step_by(CONCURRENT_CONNECTS) {
+            let mut connects = JoinSet::new();
+            for number in first..count.min(first + CONCURRENT_CONNECTS) {
+                connects.spawn_local(async move { (number, connect(proxy).await) });
             }
-            while let Some(Ok((number, conn))) = opened.join_next().await {
-                let mut conn = conn?;
+            while let Some(Ok((number, connection))) = connects.join_next().await {
+                let mut connection = connection?;
                 let served = Rc::clone(&served);
-                open.spawn_local(async move {
-                    if let Ok(Some(_)) = exchange(&mut conn, &request(number as u64 + 1, 0)).await {
+                requests.spawn_local(async move {
+                    if let Ok(Some(_)) = exchange(&mut connection, &request(number as u64 + 1, 0)).await {
                         served.set(served.get() + 1);
                     }
                 });
             }
         }
-        while open.join_next().await.is_some() {}
+        while requests.join_next().await.is_some() {}
         Ok(served.get())
     })
 }
--- a/crates/testbed/src/scale/slopes/mod.rs
+++ b/crates/testbed/src/scale/slopes/mod.rs
@@ -1,6 +1,6 @@
-//! What a proxy costs by its size: the real program as a process of its own among stand-ins, one figure at several sizes,
-//! and a straight line through their medians. Every figure is the kernel's account of the process, or was seen from
-//! outside.
+//! Measures how the resource use of a proxy grows with its load: runs the real program as a process among
+//! emulated clients, backends and discovery, measures each quantity at several sizes and fits a line to the
+//! medians. All values come from the kernel's statistics of the process or are measured from outside it.
 
 mod agent;
 mod backends;
@@ -9,151 +9,157 @@
 mod idle;
 mod load;
 mod probe;
+mod proxy_process;
 mod quantities;
-mod sheet;
-mod subject;
+mod samples;
 
 pub use quantities::{Family, QUANTITIES, Quantity};
-pub use sheet::{Host, Row};
+pub use samples::{Host, Row};
 
 use crate::fleet::process_guard;
 use fit::FitError;
+use proxy_process::{ProxyProcess, SettingsSpec};
 use quantities::FAMILIES;
-use sheet::{Origin, Sheet};
+use samples::{RunInfo, Samples};
 use std::fs;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant};
-use subject::{Shape, Subject};
 use thiserror::Error;
 use tokio::task::LocalSet;
 
-/// Sizes that a quantity needs at least: fewer say too little of whether there is a line at all.
+/// Minimum number of sizes of a quantity; fewer do not show whether the growth is linear.
 pub const MIN_SIZES: usize = 4;
-/// The most that are taken.
+/// Maximum number of sizes of a quantity.
 const MAX_SIZES: usize = 12;
-/// The most runs.
+/// Maximum number of runs.
 const MAX_RUNS: usize = 50;
-/// The shortest and the longest time of a figure, seconds.
-const SPANS: (f64, f64) = (0.1, 30.0);
-/// Descriptors that the largest sizes need, of this program and of the proxy.
+/// Shortest and longest duration of a measurement at a steady rate, seconds.
+const SECONDS_RANGE: (f64, f64) = (0.1, 30.0);
+/// File descriptors that the largest sizes need, in this process and in the proxy each.
 const DESCRIPTORS: u64 = 18_000;
 
-/// Why nothing was measured.
+/// Why a measurement failed.
 #[derive(Debug, Error)]
 pub enum ScaleError {
-    /// A socket, process or file.
+    /// An operation on a socket, process or file failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A program that is not there, or does not tell its version.
-    #[error("cannot run {0} --version: {1}; `--proxy` names the proxy's program")]
+    /// The program can't be started or does not print its version.
+    #[error("cannot run `{0} --version`: {1}; `--proxy` sets the path of the proxy's program")]
     Program(PathBuf, String),
-    /// `--only` picks nothing.
-    #[error("`--only {given}` is part of no family ({families}) and of no quantity's name")]
-    Unknown {
-        /// What was given.
+    /// `--only` selects no quantity.
+    #[error("`--only {given}` matches no family ({families}) and no quantity's name")]
+    UnknownSelection {
+        /// The value of `--only`.
         given: String,
-        /// The families.
+        /// The names of all families.
         families: String,
     },
-    /// `--sizes` for several families.
-    #[error("`--sizes` goes with one family: choose it by `--only`, one of {0}")]
-    SizesOfWhat(String),
-    /// Too few or too many sizes.
-    #[error("`--sizes` gives {0} different sizes: {MIN_SIZES} to {MAX_SIZES} make a line")]
+    /// `--sizes` was given while several families are selected; the value names all families.
+    #[error("`--sizes` needs a single family: set `--only` to one of {0}")]
+    SizesWithoutFamily(String),
+    /// Too few or too many different sizes.
+    #[error("`--sizes` gives {0} different sizes; {MIN_SIZES} to {MAX_SIZES} are required")]
     SizeCount(usize),
-    /// A size out of bounds.
-    #[error("`--sizes`: {family} go from {least} to {most} and not to {given}: {why}")]
+    /// A size is out of bounds.
+    #[error("`--sizes`: {given} is out of range for {family}, from {min} to {max}: {reason}")]
     Size {
-        /// The family.
+        /// Name of the family.
         family: &'static str,
-        /// What was given.
+        /// The rejected size.
         given: usize,
-        /// The least.
-        least: usize,
-        /// The most.
-        most: usize,
-        /// Why no more.
-        why: &'static str,
+        /// Smallest accepted size.
+        min: usize,
+        /// Largest accepted size.
+        max: usize,
+        /// Why larger sizes are rejected.
+        reason: &'static str,
     },
     /// Too few or too many runs.
-    #[error("`--runs {0}`: 1 to {MAX_RUNS} are possible")]
+    #[error("`--runs {0}`: the range is 1 to {MAX_RUNS}")]
     Runs(usize),
-    /// A time out of bounds.
-    #[error("`--seconds {0}`: {least} to {most} are possible", least = SPANS.0, most = SPANS.1)]
-    Span(f64),
-    /// Too few descriptors.
-    #[error("{0} descriptors are allowed (`ulimit -Hn`), and these sizes need {DESCRIPTORS}")]
+    /// The duration is out of bounds, seconds.
+    #[error("`--seconds {0}`: the range is {min} to {max}", min = SECONDS_RANGE.0, max = SECONDS_RANGE.1)]
+    Seconds(f64),
+    /// The limit of file descriptors is too low.
+    #[error("the limit of file descriptors (`ulimit -Hn`) is {0}; the measurement needs {DESCRIPTORS}")]
     Descriptors(u64),
-    /// The proxy did not do what it has to.
+    /// The proxy, or a thread that measures it, failed.
     #[error("the proxy: {0}")]
     Proxy(String),
-    /// Requests without a backend's answer.
-    #[error("{lost} of {all} requests had no answer from a backend: figures would be of something else")]
-    Lost {
-        /// Those.
-        lost: usize,
-        /// All.
-        all: usize,
+    /// Too many requests got no response from a backend, or connections were closed.
+    #[error(
+        "{unserved} of {total} requests got no response from a backend; the result would not be representative"
+    )]
+    Unserved {
+        /// Requests without a response from a backend.
+        unserved: usize,
+        /// All requests.
+        total: usize,
     },
-    /// Requests that did not come to wait at backends.
-    #[error("{held} of {all} requests came to wait at backends")]
-    NotHeld {
-        /// Those.
-        held: usize,
-        /// All.
-        all: usize,
+    /// Not all requests were in flight at backends within the time limit.
+    #[error("only {in_flight} of {total} requests are in flight at backends")]
+    NotInFlight {
+        /// Requests in flight at backends.
+        in_flight: usize,
+        /// All requests.
+        total: usize,
     },
-    /// No line.
+    /// No line can be fitted to the medians of the named quantity.
     #[error("{0}: {1}")]
     Fit(&'static str, FitError),
-    /// What went wrong, and where.
+    /// A measurement failed at the given family, size and run.
     #[error("{family}, size {size}, run {run}: {error}")]
-    At {
-        /// The family.
+    InRun {
+        /// Name of the family.
         family: &'static str,
-        /// The size.
+        /// The measured size.
         size: usize,
-        /// The run, from 1.
+        /// Number of the run, from 1.
         run: usize,
-        /// What went wrong.
+        /// The cause.
         error: Box<ScaleError>,
     },
 }
 
-/// What is measured.
+/// Options of a measurement.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The proxy's program.
+    /// Path of the proxy's program.
     pub proxy: PathBuf,
-    /// This crate's own program, which starts the other one so that it ends with it.
+    /// Path of this crate's program, which starts the proxy so that the proxy ends with the measurement.
     pub keeper: PathBuf,
-    /// Runs, of which the medians count.
+    /// Number of runs; results are their medians.
     pub runs: usize,
-    /// For the random numbers of the stand-ins.
+    /// Seed of the random numbers of the emulated clients and discovery.
     pub seed: u64,
-    /// Only families of this name, or quantities whose name holds this; empty: all.
+    /// Selects the family of this name, or the quantities whose name contains it; empty selects all.
     pub only: String,
-    /// Sizes in place of the usual ones, for one family.
+    /// Replaces the default sizes; requires that a single family is selected.
     pub sizes: Vec<usize>,
-    /// How long a steady figure is measured, seconds.
+    /// Duration of a measurement at a steady rate, seconds.
     pub seconds: f64,
 }
 
-/// What all measurements of a run share.
-struct Bench {
+/// Settings that all measurements have in common.
+struct MeasurementSettings {
     proxy: PathBuf,
-    keeper: PathBuf,
+    guard: PathBuf,
     descriptors: u64,
-    span: Duration,
+    duration: Duration,
     seed: u64,
 }
 
-impl Bench {
-    async fn subject(&self, discovery: SocketAddr, shape: Shape) -> Result<Subject, ScaleError> {
-        Subject::start((&self.proxy, &self.keeper), self.descriptors, discovery, shape).await
+impl MeasurementSettings {
+    async fn start_proxy(
+        &self,
+        discovery: SocketAddr,
+        spec: SettingsSpec,
+    ) -> Result<ProxyProcess, ScaleError> {
+        ProxyProcess::start((&self.proxy, &self.guard), self.descriptors, discovery, spec).await
     }
 
     async fn measure(
@@ -161,67 +167,70 @@
         family: Family,
         size: usize,
         largest: usize,
-        sheet: &mut Sheet,
+        samples: &mut Samples,
     ) -> Result<(), ScaleError> {
         match family {
-            Family::Backends => idle::backends(self, size, sheet).await,
-            Family::Tenants => idle::tenants(self, size, sheet).await,
-            Family::Config | Family::Classes => idle::settings(self, family, size, sheet).await,
-            Family::IdleClients => busy::idle_clients(self, size, sheet).await,
-            Family::OpenRequests => busy::open(self, size, largest, sheet).await,
-            Family::Rate | Family::Fleet | Family::Clients | Family::OverShare => {
-                busy::requests(self, family, size, sheet).await
+            Family::Backends => idle::backends(self, size, samples).await,
+            Family::Tenants => idle::tenants(self, size, samples).await,
+            Family::Config | Family::Classes => idle::reload(self, family, size, samples).await,
+            Family::IdleClients => busy::idle_clients(self, size, samples).await,
+            Family::OpenRequests => busy::open_requests(self, size, largest, samples).await,
+            Family::Rate | Family::Fleet | Family::Clients | Family::OverQuota => {
+                busy::requests(self, family, size, samples).await
             }
         }
     }
 }
 
 impl Order {
-    /// The families that are measured, each with its sizes in ascending order.
+    /// Validates the options; returns the selected families, each with its sizes in ascending order.
     ///
     /// # Errors
-    /// Where the order makes no sense or goes beyond the bounds.
+    /// If an option is out of bounds or inconsistent with another.
     pub fn check(&self) -> Result<Vec<(Family, Vec<usize>)>, ScaleError> {
         let names = || FAMILIES.map(|family| family.sizes().name).join(", ");
         if !(1..=MAX_RUNS).contains(&self.runs) {
             return Err(ScaleError::Runs(self.runs));
         }
-        if !(SPANS.0..=SPANS.1).contains(&self.seconds) {
-            return Err(ScaleError::Span(self.seconds));
+        if !(SECONDS_RANGE.0..=SECONDS_RANGE.1).contains(&self.seconds) {
+            return Err(ScaleError::Seconds(self.seconds));
         }
-        let picked =
-            FAMILIES.into_iter().filter(|&f| QUANTITIES.iter().any(|q| q.family == f && self.wants(q)));
-        let picked: Vec<Family> = picked.collect();
-        if picked.is_empty() {
-            return Err(ScaleError::Unknown { given: self.only.clone(), families: names() });
+        let selected =
+            FAMILIES.into_iter().filter(|&f| QUANTITIES.iter().any(|q| q.family == f && self.is_selected(q)));
+        let selected: Vec<Family> = selected.collect();
+        if selected.is_empty() {
+            return Err(ScaleError::UnknownSelection { given: self.only.clone(), families: names() });
         }
         let mut sizes = self.sizes.clone();
         sizes.sort_unstable();
         sizes.dedup();
         if sizes.is_empty() {
-            return Ok(picked.into_iter().map(|family| (family, family.sizes().usual.to_vec())).collect());
+            return Ok(selected
+                .into_iter()
+                .map(|family| (family, family.sizes().default.to_vec()))
+                .collect());
         }
-        let &[family] = picked.as_slice() else { return Err(ScaleError::SizesOfWhat(names())) };
+        let &[family] = selected.as_slice() else { return Err(ScaleError::SizesWithoutFamily(names())) };
         if !(MIN_SIZES..=MAX_SIZES).contains(&sizes.len()) {
             return Err(ScaleError::SizeCount(sizes.len()));
         }
         let bounds = family.sizes();
-        if let Some(&given) = sizes.iter().find(|s| !(bounds.least..=bounds.most).contains(s)) {
-            let quantities::Sizes { name, least, most, bound, .. } = bounds;
-            return Err(ScaleError::Size { family: name, given, least, most, why: bound });
+        if let Some(&given) = sizes.iter().find(|s| !(bounds.min..=bounds.max).contains(s)) {
+            let quantities::Sizes { name, min, max, reason, .. } = bounds;
+            return Err(ScaleError::Size { family: name, given, min, max, reason });
         }
         Ok(vec![(family, sizes)])
     }
 
-    /// A family's name picks that family, before anything else; other words pick quantities.
-    fn wants(&self, quantity: &Quantity) -> bool {
+    /// The name of a family selects only that family, even if names of quantities contain it as well.
+    fn is_selected(&self, quantity: &Quantity) -> bool {
         match FAMILIES.into_iter().find(|family| family.sizes().name == self.only) {
             Some(family) => quantity.family == family,
             None => quantity.id.contains(&self.only),
         }
     }
 
-    /// As it was given on the command line, without the programs' paths.
+    /// The command line of these options, without the programs' paths.
     fn command(&self) -> String {
         let sizes: Vec<String> = self.sizes.iter().map(usize::to_string).collect();
         let only = if self.only.is_empty() { String::new() } else { format!(" --only {}", self.only) };
@@ -233,9 +242,13 @@
 
 fn version(program: &Path) -> Result<String, ScaleError> {
     let failed = |problem: String| ScaleError::Program(program.into(), problem);
-    let told = Command::new(program).arg("--version").output().map_err(|e| failed(e.to_string()))?;
-    let text = String::from_utf8_lossy(&told.stdout).trim().to_owned();
-    if told.status.success() && !text.is_empty() { Ok(text) } else { Err(failed(told.status.to_string())) }
+    let output = Command::new(program).arg("--version").output().map_err(|e| failed(e.to_string()))?;
+    let text = String::from_utf8_lossy(&output.stdout).trim().to_owned();
+    if output.status.success() && !text.is_empty() {
+        Ok(text)
+    } else {
+        Err(failed(output.status.to_string()))
+    }
 }
 
 fn host() -> Host {
@@ -246,14 +259,15 @@
     Host { cores, memory_mb: kb.unwrap_or(0) / 1_024 }
 }
 
-/// Measures all that is ordered; `progress` is told of every run. One process of the proxy runs at a time, and ends with
-/// whoever started it. Every size is measured in each run, so that what the machine does meanwhile is no slope.
+/// Measures the selected quantities; `progress` receives a line for each family of each run. One proxy
+/// process runs at a time, and ends with this process. Each run measures every size, so that load of the
+/// machine that changes over time does not appear as a slope.
 ///
 /// # Errors
-/// Where the order makes no sense, or something could not be measured.
+/// If the options are invalid or a measurement fails.
 pub fn run(order: &Order, mut progress: impl FnMut(&str)) -> Result<Vec<Row>, ScaleError> {
     let families = order.check()?;
-    let origin = Origin {
+    let run_info = RunInfo {
         command: order.command(),
         seed: order.seed,
         machine: host(),
@@ -263,15 +277,15 @@
     if descriptors < DESCRIPTORS {
         return Err(ScaleError::Descriptors(descriptors));
     }
-    let bench = Bench {
+    let settings = MeasurementSettings {
         proxy: order.proxy.clone(),
-        keeper: order.keeper.clone(),
+        guard: order.keeper.clone(),
         descriptors,
-        span: Duration::from_secs_f64(order.seconds),
+        duration: Duration::from_secs_f64(order.seconds),
         seed: order.seed,
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let (mut sheet, began) = (Sheet::default(), Instant::now());
+    let (mut samples, began) = (Samples::default(), Instant::now());
     for run in 1..=order.runs {
         for (family, sizes) in &families {
             let name = family.sizes().name;
@@ -279,11 +293,18 @@
             progress(&format!("{seconds:>4} s, run {run} of {}: {name} {sizes:?}", order.runs));
             for &size in sizes {
                 let largest = sizes.last().copied().unwrap_or(size);
-                let measured = bench.measure(*family, size, largest, &mut sheet);
+                let measured = settings.measure(*family, size, largest, &mut samples);
                 let measured = LocalSet::new().block_on(&runtime, measured);
-                measured.map_err(|error| ScaleError::At { family: name, size, run, error: error.into() })?;
+                measured.map_err(|error| ScaleError::InRun {
+                    family: name,
+                    size,
+                    run,
+                    error: error.into(),
+                })?;
             }
         }
     }
-    sheet.rows(&origin, |quantity| order.wants(quantity)).map_err(|(id, error)| ScaleError::Fit(id, error))
+    samples
+        .rows(&run_info, |quantity| order.is_selected(quantity))
+        .map_err(|(id, error)| ScaleError::Fit(id, error))
 }
--- a/crates/testbed/src/scale/slopes/probe.rs
+++ b/crates/testbed/src/scale/slopes/probe.rs
@@ -1,6 +1,6 @@
-//! A steady stream of requests that the serving thread itself answers at once (`/up` on a kept connection): whatever holds
-//! that thread is seen as a wait. The stream has a thread and a blocking socket of its own, so that nothing else of this
-//! program is in its way.
+//! Measures stalls of the proxy's serving thread with a steady stream of `/up` requests on a persistent
+//! connection. That thread responds to them at once, so whatever blocks it delays a response. The probe has a
+//! thread and a blocking socket of its own, so that the rest of this program does not delay it.
 
 use super::ScaleError;
 use super::fit;
@@ -12,18 +12,18 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How often it asks.
-const EVERY: Duration = Duration::from_millis(1);
-/// How long an answer may take; whatever holds the thread longer ends the measurement.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
+/// Period of the requests.
+const PERIOD: Duration = Duration::from_millis(1);
+/// Time limit of a response; a longer stall ends the measurement.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One request: when it was written, and how long its answer took.
-type Asked = (Instant, Duration);
+/// When a request was sent, and its response time.
+type ProbeSample = (Instant, Duration);
 
-/// The stream.
+/// The running probe; stops on drop.
 pub(super) struct Probe {
     stop: Arc<AtomicBool>,
-    thread: Option<JoinHandle<io::Result<Vec<Asked>>>>,
+    thread: Option<JoinHandle<io::Result<Vec<ProbeSample>>>>,
 }
 
 impl Drop for Probe {
@@ -36,79 +36,86 @@
 impl Probe {
     pub(super) fn start(proxy: SocketAddr) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = Arc::clone(&stop);
-        let thread = Some(thread::spawn(move || ask(proxy, &stopped)));
+        let shared_stop = Arc::clone(&stop);
+        let thread = Some(thread::spawn(move || send_requests(proxy, &shared_stop)));
         Self { stop, thread }
     }
 
-    /// Ends the stream; gives what it saw.
-    pub(super) fn end(mut self) -> Result<Seen, ScaleError> {
+    /// Stops the probe and returns its measurements.
+    pub(super) fn stop(mut self) -> Result<ProbeResult, ScaleError> {
         self.stop.store(true, Ordering::Release);
-        let asked = self.thread.take().map(JoinHandle::join);
-        let asked =
-            asked.and_then(Result::ok).ok_or_else(|| ScaleError::Proxy("the probe ended".into()))??;
-        let times: Vec<f64> = asked.iter().map(|(_, took)| took.as_secs_f64() * 1e6).collect();
-        let usual = fit::median(&times).ok_or_else(|| ScaleError::Proxy("no probe was answered".into()))?;
-        Ok(Seen { asked, usual })
+        let result = self.thread.take().map(JoinHandle::join);
+        let samples = result
+            .and_then(Result::ok)
+            .ok_or_else(|| ScaleError::Proxy("the probe thread panicked".into()))??;
+        let response_times: Vec<f64> =
+            samples.iter().map(|(_, response_time)| response_time.as_secs_f64() * 1e6).collect();
+        let median_us = fit::median(&response_times)
+            .ok_or_else(|| ScaleError::Proxy("the probe got no response".into()))?;
+        Ok(ProbeResult { samples, median_us })
     }
 }
 
-/// What a stream saw.
-pub(super) struct Seen {
-    asked: Vec<Asked>,
-    /// The median time of an answer, microseconds.
-    usual: f64,
+/// Measurements of a probe.
+pub(super) struct ProbeResult {
+    samples: Vec<ProbeSample>,
+    /// Median response time, microseconds.
+    median_us: f64,
 }
 
-impl Seen {
-    /// The median time of an answer, microseconds.
-    pub(super) fn usual_us(&self) -> f64 {
-        self.usual
+impl ProbeResult {
+    /// Median response time, microseconds.
+    pub(super) fn median_us(&self) -> f64 {
+        self.median_us
     }
 
-    /// The longest that a request waited over the usual, microseconds, of those that were open at any time between these
-    /// two; a request that was due but not yet written waits no less than the probe's period.
-    pub(super) fn longest_us(&self, from: Instant, to: Instant) -> f64 {
-        let open = self.asked.iter().filter(|(at, took)| *at <= to && *at + *took >= from);
-        let longest = open.map(|(_, took)| took.as_secs_f64() * 1e6).fold(self.usual, f64::max);
-        longest - self.usual
+    /// The longest response time above the median, microseconds, of the requests in flight at any time from
+    /// `from` to `to`. A stall that begins between two requests is measured from the next one, which is sent
+    /// up to a period later.
+    pub(super) fn longest_stall_us(&self, from: Instant, to: Instant) -> f64 {
+        let in_flight =
+            self.samples.iter().filter(|(sent, response_time)| *sent <= to && *sent + *response_time >= from);
+        let longest = in_flight
+            .map(|(_, response_time)| response_time.as_secs_f64() * 1e6)
+            .fold(self.median_us, f64::max);
+        longest - self.median_us
     }
 }
 
-fn ask(proxy: SocketAddr, stop: &AtomicBool) -> io::Result<Vec<Asked>> {
+fn send_requests(proxy: SocketAddr, stop: &AtomicBool) -> io::Result<Vec<ProbeSample>> {
     let mut stream = TcpStream::connect(proxy)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-    let (mut asked, mut bytes) = (Vec::new(), Vec::new());
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+    let (mut samples, mut buffer) = (Vec::new(), Vec::new());
     let mut due = Instant::now();
     while !stop.load(Ordering::Acquire) {
-        let at = Instant::now();
+        let sent = Instant::now();
         stream.write_all(b"GET /up HTTP/1.1\r\nHost: rig\r\n\r\n")?;
-        answer(&mut stream, &mut bytes)?;
-        asked.push((at, at.elapsed()));
-        due = (due + EVERY).max(Instant::now());
+        read_response(&mut stream, &mut buffer)?;
+        samples.push((sent, sent.elapsed()));
+        due = (due + PERIOD).max(Instant::now());
         thread::sleep(due.saturating_duration_since(Instant::now()));
     }
-    Ok(asked)
+    Ok(samples)
 }
 
-fn answer(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<()> {
-    bytes.clear();
-    let mut part = [0; 1_024];
+fn read_response(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<()> {
+    buffer.clear();
+    let mut chunk = [0; 1_024];
     loop {
-        if let Some((head, message)) = http1::parse_head(bytes, http1::MessageKind::Response)? {
+        if let Some((head, message)) = http1::parse_head(buffer, http1::MessageKind::Response)? {
             let body = message.header("content-length").and_then(|v| v.parse::<usize>().ok()).unwrap_or(0);
             if message.status != 200 {
-                return Err(io::Error::other(format!("the probe was answered {}", message.status)));
+                return Err(io::Error::other(format!("the probe got status {}", message.status)));
             }
-            if bytes.len() >= head + body {
+            if buffer.len() >= head + body {
                 return Ok(());
             }
         }
-        let length = stream.read(&mut part)?;
+        let length = stream.read(&mut chunk)?;
         if length == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        bytes.extend_from_slice(&part[..length]);
+        buffer.extend_from_slice(&chunk[..length]);
     }
 }
--- a/crates/testbed/src/scale/slopes/quantities.rs
+++ b/crates/testbed/src/scale/slopes/quantities.rs
@@ -1,44 +1,46 @@
-//! What is measured: families of quantities, each over sizes of one kind, and the names of the quantities.
+//! The measured quantities, grouped into families that vary the same size.
 
 use Family::{
-    Backends, Classes, Clients, Config, Fleet, IdleClients, OpenRequests, OverShare, Rate, Tenants,
+    Backends, Classes, Clients, Config, Fleet, IdleClients, OpenRequests, OverQuota, Rate, Tenants,
 };
 
-/// Quantities that are measured over the same sizes, on the same processes.
+/// Quantities that are measured over the same sizes, on the same processes. Each variant states what a size
+/// counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Family {
-    /// Backends in the list, no requests.
+    /// Backends in the list; no requests are sent.
     Backends,
-    /// Tenants in the settings, no requests.
+    /// Tenants in the settings; no requests are sent.
     Tenants,
-    /// Tenants in settings that are read again, no requests.
+    /// Tenants in a reloaded configuration; no requests are sent.
     Config,
-    /// Classes in the settings, no requests.
+    /// Request classes in the settings; no requests are sent.
     Classes,
-    /// Connections of clients that asked once and rest.
+    /// Client connections that are idle after one request.
     IdleClients,
-    /// Requests that wait at backends.
+    /// Requests in flight at backends that do not respond.
     OpenRequests,
-    /// Requests a second.
+    /// Requests per second.
     Rate,
-    /// Backends that get the requests, at a steady rate.
+    /// Backends that receive requests at a steady rate.
     Fleet,
-    /// Connections of clients that send the requests, at a steady rate.
+    /// Client connections that send requests at a steady rate.
     Clients,
-    /// Tenants in the settings, each request beyond its tenant's share.
-    OverShare,
+    /// Tenants in the settings; every request exceeds its tenant's quota.
+    OverQuota,
 }
 
-/// The sizes of a family: those that are measured unless others are asked for, and the bounds.
+/// Name, default sizes and bounds of a family.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sizes {
-    /// As `--only` names the family.
+    /// Name of the family on the command line (`--only`) and in errors.
     pub(super) name: &'static str,
-    pub(super) usual: &'static [usize],
-    pub(super) least: usize,
-    pub(super) most: usize,
-    /// Why no more.
-    pub(super) bound: &'static str,
+    /// Sizes that are measured unless `--sizes` is given.
+    pub(super) default: &'static [usize],
+    pub(super) min: usize,
+    pub(super) max: usize,
+    /// Why larger sizes are rejected.
+    pub(super) reason: &'static str,
 }
 
 pub(super) const FAMILIES: [Family; 10] = [
@@ -51,92 +53,96 @@
     Family::Rate,
     Family::Fleet,
     Family::Clients,
-    Family::OverShare,
+    Family::OverQuota,
 ];
 
 impl Family {
     pub(super) const fn sizes(self) -> Sizes {
-        let (name, usual, least, most, bound): (_, &[usize], _, _, _) = match self {
+        let (name, default, min, max, reason): (_, &[usize], _, _, _) = match self {
             Self::Backends => (
                 "backends",
                 &[200, 1_000, 5_000, 10_000, 20_000],
                 10,
                 24_000,
-                "the proxy takes lists of 4 MiB at most, some 25,000 backends",
+                "the proxy accepts lists of at most 4 MiB, about 25,000 backends",
             ),
             Self::Tenants => (
                 "tenants",
                 &[1_000, 10_000, 30_000, 60_000],
                 1,
                 65_000,
-                "settings name 65,536 tenants at most",
+                "the settings accept at most 65,536 tenants",
             ),
             Self::Config => (
                 "config",
                 &[1_000, 10_000, 30_000, 60_000],
                 1,
                 65_000,
-                "settings name 65,536 tenants at most",
+                "the settings accept at most 65,536 tenants",
             ),
             Self::Classes => {
-                ("classes", &[8, 32, 64, 128, 200], 1, 250, "the proxy has places for some 250 classes")
+                ("classes", &[8, 32, 64, 128, 200], 1, 250, "the proxy accepts about 250 classes")
             }
             Self::IdleClients => (
                 "idle_clients",
                 &[100, 1_000, 2_000, 4_000],
                 10,
                 8_000,
-                "each takes a descriptor of this program and one of the proxy",
+                "each uses one file descriptor of this program and one of the proxy",
             ),
             Self::OpenRequests => (
                 "open_requests",
                 &[100, 1_000, 2_000, 4_000],
                 10,
                 4_000,
-                "each takes two descriptors of this program and two of the proxy",
+                "each uses two file descriptors of this program and two of the proxy",
+            ),
+            Self::Rate => (
+                "rate",
+                &[180, 360, 540, 1_080],
+                50,
+                2_000,
+                "this program's own threads can't keep up with a higher rate",
             ),
-            Self::Rate => {
-                ("rate", &[180, 360, 540, 1_080], 50, 2_000, "this program's own threads would fall behind")
-            }
             Self::Fleet => (
                 "fleet",
                 &[20, 100, 400, 1_600],
                 2,
                 4_000,
-                "each takes two descriptors of this program and one of the proxy",
+                "each uses two file descriptors of this program and one of the proxy",
             ),
             Self::Clients => (
                 "clients",
                 &[8, 32, 128, 512],
                 2,
                 2_000,
-                "each takes descriptors of this program and of the proxy",
+                "each uses file descriptors of this program and of the proxy",
             ),
-            Self::OverShare => (
+            Self::OverQuota => (
                 "over_share",
                 &[1_000, 4_000, 16_000, 64_000],
                 1,
                 65_000,
-                "requests know their tenant by a number of 16 bits",
+                "a request identifies its tenant by a 16-bit number",
             ),
         };
-        Sizes { name, usual, least, most, bound }
+        Sizes { name, default, min, max, reason }
     }
 }
 
-/// One quantity.
+/// A measured quantity.
 #[derive(Clone, Copy, Debug)]
 pub struct Quantity {
-    /// Its name in results and pages.
+    /// Name in results and in documents that quote them.
     pub id: &'static str,
-    /// The processes that it is measured on.
+    /// The family that it is measured with.
     pub family: Family,
-    /// Its unit.
+    /// Unit of its values.
     pub unit: &'static str,
-    /// What the sizes count.
+    /// What a size counts, in the singular.
     pub per: &'static str,
-    /// In words.
-    pub what: &'static str,
+    /// What is measured.
+    pub description: &'static str,
 }
 
 const fn quantity(
@@ -144,50 +150,50 @@
     family: Family,
     unit: &'static str,
     per: &'static str,
-    what: &'static str,
+    description: &'static str,
 ) -> Quantity {
-    Quantity { id, family, unit, per, what }
+    Quantity { id, family, unit, per, description }
 }
 
-/// All quantities.
+/// All quantities, in the order of the results.
 pub const QUANTITIES: &[Quantity] = &[
-    quantity("memory_bytes_per_backend", Backends, "bytes", "backend", "resident memory with the list held"),
+    quantity(
+        "memory_bytes_per_backend",
+        Backends,
+        "bytes",
+        "backend",
+        "resident memory with the list loaded",
+    ),
     quantity(
         "memory_peak_bytes_per_backend",
         Backends,
         "bytes",
         "backend",
-        "the most resident memory that there was, after the list was told whole a second time",
+        "peak resident memory after the complete list was sent a second time",
     ),
     quantity(
         "start_cpu_us_per_backend",
         Backends,
         "us",
         "backend",
-        "processor time from the process's start until it has the list and says that it is up",
+        "CPU time from the process's start until it is up and has the list",
     ),
-    quantity("list_cpu_us_per_backend", Backends, "us", "backend", "processor time of a whole list, again"),
+    quantity("list_cpu_us_per_backend", Backends, "us", "backend", "CPU time of another complete list"),
     quantity(
         "list_wire_bytes_per_backend",
         Backends,
         "bytes",
         "backend",
-        "bytes on the wire of a whole list",
+        "bytes on the wire of a complete list",
     ),
     quantity(
         "list_stall_us_per_backend",
         Backends,
         "us",
         "backend",
-        "longest time that a request waited over the usual while a whole list was taken",
-    ),
-    quantity(
-        "change_cpu_us_per_backend",
-        Backends,
-        "us",
-        "backend",
-        "processor time of a change of one entry",
+        "longest response time above the median while a complete list was applied",
     ),
+    quantity("change_cpu_us_per_backend", Backends, "us", "backend", "CPU time of a change of one entry"),
     quantity(
         "change_wire_bytes_per_backend",
         Backends,
@@ -200,192 +206,192 @@
         Backends,
         "us",
         "backend",
-        "longest time that a request waited over the usual round a change of one entry, median of the changes",
+        "longest response time above the median during a change of one entry, median of the changes",
     ),
     quantity(
         "replacement_cpu_us_per_backend",
         Backends,
         "us",
         "backend",
-        "processor time of one entry that leaves and another one that comes",
+        "CPU time of a replacement of one entry by another",
     ),
     quantity(
         "replacement_stall_us_per_backend",
         Backends,
         "us",
         "backend",
-        "longest time that a request waited over the usual round a replacement, median of the replacements",
+        "longest response time above the median during a replacement, median of the replacements",
     ),
     quantity(
         "rest_cpu_us_per_backend",
         Backends,
         "us",
         "backend",
-        "processor time of a second with no requests and no changes",
+        "CPU time per second without requests and changes",
     ),
     quantity(
         "rest_stall_us_per_backend",
         Backends,
         "us",
         "backend",
-        "longest time that a request waited over the usual in as long as a change takes, with none: what the machine adds",
+        "longest response time above the median over the duration of a change, without one: the machine's part",
+    ),
+    quantity(
+        "up_us_per_backend",
+        Backends,
+        "us",
+        "backend",
+        "median response time of `/up` on a persistent connection",
     ),
-    quantity("up_us_per_backend", Backends, "us", "backend", "time of `/up` on a kept connection, median"),
     quantity("memory_bytes_per_tenant", Tenants, "bytes", "tenant", "resident memory after the start"),
     quantity(
         "memory_peak_bytes_per_tenant",
         Config,
         "bytes",
         "tenant",
-        "the most resident memory that there was, after the configuration was read again",
+        "peak resident memory after the configuration was reloaded",
     ),
     quantity(
         "start_cpu_us_per_tenant",
         Tenants,
         "us",
         "tenant",
-        "processor time from the process's start until it says that it is up",
+        "CPU time from the process's start until it is up",
     ),
-    quantity("config_bytes_per_tenant", Config, "bytes", "tenant", "the configuration's size"),
+    quantity("config_bytes_per_tenant", Config, "bytes", "tenant", "size of the configuration file"),
     quantity(
         "config_cpu_us_per_tenant",
         Config,
         "us",
         "tenant",
-        "processor time of a change of the configuration (SIGHUP)",
+        "CPU time of a reload of a changed configuration (SIGHUP)",
     ),
     quantity(
         "config_stall_us_per_tenant",
         Config,
         "us",
         "tenant",
-        "longest time that a request waited over the usual while the configuration was read again",
+        "longest response time above the median while the configuration was reloaded",
     ),
     quantity(
         "memory_bytes_per_class",
         Classes,
         "bytes",
         "class",
-        "resident memory after the start; the proxy has no routes, its classes stand for them",
+        "resident memory after the start; the proxy has no routes, request classes serve as such",
     ),
-    quantity("config_bytes_per_class", Classes, "bytes", "class", "the configuration's size"),
+    quantity("config_bytes_per_class", Classes, "bytes", "class", "size of the configuration file"),
     quantity(
         "config_cpu_us_per_class",
         Classes,
         "us",
         "class",
-        "processor time of a change of the configuration (SIGHUP)",
+        "CPU time of a reload of a changed configuration (SIGHUP)",
     ),
     quantity(
         "config_stall_us_per_class",
         Classes,
         "us",
         "class",
-        "longest time that a request waited over the usual while the configuration was read again",
+        "longest response time above the median while the configuration was reloaded",
     ),
     quantity(
         "memory_bytes_per_idle_client",
         IdleClients,
         "bytes",
         "idle client",
-        "resident memory with connections of clients that asked once and rest",
+        "resident memory with client connections that are idle after one request",
     ),
     quantity(
         "rest_cpu_us_per_idle_client",
         IdleClients,
         "us",
         "idle client",
-        "processor time of a second in which they rest",
+        "CPU time per second while the connections are idle",
     ),
     quantity(
         "memory_bytes_per_open_request",
         OpenRequests,
         "bytes",
         "open request",
-        "resident memory with requests that wait at backends, each on connections of its own",
+        "resident memory with requests in flight at backends, each on connections of its own",
     ),
     quantity(
         "open_cpu_us_per_open_request",
         OpenRequests,
         "us",
         "open request",
-        "processor time to take them in, each with a new connection on both sides",
+        "CPU time to accept the requests, each with a new connection on both sides",
     ),
     quantity(
         "rest_cpu_us_per_open_request",
         OpenRequests,
         "us",
         "open request",
-        "processor time of a second in which they wait",
+        "CPU time per second while the requests are in flight",
     ),
     quantity(
         "cpu_us_per_request",
         Rate,
         "us",
         "request",
-        "processor time of a second of steady requests, by requests a second",
+        "CPU time per second at a steady rate, by requests per second",
     ),
     quantity(
         "wire_bytes_per_request",
         Rate,
         "bytes",
         "request",
-        "bytes on the wire in a second, clients and backends, by requests a second",
+        "bytes on the wire per second, clients and backends, by requests per second",
     ),
     quantity(
         "added_p99_us_by_rate",
         Rate,
         "us",
         "request a second",
-        "99th percentile through the proxy less that of the same requests direct",
-    ),
-    quantity(
-        "request_cpu_us_by_backends",
-        Fleet,
-        "us",
-        "backend",
-        "processor time of a request at 540 a second",
+        "99th percentile of the response time through the proxy minus that of direct requests",
     ),
+    quantity("request_cpu_us_by_backends", Fleet, "us", "backend", "CPU time per request at 540 per second"),
     quantity(
         "request_dials_by_backends",
         Fleet,
         "connections",
         "backend",
-        "new connections to backends for each request at 540 a second",
+        "new connections to backends per request at 540 per second",
     ),
     quantity(
         "added_p99_us_by_backends",
         Fleet,
         "us",
         "backend",
-        "99th percentile through the proxy less that of the same requests direct, at 540 a second",
+        "99th percentile of the response time through the proxy minus that of direct requests, at 540 per second",
     ),
     quantity(
         "request_cpu_us_by_clients",
         Clients,
         "us",
         "client connection",
-        "processor time of a request at 540 a second",
+        "CPU time per request at 540 per second",
     ),
     quantity(
         "added_p99_us_by_clients",
         Clients,
         "us",
         "client connection",
-        "99th percentile through the proxy less that of the same requests direct, at 540 a second",
+        "99th percentile of the response time through the proxy minus that of direct requests, at 540 per second",
     ),
     quantity(
         "over_share_request_cpu_us_by_tenants",
-        OverShare,
+        OverQuota,
         "us",
         "tenant",
-        "processor time of a request beyond its tenant's share, at 540 a second",
+        "CPU time of a request over its tenant's quota, at 540 per second",
     ),
     quantity(
         "over_share_added_p99_us_by_tenants",
-        OverShare,
+        OverQuota,
         "us",
         "tenant",
-        "99th percentile of requests beyond their tenants' shares less that of the same requests direct",
+        "99th percentile of the response time of requests over their tenants' quotas minus that of direct requests",
     ),
 ];
--- a/crates/testbed/src/scale/slopes/sheet.rs
+++ b/crates/testbed/src/scale/slopes/samples.rs
@@ -1,95 +1,96 @@
-//! Samples by quantity and size, and the rows that they come to.
+//! Samples by quantity and size, and the result rows that are computed from them.
 
 use super::fit::{self, FitError};
 use super::quantities::{QUANTITIES, Quantity};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The machine on which the figures were measured.
+/// The machine on which the quantities were measured.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Host {
-    /// Processors that this program may use.
+    /// Processors available to this program.
     pub cores: usize,
-    /// Memory, MB.
+    /// Total memory, MiB.
     pub memory_mb: u64,
 }
 
-/// One quantity at all its sizes, and the line through them: a line of the results file.
+/// One quantity at all its sizes with the line fitted to its medians; one JSON line of the results file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its name, which stays the same from run to run.
+    /// Name of the quantity; stable between versions.
     pub quantity: String,
-    /// The unit of the medians, the spread and the intercept; the slope is in this unit for each of `per`.
+    /// Unit of the medians, the spread and the intercept. The slope is in this unit per one of `per`.
     pub unit: String,
-    /// What the sizes count.
+    /// What a size counts, in the singular.
     pub per: String,
-    /// In words.
-    pub what: String,
-    /// The command that gave it.
+    /// What is measured.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// The command that produced the row.
     pub command: String,
-    /// For the random numbers of the stand-ins.
+    /// Seed of the random numbers of the emulated clients and discovery.
     pub seed: u64,
-    /// Samples at each size.
+    /// Number of samples at each size; the smallest number if it differs.
     pub runs: usize,
-    /// The sizes.
+    /// The measured sizes, in ascending order.
     pub sizes: Vec<f64>,
-    /// The median of the runs at each size.
+    /// Median of the runs at each size.
     pub medians: Vec<f64>,
-    /// The largest less the smallest of the runs at each size.
+    /// Difference of the largest and the smallest sample at each size.
     pub spread: Vec<f64>,
-    /// Where the line through the medians begins.
+    /// Value of the fitted line at size 0.
     pub intercept: f64,
-    /// What one more adds.
+    /// Increase of the fitted line per unit of size.
     pub slope: f64,
     /// Standard deviation of the slope.
     pub slope_deviation: f64,
-    /// Standard deviation of the medians round the line.
+    /// Standard deviation of the medians from the line.
     pub residual_deviation: f64,
-    /// Where it was measured.
+    /// The machine on which the row was measured.
     pub machine: Host,
-    /// The program that was measured, and its version.
+    /// The measured program and its version.
     pub program: String,
 }
 
-/// What all rows of a run share.
+/// The fields that all rows of a run have in common.
 #[derive(Clone, Debug)]
-pub(super) struct Origin {
+pub(super) struct RunInfo {
     pub(super) command: String,
     pub(super) seed: u64,
     pub(super) machine: Host,
     pub(super) program: String,
 }
 
-/// The samples of a run.
+/// The samples of all runs, by quantity and size.
 #[derive(Debug, Default)]
-pub(super) struct Sheet(BTreeMap<&'static str, BTreeMap<usize, Vec<f64>>>);
+pub(super) struct Samples(BTreeMap<&'static str, BTreeMap<usize, Vec<f64>>>);
 
-impl Sheet {
+impl Samples {
     pub(super) fn add(&mut self, quantity: &'static str, size: usize, value: f64) {
         self.0.entry(quantity).or_default().entry(size).or_default().push(value);
     }
 
-    /// The rows of the quantities that `wanted` picks, in the order of the table.
+    /// Rows of the quantities that `is_selected` accepts, in the order of [`QUANTITIES`].
     pub(super) fn rows(
         &self,
-        origin: &Origin,
-        wanted: impl Fn(&Quantity) -> bool,
+        run_info: &RunInfo,
+        is_selected: impl Fn(&Quantity) -> bool,
     ) -> Result<Vec<Row>, (&'static str, FitError)> {
-        let measured = QUANTITIES.iter().filter(|q| wanted(q));
-        measured.filter_map(|q| Some((q, self.0.get(q.id)?))).map(|(q, s)| row(origin, q, s)).collect()
+        let selected = QUANTITIES.iter().filter(|q| is_selected(q));
+        selected.filter_map(|q| Some((q, self.0.get(q.id)?))).map(|(q, s)| row(run_info, q, s)).collect()
     }
 }
 
 fn row(
-    origin: &Origin,
+    run_info: &RunInfo,
     quantity: &Quantity,
     samples: &BTreeMap<usize, Vec<f64>>,
 ) -> Result<Row, (&'static str, FitError)> {
     let sizes: Vec<f64> = samples.keys().map(|&size| size as f64).collect();
     let medians: Vec<f64> = samples.values().map(|v| fit::median(v).unwrap_or(f64::NAN)).collect();
     let range = |values: &Vec<f64>| {
-        let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        most - values.iter().copied().fold(f64::INFINITY, f64::min)
+        let max = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        max - values.iter().copied().fold(f64::INFINITY, f64::min)
     };
     let points: Vec<(f64, f64)> = sizes.iter().copied().zip(medians.iter().copied()).collect();
     let line = fit::line(&points).map_err(|error| (quantity.id, error))?;
@@ -97,9 +98,9 @@
         quantity: quantity.id.into(),
         unit: quantity.unit.into(),
         per: quantity.per.into(),
-        what: quantity.what.into(),
-        command: origin.command.clone(),
-        seed: origin.seed,
+        description: quantity.description.into(),
+        command: run_info.command.clone(),
+        seed: run_info.seed,
         runs: samples.values().map(Vec::len).min().unwrap_or(0),
         spread: samples.values().map(|values| rounded(range(values))).collect(),
         sizes,
@@ -108,12 +109,12 @@
         slope: rounded(line.slope),
         slope_deviation: rounded(line.slope_deviation),
         residual_deviation: rounded(line.residual_deviation),
-        machine: origin.machine.clone(),
-        program: origin.program.clone(),
+        machine: run_info.machine.clone(),
+        program: run_info.program.clone(),
     })
 }
 
-/// Six digits: more than any of the figures is worth, and fewer than would make the file hard to read.
+/// Rounds to six significant digits: more than the measurement's precision, and still readable in the file.
 fn rounded(value: f64) -> f64 {
     format!("{value:.5e}").parse().unwrap_or(value)
 }
