--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -1,6 +1,6 @@
-//! Measures the cost of a request: the same load in turn direct to the backends, through a minimal pass-through on the same
-//! HTTP library, and through the proxy. The measured intermediary is a process of its own, so that the operating system
-//! reports its CPU time and memory.
+//! Measures the cost of a request: the same load one after another direct to the backends, through a minimal
+//! pass-through on the same HTTP library, and through the proxy. The measured intermediary is a process of
+//! its own, so that the operating system reports its CPU time and memory.
 
 mod pass_through;
 
@@ -24,11 +24,11 @@
 use tokio::time::{Instant, sleep};
 
 /// Upper bound on the backends of one measurement.
-const MAX_BOXES: usize = 5_000;
+const MAX_BACKENDS: usize = 5_000;
 /// Upper bound on the requests of one measurement.
 const MAX_REQUESTS: usize = 5_000_000;
-/// Requests sent before the measurement.
-const WARM_UP: usize = 5_000;
+/// Requests sent before each measurement.
+const WARM_UP_REQUESTS: usize = 5_000;
 
 /// Why a measurement failed.
 #[derive(Debug, Error)]
@@ -37,7 +37,9 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The load is out of range.
-    #[error("at most {MAX_BOXES} boxes and {MAX_REQUESTS} requests")]
+    #[error(
+        "at least one backend and one client are required, and at most {MAX_BACKENDS} backends and {MAX_REQUESTS} requests"
+    )]
     OutOfRange,
     /// The intermediary did not start, or a client failed.
     #[error("{0}")]
@@ -49,33 +51,33 @@
 pub struct Load {
     /// Backends, each of which responds at once.
     pub boxes: usize,
-    /// Connections of clients, each with one request at a time.
+    /// Client connections, each with one request at a time.
     pub clients: usize,
-    /// Measured requests.
+    /// Measured requests per path and round.
     pub requests: usize,
     /// Rounds over all three paths.
     pub turns: usize,
-    /// The proxy's binary.
+    /// Path of the proxy's program.
     pub proxy: PathBuf,
 }
 
-/// The figures of one path in one round.
+/// The results of one path in one round.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// CPU time of the intermediary for each request, microseconds; 0 without one.
+    /// CPU time of the intermediary per request, microseconds; 0 without one.
     pub cpu_us: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
     /// Median response time, microseconds.
     pub p50_us: f64,
     /// 99th percentile of the response time, microseconds.
     pub p99_us: f64,
-    /// Memory of the intermediary at the end, MB.
+    /// Resident memory of the intermediary at the end, MiB; 0 without one.
     pub memory_mb: f64,
 }
 
 /// Starts backends that respond at once.
-async fn boxes(count: usize) -> io::Result<Vec<SocketAddr>> {
+async fn start_backends(count: usize) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for _ in 0..count {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -99,14 +101,14 @@
     Ok(addresses)
 }
 
-/// Serves the list of these backends, `cell` of them to a cell, to a proxy.
+/// Serves the list of these backends to a proxy, with `cell_size` backends in each cell.
 ///
 /// # Errors
-/// Where the listener can't be opened.
-pub(crate) async fn discovery(boxes: &[SocketAddr], cell: usize) -> io::Result<SocketAddr> {
-    let members = boxes.iter().enumerate().map(|(i, address)| {
+/// If the listener can't be opened.
+pub(crate) async fn discovery(backends: &[SocketAddr], cell_size: usize) -> io::Result<SocketAddr> {
+    let members = backends.iter().enumerate().map(|(i, address)| {
         json!({"id": format!("b{i}"), "host_port": address.to_string(), "locality": "z0", "flavor": "box",
-            "cell": i / cell, "phase": "active", "size": 1.0, "up_since_ms": 0})
+            "cell": i / cell_size, "phase": "active", "size": 1.0, "up_since_ms": 0})
     });
     let list = json!({"revision": 1, "complete": true, "members": members.collect::<Vec<_>>()}).to_string();
     let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -149,7 +151,9 @@
     loop {
         line.clear();
         if log.read_line(&mut line)? == 0 {
-            return Err(CostError::Intermediary(format!("the middle ended before it told what it {prefix}")));
+            return Err(CostError::Intermediary(format!(
+                "the intermediary ended before it logged `{prefix}` and an address"
+            )));
         }
         if let Some((_, address)) = line.trim().rsplit_once(prefix) {
             return address.parse().map_err(|_| CostError::Intermediary(line.clone()));
@@ -165,13 +169,16 @@
 }
 
 impl Intermediary {
-    /// Starts the process and waits until it has logged its address, and the address after `second_prefix` if given.
+    /// Starts the process and waits until it has logged its address, and the address after `second_prefix` if
+    /// given.
     ///
     /// # Errors
-    /// Where it can't be started or ends before it has logged an address.
+    /// If it can't be started or ends before it has logged an address.
     pub(crate) fn start(mut command: Command, second_prefix: Option<&str>) -> Result<Self, CostError> {
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
-        let log = child.stderr.take().ok_or_else(|| CostError::Intermediary("no log".into()))?;
+        let log = child.stderr.take().ok_or_else(|| {
+            CostError::Intermediary("the intermediary's standard error is not captured".into())
+        })?;
         let mut log = BufReader::new(log);
         let address = read_address(&mut log, "listens on ")?;
         let second = second_prefix.map(|prefix| read_address(&mut log, prefix)).transpose()?;
@@ -179,31 +186,38 @@
         Ok(Self { child, address, second })
     }
 
-    /// CPU seconds so far, and resident memory in MB.
+    /// CPU seconds so far, and resident memory in MiB.
     ///
     /// # Errors
-    /// Where the process is gone.
+    /// If the process has ended.
     pub(crate) fn used(&self) -> Result<(f64, f64), CostError> {
         let id = self.child.id();
-        let spent = cpu_s(id).ok_or_else(|| CostError::Intermediary("the middle has no account".into()))?;
-        Ok((spent, memory(id) as f64 / f64::from(1 << 20)))
+        let cpu_s = cpu_s(id).ok_or_else(|| {
+            CostError::Intermediary("the CPU time of the intermediary can't be read".into())
+        })?;
+        Ok((cpu_s, memory(id) as f64 / f64::from(1 << 20)))
     }
 }
 
-/// Sends the load to these addresses in round-robin order; returns the response times in microseconds, ascending, and the
-/// total duration.
-async fn drive(to: &[SocketAddr], load: &Load, requests: usize) -> Result<(Vec<f64>, Duration), CostError> {
-    let (left, times) = (Rc::new(Cell::new(requests)), Rc::new(RefCell::new(Vec::with_capacity(requests))));
+/// Sends the load to these addresses in round-robin order; returns the response times in microseconds,
+/// ascending, and the total duration.
+async fn send_load(
+    to: &[SocketAddr],
+    load: &Load,
+    requests: usize,
+) -> Result<(Vec<f64>, Duration), CostError> {
+    let (remaining, times) =
+        (Rc::new(Cell::new(requests)), Rc::new(RefCell::new(Vec::with_capacity(requests))));
     let to: Rc<[SocketAddr]> = to.into();
     let began = Instant::now();
     let clients = (0..load.clients).map(|client| {
-        let (left, times, to) = (Rc::clone(&left), Rc::clone(&times), Rc::clone(&to));
+        let (remaining, times, to) = (Rc::clone(&remaining), Rc::clone(&times), Rc::clone(&to));
         tokio::task::spawn_local(async move {
             let mut connections: Vec<Option<(TcpStream, Vec<u8>)>> = (0..to.len()).map(|_| None).collect();
             let mut next_backend = client;
-            while left.get() > 0 {
-                let number = left.get();
-                left.set(number - 1);
+            while remaining.get() > 0 {
+                let number = remaining.get();
+                remaining.set(number - 1);
                 next_backend = (next_backend + 1) % to.len();
                 let (mut stream, mut buffer) = if let Some(connection) = connections[next_backend].take() {
                     connection
@@ -218,13 +232,13 @@
                      X-Service-Class: read\r\nX-Time-Left-Ms: 5000\r\n\r\n"
                 );
                 stream.write_all(request.as_bytes()).await?;
-                let answer = http1::read(&mut stream, &mut buffer, http1::MessageKind::Response).await?;
-                let answer = answer.filter(|a| a.status == 200 && a.body == b"served");
-                let Some(answer) = answer else {
-                    return Err(io::Error::other("an answer that is not a box's"));
+                let response = http1::read(&mut stream, &mut buffer, http1::MessageKind::Response).await?;
+                let response = response.filter(|r| r.status == 200 && r.body == b"served");
+                let Some(response) = response else {
+                    return Err(io::Error::other("a response that is not a backend's"));
                 };
                 times.borrow_mut().push(sent.elapsed().as_nanos() as f64 / 1e3);
-                if !answer.closes() {
+                if !response.closes() {
                     connections[next_backend] = Some((stream, buffer));
                 }
             }
@@ -234,10 +248,10 @@
     for client in clients.collect::<Vec<_>>() {
         client.await.map_err(|e| CostError::Intermediary(e.to_string()))??;
     }
-    let span = began.elapsed();
+    let duration = began.elapsed();
     let mut times = times.take();
     times.sort_unstable_by(f64::total_cmp);
-    Ok((times, span))
+    Ok((times, duration))
 }
 
 /// Measures one path, after a warm-up.
@@ -246,23 +260,23 @@
     load: &Load,
     intermediary: Option<&Intermediary>,
 ) -> Result<Figures, CostError> {
-    drive(to, load, WARM_UP).await?;
+    send_load(to, load, WARM_UP_REQUESTS).await?;
     let before = intermediary.map_or(Ok((0.0, 0.0)), Intermediary::used)?;
-    let (times, span) = drive(to, load, load.requests).await?;
+    let (times, duration) = send_load(to, load, load.requests).await?;
     let after = intermediary.map_or(Ok((0.0, 0.0)), Intermediary::used)?;
     let quantile = |p: f64| times[((times.len() - 1) as f64 * p) as usize];
     Ok(Figures {
         cpu_us: (after.0 - before.0) * 1e6 / load.requests as f64,
-        per_s: load.requests as f64 / span.as_secs_f64(),
+        per_s: load.requests as f64 / duration.as_secs_f64(),
         p50_us: quantile(0.5),
         p99_us: quantile(0.99),
         memory_mb: after.1,
     })
 }
 
-fn config(boxes: usize, discovery: SocketAddr) -> String {
+fn config(backends: usize, discovery: SocketAddr) -> String {
     json!({"name": "cost", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "7",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024 + 4 * boxes},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024 + 4 * backends},
         "known": {"revision": 0, "complete": true, "members": []},
         "settings": {"me": 0, "balancers": 1, "zone": 0, "failureDomains": ["z0"], "kinds": ["box"],
             "membershipMode": "pushed",
@@ -277,24 +291,28 @@
 /// Measures the three paths: direct, pass-through, proxy; one row for each round.
 ///
 /// # Errors
-/// Where a socket or process fails, or a response is not a backend's.
+/// If a socket or process fails, or a response is not a backend's.
 pub fn measure(load: &Load) -> Result<Vec<[Figures; 3]>, CostError> {
-    if load.boxes > MAX_BOXES || load.requests * load.turns > MAX_REQUESTS || load.boxes * load.clients == 0 {
+    if load.boxes > MAX_BACKENDS
+        || load.requests * load.turns > MAX_REQUESTS
+        || load.boxes * load.clients == 0
+    {
         return Err(CostError::OutOfRange);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let boxes = boxes(load.boxes).await?;
-        let discovery = discovery(&boxes, boxes.len()).await?;
+        let backends = start_backends(load.boxes).await?;
+        let discovery = discovery(&backends, backends.len()).await?;
         let path = env::temp_dir().join(format!("testbed-cost-{}.json", std::process::id()));
         let mut rows = Vec::new();
         for _ in 0..load.turns {
-            let direct = measure_path(&boxes, load, None).await?;
+            let direct = measure_path(&backends, load, None).await?;
             let mut command = Command::new(env::current_exe()?);
-            command.arg("pass").args(boxes.iter().map(SocketAddr::to_string));
-            let pass = Intermediary::start(command, None)?;
-            let pass_through_figures = measure_path(&[pass.address], load, Some(&pass)).await?;
-            drop(pass);
+            command.arg("pass").args(backends.iter().map(SocketAddr::to_string));
+            let pass_through = Intermediary::start(command, None)?;
+            let pass_through_figures =
+                measure_path(&[pass_through.address], load, Some(&pass_through)).await?;
+            drop(pass_through);
             fs::write(&path, config(load.boxes, discovery))?;
             let mut command = Command::new(&load.proxy);
             command.env("EDGE_CONFIG", &path);
@@ -311,18 +329,18 @@
 /// Polls `/up` until it returns 200, for about ten seconds.
 ///
 /// # Errors
-/// Where the proxy can't be reached or is not up in time.
+/// If the proxy can't be reached or is not up in time.
 pub(crate) async fn wait_until_up(address: SocketAddr) -> Result<(), CostError> {
     for _ in 0..500 {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(b"GET /up HTTP/1.1\r\nHost: rig\r\n\r\n").await?;
         if http1::read(&mut stream, &mut Vec::new(), http1::MessageKind::Response)
             .await?
-            .is_some_and(|a| a.status == 200)
+            .is_some_and(|response| response.status == 200)
         {
             return Ok(());
         }
         sleep(Duration::from_millis(20)).await;
     }
-    Err(CostError::Intermediary("the proxy is not up in ten seconds".into()))
+    Err(CostError::Intermediary("the proxy is not up after ten seconds".into()))
 }
--- a/crates/testbed/src/cost/pass_through.rs
+++ b/crates/testbed/src/cost/pass_through.rs
@@ -19,28 +19,29 @@
 /// Idle connections of the pass-through, by backend.
 type IdleConnections = Rc<RefCell<Vec<Vec<SendRequest<Full<Bytes>>>>>>;
 
-/// Runs the minimal pass-through: buffers a request, forwards it to the next backend in round-robin order over a persistent
-/// connection, and returns the response. It has no limits and no counters.
+/// Runs the minimal pass-through: buffers a request, forwards it to the next backend in round-robin order
+/// over a persistent connection, and returns the response. It has no limits and no counters.
 ///
 /// # Errors
-/// Where the listener can't be opened or fails.
-pub fn pass_through(boxes: &[SocketAddr]) -> io::Result<()> {
+/// If the listener can't be opened or fails.
+pub fn pass_through(backends: &[SocketAddr]) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         eprintln!("listens on {}", listener.local_addr()?);
-        let boxes: Rc<[SocketAddr]> = boxes.into();
-        let idle: IdleConnections = Rc::new(RefCell::new(boxes.iter().map(|_| Vec::new()).collect()));
+        let backends: Rc<[SocketAddr]> = backends.into();
+        let idle: IdleConnections = Rc::new(RefCell::new(backends.iter().map(|_| Vec::new()).collect()));
         let next_backend = Rc::new(Cell::new(0));
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
-            let (boxes, idle, next_backend) = (Rc::clone(&boxes), Rc::clone(&idle), Rc::clone(&next_backend));
+            let (backends, idle, next_backend) =
+                (Rc::clone(&backends), Rc::clone(&idle), Rc::clone(&next_backend));
             let service = service_fn(move |request| {
-                let (boxes, idle) = (Rc::clone(&boxes), Rc::clone(&idle));
-                next_backend.set((next_backend.get() + 1) % boxes.len());
+                let (backends, idle) = (Rc::clone(&backends), Rc::clone(&idle));
+                next_backend.set((next_backend.get() + 1) % backends.len());
                 let to = next_backend.get();
-                async move { Ok::<_, Infallible>(pass(request, boxes[to], &idle, to).await) }
+                async move { Ok::<_, Infallible>(forward_or_502(request, backends[to], &idle, to).await) }
             });
             tokio::task::spawn_local(async move {
                 let _ = hyper::server::conn::http1::Builder::new()
@@ -63,20 +64,20 @@
 }
 
 /// Forwards a request; a failure becomes status 502.
-async fn pass(
+async fn forward_or_502(
     request: Request<Incoming>,
     to: SocketAddr,
     idle: &IdleConnections,
     index: usize,
 ) -> Response<Full<Bytes>> {
-    exchange(request, to, idle, index).await.unwrap_or_else(|_| {
+    forward(request, to, idle, index).await.unwrap_or_else(|_| {
         let mut response = Response::new(Full::new(Bytes::new()));
         *response.status_mut() = StatusCode::BAD_GATEWAY;
         response
     })
 }
 
-async fn exchange(
+async fn forward(
     request: Request<Incoming>,
     to: SocketAddr,
     idle: &IdleConnections,
