--- a/crates/testbed/src/scale/fleet/checker.rs
+++ b/crates/testbed/src/scale/fleet/checker.rs
@@ -1,5 +1,5 @@
-//! Compares a replica with the changes that its sources acknowledged, record by record: versions, states and bodies. Does
-//! not rely on digests, and does no I/O.
+//! Compares a replica with the changes that its sources acknowledged, record by record: versions, states and
+//! bodies. Does not rely on digests, and does no I/O.
 
 use super::messages::ReplicaRecord;
 use super::model::Model;
@@ -12,13 +12,13 @@
 pub enum Mismatch {
     /// The replica lacks the record.
     Missing,
-    /// The replica has a record that its source does not have (any more).
-    NotThere,
-    /// The replica has the record twice.
-    Twice,
-    /// The record's service is not in scope.
+    /// The replica has a record that its source never had, or has removed.
+    Unexpected,
+    /// The replica contains the record more than once.
+    Duplicate,
+    /// The record's service is not in the subscriber's scope.
     OutOfScope,
-    /// The version differs.
+    /// The record's version differs from the acknowledged one.
     Version,
     /// The versions are equal, the states differ.
     State,
@@ -31,9 +31,9 @@
 pub struct Difference {
     /// The kind of difference.
     pub mismatch: Mismatch,
-    /// The source.
+    /// The source that owns the record's service.
     pub source: SourceId,
-    /// The service.
+    /// The record's service.
     pub service: ServiceId,
     /// The record's kind.
     pub kind: Kind,
@@ -48,36 +48,37 @@
     }
 }
 
-/// All differences between the model and the replica of a subscriber with this scope. `source_of` gives a service's source.
+/// Returns all differences between the model and the replica of a subscriber with this scope. `source_of`
+/// maps a service to its source.
 #[must_use]
 pub fn compare(
     model: &Model,
     scope: &BTreeSet<ServiceId>,
     source_of: impl Fn(ServiceId) -> SourceId,
-    held: &[ReplicaRecord],
+    replica: &[ReplicaRecord],
 ) -> Vec<Difference> {
     let mut differences = Vec::new();
-    let mut by_place: Vec<&ReplicaRecord> = held.iter().collect();
-    by_place.sort_unstable_by(|a, b| (a.service, a.kind, &a.name).cmp(&(b.service, b.kind, &b.name)));
-    let difference = |mismatch, h: &ReplicaRecord| Difference {
+    let mut by_key: Vec<&ReplicaRecord> = replica.iter().collect();
+    by_key.sort_unstable_by(|a, b| (a.service, a.kind, &a.name).cmp(&(b.service, b.kind, &b.name)));
+    let difference = |mismatch, record: &ReplicaRecord| Difference {
         mismatch,
-        source: h.source,
-        service: h.service,
-        kind: h.kind,
-        name: h.name.clone(),
+        source: record.source,
+        service: record.service,
+        kind: record.kind,
+        name: record.name.clone(),
     };
-    for pair in by_place.windows(2) {
+    for pair in by_key.windows(2) {
         if (pair[0].service, pair[0].kind, &pair[0].name) == (pair[1].service, pair[1].kind, &pair[1].name) {
-            differences.push(difference(Mismatch::Twice, pair[1]));
+            differences.push(difference(Mismatch::Duplicate, pair[1]));
         }
     }
     // Both sides are sorted by service, kind and name, so one merge pass visits each record once.
-    let mut upto = 0;
+    let mut end = 0;
     for &service in scope {
         let source = source_of(service);
-        let from = upto + by_place[upto..].partition_point(|h| h.service < service);
-        differences.extend(by_place[upto..from].iter().map(|h| difference(Mismatch::OutOfScope, h)));
-        upto = from + by_place[from..].partition_point(|h| h.service == service);
+        let start = end + by_key[end..].partition_point(|record| record.service < service);
+        differences.extend(by_key[end..start].iter().map(|record| difference(Mismatch::OutOfScope, record)));
+        end = start + by_key[start..].partition_point(|record| record.service == service);
         let records = model.get(&source).and_then(|model| model.services.get(&service));
         let mut expected = records.into_iter().flatten().filter(|(_, s)| s.state != State::Gone).peekable();
         let missing = |(kind, name): &(Kind, String)| Difference {
@@ -87,15 +88,16 @@
             kind: *kind,
             name: name.clone(),
         };
-        for record in &by_place[from..upto] {
-            let place = (record.kind, record.name.as_str());
-            while let Some((key, _)) = expected.next_if(|((kind, name), _)| (*kind, name.as_str()) < place) {
+        for record in &by_key[start..end] {
+            let position = (record.kind, record.name.as_str());
+            while let Some((key, _)) = expected.next_if(|((kind, name), _)| (*kind, name.as_str()) < position)
+            {
                 differences.push(missing(key));
             }
-            let current = expected.next_if(|((kind, name), _)| (*kind, name.as_str()) == place);
+            let current = expected.next_if(|((kind, name), _)| (*kind, name.as_str()) == position);
             let mismatch = match current {
-                None => Mismatch::NotThere,
-                Some(_) if record.source != source => Mismatch::NotThere,
+                None => Mismatch::Unexpected,
+                Some(_) if record.source != source => Mismatch::Unexpected,
                 Some((_, current)) if current.version != record.version => Mismatch::Version,
                 Some((_, current)) if current.state != record.state => Mismatch::State,
                 Some((_, current)) if current.body != record.body => Mismatch::Body,
@@ -105,15 +107,15 @@
         }
         differences.extend(expected.map(|(key, _)| missing(key)));
     }
-    differences.extend(by_place[upto..].iter().map(|h| difference(Mismatch::OutOfScope, h)));
+    differences.extend(by_key[end..].iter().map(|record| difference(Mismatch::OutOfScope, record)));
     differences
 }
 
-/// An entry of an agent's list: the backend's address, and its phase.
+/// An entry of an agent's discovery list: the backend's address, and its phase.
 pub type Entry = (String, String);
 
-/// Describes each entry that differs in the list that an agent of this scope serves by the discovery protocol. `address_of`
-/// gives the address of the backend with this name.
+/// Describes each entry that differs from the model in the list that an agent with this scope serves by the
+/// discovery protocol. `address_of` maps a backend's name to its address.
 #[must_use]
 pub fn compare_list(
     model: &Model,
@@ -138,6 +140,6 @@
         }
     }
     let ids: BTreeSet<&String> = expected.keys().chain(list.keys()).collect();
-    let differ = ids.into_iter().filter(|&id| expected.get(id) != list.get(id));
-    differ.map(|id| format!("{id} is {:?}, not {:?}", list.get(id), expected.get(id))).collect()
+    let differing = ids.into_iter().filter(|&id| expected.get(id) != list.get(id));
+    differing.map(|id| format!("{id} is {:?}, expected {:?}", list.get(id), expected.get(id))).collect()
 }
--- a/crates/testbed/src/scale/fleet/fault_injection.rs
+++ b/crates/testbed/src/scale/fleet/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Injects faults between a link and its subscriber, to prove that the checks find them. Does no I/O.
+//! Injects faults between a connection and its subscriber, to prove that the checks find them. Does no I/O.
 
 use super::messages::InjectedFault;
 use control_plane::message::Message;
@@ -6,18 +6,19 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// The simulated proxy with the injected fault: the first one of its process.
+/// Selects the one simulated proxy of a process that has the injected fault: the one with the smallest
+/// number.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultyProxy(Option<(u32, InjectedFault)>);
 
 impl FaultyProxy {
-    /// Assigns proxies by number, in one of several commands with the same fault.
+    /// Adds the proxies of one command. All commands of a process must carry the same fault.
     pub fn assign(&mut self, numbers: impl Iterator<Item = u32>, fault: InjectedFault) {
         let first = numbers.min().map(|first| (first, fault));
         self.0 = self.0.into_iter().chain(first).min_by_key(|&(number, _)| number);
     }
 
-    /// The fault of the proxy with this number.
+    /// The fault of the proxy with this number; [`InjectedFault::None`] for all but the selected one.
     #[must_use]
     pub fn fault_of(&self, number: u32) -> InjectedFault {
         self.0.filter(|(first, _)| *first == number).map_or(InjectedFault::None, |(_, fault)| fault)
@@ -29,26 +30,26 @@
 pub struct FaultInjector {
     injected_fault: InjectedFault,
     armed: bool,
-    /// The affected record. Its later versions are affected as well, else they would repair it.
+    /// The affected record. Its later versions are affected as well, otherwise they would repair it.
     target: Option<Key>,
     first_epochs: FxHashMap<SourceId, Epoch>,
 }
 
 impl FaultInjector {
-    /// An injector of this fault.
+    /// Creates an injector that is not armed yet.
     #[must_use]
-    pub fn new(plant: InjectedFault) -> Self {
-        Self { injected_fault: plant, armed: false, target: None, first_epochs: FxHashMap::default() }
+    pub fn new(fault: InjectedFault) -> Self {
+        Self { injected_fault: fault, armed: false, target: None, first_epochs: FxHashMap::default() }
     }
 
-    /// Allows records to be affected from now on.
+    /// Allows records to be dropped or corrupted from now on.
     pub fn arm(&mut self) {
         self.armed = true;
     }
 
-    /// The message as the link sends it.
+    /// Returns the subscriber's message as it is sent to the relay.
     #[must_use]
-    pub fn out(&self, mut message: Message) -> Message {
+    pub fn outgoing(&self, mut message: Message) -> Message {
         if let (InjectedFault::Scope, Message::Hello { scope: Scope::Services(services), .. }) =
             (self.injected_fault, &mut message)
         {
@@ -57,8 +58,8 @@
         message
     }
 
-    /// The message as the subscriber receives it; `None`: dropped.
-    pub fn pass(&mut self, mut message: Message) -> Option<Message> {
+    /// Returns the relay's message as the subscriber receives it; `None` if it is dropped.
+    pub fn incoming(&mut self, mut message: Message) -> Option<Message> {
         match self.injected_fault {
             InjectedFault::None => {}
             InjectedFault::Scope => remove_digest(&mut message),
@@ -68,7 +69,7 @@
         Some(message)
     }
 
-    /// Drops or corrupts one record: the first active one with a body.
+    /// Drops or corrupts every version of one record: the first active one with a body after arming.
     fn affect_record(&mut self, message: &mut Message) {
         remove_digest(message);
         let Message::Batch { records, .. } = message else { return };
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Replaces each epoch with the source's first one, and drops messages that would repair the difference.
+    /// Replaces each epoch with the source's first one, and drops messages that would repair the replica.
     fn hide_epoch(&mut self, mut message: Message) -> Option<Message> {
         remove_digest(&mut message);
         let (Message::Batch { source, epoch, .. }
@@ -100,14 +101,14 @@
             return Some(message);
         };
         let first = *self.first_epochs.entry(*source).or_insert(*epoch);
-        let renewed = *epoch > first;
+        let is_newer = *epoch > first;
         *epoch = first;
         let repairs = matches!(message, Message::DigestSummary { .. } | Message::ServiceSnapshot { .. });
-        (!renewed || !repairs).then_some(message)
+        (!is_newer || !repairs).then_some(message)
     }
 }
 
-/// Removes the digest of the scope from a message.
+/// Removes the scope's digest, which would reveal the fault to the subscriber.
 fn remove_digest(message: &mut Message) {
     if let Message::Batch { scope_digest, .. } = message {
         *scope_digest = None;
--- a/crates/testbed/src/scale/fleet/link_proxy.rs
+++ b/crates/testbed/src/scale/fleet/link_proxy.rs
@@ -1,5 +1,6 @@
-//! A TCP proxy between a relay and a source that can be interrupted: bytes sent during an interruption wait at its ends, as
-//! they would while segments are lost, and are delivered afterwards. New connections are accepted and stay silent.
+//! A TCP proxy between a relay and a source that can be interrupted. Bytes sent during an interruption stay
+//! in the buffers of both ends, as they do while segments are lost, and are delivered afterwards. New
+//! connections are accepted, but nothing is transferred.
 
 use std::cell::Cell;
 use std::io;
@@ -10,19 +11,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Size of the buffer of one transfer, bytes.
+/// Bytes read at once from one direction of a connection.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 #[derive(Debug, Default)]
-struct Gate {
-    cut: Cell<bool>,
+struct LinkState {
+    interrupted: Cell<bool>,
     changed: Notify,
-    carried: Cell<u64>,
+    bytes_from_source: Cell<u64>,
 }
 
-impl Gate {
-    async fn wait_until_open(&self) {
-        while self.cut.get() {
+impl LinkState {
+    async fn wait_while_interrupted(&self) {
+        while self.interrupted.get() {
             self.changed.notified().await;
         }
     }
@@ -33,75 +34,75 @@
 pub struct LinkProxy {
     /// The address at which the relay reaches the source.
     pub address: SocketAddr,
-    gate: Rc<Gate>,
+    state: Rc<LinkState>,
 }
 
 impl LinkProxy {
-    /// Starts a link to a source, on this thread's local tasks.
+    /// Starts a link to a source, in local tasks of this thread.
     ///
     /// # Errors
     /// If no listening socket can be opened.
     pub async fn start(source: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        let link_proxy = Self { address: listener.local_addr()?, gate: Rc::default() };
-        let gate = Rc::clone(&link_proxy.gate);
+        let link_proxy = Self { address: listener.local_addr()?, state: Rc::default() };
+        let state = Rc::clone(&link_proxy.state);
         tokio::task::spawn_local(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::task::spawn_local(forward_connection(Rc::clone(&gate), near, source));
+            while let Ok((relay_stream, _)) = listener.accept().await {
+                tokio::task::spawn_local(forward_connection(Rc::clone(&state), relay_stream, source));
             }
         });
         Ok(link_proxy)
     }
 
-    /// Interrupts the link, or restores it.
-    pub fn cut(&self, cut: bool) {
-        self.gate.cut.set(cut);
-        self.gate.changed.notify_waiters();
+    /// Interrupts the link (`true`) or restores it.
+    pub fn set_interrupted(&self, interrupted: bool) {
+        self.state.interrupted.set(interrupted);
+        self.state.changed.notify_waiters();
     }
 
     /// Bytes transferred from the source to the relay.
     #[must_use]
-    pub fn carried(&self) -> u64 {
-        self.gate.carried.get()
+    pub fn bytes_from_source(&self) -> u64 {
+        self.state.bytes_from_source.get()
     }
 }
 
-async fn forward_connection(gate: Rc<Gate>, near: TcpStream, source: SocketAddr) {
-    gate.wait_until_open().await;
+async fn forward_connection(state: Rc<LinkState>, relay_stream: TcpStream, source: SocketAddr) {
+    state.wait_while_interrupted().await;
     // If the source refuses the connection, the relay's connection is closed as well.
-    let Ok(far) = TcpStream::connect(source).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
+    let Ok(source_stream) = TcpStream::connect(source).await else { return };
+    let _ = (relay_stream.set_nodelay(true), source_stream.set_nodelay(true));
+    let (from_relay, to_relay) = relay_stream.into_split();
+    let (from_source, to_source) = source_stream.into_split();
     // The protocol has no half-closed connections: the end of one direction closes both.
     tokio::select! {
-        _ = forward_bytes(&gate, near_in, far_out, false) => {}
-        _ = forward_bytes(&gate, far_in, near_out, true) => {}
+        _ = forward_bytes(&state, from_relay, to_source, false) => {}
+        _ = forward_bytes(&state, from_source, to_relay, true) => {}
     }
 }
 
 async fn forward_bytes(
-    gate: &Gate,
+    state: &LinkState,
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    down: bool,
+    is_from_source: bool,
 ) -> io::Result<()> {
     let mut buffer = Vec::new();
     loop {
-        gate.wait_until_open().await;
+        state.wait_while_interrupted().await;
         buffer.clear();
         buffer.reserve(BUFFER_BYTES);
         if from.read_buf(&mut buffer).await? == 0 {
-            gate.wait_until_open().await;
+            state.wait_while_interrupted().await;
             return Ok(());
         }
-        gate.wait_until_open().await;
+        state.wait_while_interrupted().await;
         to.write_all(&buffer).await?;
-        if down {
-            gate.carried.set(gate.carried.get() + buffer.len() as u64);
+        if is_from_source {
+            state.bytes_from_source.set(state.bytes_from_source.get() + buffer.len() as u64);
         }
         if buffer.capacity() > 4_096 && buffer.len() < 4_096 {
-            // Frees the buffer: hundreds of links are idle most of the time.
+            // Hundreds of links are idle most of the time, so a large buffer is freed after a small transfer.
             buffer = Vec::new();
         }
     }
--- a/crates/testbed/src/scale/fleet/network.rs
+++ b/crates/testbed/src/scale/fleet/network.rs
@@ -19,9 +19,9 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Upper bound of reading all records of a source.
+/// Upper bound of the time to read all records of a source.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// Services in one snapshot request.
+/// Services in one snapshot request of the reader.
 const MAX_SERVICES_PER_REQUEST: usize = 500;
 
 struct Source {
@@ -34,11 +34,11 @@
 /// All sources, relays and links of a run.
 pub struct Network {
     sources: Vec<Source>,
-    /// By number.
+    /// The relays, by number.
     pub relays: Vec<ControlNode>,
-    // By relay, then source.
+    // By relay, then by source.
     links: Vec<Vec<LinkProxy>>,
-    /// The acknowledged changes.
+    /// The records and changes that the sources acknowledged.
     pub model: Model,
 }
 
@@ -46,7 +46,7 @@
     /// Starts sources, links and relays.
     ///
     /// # Errors
-    /// If one does not start.
+    /// If a process or a link does not start.
     pub async fn start(script: &ScaleScript, starter: &ProcessStarter<'_>) -> Result<Self, ScaleError> {
         let size = &script.size;
         let mut network =
@@ -88,7 +88,7 @@
         Ok(network)
     }
 
-    /// The relays of a region: name and address.
+    /// Name and address of each relay of a region.
     #[must_use]
     pub fn relays_of(&self, region: usize) -> Vec<(String, SocketAddr)> {
         let of_region =
@@ -96,13 +96,13 @@
         of_region.map(|relay| (relay.name.clone(), relay.address())).collect()
     }
 
-    /// Interrupts or restores all links between a region and the others, in both directions.
-    pub fn cut(&self, region: usize, cut: bool) {
+    /// Interrupts (`true`) or restores all links between a region and the others, in both directions.
+    pub fn set_isolated(&self, region: usize, isolated: bool) {
         for (relay, links) in self.links.iter().enumerate() {
             for (source, link) in links.iter().enumerate() {
-                let of = relay % self.sources.len();
-                if of != source && (of == region || source == region) {
-                    link.cut(cut);
+                let relay_region = relay % self.sources.len();
+                if relay_region != source && (relay_region == region || source == region) {
+                    link.set_interrupted(isolated);
                 }
             }
         }
@@ -111,7 +111,7 @@
     /// Writes changes to a source, and adds them to the model once they are acknowledged.
     ///
     /// # Errors
-    /// If the source does not acknowledge them.
+    /// If the source can't be reached or does not acknowledge them.
     pub async fn write(
         &mut self,
         source: usize,
@@ -119,121 +119,124 @@
         step: Option<usize>,
     ) -> Result<(), ScaleError> {
         let failed = |e: &dyn std::error::Error| ScaleError::Write(source, e.to_string());
-        let place = &mut self.sources[source];
-        if place.writer.is_none() {
-            place.writer = Some(Writer::connect(place.node.address()).await.map_err(|e| failed(&e))?);
+        let entry = &mut self.sources[source];
+        if entry.writer.is_none() {
+            entry.writer = Some(Writer::connect(entry.node.address()).await.map_err(|e| failed(&e))?);
         }
-        let Some(writer) = &mut place.writer else { return Ok(()) };
-        let at = messages::now();
+        let Some(writer) = &mut entry.writer else { return Ok(()) };
+        let written_at_us = messages::unix_time_us();
         let last = writer.write_parts(changes.clone()).await.map_err(|e| failed(&e))?;
         if let (Some(last), Some(model)) = (last, self.model.get_mut(&(source as SourceId))) {
-            model.record_write(&changes, last, at, step);
+            model.record_write(&changes, last, written_at_us, step);
         }
         Ok(())
     }
 
-    /// Saves a source's snapshot file: [`Network::kill_source`] restores it, so that later changes are lost.
+    /// Saves a copy of a source's snapshot file. [`Network::kill_source`] restores it, so that the source
+    /// loses the changes written in between.
     ///
     /// # Errors
     /// If the file can't be read.
-    pub fn keep(&mut self, source: usize) -> Result<(), ScaleError> {
-        let place = &mut self.sources[source];
-        place.saved_snapshot = Some(fs::read(&place.snapshot)?);
+    pub fn save_snapshot(&mut self, source: usize) -> Result<(), ScaleError> {
+        let entry = &mut self.sources[source];
+        entry.saved_snapshot = Some(fs::read(&entry.snapshot)?);
         Ok(())
     }
 
-    /// Kills a source, and restores its saved snapshot file.
+    /// Kills a source, and restores its snapshot file if a copy was saved.
     ///
     /// # Errors
     /// If the file can't be written.
     pub fn kill_source(&mut self, source: usize) -> Result<(), ScaleError> {
-        let place = &mut self.sources[source];
-        place.node.kill();
-        place.writer = None;
-        if let Some(saved) = place.saved_snapshot.take() {
-            fs::write(&place.snapshot, saved)?;
+        let entry = &mut self.sources[source];
+        entry.node.kill();
+        entry.writer = None;
+        if let Some(saved) = entry.saved_snapshot.take() {
+            fs::write(&entry.snapshot, saved)?;
         }
         Ok(())
     }
 
-    /// Starts a source again, and reads what it still has: that is the truth from now on, where it is something that was
-    /// said. Gives how many changes are lost.
+    /// Restarts a source, reads its records and resets the model to them, if they are the state after a
+    /// prefix of the acknowledged changes. Returns the number of lost changes.
     ///
     /// # Errors
-    /// Where it does not come up or can't be read; inside, where what it has was never said.
+    /// Outer: if the source does not start or can't be read. Inner: a description of how its records differ
+    /// from any acknowledged state.
     pub async fn restart_source(
         &mut self,
         source: usize,
         starter: &ProcessStarter<'_>,
     ) -> Result<Result<usize, String>, ScaleError> {
         self.sources[source].node.start(starter).await?;
-        let (replica, head) = self.read(source).await?;
+        let (replica, head) = self.read_records(source).await?;
         let Some(model) = self.model.get_mut(&(source as SourceId)) else { return Ok(Ok(0)) };
-        Ok(model.restarted(&replica, head).map_err(|disagreement| disagreement.0))
+        Ok(model.reset_to_restarted(&replica, head).map_err(|disagreement| disagreement.0))
     }
 
-    /// All records of a source, as it says them itself to somebody who knows nothing; and how far it is.
-    async fn read(&self, number: usize) -> Result<(Vec<ReplicaRecord>, Version), ScaleError> {
-        let failed = |why: String| ScaleError::Read(number, why);
+    /// Reads all records that are not gone from a source, as a new subscriber without a replica, and its
+    /// position.
+    async fn read_records(&self, number: usize) -> Result<(Vec<ReplicaRecord>, Version), ScaleError> {
+        let failed = |cause: String| ScaleError::Read(number, cause);
         let read =
             timeout(READ_TIMEOUT, read_all_records(number as SourceId, self.sources[number].node.address()));
         let (records, head) = read
             .await
-            .map_err(|_| failed(format!("not whole within {} s", READ_TIMEOUT.as_secs())))?
+            .map_err(|_| failed(format!("incomplete after {} s", READ_TIMEOUT.as_secs())))?
             .map_err(|e| failed(e.to_string()))?;
         let live = records.iter().filter(|record| record.state != State::Gone);
-        Ok((live.map(|record| ReplicaRecord::of(number as SourceId, record)).collect(), head))
+        Ok((live.map(|record| ReplicaRecord::from_record(number as SourceId, record)).collect(), head))
     }
 
-    /// Position of each source.
+    /// The position of each source in the model.
     #[must_use]
     pub fn heads(&self) -> BTreeMap<SourceId, Version> {
         self.model.iter().map(|(&source, model)| (source, model.head)).collect()
     }
 
-    /// Number of records of a complete replica with this scope.
+    /// Number of records in a complete replica with this scope.
     #[must_use]
-    pub fn records(&self, population: &Population, scope: &[u32]) -> u32 {
+    pub fn record_count(&self, population: &Population, scope: &[u32]) -> u32 {
         let live = |service: u32| {
             let source = population.region_of_service(service) as SourceId;
-            self.model.get(&source).map_or(0, |model| model.live(service))
+            self.model.get(&source).map_or(0, |model| model.live_records(service))
         };
         scope.iter().map(|&service| live(service) as u32).sum()
     }
 
-    /// Processor time so far (seconds), memory (bytes) and bytes received, of each relay.
+    /// Processor time so far (seconds), memory (bytes), and bytes received from sources, of each relay.
     #[must_use]
     pub fn relay_usage(&self) -> Vec<(f64, u64, u64)> {
         let usage = |(relay, links): (&ControlNode, &Vec<LinkProxy>)| {
-            let carried = links.iter().map(LinkProxy::carried).sum();
+            let received = links.iter().map(LinkProxy::bytes_from_source).sum();
             let (cpu, memory) = relay.program.as_ref().map_or((0.0, 0), |p| (p.cpu_s(), p.memory()));
-            (cpu, memory, carried)
+            (cpu, memory, received)
         };
         self.relays.iter().zip(&self.links).map(usage).collect()
     }
 
-    /// Processor time so far (seconds) and memory of each source.
+    /// Processor time so far (seconds) and memory (bytes) of each source.
     #[must_use]
     pub fn source_usage(&self) -> Vec<(f64, u64)> {
         let programs = self.sources.iter().map(|source| source.node.program.as_ref());
         programs.map(|p| p.map_or((0.0, 0), |p| (p.cpu_s(), p.memory()))).collect()
     }
 
-    /// Checks that all started programs run.
+    /// Checks that all started programs are running.
     ///
     /// # Errors
-    /// The first that has exited by itself.
-    pub fn run(&mut self) -> Result<(), ScaleError> {
+    /// The first program that has exited by itself.
+    pub fn check_running(&mut self) -> Result<(), ScaleError> {
         let sources = self.sources.iter_mut().map(|source| &mut source.node);
         let programs = sources.chain(&mut self.relays).filter_map(|node| node.program.as_mut());
         for program in programs {
-            program.runs()?;
+            program.check_running()?;
         }
         Ok(())
     }
 }
 
-/// Requests snapshots of all services of a source, which must not change meanwhile.
+/// Reads all records of a source by snapshot requests. The source must not receive changes meanwhile.
 async fn read_all_records(source: SourceId, address: SocketAddr) -> io::Result<(Vec<Record>, Version)> {
     let other = |e: CodecError| io::Error::other(e.to_string());
     let (from, to) = TcpStream::connect(address).await?.into_split();
@@ -243,34 +246,34 @@
         .await
         .map_err(other)?;
     let (mut records, mut head) = (Vec::new(), None);
-    let (mut missing, mut wanted) = (BTreeSet::new(), BTreeSet::new());
+    let (mut missing, mut requested) = (BTreeSet::new(), BTreeSet::new());
     loop {
         let message = from.read().await.map_err(other)?.ok_or(io::ErrorKind::UnexpectedEof)?;
         match message {
             Message::DigestSummary { range, to, digests, .. } => {
-                missing.extend(digests.into_iter().map(|one| one.service));
+                missing.extend(digests.into_iter().map(|digest| digest.service));
                 head = (range.last == ServiceId::MAX).then_some(to[0]);
             }
-            Message::ServiceSnapshot { service, through, records: some, .. } => {
-                records.extend(some);
+            Message::ServiceSnapshot { service, through, records: received, .. } => {
+                records.extend(received);
                 if through.is_none() {
-                    wanted.remove(&service);
+                    requested.remove(&service);
                 }
             }
-            Message::Batch { records: some, .. } if !some.is_empty() => {
-                return Err(io::Error::other("it changed while it was read"));
+            Message::Batch { records: received, .. } if !received.is_empty() => {
+                return Err(io::Error::other("its records changed while they were read"));
             }
             Message::Close { reason } => return Err(io::Error::other(reason)),
             _ => {}
         }
-        if let (Some(head), true) = (head, wanted.is_empty()) {
+        if let (Some(head), true) = (head, requested.is_empty()) {
             if missing.is_empty() {
                 return Ok((records, head));
             }
-            // A new request replaces the previous one.
-            wanted = missing.iter().copied().take(MAX_SERVICES_PER_REQUEST).collect();
-            missing.retain(|service| !wanted.contains(service));
-            let services = wanted.iter().copied().collect();
+            // A new snapshot request replaces the previous one, so it is sent only once that is answered.
+            requested = missing.iter().copied().take(MAX_SERVICES_PER_REQUEST).collect();
+            missing.retain(|service| !requested.contains(service));
+            let services = requested.iter().copied().collect();
             to.write(&Message::SnapshotRequest { source, services }).await.map_err(other)?;
         }
     }
--- a/crates/testbed/src/scale/fleet/programs.rs
+++ b/crates/testbed/src/scale/fleet/programs.rs
@@ -1,5 +1,5 @@
-//! Programs of a run: sources, relays, agents and hollow processes, each known by what `spawn` gave, each ended with the
-//! run.
+//! Child processes of a run: sources, relays, agents and processes of simulated proxies. Each one is killed
+//! when its handle is dropped.
 
 use super::ScaleError;
 use crate::address::ReservedPort;
@@ -15,27 +15,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// How long a program may take to listen; hundreds start on few cores.
+/// Upper bound of the time until a started program listens. It is long, because hundreds start on few cores.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Descriptors that a program of control may have: a connection for each of thousands of subscribers.
-const DESCRIPTORS: u64 = 8_192;
+/// Limit of file descriptors of a child process: a relay has a connection to each of thousands of
+/// subscribers.
+const MAX_DESCRIPTORS: u64 = 8_192;
+
 /// One running program.
 #[derive(Debug)]
 pub struct Program {
-    /// Its name, for messages.
+    /// The program's name in error messages, and the stem of its log file.
     pub name: String,
     child: Child,
     log: PathBuf,
-    stopped: bool,
+    suspended: bool,
 }
 
 impl Program {
-    /// Starts it. Has to be called on a thread that lives as long as the program is to.
+    /// Starts a program, with its log in `folder`. Must be called on a thread that lives as long as the
+    /// program is needed: the program is killed when that thread ends.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// If the log file can't be opened or the program can't be started.
     pub fn start(
-        keeper: &Path,
+        testbed: &Path,
         program: &Path,
         arguments: &[OsString],
         folder: &Folder,
@@ -44,7 +47,7 @@
         let log = folder.path().join(format!("{name}.log"));
         let failed = |error| ScaleError::Start(name.to_owned(), error);
         let file = File::options().create(true).append(true).open(&log).map_err(failed)?;
-        let child = process_guard::command(keeper, DESCRIPTORS, program)
+        let child = process_guard::command(testbed, MAX_DESCRIPTORS, program)
             .args(arguments)
             .env("RUST_LOG", "info")
             .stdin(Stdio::null())
@@ -52,70 +55,70 @@
             .stderr(file)
             .spawn()
             .map_err(failed)?;
-        Ok(Self { name: name.into(), child, log, stopped: false })
+        Ok(Self { name: name.into(), child, log, suspended: false })
     }
 
-    /// Waits until somebody listens there.
+    /// Waits until the program accepts connections at this address.
     ///
     /// # Errors
-    /// Where the program ends, or nobody does in time.
-    pub async fn listens(&mut self, address: SocketAddr) -> Result<(), ScaleError> {
+    /// If the program exits, or does not listen in time.
+    pub async fn wait_until_listening(&mut self, address: SocketAddr) -> Result<(), ScaleError> {
         let end = Instant::now() + READY_TIMEOUT;
         while TcpStream::connect(address).await.is_err() {
-            self.runs()?;
+            self.check_running()?;
             if Instant::now() > end {
-                return Err(self.failed("does not listen"));
+                return Err(self.failed("does not listen at its address"));
             }
             sleep(Duration::from_millis(20)).await;
         }
         Ok(())
     }
 
-    /// Whether it runs.
+    /// Checks that the program is running.
     ///
     /// # Errors
-    /// Where it has ended by itself.
-    pub fn runs(&mut self) -> Result<(), ScaleError> {
+    /// If it has exited by itself.
+    pub fn check_running(&mut self) -> Result<(), ScaleError> {
         match self.child.try_wait() {
             Ok(None) => Ok(()),
-            Ok(Some(status)) => Err(self.failed(&format!("ended by itself ({status})"))),
+            Ok(Some(status)) => Err(self.failed(&format!("exited by itself ({status})"))),
             Err(error) => Err(self.failed(&error.to_string())),
         }
     }
 
-    fn failed(&self, what: &str) -> ScaleError {
+    fn failed(&self, problem: &str) -> ScaleError {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().rev().take(3).collect();
         let last = lines.into_iter().rev().collect::<Vec<_>>().join(" | ");
-        ScaleError::Ended(self.name.clone(), what.into(), last)
+        ScaleError::ProgramFailed(self.name.clone(), problem.into(), last)
     }
 
     fn signal(&self, signal: Signal) {
         if let Ok(id) = i32::try_from(self.child.id()) {
-            // The id is this child's until it is waited for.
+            // The child has not been waited for, so the system has not reused its process id.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Makes it stand still, or go on.
-    pub fn stall(&mut self, stalled: bool) {
-        self.stopped = stalled;
-        self.signal(if stalled { Signal::SIGSTOP } else { Signal::SIGCONT });
+    /// Suspends the program (SIGSTOP), or resumes it (SIGCONT).
+    pub fn set_suspended(&mut self, suspended: bool) {
+        self.suspended = suspended;
+        self.signal(if suspended { Signal::SIGSTOP } else { Signal::SIGCONT });
     }
 
-    /// Kills it; it is gone when this returns.
+    /// Kills the program and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Its processor time so far, seconds.
+    /// Processor time so far, seconds; 0 if it can't be read.
     #[must_use]
     pub fn cpu_s(&self) -> f64 {
         cpu_s(self.child.id()).unwrap_or(0.0)
     }
 
-    /// Its memory, bytes.
+    /// Resident memory, bytes.
     #[must_use]
     pub fn memory(&self) -> u64 {
         memory(self.child.id())
@@ -124,40 +127,41 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        if self.stopped {
-            self.stall(false);
+        if self.suspended {
+            self.set_suspended(false);
         }
         self.kill();
     }
 }
 
-/// A program of control with its configuration and address, which stay the same over its lives.
+/// A source, relay or agent. Its configuration and address stay the same over restarts.
 #[derive(Debug)]
 pub struct ControlNode {
-    /// Its name.
+    /// The node's name in its configuration and in error messages.
     pub name: String,
     address: ReservedPort,
     role: &'static str,
     file: PathBuf,
-    /// While it runs.
+    /// The program; `None` until the first start and after a kill.
     pub program: Option<Program>,
 }
 
-/// What is needed to start one.
+/// Paths needed to start processes.
 pub struct ProcessStarter<'a> {
-    /// The rig's own program.
-    pub keeper: &'a Path,
-    /// Control's program.
-    pub control: &'a Path,
-    /// The run's folder.
+    /// The testbed's executable, which also guards the started processes.
+    pub testbed: &'a Path,
+    /// The control plane's executable.
+    pub control_plane: &'a Path,
+    /// The folder of the run's configurations, logs and snapshots.
     pub folder: &'a Folder,
 }
 
 impl ControlNode {
-    /// One that does not run yet. `config` makes its configuration from its address.
+    /// Reserves an address and writes the configuration, without starting the program. `config` returns the
+    /// configuration for the address.
     ///
     /// # Errors
-    /// Where it has no address, or its configuration can't be written.
+    /// If no port can be reserved, or the configuration can't be written.
     pub fn new(
         starter: &ProcessStarter<'_>,
         role: &'static str,
@@ -171,34 +175,34 @@
         Ok(Self { name: name.into(), address, role, file, program: None })
     }
 
-    /// Where it listens.
+    /// The address at which the node listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address.address()
     }
 
-    /// Starts it; it listens when this returns.
+    /// Starts the program and waits until it listens.
     ///
     /// # Errors
-    /// Where it does not.
+    /// If it can't be started, exits, or does not listen in time.
     pub async fn start(&mut self, starter: &ProcessStarter<'_>) -> Result<(), ScaleError> {
         let arguments = [self.role.into(), "--config".into(), self.file.clone().into_os_string()];
         let mut program =
-            Program::start(starter.keeper, starter.control, &arguments, starter.folder, &self.name)?;
-        program.listens(self.address()).await?;
+            Program::start(starter.testbed, starter.control_plane, &arguments, starter.folder, &self.name)?;
+        program.wait_until_listening(self.address()).await?;
         self.program = Some(program);
         Ok(())
     }
 
-    /// Kills it.
+    /// Kills the program and waits until it has exited.
     pub fn kill(&mut self) {
         self.program = None;
     }
 
-    /// Makes it stand still, or go on.
-    pub fn stall(&mut self, stalled: bool) {
+    /// Suspends the program, or resumes it. Without effect if it was not started.
+    pub fn set_suspended(&mut self, suspended: bool) {
         if let Some(program) = &mut self.program {
-            program.stall(stalled);
+            program.set_suspended(suspended);
         }
     }
 }
--- a/crates/testbed/src/scale/fleet/real_proxies.rs
+++ b/crates/testbed/src/scale/fleet/real_proxies.rs
@@ -1,5 +1,6 @@
-//! Real proxies beside the simulated ones: each with its agent, before test backends under load. All backends share one
-//! listener on all loopback addresses; the destination address identifies the backend.
+//! Real proxies in addition to the simulated ones: each has an agent, and forwards requests of test clients
+//! to test backends. All backends share one listener on all loopback addresses; the destination address
+//! identifies the backend.
 
 use super::ScaleError;
 use super::checker::Entry;
@@ -27,46 +28,50 @@
 
 /// Upper bound of the recorded arrivals.
 const MAX_ARRIVALS: usize = 2_000_000;
-/// Client connections to each proxy.
-const CLIENTS: usize = 4;
-/// How long a client waits beyond a request's deadline, and the deadline.
+/// Clients of each proxy, each with one connection.
+const CLIENTS_PER_PROXY: usize = 4;
+/// Response deadline of a request, milliseconds.
 const DEADLINE_MS: u64 = 1_000;
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
+/// Time after which a client gives up a request: 2 s after its deadline.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
+/// Upper bound of the backends' connections that are not accepted yet.
 const BACKLOG: u32 = 1_024;
 
-/// Counters and arrivals of clients and backends.
+/// State that clients and backends share: arrivals, and counters of requests.
 #[derive(Debug, Default)]
-struct Seen {
+struct SharedState {
+    /// Time (microseconds of Unix time) and number of the backend.
     arrivals: Mutex<Vec<(u64, u32)>>,
-    asked: AtomicU64,
+    sent: AtomicU64,
     served: AtomicU64,
-    refused: AtomicU64,
+    rejected: AtomicU64,
     failed: AtomicU64,
     unanswered: AtomicU64,
-    quiet: AtomicBool,
+    stopped: AtomicBool,
 }
 
-/// Outcomes of all requests.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Requests {
-    /// Asked.
+    /// Requests sent.
     pub asked: u64,
-    /// Answered by a backend.
+    /// Requests with a backend's response.
     pub served: u64,
-    /// Refused by the proxy.
+    /// Requests rejected by the proxy (429 or 503).
     pub refused: u64,
-    /// Answered otherwise.
+    /// Requests with any other response.
     pub failed: u64,
-    /// Never answered.
+    /// Requests without a response.
     pub unanswered: u64,
 }
 
-/// Test backends and clients, on a thread of their own.
+/// Test backends and clients, which run on a separate thread.
 pub struct TestBackends {
-    /// The port of all backends.
+    /// The port that all backends share.
     pub port: u16,
-    seen: Arc<Seen>,
-    load: UnboundedSender<(Vec<SocketAddr>, f64)>,
+    state: Arc<SharedState>,
+    // Addresses of proxies, and requests per second to each.
+    load_sender: UnboundedSender<(Vec<SocketAddr>, f64)>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -76,69 +81,70 @@
     /// # Errors
     /// If no listening socket can be opened.
     pub fn start() -> io::Result<Self> {
-        let (load, loads) = unbounded_channel();
-        let (said, port) = mpsc::channel();
-        let seen = Arc::<Seen>::default();
-        let shared = Arc::clone(&seen);
+        let (load_sender, load_receiver) = unbounded_channel();
+        let (port_sender, port) = mpsc::channel();
+        let state = Arc::<SharedState>::default();
+        let shared = Arc::clone(&state);
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let served = runtime.and_then(|runtime| {
+            let result = runtime.and_then(|runtime| {
                 LocalSet::new().block_on(&runtime, async {
                     let listener = listen()?;
-                    let _ = said.send(Ok(listener.local_addr()?.port()));
-                    stand(listener, loads, shared).await;
+                    let _ = port_sender.send(Ok(listener.local_addr()?.port()));
+                    run_backends_and_clients(listener, load_receiver, shared).await;
                     Ok(())
                 })
             });
-            if let Err(error) = served {
-                let _ = said.send(Err(error));
+            if let Err(error) = result {
+                let _ = port_sender.send(Err(error));
             }
         });
         let port = port.recv().map_err(io::Error::other)??;
-        Ok(Self { port, seen, load, thread: Some(thread) })
+        Ok(Self { port, state, load_sender, thread: Some(thread) })
     }
 
     /// Starts clients that send this many requests per second to each proxy.
-    pub fn ask(&self, proxies: Vec<SocketAddr>, per_s: f64) {
-        let _ = self.load.send((proxies, per_s));
+    pub fn start_clients(&self, proxies: Vec<SocketAddr>, per_s: f64) {
+        let _ = self.load_sender.send((proxies, per_s));
     }
 
-    /// Outcomes of the requests so far.
+    /// Number of requests so far, by outcome.
     #[must_use]
     pub fn requests(&self) -> Requests {
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Requests {
-            asked: count(&self.seen.asked),
-            served: count(&self.seen.served),
-            refused: count(&self.seen.refused),
-            failed: count(&self.seen.failed),
-            unanswered: count(&self.seen.unanswered),
+            asked: count(&self.state.sent),
+            served: count(&self.state.served),
+            refused: count(&self.state.rejected),
+            failed: count(&self.state.failed),
+            unanswered: count(&self.state.unanswered),
         }
     }
 
-    /// Stops sending requests.
-    pub fn rest(&self) {
-        self.seen.quiet.store(true, Ordering::Relaxed);
+    /// Stops the clients after their current requests.
+    pub fn stop_clients(&self) {
+        self.state.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Time (microseconds of Unix time) and backend of each arrival.
+    /// Time (microseconds of Unix time) and backend's number of each request that arrived at a backend.
+    /// Recording stops at `MAX_ARRIVALS`.
     #[must_use]
     pub fn arrivals(&self) -> Vec<(u64, u32)> {
-        self.seen.arrivals.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.state.arrivals.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
 impl Drop for TestBackends {
     fn drop(&mut self) {
         let (closed, _) = unbounded_channel();
-        self.load = closed;
+        self.load_sender = closed;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// A listener that only loopback reaches, on all of its addresses.
+/// Opens a listener on all loopback addresses, which is reachable by the loopback interface only.
 fn listen() -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.bind_device(Some(b"lo"))?;
@@ -146,35 +152,44 @@
     socket.listen(BACKLOG)
 }
 
-async fn stand(listener: TcpListener, mut loads: UnboundedReceiver<(Vec<SocketAddr>, f64)>, seen: Arc<Seen>) {
-    let backends = Arc::clone(&seen);
+async fn run_backends_and_clients(
+    listener: TcpListener,
+    mut load_receiver: UnboundedReceiver<(Vec<SocketAddr>, f64)>,
+    state: Arc<SharedState>,
+) {
+    let backend_state = Arc::clone(&state);
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::task::spawn_local(serve(stream, Arc::clone(&backends)));
+            tokio::task::spawn_local(run_backend_connection(stream, Arc::clone(&backend_state)));
         }
     });
-    while let Some((proxies, per_s)) = loads.recv().await {
+    while let Some((proxies, per_s)) = load_receiver.recv().await {
         for (number, proxy) in proxies.into_iter().enumerate() {
-            for client in 0..CLIENTS {
-                let place = (number * CLIENTS + client) as u64;
-                tokio::task::spawn_local(ask(proxy, per_s / CLIENTS as f64, place, Arc::clone(&seen)));
+            for client in 0..CLIENTS_PER_PROXY {
+                let client_number = (number * CLIENTS_PER_PROXY + client) as u64;
+                tokio::task::spawn_local(run_client(
+                    proxy,
+                    per_s / CLIENTS_PER_PROXY as f64,
+                    client_number,
+                    Arc::clone(&state),
+                ));
             }
         }
     }
 }
 
-async fn serve(mut stream: TcpStream, seen: Arc<Seen>) {
+async fn run_backend_connection(mut stream: TcpStream, state: Arc<SharedState>) {
     let number = stream.local_addr().ok().and_then(|address| match address {
-        SocketAddr::V4(address) => Population::number(*address.ip()),
+        SocketAddr::V4(address) => Population::backend_number(*address.ip()),
         SocketAddr::V6(_) => None,
     });
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     while let Ok(Some(_)) = http1::read(&mut stream, &mut buffer, http1::MessageKind::Request).await {
         if let Some(number) = number {
-            let mut arrivals = seen.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut arrivals = state.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
             if arrivals.len() < MAX_ARRIVALS {
-                arrivals.push((messages::now(), number as u32));
+                arrivals.push((messages::unix_time_us(), number as u32));
             }
         }
         if http1::write_response(&mut stream, "200 OK", "", b"served").await.is_err() {
@@ -183,60 +198,61 @@
     }
 }
 
-/// One client: one request at a time on one connection, which is reopened after an error.
-async fn ask(proxy: SocketAddr, per_s: f64, place: u64, seen: Arc<Seen>) {
+/// Runs one client: sends one request at a time on one connection, which is reopened after an error.
+async fn run_client(proxy: SocketAddr, per_s: f64, client_number: u64, state: Arc<SharedState>) {
     let add = |counter: &AtomicU64| counter.fetch_add(1, Ordering::Relaxed);
     let pause = Duration::from_secs_f64(1.0 / per_s.max(0.01));
-    sleep(pause.mul_f64((place % 16) as f64 / 16.0)).await;
+    sleep(pause.mul_f64((client_number % 16) as f64 / 16.0)).await;
     let mut connection: Option<TcpStream> = None;
-    let mut number = place << 32;
-    while !seen.quiet.load(Ordering::Relaxed) {
-        number += 1;
-        let once = async {
+    let mut request_number = client_number << 32;
+    while !state.stopped.load(Ordering::Relaxed) {
+        request_number += 1;
+        let exchange = async {
             let mut stream = match connection.take() {
                 Some(stream) => stream,
                 None => TcpStream::connect(proxy).await?,
             };
             let request = format!(
-                "GET /read?key={number:x} HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {number:016x}\r\n\
+                "GET /read?key={request_number:x} HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {request_number:016x}\r\n\
                  X-Service-Class: read\r\nX-Time-Left-Ms: {DEADLINE_MS}\r\n\r\n"
             );
             stream.write_all(request.as_bytes()).await?;
-            let answer = http1::read(&mut stream, &mut Vec::new(), http1::MessageKind::Response).await?;
-            Ok::<_, io::Error>((stream, answer))
+            let response = http1::read(&mut stream, &mut Vec::new(), http1::MessageKind::Response).await?;
+            Ok::<_, io::Error>((stream, response))
         };
-        add(&seen.asked);
-        match timeout(ANSWER_TIMEOUT, once).await {
-            Ok(Ok((stream, Some(answer)))) => {
-                match (answer.status, answer.body.as_slice()) {
-                    (200, b"served") => add(&seen.served),
-                    (429 | 503, _) => add(&seen.refused),
-                    _ => add(&seen.failed),
+        add(&state.sent);
+        match timeout(RESPONSE_TIMEOUT, exchange).await {
+            Ok(Ok((stream, Some(response)))) => {
+                match (response.status, response.body.as_slice()) {
+                    (200, b"served") => add(&state.served),
+                    (429 | 503, _) => add(&state.rejected),
+                    _ => add(&state.failed),
                 };
-                connection = (!answer.closes()).then_some(stream);
+                connection = (!response.closes()).then_some(stream);
             }
-            // The proxy closes idle connections as clients ask: nobody took that request.
+            // No response: the request failed or timed out, or the proxy closed an idle connection while the
+            // request was sent.
             Ok(Ok((_, None)) | Err(_)) | Err(_) => {
-                add(&seen.unanswered);
+                add(&state.unanswered);
             }
         }
         sleep(pause).await;
     }
 }
 
-/// The proxies and their agents.
+/// Real proxies and their agents.
 pub struct RealProxies {
     agents: Vec<ControlNode>,
     processes: Vec<Process>,
-    // Their addresses are theirs while this lives.
-    places: Vec<ProxyInstance>,
+    // Reserve the addresses of the proxies.
+    instances: Vec<ProxyInstance>,
 }
 
 impl RealProxies {
-    /// Starts agents, then proxies, and waits until these are ready.
+    /// Starts the agents, then the proxies, and waits until the proxies are ready.
     ///
     /// # Errors
-    /// Where one is not.
+    /// If an agent or proxy can't be started, or a proxy does not become ready.
     pub async fn start(
         population: &Population,
         network: &Network,
@@ -254,7 +270,7 @@
             population.zones(),
         );
         let script = Script::parse(&text, Path::new("real proxies"))?;
-        let mut real = Self { agents: Vec::new(), processes: Vec::new(), places: Vec::new() };
+        let mut real = Self { agents: Vec::new(), processes: Vec::new(), instances: Vec::new() };
         for (number, proxy) in population.proxies[population.simulated..].iter().enumerate() {
             let name = format!("agent-{number}");
             let relays = network.relays_of(population.region_of_zone(proxy.zone));
@@ -276,43 +292,47 @@
             real.agents.push(agent);
         }
         for (number, agent) in real.agents.iter().enumerate() {
-            let mut place = ProxyInstance::new(starter.folder, number, agent.address())?;
-            let nothing = json!({"revision": 0, "complete": true, "members": []});
-            real.processes.push(place.start(&script, machine, &nothing)?);
-            real.places.push(place);
+            let mut instance = ProxyInstance::new(starter.folder, number, agent.address())?;
+            let empty_list = json!({"revision": 0, "complete": true, "members": []});
+            real.processes.push(instance.start(&script, machine, &empty_list)?);
+            real.instances.push(instance);
         }
         for (number, process) in real.processes.iter_mut().enumerate() {
             if !process.is_ready().await {
                 let last = process.log_tail();
-                return Err(ScaleError::Ended(format!("proxy {number}"), "is not ready".into(), last));
+                return Err(ScaleError::ProgramFailed(
+                    format!("proxy {number}"),
+                    "did not become ready".into(),
+                    last,
+                ));
             }
         }
         Ok(real)
     }
 
-    /// Where clients reach the proxies.
+    /// The addresses at which clients reach the proxies.
     #[must_use]
     pub fn proxies(&self) -> Vec<SocketAddr> {
-        self.places.iter().map(ProxyInstance::listen).collect()
+        self.instances.iter().map(ProxyInstance::listen).collect()
     }
 
-    /// What an agent serves to its proxy: the whole list, by id.
+    /// Reads the complete discovery list that an agent serves to its proxy, by id.
     ///
     /// # Errors
-    /// Where it serves none.
-    pub async fn list(&self, number: usize) -> Result<BTreeMap<String, Entry>, ScaleError> {
+    /// If the agent does not serve a list in time.
+    pub async fn discovery_list(&self, number: usize) -> Result<BTreeMap<String, Entry>, ScaleError> {
         let agent = &self.agents[number];
-        let failed = |what: String| ScaleError::Ended(agent.name.clone(), what, String::new());
+        let failed = |problem: String| ScaleError::ProgramFailed(agent.name.clone(), problem, String::new());
         let read = async {
             let mut stream = TcpStream::connect(agent.address()).await?;
             stream.write_all(b"GET /discovery/hosts HTTP/1.1\r\nHost: rig\r\n\r\n").await?;
             http1::read(&mut stream, &mut Vec::new(), http1::MessageKind::Response).await
         };
-        let answer = timeout(ANSWER_TIMEOUT, read).await.map_err(|e| failed(e.to_string()))?;
-        let answer = answer?.filter(|answer| answer.status == 200);
-        let answer = answer.ok_or_else(|| failed("serves no list".into()))?;
-        let list: Value = serde_json::from_slice(&answer.body).map_err(|e| failed(e.to_string()))?;
-        let members = list["members"].as_array().ok_or_else(|| failed("serves no list".into()))?;
+        let response = timeout(RESPONSE_TIMEOUT, read).await.map_err(|e| failed(e.to_string()))?;
+        let response = response?.filter(|response| response.status == 200);
+        let response = response.ok_or_else(|| failed("serves no discovery list".into()))?;
+        let list: Value = serde_json::from_slice(&response.body).map_err(|e| failed(e.to_string()))?;
+        let members = list["members"].as_array().ok_or_else(|| failed("serves no discovery list".into()))?;
         let text = |member: &Value, key: &str| member[key].as_str().unwrap_or_default().to_owned();
         let entry = |m: &Value| (text(m, "id"), (text(m, "host_port"), text(m, "phase")));
         Ok(members.iter().map(entry).collect())
@@ -324,25 +344,25 @@
         self.processes.iter().map(Process::memory).sum()
     }
 
-    /// Processor time so far (seconds) and memory of each agent.
+    /// Processor time so far (seconds) and memory (bytes) of each agent.
     #[must_use]
     pub fn agent_usage(&self) -> Vec<(f64, u64)> {
         let programs = self.agents.iter().filter_map(|agent| agent.program.as_ref());
         programs.map(|program| (program.cpu_s(), program.memory())).collect()
     }
 
-    /// Whether all of them run.
+    /// Checks that all agents and proxies are running.
     ///
     /// # Errors
-    /// The first that has ended.
-    pub fn run(&mut self) -> Result<(), ScaleError> {
+    /// The first process that has exited.
+    pub fn check_running(&mut self) -> Result<(), ScaleError> {
         for program in self.agents.iter_mut().filter_map(|agent| agent.program.as_mut()) {
-            program.runs()?;
+            program.check_running()?;
         }
         for (number, process) in self.processes.iter_mut().enumerate() {
             if let Some(status) = process.ended() {
-                let (what, last) = (format!("ended by itself ({status})"), process.log_tail());
-                return Err(ScaleError::Ended(format!("proxy {number}"), what, last));
+                let (problem, last) = (format!("exited by itself ({status})"), process.log_tail());
+                return Err(ScaleError::ProgramFailed(format!("proxy {number}"), problem, last));
             }
         }
         Ok(())
--- a/crates/testbed/src/scale/fleet/run.rs
+++ b/crates/testbed/src/scale/fleet/run.rs
@@ -1,4 +1,4 @@
-//! A run, from the start of its first process to the exit of the last.
+//! Plays a script, from the start of the first process to the exit of the last.
 
 mod convergence;
 mod faults;
@@ -6,7 +6,7 @@
 
 use super::ScaleError;
 use super::lists;
-use super::messages::{InjectedFault, SimulatedProxySpec, now};
+use super::messages::{InjectedFault, SimulatedProxySpec, unix_time_us};
 use super::network::Network;
 use super::plan::{PlannedChange, ScalePlan};
 use super::population::Population;
@@ -20,7 +20,7 @@
 use super::stale_sends::find_stale_sends;
 use crate::fleet::{Folder, Machine, process_guard};
 use control_plane::record::{Change, Key, Kind, ServiceId, State};
-use measurement::{slowest, step_costs};
+use measurement::{slowest_fill_s, step_costs};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -35,16 +35,16 @@
 pub struct RunOptions {
     /// The control plane's executable.
     pub control: PathBuf,
-    /// The proxy's executable, the testbed's own, and the proxies' resource limits.
+    /// The proxy's executable, the testbed's executable, and the proxies' resource limits.
     pub machine: Machine,
     /// Numbers of backends for which the cost of a complete discovery list is measured at the end.
     pub lists: Vec<usize>,
 }
 
-/// Plays a script. All processes that it starts have exited when it returns, also on an error.
+/// Plays a script. All processes that it starts have exited when it returns, also after an error.
 ///
 /// # Errors
-/// If the script can't be played to its end. Violated invariants are no errors: the report lists them.
+/// If the script can't be played to its end. Violations of invariants are no errors: the report lists them.
 pub fn play(script: &ScaleScript, options: &RunOptions) -> Result<Report, ScaleError> {
     script.check()?;
     process_guard::all_descriptors()?;
@@ -70,16 +70,18 @@
     population: Population,
     plan: ScalePlan,
     next_change: usize,
+    /// Changes to be written once the stopped source is restarted.
     deferred: Vec<PlannedChange>,
     stopped_source: Option<usize>,
     lost_zone: Option<usize>,
+    /// Number of configurations written so far, which makes each body unique.
     configurations: u64,
     test_backends: TestBackends,
     network: Network,
     simulated_proxies: SimulatedProxies,
-    real: Option<RealProxies>,
+    real_proxies: Option<RealProxies>,
     reachability: Reachability,
-    in_force: Propagation,
+    propagation: Propagation,
     report: Report,
 }
 
@@ -88,10 +90,10 @@
 struct StepOutcome {
     /// Proxies that were restarted.
     restarted: Vec<u32>,
-    /// Changes that the restarted source has lost.
-    lost: usize,
-    /// Start of a zone's outage, in microseconds of Unix time.
-    zone_outage_start: Option<u64>,
+    /// Number of changes that the restarted source lost.
+    lost_changes: usize,
+    /// Start of a zone's outage, microseconds of Unix time.
+    zone_outage_start_us: Option<u64>,
 }
 
 impl<'a> Run<'a> {
@@ -103,7 +105,8 @@
         let population = Population::draw(script);
         let plan = ScalePlan::draw(script, &population);
         let reachability = Reachability::new(&population, script.size.processes);
-        let starter = ProcessStarter { keeper: &options.machine.keeper, control: &options.control, folder };
+        let starter =
+            ProcessStarter { testbed: &options.machine.keeper, control_plane: &options.control, folder };
         let test_backends = TestBackends::start()?;
         let network = Network::start(script, &starter).await?;
         let mut simulated_proxies =
@@ -121,7 +124,7 @@
             title: script.title.clone(),
             seed: script.seed,
             size: (population.simulated, population.backends.len()),
-            real: script.size.real,
+            real_proxies: script.size.real_proxies,
             relays: script.size.relays,
             ..Report::default()
         };
@@ -139,9 +142,9 @@
             test_backends,
             network,
             simulated_proxies,
-            real: None,
+            real_proxies: None,
             reachability,
-            in_force: Propagation::default(),
+            propagation: Propagation::default(),
             report,
         })
     }
@@ -152,11 +155,11 @@
 
     fn backend(&self, number: usize, state: State) -> Change {
         let service = self.population.backends[number].service;
-        let key = Key { service, kind: Kind::Backend, name: Population::name(number) };
+        let key = Key { service, kind: Kind::Backend, name: Population::backend_name(number) };
         let body = match state {
             State::Gone => Arc::from([]),
             State::Active | State::Draining => {
-                self.population.body(number, self.test_backends.port, now() / 1_000)
+                self.population.backend_body(number, self.test_backends.port, unix_time_us() / 1_000)
             }
         };
         Change { key, state, body }
@@ -182,79 +185,83 @@
         Ok(())
     }
 
-    /// Writes all backends, then starts all simulated proxies at once and waits until they have converged.
+    /// Writes all backends, starts all simulated proxies at once, waits until they have converged, and then
+    /// starts the real proxies.
     async fn start_fleet(&mut self) -> Result<(), ScaleError> {
-        let all = (0..self.population.backends.len()).map(|number| self.backend(number, State::Active));
-        let all = all.collect();
-        self.write(all, None).await?;
-        let began = now();
+        let backends = (0..self.population.backends.len()).map(|number| self.backend(number, State::Active));
+        let backends = backends.collect();
+        self.write(backends, None).await?;
+        let started_us = unix_time_us();
         let numbers: Vec<u32> = (0..self.population.simulated as u32).collect();
         self.restart_proxies(&numbers).await?;
-        let behind = self.wait_until_converged().await?.1;
-        if let Some(example) = behind {
-            return Err(ScaleError::NotWhole(self.script.patience_s, example));
+        let lagging = self.wait_until_converged().await?.1;
+        if let Some(example) = lagging {
+            return Err(ScaleError::NotConverged(self.script.convergence_timeout_s, example));
         }
-        let took = (now() - began) as f64 / 1e6;
-        let costs = self.simulated_proxies.costs().await?;
-        self.report.filling = ReceiveRate::new(&costs.each, took);
-        self.report.full_s = slowest(&costs.each, &numbers);
-        self.compare_records("at the beginning").await?;
-        if self.script.size.real > 0 {
+        let elapsed_s = (unix_time_us() - started_us) as f64 / 1e6;
+        let costs = self.simulated_proxies.take_costs().await?;
+        self.report.initial_receive_rate = ReceiveRate::new(&costs.each, elapsed_s);
+        self.report.initial_fill_s = slowest_fill_s(&costs.each, &numbers);
+        self.compare_records("before the first step").await?;
+        if self.script.size.real_proxies > 0 {
             let (population, seed) = (&self.population, self.script.seed);
             let machine = &self.options.machine;
-            let real = RealProxies::start(population, &self.network, &self.starter, machine, seed).await?;
-            self.test_backends.ask(real.proxies(), self.script.size.requests_per_s);
-            self.real = Some(real);
+            let real_proxies =
+                RealProxies::start(population, &self.network, &self.starter, machine, seed).await?;
+            self.test_backends.start_clients(real_proxies.proxies(), self.script.size.requests_per_s);
+            self.real_proxies = Some(real_proxies);
         }
-        self.simulated_proxies.begin().await
+        self.simulated_proxies.start_counting().await
     }
 
     async fn restart_proxies(&mut self, numbers: &[u32]) -> Result<(), ScaleError> {
-        let expected = |&number: &u32| {
+        let with_record_count = |&number: &u32| {
             let scope = &self.population.proxies[number as usize].scope;
-            (number, self.network.records(&self.population, scope))
+            (number, self.network.record_count(&self.population, scope))
         };
-        let all: Vec<(u32, u32)> = numbers.iter().map(expected).collect();
+        let all: Vec<(u32, u32)> = numbers.iter().map(with_record_count).collect();
         self.simulated_proxies.restart(all.into_iter()).await
     }
 
-    /// Plays a step, waits until the fleet has converged, compares all replicas and adds the step's row to the report.
+    /// Plays a step, waits until the fleet has converged, compares all replicas and adds the step's row to
+    /// the report.
     async fn step(&mut self, number: usize) -> Result<(), ScaleError> {
         let step = self.script.step[number];
-        let name = format!("{number} {}", step.what.name());
-        self.simulated_proxies.costs().await?;
+        let name = format!("{number} {}", step.kind.name());
+        self.simulated_proxies.take_costs().await?;
         let before = self.usage();
-        let began = Instant::now();
+        let started = Instant::now();
         let outcome = self.play_step(number, &step).await?;
-        let seconds = began.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         let after = self.usage();
-        let costs = self.simulated_proxies.costs().await?;
-        let (quiet_s, behind) = self.wait_until_converged().await?;
-        if let Some(example) = behind {
-            self.report.breaks.push(format!("{name}: not as far as their sources: {example}"));
+        let costs = self.simulated_proxies.take_costs().await?;
+        let (convergence_s, lagging) = self.wait_until_converged().await?;
+        if let Some(example) = lagging {
+            self.report.violations.push(format!("{name}: behind their sources: {example}"));
         }
         let compared = self.compare_records(&name).await?;
         let lists_compared = self.compare_lists(&name).await?;
-        if let Some(from) = outcome.zone_outage_start {
+        if let Some(from_us) = outcome.zone_outage_start_us {
             self.reachability.outages.push(Outage {
-                target: OutageTarget::Zone(step.which),
-                from,
-                to: now(),
+                target: OutageTarget::Zone(step.target),
+                from_us,
+                to_us: unix_time_us(),
             });
         }
         self.collect_tallies(&name).await?;
         // A proxy that restarted late in the step may have become complete only during convergence.
-        let costs_after = self.simulated_proxies.costs().await?;
-        self.record_violations(&name, &costs_after.breaks);
+        let costs_after = self.simulated_proxies.take_costs().await?;
+        self.record_violations(&name, &costs_after.violations);
         self.check_processes()?;
-        let restarted = &outcome.restarted;
-        let anew = (!restarted.is_empty()).then(|| (restarted.len(), slowest(&costs_after.each, restarted)));
+        let numbers = &outcome.restarted;
+        let restarted =
+            (!numbers.is_empty()).then(|| (numbers.len(), slowest_fill_s(&costs_after.each, numbers)));
         let row = StepRow {
             name,
-            times: step.times,
-            quiet_s,
-            anew,
-            lost: outcome.lost,
+            rate_factor: step.rate_factor,
+            convergence_s,
+            restarted,
+            lost_changes: outcome.lost_changes,
             compared,
             lists_compared,
             ..step_costs(&before, &after, &costs, seconds)
@@ -263,14 +270,16 @@
         self.check_memory()
     }
 
-    /// Takes over what came into force in each process since the last call.
+    /// Adds the updates of all processes since the last call.
     async fn collect_tallies(&mut self, step_name: &str) -> Result<(), ScaleError> {
-        let (tallies, forgotten) = self.simulated_proxies.tallies().await?;
+        let (tallies, uncounted) = self.simulated_proxies.take_tallies().await?;
         for (process, tallies) in tallies.iter().enumerate() {
-            self.in_force.take(&self.network.model, process as u16, tallies);
+            self.propagation.add_tallies(&self.network.model, process as u16, tallies);
         }
-        if forgotten > 0 {
-            self.report.breaks.push(format!("{step_name}: {forgotten} counts found no place"));
+        if uncounted > 0 {
+            self.report
+                .violations
+                .push(format!("{step_name}: {uncounted} updates exceeded the bound of the tallies"));
         }
         Ok(())
     }
@@ -278,28 +287,31 @@
     fn record_violations(&mut self, step_name: &str, violations: &[(u32, String)]) {
         let texts = violations.iter().map(|(proxy, what)| format!("{step_name}: proxy {proxy}: {what}"));
         let unrecorded: Vec<String> = texts.filter(|text| !self.is_recorded(text)).collect();
-        self.report.breaks.extend(unrecorded);
+        self.report.violations.extend(unrecorded);
     }
 
     /// # Errors
     /// The first process that has exited by itself.
     fn check_processes(&mut self) -> Result<(), ScaleError> {
-        self.network.run()?;
-        self.simulated_proxies.run()?;
-        self.real.as_mut().map_or(Ok(()), RealProxies::run)
+        self.network.check_running()?;
+        self.simulated_proxies.check_running()?;
+        self.real_proxies.as_mut().map_or(Ok(()), RealProxies::check_running)
     }
 
     async fn end(mut self) -> Result<Report, ScaleError> {
-        self.test_backends.rest();
-        let all = self.in_force.changes(&self.network.model, &self.reachability);
+        self.test_backends.stop_clients();
+        let all = self.propagation.changes(&self.network.model, &self.reachability);
         for number in 0..self.report.steps.len() {
-            let in_force = summary(&all, number, |reached| reached.after);
-            let written = summary(&all, number, |reached| reached.after_written);
+            let propagation = summary(&all, number, |change| change.from_reachable_us);
+            let from_write = summary(&all, number, |change| change.from_write_us);
             let row = &mut self.report.steps[number];
-            (row.in_force, row.written) = (in_force, written);
-            if in_force.never > 0 && self.script.injected_fault == InjectedFault::None {
-                let text = format!("{}: {} changes never came into force", row.name, in_force.never);
-                self.report.breaks.push(text);
+            (row.propagation, row.propagation_from_write) = (propagation, from_write);
+            if propagation.never_received > 0 && self.script.injected_fault == InjectedFault::None {
+                let text = format!(
+                    "{}: {} changes never reached all subscribers",
+                    row.name, propagation.never_received
+                );
+                self.report.violations.push(text);
             }
         }
         let stale_sends = find_stale_sends(
@@ -308,7 +320,7 @@
             &self.population,
             &self.reachability,
         );
-        self.report.breaks.extend(stale_sends);
+        self.report.violations.extend(stale_sends);
         self.report.requests = self.test_backends.requests();
         for &backends in &self.options.lists {
             let row = lists::measure(self.starter.folder, &self.options.machine, backends).await?;
--- a/crates/testbed/src/scale/fleet/run/faults.rs
+++ b/crates/testbed/src/scale/fleet/run/faults.rs
@@ -1,8 +1,8 @@
-//! Plays one step: writes the planned changes when they are due, and injects the step's fault.
+//! Plays one step: writes the planned changes at their times, and injects the step's fault.
 
 use super::{Run, StepOutcome};
 use crate::scale::fleet::ScaleError;
-use crate::scale::fleet::messages::now;
+use crate::scale::fleet::messages::unix_time_us;
 use crate::scale::fleet::plan::PlannedChange;
 use crate::scale::fleet::reachability::{Outage, OutageTarget};
 use crate::scale::fleet::script::{Step, StepKind};
@@ -12,43 +12,45 @@
 
 /// Time between two checks for changes that are due.
 const CHANGE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Drains, and configurations, that a source writes after its last snapshot and before it is killed.
+/// Upper bounds of the drains and of the configurations that are written to a source after its saved snapshot
+/// and before it is killed.
 const MAX_UNSAVED_CHANGES: usize = 3;
 
 impl Run<'_> {
     /// Writes changes for the duration of the step, and injects its fault meanwhile.
     pub(super) async fn play_step(&mut self, number: usize, step: &Step) -> Result<StepOutcome, ScaleError> {
-        let base: f64 = self.script.step[..number].iter().map(|step| step.seconds).sum();
-        let moments = [Step::LEAD_S, Step::LEAD_S + step.for_s / 2.0, Step::LEAD_S + step.for_s];
-        let (mut moment, mut outcome) = (0, StepOutcome::default());
-        let began = Instant::now();
+        let step_start_s: f64 = self.script.step[..number].iter().map(|step| step.seconds).sum();
+        let phase_times_s = [Step::LEAD_S, Step::LEAD_S + step.fault_s / 2.0, Step::LEAD_S + step.fault_s];
+        let (mut phase, mut outcome) = (0, StepOutcome::default());
+        let started = Instant::now();
         loop {
-            let passed = began.elapsed().as_secs_f64();
-            while moments.get(moment).is_some_and(|&at| at <= passed) {
-                self.fault(number, step, moment, &mut outcome).await?;
-                moment += 1;
+            let elapsed_s = started.elapsed().as_secs_f64();
+            while phase_times_s.get(phase).is_some_and(|&at| at <= elapsed_s) {
+                self.run_fault_phase(number, step, phase, &mut outcome).await?;
+                phase += 1;
             }
-            let upto = ((base + passed.min(step.seconds)) * 1e6) as u64;
+            let end_us = ((step_start_s + elapsed_s.min(step.seconds)) * 1e6) as u64;
             let mut due =
                 if self.stopped_source.is_none() { std::mem::take(&mut self.deferred) } else { Vec::new() };
             while let Some(&(at, change)) =
-                self.plan.changes.get(self.next_change).filter(|(at, _)| *at < upto)
+                self.plan.changes.get(self.next_change).filter(|(at, _)| *at < end_us)
             {
-                debug_assert!(at < upto);
+                debug_assert!(at < end_us);
                 self.next_change += 1;
                 due.push(change);
             }
-            let changes = due.into_iter().filter_map(|change| self.change(change)).collect();
+            let changes = due.into_iter().filter_map(|change| self.change_to_write(change)).collect();
             self.write(changes, Some(number)).await?;
-            if passed >= step.seconds && moment == moments.len() {
+            if elapsed_s >= step.seconds && phase == phase_times_s.len() {
                 return Ok(outcome);
             }
             sleep(CHANGE_POLL_INTERVAL).await;
         }
     }
 
-    /// The change to write now: none if its source is stopped (then it is deferred) or its zone is lost.
-    fn change(&mut self, change: PlannedChange) -> Option<Change> {
+    /// Returns the change to write now: none if its source is stopped (then it is deferred) or its zone is
+    /// lost.
+    fn change_to_write(&mut self, change: PlannedChange) -> Option<Change> {
         let (service, zone) = match change {
             PlannedChange::Backend { number, .. } => {
                 let instance = self.population.backends[number];
@@ -67,17 +69,17 @@
         }
     }
 
-    /// Plays one moment of a step's fault: 0 begins it, 1 is half through, 2 ends it.
-    async fn fault(
+    /// Executes one phase of a step's fault: 0 is its start, 1 its middle, 2 its end.
+    async fn run_fault_phase(
         &mut self,
         number: usize,
         step: &Step,
-        moment: usize,
+        phase: usize,
         outcome: &mut StepOutcome,
     ) -> Result<(), ScaleError> {
-        match moment {
+        match phase {
             0 => self.begin_fault(number, step, outcome).await,
-            1 if step.what == StepKind::SourceRestarted => self.stop_source(number, step.which).await,
+            1 if step.kind == StepKind::SourceRestarted => self.stop_source(number, step.target).await,
             2 => self.end_fault(number, step, outcome).await,
             _ => Ok(()),
         }
@@ -89,30 +91,30 @@
         step: &Step,
         outcome: &mut StepOutcome,
     ) -> Result<(), ScaleError> {
-        let which = step.which;
-        match step.what {
+        let target = step.target;
+        match step.kind {
             StepKind::Ordinary => {}
-            StepKind::RelayKilled => self.network.relays[which].kill(),
-            StepKind::RelayStalled => self.network.relays[which].stall(true),
+            StepKind::RelayKilled => self.network.relays[target].kill(),
+            StepKind::RelayStalled => self.network.relays[target].set_suspended(true),
             StepKind::RegionCut => {
-                self.network.cut(which, true);
-                self.begin_outage(OutageTarget::Region(which));
+                self.network.set_isolated(target, true);
+                self.begin_outage(OutageTarget::Region(target));
             }
             StepKind::SubscribersStopped => {
-                self.simulated_proxies.stall(which, true);
-                self.begin_outage(OutageTarget::Process(which));
+                self.simulated_proxies.set_suspended(target, true);
+                self.begin_outage(OutageTarget::Process(target));
             }
-            StepKind::SourceRestarted => self.network.keep(which)?,
+            StepKind::SourceRestarted => self.network.save_snapshot(target)?,
             StepKind::ZoneLost => {
-                outcome.zone_outage_start = Some(now());
-                self.lost_zone = Some(which);
-                let numbers = self.proxies_of(which);
-                self.simulated_proxies.end(numbers.into_iter()).await?;
-                self.set_zone_state(which, State::Gone, number).await?;
+                outcome.zone_outage_start_us = Some(unix_time_us());
+                self.lost_zone = Some(target);
+                let numbers = self.simulated_proxies_of(target);
+                self.simulated_proxies.stop(numbers.into_iter()).await?;
+                self.set_zone_state(target, State::Gone, number).await?;
             }
             StepKind::ZoneRestarted => {
-                outcome.zone_outage_start = Some(now());
-                outcome.restarted = self.proxies_of(which);
+                outcome.zone_outage_start_us = Some(unix_time_us());
+                outcome.restarted = self.simulated_proxies_of(target);
                 self.restart_proxies(&outcome.restarted).await?;
             }
         }
@@ -125,24 +127,24 @@
         step: &Step,
         outcome: &mut StepOutcome,
     ) -> Result<(), ScaleError> {
-        let which = step.which;
-        match step.what {
+        let target = step.target;
+        match step.kind {
             StepKind::Ordinary | StepKind::ZoneRestarted => {}
-            StepKind::RelayKilled => self.network.relays[which].start(&self.starter).await?,
-            StepKind::RelayStalled => self.network.relays[which].stall(false),
+            StepKind::RelayKilled => self.network.relays[target].start(&self.starter).await?,
+            StepKind::RelayStalled => self.network.relays[target].set_suspended(false),
             StepKind::RegionCut => {
-                self.network.cut(which, false);
+                self.network.set_isolated(target, false);
                 self.end_outage();
             }
             StepKind::SubscribersStopped => {
-                self.simulated_proxies.stall(which, false);
+                self.simulated_proxies.set_suspended(target, false);
                 self.end_outage();
             }
-            StepKind::SourceRestarted => self.restart_source(number, which, outcome).await?,
+            StepKind::SourceRestarted => self.restart_source(number, target, outcome).await?,
             StepKind::ZoneLost => {
                 self.lost_zone = None;
-                self.set_zone_state(which, State::Active, number).await?;
-                outcome.restarted = self.proxies_of(which);
+                self.set_zone_state(target, State::Active, number).await?;
+                outcome.restarted = self.simulated_proxies_of(target);
                 self.restart_proxies(&outcome.restarted).await?;
             }
         }
@@ -163,34 +165,36 @@
         outcome: &mut StepOutcome,
     ) -> Result<(), ScaleError> {
         match self.network.restart_source(source, &self.starter).await? {
-            Ok(lost) => outcome.lost = lost,
+            Ok(lost) => outcome.lost_changes = lost,
             Err(disagreement) => {
-                let text = format!("step {step}: source {source} has what was never said: {disagreement}");
-                self.report.breaks.push(text);
+                let text = format!(
+                    "step {step}: restarted source {source} differs from its acknowledged changes: {disagreement}"
+                );
+                self.report.violations.push(text);
             }
         }
         self.stopped_source = None;
         Ok(())
     }
 
-    /// Records that the target is unreachable from now on.
+    /// Adds an outage of this target that starts now.
     fn begin_outage(&mut self, target: OutageTarget) {
-        self.reachability.outages.push(Outage { target, from: now(), to: u64::MAX });
+        self.reachability.outages.push(Outage { target, from_us: unix_time_us(), to_us: u64::MAX });
     }
 
-    /// Ends the most recent outage.
+    /// Ends the last added outage.
     fn end_outage(&mut self) {
-        if let Some(window) = self.reachability.outages.last_mut() {
-            window.to = now();
+        if let Some(outage) = self.reachability.outages.last_mut() {
+            outage.to_us = unix_time_us();
         }
     }
 
-    fn proxies_of(&self, zone: usize) -> Vec<u32> {
-        let hollow = self.population.proxies[..self.population.simulated].iter().enumerate();
-        hollow.filter(|(_, proxy)| proxy.zone == zone).map(|(number, _)| number as u32).collect()
+    fn simulated_proxies_of(&self, zone: usize) -> Vec<u32> {
+        let simulated = self.population.proxies[..self.population.simulated].iter().enumerate();
+        simulated.filter(|(_, proxy)| proxy.zone == zone).map(|(number, _)| number as u32).collect()
     }
 
-    /// Writes one state for all backends of a zone.
+    /// Writes this state for all backends of a zone.
     async fn set_zone_state(&mut self, zone: usize, state: State, step: usize) -> Result<(), ScaleError> {
         let of_zone =
             (0..self.population.backends.len()).filter(|&n| self.population.backends[n].zone == zone);
@@ -198,8 +202,9 @@
         self.write(changes, Some(step)).await
     }
 
-    /// Writes drains and configurations to a source that is about to lose them: they come after its saved snapshot.
-    /// Only services in the first simulated proxy's scope are used, so that at least one subscriber receives them.
+    /// Writes drains and configurations to a source that is about to lose them, because its saved snapshot is
+    /// older. They concern only services in the first simulated proxy's scope, so that at least one
+    /// subscriber receives them.
     async fn write_unsaved_changes(&mut self, source: usize, step: usize) -> Result<(), ScaleError> {
         let of_source = |service: &ServiceId| self.source_of(*service) == source;
         let scope = self.population.proxies.first().map_or(&[][..], |proxy| &proxy.scope);
--- a/crates/testbed/src/scale/fleet/run/measurement.rs
+++ b/crates/testbed/src/scale/fleet/run/measurement.rs
@@ -1,10 +1,10 @@
-//! What the processes of a run use, and the bound on their memory.
+//! Resource usage of the processes of a run, and the bound of their memory.
 
 use super::Run;
 use crate::scale::fleet::ScaleError;
 use crate::scale::fleet::messages;
 use crate::scale::fleet::real_proxies::RealProxies;
-use crate::scale::fleet::report::{Cost, MAX_MEMORY, ReceiveRate, StepRow};
+use crate::scale::fleet::report::{Cost, MAX_MEMORY_BYTES, ReceiveRate, StepRow};
 use crate::scale::fleet::simulated_proxies::Costs;
 use std::collections::BTreeSet;
 
@@ -14,7 +14,9 @@
     simulated_proxies: (f64, u64),
     /// Each relay: processor time, memory, and bytes received from sources.
     relays: Vec<(f64, u64, u64)>,
+    /// Each agent: processor time and memory.
     agents: Vec<(f64, u64)>,
+    /// Each source: processor time and memory.
     sources: Vec<(f64, u64)>,
 }
 
@@ -28,38 +30,39 @@
         }
     }
 
-    /// Whether the report has this violation already: monitors return all of theirs at each request.
+    /// Whether the report has this violation already, in any step: a monitor returns all of its violations at
+    /// each request.
     pub(super) fn is_recorded(&self, text: &str) -> bool {
         let what = |text: &str| text.split_once(": ").map(|(_, what)| what.to_owned());
-        self.report.breaks.iter().any(|known| what(known) == what(text))
+        self.report.violations.iter().any(|known| what(known) == what(text))
     }
 
     fn agent_usage(&self) -> Vec<(f64, u64)> {
-        self.real.as_ref().map(RealProxies::agent_usage).unwrap_or_default()
+        self.real_proxies.as_ref().map(RealProxies::agent_usage).unwrap_or_default()
     }
 
-    /// Records the memory of all processes together.
+    /// Updates the report's maximum of the memory of all processes together.
     ///
     /// # Errors
-    /// If it exceeds [`MAX_MEMORY`].
+    /// If this memory exceeds [`MAX_MEMORY_BYTES`].
     pub(super) fn check_memory(&mut self) -> Result<(), ScaleError> {
         let relays: u64 = self.network.relay_usage().iter().map(|usage| usage.1).sum();
         let sources: u64 = self.network.source_usage().iter().map(|usage| usage.1).sum();
         let agents: u64 = self.agent_usage().iter().map(|usage| usage.1).sum();
-        let proxies = self.real.as_ref().map_or(0, RealProxies::proxies_memory);
+        let proxies = self.real_proxies.as_ref().map_or(0, RealProxies::proxies_memory);
         let own = crate::fleet::memory(std::process::id());
-        let all = self.simulated_proxies.usage().1 + relays + sources + agents + proxies + own;
-        self.report.memory = self.report.memory.max(all);
-        if all > MAX_MEMORY {
-            return Err(ScaleError::Memory(all / 1_000_000, MAX_MEMORY / 1_000_000));
+        let total = self.simulated_proxies.usage().1 + relays + sources + agents + proxies + own;
+        self.report.max_memory_bytes = self.report.max_memory_bytes.max(total);
+        if total > MAX_MEMORY_BYTES {
+            return Err(ScaleError::Memory(total / 1_000_000, MAX_MEMORY_BYTES / 1_000_000));
         }
         Ok(())
     }
 }
 
-/// Time from start until 99% of the expected records are held, for the slowest of these proxies, seconds; -1 if one of
-/// them never got there.
-pub(super) fn slowest(each: &[messages::SimulatedProxyCost], numbers: &[u32]) -> f64 {
+/// Returns the time that the slowest of these proxies took from its start until it had 99% of its expected
+/// records, seconds; -1 if one of them never had.
+pub(super) fn slowest_fill_s(each: &[messages::SimulatedProxyCost], numbers: &[u32]) -> f64 {
     let numbers: BTreeSet<u32> = numbers.iter().copied().collect();
     let times = each.iter().filter(|cost| numbers.contains(&cost.number)).map(|cost| match cost.full {
         (_, 0) => -1.0,
@@ -69,23 +72,23 @@
     if times.contains(&-1.0) { -1.0 } else { times.into_iter().fold(0.0, f64::max) }
 }
 
-/// The part of a step's row that follows from the processes' usage before and after it.
+/// Returns a step's row with the costs only, from the usage of all processes before and after the step.
 pub(super) fn step_costs(before: &Usage, after: &Usage, costs: &Costs, seconds: f64) -> StepRow {
     let count = costs.each.len().max(1) as f64;
-    let hollow = Cost {
+    let simulated_proxy = Cost {
         cores: (after.simulated_proxies.0 - before.simulated_proxies.0) / seconds / count,
-        memory: after.simulated_proxies.1.saturating_sub(costs.watchers) as f64 / count,
+        memory_bytes: after.simulated_proxies.1.saturating_sub(costs.monitor_memory_bytes) as f64 / count,
         ..Cost::default()
     };
     let relays_before: Vec<f64> = before.relays.iter().map(|usage| usage.0).collect();
     let relays_after: Vec<(f64, u64)> = after.relays.iter().map(|usage| (usage.0, usage.1)).collect();
     StepRow {
         seconds,
-        taken: ReceiveRate::new(&costs.each, seconds),
-        hollow,
+        receive_rate: ReceiveRate::new(&costs.each, seconds),
+        simulated_proxy,
         agents: Cost::new(&processor_times(&before.agents), &after.agents, seconds),
         relays: Cost::new(&relays_before, &relays_after, seconds),
-        relay_took: relay_receive_rates(before, after, seconds),
+        relay_receive_rate: relay_receive_rates(before, after, seconds),
         sources: Cost::new(&processor_times(&before.sources), &after.sources, seconds),
         ..StepRow::default()
     }
@@ -95,7 +98,7 @@
     usage.iter().map(|(processor_time, _)| *processor_time).collect()
 }
 
-/// Bytes per second that a relay received from sources: the mean and the largest of all relays.
+/// Bytes per second that a relay received from sources: mean and maximum of all relays.
 fn relay_receive_rates(before: &Usage, after: &Usage, seconds: f64) -> (f64, f64) {
     let rate = |relay: usize| {
         let received_before = before.relays.get(relay).map_or(0, |usage| usage.2);
--- a/crates/testbed/src/scale/fleet/simulated_proxies.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxies.rs
@@ -1,4 +1,5 @@
-//! The testbed's side of the processes of simulated proxies: starts them, sends commands and receives responses.
+//! The testbed's side of the processes of simulated proxies: starts them, sends commands and receives
+//! responses.
 
 use super::ScaleError;
 use super::messages::{
@@ -15,9 +16,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Upper bound of one response: all records of a thousand proxies, on a busy machine.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
-/// Simulated proxies in one command: their scopes stay far below the longest frame.
+/// Upper bound of the time to the next response. It is long, because a process reads the replicas of a
+/// thousand proxies on a busy machine.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Simulated proxies in one command: the frame with their scopes stays far below [`MAX_MESSAGE_BYTES`].
 const MAX_PROXIES_PER_COMMAND: usize = 500;
 
 struct HostProcess {
@@ -27,19 +29,19 @@
 
 impl HostProcess {
     async fn send(&mut self, command: &Command) -> Result<(), ScaleError> {
-        let failed = |e| ScaleError::Words(self.program.name.clone(), e);
+        let failed = |e| ScaleError::Connection(self.program.name.clone(), e);
         messages::write(&mut self.stream, command).await.map_err(failed)?;
         Ok(())
     }
 
     async fn receive(&mut self) -> Result<Response, ScaleError> {
         let name = self.program.name.clone();
-        let failed = move |e| ScaleError::Words(name.clone(), e);
-        let read = timeout(ANSWER_TIMEOUT, messages::read(&mut self.stream, MAX_MESSAGE_BYTES)).await;
+        let failed = move |e| ScaleError::Connection(name.clone(), e);
+        let read = timeout(RESPONSE_TIMEOUT, messages::read(&mut self.stream, MAX_MESSAGE_BYTES)).await;
         if let Some((_, response)) = read.map_err(|e| failed(e.into()))?.map_err(&failed)? {
             Ok(response)
         } else {
-            self.program.runs()?;
+            self.program.check_running()?;
             Err(failed(std::io::ErrorKind::UnexpectedEof.into()))
         }
     }
@@ -56,28 +58,28 @@
     /// One entry for each simulated proxy.
     pub each: Vec<SimulatedProxyCost>,
     /// Memory of the version monitors, bytes.
-    pub watchers: u64,
-    /// Violations found, with the proxy's number.
-    pub breaks: Vec<(u32, String)>,
+    pub monitor_memory_bytes: u64,
+    /// All violations found so far, each with the proxy's number.
+    pub violations: Vec<(u32, String)>,
 }
 
 impl SimulatedProxies {
     /// Starts this many processes.
     ///
     /// # Errors
-    /// If one does not start.
-    pub async fn start(keeper: &Path, folder: &Folder, process_count: usize) -> Result<Self, ScaleError> {
+    /// If a process does not start or does not connect to the testbed.
+    pub async fn start(testbed: &Path, folder: &Folder, process_count: usize) -> Result<Self, ScaleError> {
         let mut processes = Vec::new();
         for number in 0..process_count {
             let name = format!("hollow-{number}");
             let failed = |e| ScaleError::Start(name.clone(), e);
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(failed)?;
-            let rig: SocketAddr = listener.local_addr().map_err(failed)?;
-            let arguments = ["scale".into(), "hollow".into(), rig.to_string().into()];
-            let mut program = Program::start(keeper, keeper, &arguments, folder, &name)?;
-            let accepted = timeout(ANSWER_TIMEOUT, listener.accept()).await;
+            let testbed_address: SocketAddr = listener.local_addr().map_err(failed)?;
+            let arguments = ["scale".into(), "hollow".into(), testbed_address.to_string().into()];
+            let mut program = Program::start(testbed, testbed, &arguments, folder, &name)?;
+            let accepted = timeout(RESPONSE_TIMEOUT, listener.accept()).await;
             let Ok(accepted) = accepted else {
-                program.runs()?;
+                program.check_running()?;
                 return Err(failed(std::io::ErrorKind::TimedOut.into()));
             };
             let (stream, _) = accepted.map_err(failed)?;
@@ -104,10 +106,11 @@
         Ok(responses)
     }
 
-    /// Assigns proxies to processes without starting them. The first proxy has the injected fault.
+    /// Assigns proxies to processes without starting them. The proxy with the smallest number of the first
+    /// process has the injected fault.
     ///
     /// # Errors
-    /// If a process has exited.
+    /// If a process has exited or does not respond.
     pub async fn assign(
         &mut self,
         specs: Vec<SimulatedProxySpec>,
@@ -134,20 +137,21 @@
         numbers: impl Iterator<Item = T>,
         number: impl Fn(&T) -> u32,
     ) -> Vec<Vec<T>> {
-        let mut partition_by_process: Vec<Vec<T>> = self.processes.iter().map(|_| Vec::new()).collect();
+        let mut by_process: Vec<Vec<T>> = self.processes.iter().map(|_| Vec::new()).collect();
         for one in numbers {
-            partition_by_process[self.process(number(&one))].push(one);
+            by_process[self.process(number(&one))].push(one);
         }
-        partition_by_process
+        by_process
     }
 
-    /// Restarts these, each with the number of records of its complete replica.
+    /// Restarts the proxies with these numbers, with an empty replica. Each entry has the number of records
+    /// of the complete replica.
     ///
     /// # Errors
-    /// If a process has exited.
+    /// If a process has exited or does not respond.
     pub async fn restart(&mut self, numbers: impl Iterator<Item = (u32, u32)>) -> Result<(), ScaleError> {
-        let partition_by_process = self.partition_by_process(numbers, |one| one.0);
-        for (process, numbers) in self.processes.iter_mut().zip(partition_by_process) {
+        let by_process = self.partition_by_process(numbers, |one| one.0);
+        for (process, numbers) in self.processes.iter_mut().zip(by_process) {
             process.send(&Command::Restart { numbers }).await?;
         }
         for process in &mut self.processes {
@@ -156,14 +160,14 @@
         Ok(())
     }
 
-    /// Stops these.
+    /// Stops the proxies with these numbers, and discards their replicas.
     ///
     /// # Errors
-    /// If a process has exited.
-    pub async fn end(&mut self, numbers: impl Iterator<Item = u32>) -> Result<(), ScaleError> {
-        let partition_by_process = self.partition_by_process(numbers, |&one| one);
-        for (process, numbers) in self.processes.iter_mut().zip(partition_by_process) {
-            process.send(&Command::End { numbers }).await?;
+    /// If a process has exited or does not respond.
+    pub async fn stop(&mut self, numbers: impl Iterator<Item = u32>) -> Result<(), ScaleError> {
+        let by_process = self.partition_by_process(numbers, |&one| one);
+        for (process, numbers) in self.processes.iter_mut().zip(by_process) {
+            process.send(&Command::Stop { numbers }).await?;
         }
         for process in &mut self.processes {
             process.receive().await?;
@@ -171,18 +175,19 @@
         Ok(())
     }
 
-    /// Starts to count updates, and arms the injected fault.
+    /// Discards the counts so far, counts the updates of all running proxies from now on, and arms the
+    /// injected fault.
     ///
     /// # Errors
-    /// If a process has exited.
-    pub async fn begin(&mut self) -> Result<(), ScaleError> {
-        self.request_all(&Command::Begin).await.map(drop)
+    /// If a process has exited or does not respond.
+    pub async fn start_counting(&mut self) -> Result<(), ScaleError> {
+        self.request_all(&Command::StartCounting).await.map(drop)
     }
 
-    /// The number of proxies that lag behind these positions, and an example.
+    /// Returns the number of proxies that lag behind these positions, and a description of one of them.
     ///
     /// # Errors
-    /// If a process has exited.
+    /// If a process has exited or does not respond.
     pub async fn behind(
         &mut self,
         heads: &BTreeMap<SourceId, Version>,
@@ -198,75 +203,77 @@
         Ok((sum, first))
     }
 
-    /// Reads the replicas of these, or of all that run, one after another.
+    /// Passes the replicas of the proxies with these numbers, or of all running ones, to `visit`, one after
+    /// another.
     ///
     /// # Errors
-    /// If a process has exited.
-    pub async fn dump(
+    /// If a process has exited or does not respond.
+    pub async fn read_replicas(
         &mut self,
         numbers: Option<Vec<u32>>,
-        mut take: impl FnMut(u32, &[ReplicaRecord]),
+        mut visit: impl FnMut(u32, &[ReplicaRecord]),
     ) -> Result<(), ScaleError> {
-        let command = Command::Dump { numbers };
+        let command = Command::ReadReplicas { numbers };
         for process in &mut self.processes {
             process.send(&command).await?;
             while let Response::Records { number, records } = process.receive().await? {
-                take(number, &records);
+                visit(number, &records);
             }
         }
         Ok(())
     }
 
-    /// Updates since the last request, by process, and the number of updates that exceeded the tallies' bound.
+    /// Returns the updates since the last request, by process, and the number of updates that exceeded the
+    /// bound of the tallies.
     ///
     /// # Errors
-    /// If a process has exited.
-    pub async fn tallies(&mut self) -> Result<(Vec<Vec<Tally>>, u64), ScaleError> {
-        let (mut request_all, mut lost) = (Vec::new(), 0);
+    /// If a process has exited or does not respond.
+    pub async fn take_tallies(&mut self) -> Result<(Vec<Vec<Tally>>, u64), ScaleError> {
+        let (mut by_process, mut total_uncounted) = (Vec::new(), 0);
         for response in self.request_all(&Command::Tallies).await? {
-            if let Response::Tallies { tallies, forgotten } = response {
-                request_all.push(tallies);
-                lost += forgotten;
+            if let Response::Tallies { tallies, uncounted } = response {
+                by_process.push(tallies);
+                total_uncounted += uncounted;
             }
         }
-        Ok((request_all, lost))
+        Ok((by_process, total_uncounted))
     }
 
-    /// Costs since the last request.
+    /// Returns the costs since the last request, and all violations found so far.
     ///
     /// # Errors
-    /// If a process has exited.
-    pub async fn costs(&mut self) -> Result<Costs, ScaleError> {
+    /// If a process has exited or does not respond.
+    pub async fn take_costs(&mut self) -> Result<Costs, ScaleError> {
         let mut sum = Costs::default();
         for response in self.request_all(&Command::Costs).await? {
-            if let Response::Costs { each, watchers, breaks } = response {
+            if let Response::Costs { each, monitor_memory_bytes, violations } = response {
                 sum.each.extend(each);
-                sum.watchers += watchers;
-                sum.breaks.extend(breaks);
+                sum.monitor_memory_bytes += monitor_memory_bytes;
+                sum.violations.extend(violations);
             }
         }
         Ok(sum)
     }
 
-    /// Suspends a process, or resumes it.
-    pub fn stall(&mut self, process: usize, stalled: bool) {
+    /// Suspends the process with this index, or resumes it.
+    pub fn set_suspended(&mut self, process: usize, suspended: bool) {
         if let Some(process) = self.processes.get_mut(process) {
-            process.program.stall(stalled);
+            process.program.set_suspended(suspended);
         }
     }
 
-    /// Total processor time so far, seconds, and memory, bytes.
+    /// Total processor time so far (seconds) and memory (bytes) of all processes.
     #[must_use]
     pub fn usage(&self) -> (f64, u64) {
         let programs = self.processes.iter().map(|process| &process.program);
         programs.fold((0.0, 0), |(cpu, memory), p| (cpu + p.cpu_s(), memory + p.memory()))
     }
 
-    /// Checks that all processes run.
+    /// Checks that all processes are running.
     ///
     /// # Errors
-    /// The first that has exited.
-    pub fn run(&mut self) -> Result<(), ScaleError> {
-        self.processes.iter_mut().try_for_each(|process| process.program.runs())
+    /// The first process that has exited.
+    pub fn check_running(&mut self) -> Result<(), ScaleError> {
+        self.processes.iter_mut().try_for_each(|process| process.program.check_running())
     }
 }
--- a/crates/testbed/src/scale/fleet/simulated_proxy.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxy.rs
@@ -1,5 +1,6 @@
-//! A process of simulated proxies: each is the real subscriber with its own connection and the real choice of a relay, but
-//! no traffic. They share one thread. The testbed sends commands over one connection, and reads their replicas.
+//! A process of simulated proxies. Each has the real subscriber, its own connection and the real selection of
+//! a relay, but no traffic. All of them share one thread. The testbed sends commands over one connection, and
+//! reads their replicas.
 
 use super::fault_injection::{FaultInjector, FaultyProxy};
 use super::messages::{
@@ -23,46 +24,50 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::task::{JoinHandle, LocalSet};
 
-/// Seconds of which the worst sum of bytes is kept.
-const WINDOW: usize = 10;
+/// Length of the window over which the maximum of received bytes is computed, seconds.
+const WINDOW_S: usize = 10;
 
-/// Bytes received, and the maximum over any ten seconds.
+/// Bytes received in total, and the maximum over any [`WINDOW_S`] seconds.
 #[derive(Debug, Default)]
-struct Bytes {
-    all: u64,
-    worst: u64,
-    seconds: [u64; WINDOW],
+struct ReceivedBytes {
+    total: u64,
+    max_in_window: u64,
+    /// Bytes of the last seconds: a ring buffer, indexed by second.
+    per_second: [u64; WINDOW_S],
     second: u64,
 }
 
-impl Bytes {
+impl ReceivedBytes {
     fn add(&mut self, second: u64, bytes: u64) {
-        let passed = second.saturating_sub(self.second).min(WINDOW as u64);
-        for gone in 0..passed {
-            self.seconds[((second - gone) % WINDOW as u64) as usize] = 0;
+        let elapsed = second.saturating_sub(self.second).min(WINDOW_S as u64);
+        for past in 0..elapsed {
+            self.per_second[((second - past) % WINDOW_S as u64) as usize] = 0;
         }
         self.second = self.second.max(second);
-        self.seconds[(self.second % WINDOW as u64) as usize] += bytes;
-        self.all += bytes;
-        self.worst = self.worst.max(self.seconds.iter().sum());
+        self.per_second[(self.second % WINDOW_S as u64) as usize] += bytes;
+        self.total += bytes;
+        self.max_in_window = self.max_in_window.max(self.per_second.iter().sum());
     }
 }
 
-/// One simulated proxy, from a start to the next.
+/// One simulated proxy, from one start to the next.
 struct SimulatedProxy {
     shared: Rc<Shared>,
     subscriber: Subscriber,
     fault_injector: FaultInjector,
     version_monitor: VersionMonitor,
-    bytes: Bytes,
+    bytes: ReceivedBytes,
     group: u16,
     /// Whether updates are counted: not while the replica is filled after a start.
-    counts: bool,
+    counts_updates: bool,
     welcomes: u32,
-    expected: u32,
+    /// Number of records of the complete replica.
+    expected_records: u32,
+    /// As [`SimulatedProxyCost::full`].
     full: (u64, u64),
 }
 
+/// A simulated proxy with its configuration; it is running while it has a task.
 struct ProxySlot {
     spec: SimulatedProxySpec,
     proxy: Rc<RefCell<SimulatedProxy>>,
@@ -76,19 +81,24 @@
 }
 
 impl SimulatedProxy {
-    fn new(spec: &SimulatedProxySpec, fault: InjectedFault, expected: u32, shared: &Rc<Shared>) -> Self {
+    fn new(
+        spec: &SimulatedProxySpec,
+        fault: InjectedFault,
+        expected_records: u32,
+        shared: &Rc<Shared>,
+    ) -> Self {
         let scope = Scope::Services(spec.scope.iter().copied().collect());
         Self {
             shared: Rc::clone(shared),
             subscriber: Subscriber::new(&spec.name, scope),
             fault_injector: FaultInjector::new(fault),
             version_monitor: VersionMonitor::default(),
-            bytes: Bytes::default(),
+            bytes: ReceivedBytes::default(),
             group: spec.group,
-            counts: false,
+            counts_updates: false,
             welcomes: 0,
-            expected,
-            full: (messages::now(), 0),
+            expected_records,
+            full: (messages::unix_time_us(), 0),
         }
     }
 
@@ -98,33 +108,36 @@
 
     fn records(&self) -> Vec<ReplicaRecord> {
         let all = self.subscriber.stores();
-        all.flat_map(|(source, store)| store.live_records().map(move |r| ReplicaRecord::of(source, r)))
-            .collect()
+        all.flat_map(|(source, store)| {
+            store.live_records().map(move |r| ReplicaRecord::from_record(source, r))
+        })
+        .collect()
     }
 }
 
 impl DownstreamNode for SimulatedProxy {
     fn hello(&mut self) -> Message {
-        self.fault_injector.out(self.subscriber.hello())
+        self.fault_injector.outgoing(self.subscriber.hello())
     }
 
     fn on_message(&mut self, message: Message, now: Millis) -> Result<Vec<Message>, SessionError> {
         self.version_monitor.observe_epoch(&message);
-        let Some(message) = self.fault_injector.pass(message) else { return Ok(Vec::new()) };
+        let Some(message) = self.fault_injector.incoming(message) else { return Ok(Vec::new()) };
         let source = match &message {
             Message::Batch { source, .. } | Message::ServiceSnapshot { source, .. } => Some(*source),
             _ => None,
         };
         let update = self.subscriber.on_message(message, now)?;
         if let Some(source) = source {
-            let at = messages::now();
+            let at = messages::unix_time_us();
             for applied in &update.applied {
-                let from = self.version_monitor.applied(source, &applied.record);
-                if self.counts {
+                let from = self.version_monitor.on_applied(source, &applied.record);
+                if self.counts_updates {
                     self.shared.tallies.borrow_mut().add(source, &applied.record, from, self.group, at);
                 }
             }
-            let (live, expected) = (u64::from(self.version_monitor.live()), u64::from(self.expected));
+            let (live, expected) =
+                (u64::from(self.version_monitor.live_records()), u64::from(self.expected_records));
             if self.full.1 == 0 && live * 100 >= expected * 99 {
                 self.full.1 = at;
             }
@@ -140,8 +153,8 @@
         self.welcomes += 1;
     }
 
-    fn on_transferred(&mut self, came: u64, _went: u64) {
-        self.bytes.add(self.shared.clock.now() / 1_000, came);
+    fn on_transferred(&mut self, received: u64, _sent: u64) {
+        self.bytes.add(self.shared.clock.now() / 1_000, received);
     }
 }
 
@@ -153,13 +166,14 @@
 }
 
 impl ProxyHost {
-    fn start(&mut self, number: u32, expected: u32) {
+    fn start(&mut self, number: u32, expected_records: u32) {
         let Some(slot) = self.slots.get_mut(&number) else { return };
         if let Some(task) = slot.task.take() {
             task.abort();
         }
         let fault = self.faulty_proxy.fault_of(number);
-        slot.proxy = Rc::new(RefCell::new(SimulatedProxy::new(&slot.spec, fault, expected, &self.shared)));
+        slot.proxy =
+            Rc::new(RefCell::new(SimulatedProxy::new(&slot.spec, fault, expected_records, &self.shared)));
         let (node, spec, clock) = (Rc::clone(&slot.proxy), slot.spec.clone(), self.shared.clock);
         slot.task = Some(tokio::task::spawn_local(async move {
             let relays =
@@ -175,10 +189,14 @@
     fn behind(&self, heads: &[(SourceId, Version)]) -> Response {
         let describe_lag = |slot: &ProxySlot| {
             let proxy = slot.proxy.borrow();
-            let has = proxy.heads();
-            let lacking = |&&(source, head): &&(SourceId, Version)| has.get(&source) != Some(&head);
+            let positions = proxy.heads();
+            let lacking = |&&(source, head): &&(SourceId, Version)| positions.get(&source) != Some(&head);
             heads.iter().find(lacking).map(|(source, head)| {
-                format!("{} has {:?} of source {source}, not {head:?}", slot.spec.name, has.get(source))
+                format!(
+                    "{} is at {:?} of source {source}, not at {head:?}",
+                    slot.spec.name,
+                    positions.get(source)
+                )
             })
         };
         let mut count = 0;
@@ -191,22 +209,22 @@
     }
 
     fn costs(&self) -> Response {
-        let (mut each, mut breaks, mut watchers) = (Vec::new(), Vec::new(), 0);
+        let (mut each, mut violations, mut monitor_memory_bytes) = (Vec::new(), Vec::new(), 0);
         for (number, slot) in self.running() {
             let mut proxy = slot.proxy.borrow_mut();
             let bytes = std::mem::take(&mut proxy.bytes);
             each.push(SimulatedProxyCost {
                 number,
-                bytes: bytes.all,
-                worst_ten: bytes.worst,
-                records: proxy.version_monitor.live(),
+                bytes: bytes.total,
+                worst_ten: bytes.max_in_window,
+                records: proxy.version_monitor.live_records(),
                 welcomes: proxy.welcomes,
                 full: proxy.full,
             });
-            watchers += proxy.version_monitor.bytes();
-            breaks.extend(proxy.version_monitor.breaks().iter().map(|text| (number, text.clone())));
+            monitor_memory_bytes += proxy.version_monitor.memory_bytes();
+            violations.extend(proxy.version_monitor.violations().iter().map(|text| (number, text.clone())));
         }
-        Response::Costs { each, watchers, breaks }
+        Response::Costs { each, monitor_memory_bytes, violations }
     }
 
     fn assign(&mut self, specs: Vec<SimulatedProxySpec>, fault: InjectedFault) {
@@ -217,7 +235,8 @@
         }
     }
 
-    /// Aborts all tasks before the first replica is discarded.
+    /// Stops proxies and discards their replicas. All tasks are aborted before the first replica is
+    /// discarded.
     fn stop(&mut self, numbers: &[u32]) {
         for slot in numbers.iter().filter_map(|number| self.slots.get(number)) {
             if let Some(task) = &slot.task {
@@ -236,34 +255,34 @@
         Rc::new(RefCell::new(proxy))
     }
 
-    /// Executes a command and sends the response. Returns whether the process continues.
+    /// Executes a command and sends the response. Returns `false` if the process must exit.
     async fn execute(&mut self, command: Command, to: &mut OwnedWriteHalf) -> io::Result<bool> {
         let response = match command {
             Command::Start { proxies, fault } => {
                 self.assign(proxies, fault);
                 Response::Done
             }
-            Command::Begin => {
+            Command::StartCounting => {
                 let _ = self.shared.tallies.borrow_mut().take();
                 for (_, slot) in self.running() {
                     let mut proxy = slot.proxy.borrow_mut();
-                    proxy.counts = true;
+                    proxy.counts_updates = true;
                     proxy.fault_injector.arm();
                 }
                 Response::Done
             }
             Command::Behind { heads } => self.behind(&heads),
-            Command::Dump { numbers } => {
-                let asked: Option<HashSet<u32>> = numbers.map(|numbers| numbers.into_iter().collect());
+            Command::ReadReplicas { numbers } => {
+                let requested: Option<HashSet<u32>> = numbers.map(|numbers| numbers.into_iter().collect());
                 for (number, slot) in self.running() {
-                    if asked.as_ref().is_none_or(|asked| asked.contains(&number)) {
+                    if requested.as_ref().is_none_or(|requested| requested.contains(&number)) {
                         let records = slot.proxy.borrow().records();
                         messages::write(to, &Response::Records { number, records }).await?;
                     }
                 }
                 Response::Done
             }
-            Command::End { numbers } => {
+            Command::Stop { numbers } => {
                 self.stop(&numbers);
                 Response::Done
             }
@@ -274,9 +293,9 @@
                 Response::Done
             }
             Command::Tallies => {
-                let (tallies, forgotten) = self.shared.tallies.borrow_mut().take();
-                self.running().for_each(|(_, slot)| slot.proxy.borrow_mut().counts = true);
-                Response::Tallies { tallies, forgotten }
+                let (tallies, uncounted) = self.shared.tallies.borrow_mut().take();
+                self.running().for_each(|(_, slot)| slot.proxy.borrow_mut().counts_updates = true);
+                Response::Tallies { tallies, uncounted }
             }
             Command::Costs => self.costs(),
             Command::Quit => return Ok(false),
@@ -286,15 +305,16 @@
     }
 }
 
-/// Serves the testbed that listens at this address, until it sends [`Command::Quit`] or closes the connection.
+/// Executes the commands of the testbed that listens at this address, until it sends [`Command::Quit`] or
+/// closes the connection.
 ///
 /// # Errors
-/// If it can't be reached, or sends an invalid command.
-pub fn serve(rig: SocketAddr) -> io::Result<()> {
+/// If the testbed can't be reached, the connection breaks, or a command is invalid.
+pub fn serve(testbed: SocketAddr) -> io::Result<()> {
     crate::fleet::process_guard::all_descriptors()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let stream = TcpStream::connect(rig).await?;
+        let stream = TcpStream::connect(testbed).await?;
         stream.set_nodelay(true)?;
         let (mut from, mut to) = stream.into_split();
         let shared = Rc::new(Shared { clock: Clock::start(), tallies: RefCell::default() });
--- a/crates/testbed/tests/scale_fleet.rs
+++ b/crates/testbed/tests/scale_fleet.rs
@@ -1,5 +1,6 @@
-//! A small scale run: simulated proxies, sources, relays and a real proxy as processes. Results follow from events and counts:
-//! the changes that the sources acknowledged, compared with the replica of each subscriber.
+//! Small scale runs with simulated proxies, sources, relays and a real proxy as processes. The assertions use
+//! events and counts, not times: the changes that the sources acknowledged, compared with the replica of each
+//! subscriber.
 
 #[path = "shared/program.rs"]
 mod program;
@@ -28,11 +29,11 @@
 
 fn small_script() -> ScaleScript {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts/scale-small.toml");
-    ScaleScript::read(&path).expect("a good script")
+    ScaleScript::read(&path).expect("a valid script")
 }
 
 fn play_script(script: &ScaleScript) -> Report {
-    let report = play(script, &run_options()).expect("it plays to its end");
+    let report = play(script, &run_options()).expect("a complete run");
     println!("{report}");
     report
 }
@@ -40,56 +41,61 @@
 #[test]
 fn all_replicas_match_their_sources_after_each_fault() {
     let report = play_script(&small_script());
-    assert_eq!(report.breaks, [] as [String; 0]);
+    assert_eq!(report.violations, [] as [String; 0]);
     assert_eq!(report.steps.len(), 3);
     for step in &report.steps {
-        assert!(step.in_force.changes > 20, "{step:?}");
-        assert_eq!(step.in_force.never, 0, "{step:?}");
+        assert!(step.propagation.changes > 20, "{step:?}");
+        assert_eq!(step.propagation.never_received, 0, "{step:?}");
         let (proxies, records) = step.compared;
-        assert_eq!(proxies, 500, "all were compared");
-        assert_eq!(step.lists_compared, 1, "and the real proxy's list");
-        assert!(records > 100 * 500, "{records} records were compared");
-        assert!(step.taken.mean > 0.0 && step.relays.most_memory > 0.0, "costs were measured: {step:?}");
+        assert_eq!(proxies, 500, "compared proxies");
+        assert_eq!(step.lists_compared, 1, "compared lists");
+        assert!(records > 100 * 500, "compared records: {records}");
+        assert!(
+            step.receive_rate.mean > 0.0 && step.relays.max_memory_bytes > 0.0,
+            "no measured costs: {step:?}"
+        );
     }
-    assert!(report.steps[2].lost > 0, "the source lost something: {:?}", report.steps[2]);
+    assert!(report.steps[2].lost_changes > 0, "the source lost no change: {:?}", report.steps[2]);
     let requests = report.requests;
     assert!(requests.served > 50, "{requests:?}");
     assert_eq!(requests.failed, 0, "{requests:?}");
 }
 
-/// Plays one step with sixty simulated proxies; the fault is injected into the first one.
-fn play_with_fault(fault: InjectedFault, what: StepKind) -> Report {
+/// Plays one step with sixty simulated proxies; the fault is injected into the first proxy.
+fn play_with_fault(fault: InjectedFault, kind: StepKind) -> Report {
     let mut script = small_script();
     script.injected_fault = fault;
-    script.patience_s = 12.0;
+    script.convergence_timeout_s = 12.0;
     let size = &mut script.size;
-    (size.subscribers, size.processes, size.relays, size.zones, size.real) = (60, 2, 2, 2, 0);
+    (size.subscribers, size.processes, size.relays, size.zones, size.real_proxies) = (60, 2, 2, 2, 0);
     (size.services, size.backends, size.services_per_proxy) = (40, 600, 12);
-    script.step = vec![Step { what, seconds: 5.0, for_s: 2.0, times: 20.0, which: 0 }];
+    script.step = vec![Step { kind, seconds: 5.0, fault_s: 2.0, rate_factor: 20.0, target: 0 }];
     play_script(&script)
 }
 
-/// Asserts that the first proxy is reported as different, and no other.
-fn assert_only_first_proxy_differs(report: &Report, how: &str) {
-    let differ: Vec<&String> = report.breaks.iter().filter(|text| text.contains("is not equal")).collect();
-    assert!(!differ.is_empty(), "it was found: {:?}", report.breaks);
-    assert!(differ.iter().all(|text| text.contains("proxy 0 is not equal")), "{differ:?}");
-    assert!(differ.iter().any(|text| text.contains(how)), "{differ:?}");
+/// Asserts that the first proxy is reported as different, with this text, and that no other proxy is
+/// reported.
+fn assert_only_first_proxy_differs(report: &Report, mismatch: &str) {
+    let differing: Vec<&String> =
+        report.violations.iter().filter(|text| text.contains("differs from its sources")).collect();
+    assert!(!differing.is_empty(), "no difference reported: {:?}", report.violations);
+    assert!(differing.iter().all(|text| text.contains("proxy 0 differs from its sources")), "{differing:?}");
+    assert!(differing.iter().any(|text| text.contains(mismatch)), "{differing:?}");
 }
 
 #[test]
 fn finds_no_violation_without_an_injected_fault() {
     let report = play_with_fault(InjectedFault::None, StepKind::SourceRestarted);
-    assert_eq!(report.breaks, [] as [String; 0]);
-    assert!(report.steps[0].lost > 0);
+    assert_eq!(report.violations, [] as [String; 0]);
+    assert!(report.steps[0].lost_changes > 0);
 }
 
 #[test]
 fn finds_a_silently_dropped_change() {
     let report = play_with_fault(InjectedFault::Drop, StepKind::Ordinary);
-    let missed = |how| report.breaks.iter().any(|text| text.contains(how));
+    let reports = |mismatch| report.violations.iter().any(|text| text.contains(mismatch));
     assert_only_first_proxy_differs(&report, "proxy 0");
-    assert!(missed("Missing") || missed("Version") || missed("NotThere"), "{:?}", report.breaks);
+    assert!(reports("Missing") || reports("Version") || reports("Unexpected"), "{:?}", report.violations);
 }
 
 #[test]
@@ -100,7 +106,7 @@
 #[test]
 fn finds_an_ignored_epoch() {
     let report = play_with_fault(InjectedFault::Epoch, StepKind::SourceRestarted);
-    assert!(report.steps[0].lost > 0);
+    assert!(report.steps[0].lost_changes > 0);
     assert_only_first_proxy_differs(&report, "Version");
 }
 
@@ -113,7 +119,7 @@
 fn names_a_program_that_does_not_start() {
     let options = RunOptions { control: "/bin/false".into(), ..run_options() };
     match play(&small_script(), &options) {
-        Err(ScaleError::Ended(name, ..)) => assert_eq!(name, "source-0"),
+        Err(ScaleError::ProgramFailed(name, ..)) => assert_eq!(name, "source-0"),
         other => panic!("{other:?}"),
     }
 }
