--- a/crates/testbed/src/scale/fleet/messages.rs
+++ b/crates/testbed/src/scale/fleet/messages.rs
@@ -240,7 +240,7 @@
     /// Response to [`Command::Costs`].
     Costs {
         /// One entry for each simulated proxy.
-        each: Vec<SimulatedProxyCost>,
+        proxies: Vec<SimulatedProxyCost>,
         /// Memory of the version monitors, bytes. It is no cost of the subscribers.
         monitor_memory_bytes: u64,
         /// Violations that the version monitors found, each with the proxy's number.
--- a/crates/testbed/src/scale/fleet/report.rs
+++ b/crates/testbed/src/scale/fleet/report.rs
@@ -39,15 +39,15 @@
 impl ReceiveRate {
     /// Computes the rates from the costs of a period of this many seconds.
     #[must_use]
-    pub fn new(each: &[SimulatedProxyCost], seconds: f64) -> Self {
-        let count = each.len().max(1) as f64;
-        let max_bytes = each.iter().map(|cost| cost.bytes).max().unwrap_or(0);
-        let max_ten_s_bytes = each.iter().map(|cost| cost.worst_ten).max().unwrap_or(0);
+    pub fn new(costs: &[SimulatedProxyCost], seconds: f64) -> Self {
+        let count = costs.len().max(1) as f64;
+        let max_bytes = costs.iter().map(|cost| cost.bytes).max().unwrap_or(0);
+        let max_ten_s_bytes = costs.iter().map(|cost| cost.worst_ten).max().unwrap_or(0);
         Self {
-            mean: each.iter().map(|cost| cost.bytes as f64).sum::<f64>() / count / seconds,
+            mean: costs.iter().map(|cost| cost.bytes as f64).sum::<f64>() / count / seconds,
             max: max_bytes as f64 / seconds,
             max_ten_s: max_ten_s_bytes as f64 / 10.0,
-            records: each.iter().map(|cost| f64::from(cost.records)).sum::<f64>() / count,
+            records: costs.iter().map(|cost| f64::from(cost.records)).sum::<f64>() / count,
         }
     }
 }
@@ -228,8 +228,8 @@
             ),
             ("breaks", self.violations.len() as f64, "breaks", Some(0.0)),
         ];
-        for (what, value, unit, bound) in run_figures {
-            add(size, what.to_owned(), value, unit, bound);
+        for (quantity, value, unit, bound) in run_figures {
+            add(size, quantity.to_owned(), value, unit, bound);
         }
         for (number, row) in self.steps.iter().enumerate() {
             let earlier = self.steps[..number].iter().filter(|other| other.key() == row.key()).count();
@@ -246,8 +246,8 @@
                 ("whole_list_proxy_memory_bytes", list.memory as f64, "bytes"),
                 ("whole_list_change_bytes", list.change_bytes as f64, "bytes"),
             ];
-            for (what, value, unit) in figures {
-                add(list.backends, what.to_owned(), value, unit, None);
+            for (quantity, value, unit) in figures {
+                add(list.backends, quantity.to_owned(), value, unit, None);
             }
         }
         lines
--- a/crates/testbed/src/scale/fleet/run.rs
+++ b/crates/testbed/src/scale/fleet/run.rs
@@ -200,8 +200,8 @@
         }
         let elapsed_s = (unix_time_us() - started_us) as f64 / 1e6;
         let costs = self.simulated_proxies.take_costs().await?;
-        self.report.initial_receive_rate = ReceiveRate::new(&costs.each, elapsed_s);
-        self.report.initial_fill_s = slowest_fill_s(&costs.each, &numbers);
+        self.report.initial_receive_rate = ReceiveRate::new(&costs.proxies, elapsed_s);
+        self.report.initial_fill_s = slowest_fill_s(&costs.proxies, &numbers);
         self.compare_records("before the first step").await?;
         if self.script.size.real_proxies > 0 {
             let (population, seed) = (&self.population, self.script.seed);
@@ -255,7 +255,7 @@
         self.check_processes()?;
         let numbers = &outcome.restarted;
         let restarted =
-            (!numbers.is_empty()).then(|| (numbers.len(), slowest_fill_s(&costs_after.each, numbers)));
+            (!numbers.is_empty()).then(|| (numbers.len(), slowest_fill_s(&costs_after.proxies, numbers)));
         let row = StepRow {
             name,
             rate_factor: step.rate_factor,
--- a/crates/testbed/src/scale/fleet/run/measurement.rs
+++ b/crates/testbed/src/scale/fleet/run/measurement.rs
@@ -62,9 +62,9 @@
 
 /// Returns the time that the slowest of these proxies took from its start until it had 99% of its expected
 /// records, seconds; -1 if one of them never had.
-pub(super) fn slowest_fill_s(each: &[messages::SimulatedProxyCost], numbers: &[u32]) -> f64 {
+pub(super) fn slowest_fill_s(costs: &[messages::SimulatedProxyCost], numbers: &[u32]) -> f64 {
     let numbers: BTreeSet<u32> = numbers.iter().copied().collect();
-    let times = each.iter().filter(|cost| numbers.contains(&cost.number)).map(|cost| match cost.full {
+    let times = costs.iter().filter(|cost| numbers.contains(&cost.number)).map(|cost| match cost.full {
         (_, 0) => -1.0,
         (from, to) => to.saturating_sub(from) as f64 / 1e6,
     });
@@ -74,7 +74,7 @@
 
 /// Returns a step's row with the costs only, from the usage of all processes before and after the step.
 pub(super) fn step_costs(before: &Usage, after: &Usage, costs: &Costs, seconds: f64) -> StepRow {
-    let count = costs.each.len().max(1) as f64;
+    let count = costs.proxies.len().max(1) as f64;
     let simulated_proxy = Cost {
         cores: (after.simulated_proxies.0 - before.simulated_proxies.0) / seconds / count,
         memory_bytes: after.simulated_proxies.1.saturating_sub(costs.monitor_memory_bytes) as f64 / count,
@@ -84,7 +84,7 @@
     let relays_after: Vec<(f64, u64)> = after.relays.iter().map(|usage| (usage.0, usage.1)).collect();
     StepRow {
         seconds,
-        receive_rate: ReceiveRate::new(&costs.each, seconds),
+        receive_rate: ReceiveRate::new(&costs.proxies, seconds),
         simulated_proxy,
         agents: Cost::new(&processor_times(&before.agents), &after.agents, seconds),
         relays: Cost::new(&relays_before, &relays_after, seconds),
--- a/crates/testbed/src/scale/fleet/simulated_proxies.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxies.rs
@@ -56,7 +56,7 @@
 #[derive(Default)]
 pub struct Costs {
     /// One entry for each simulated proxy.
-    pub each: Vec<SimulatedProxyCost>,
+    pub proxies: Vec<SimulatedProxyCost>,
     /// Memory of the version monitors, bytes.
     pub monitor_memory_bytes: u64,
     /// All violations found so far, each with the proxy's number.
@@ -246,8 +246,8 @@
     pub async fn take_costs(&mut self) -> Result<Costs, ScaleError> {
         let mut sum = Costs::default();
         for response in self.request_all(&Command::Costs).await? {
-            if let Response::Costs { each, monitor_memory_bytes, violations } = response {
-                sum.each.extend(each);
+            if let Response::Costs { proxies, monitor_memory_bytes, violations } = response {
+                sum.proxies.extend(proxies);
                 sum.monitor_memory_bytes += monitor_memory_bytes;
                 sum.violations.extend(violations);
             }
--- a/crates/testbed/src/scale/fleet/simulated_proxy.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxy.rs
@@ -209,11 +209,11 @@
     }
 
     fn costs(&self) -> Response {
-        let (mut each, mut violations, mut monitor_memory_bytes) = (Vec::new(), Vec::new(), 0);
+        let (mut proxies, mut violations, mut monitor_memory_bytes) = (Vec::new(), Vec::new(), 0);
         for (number, slot) in self.running() {
             let mut proxy = slot.proxy.borrow_mut();
             let bytes = std::mem::take(&mut proxy.bytes);
-            each.push(SimulatedProxyCost {
+            proxies.push(SimulatedProxyCost {
                 number,
                 bytes: bytes.total,
                 worst_ten: bytes.max_in_window,
@@ -224,7 +224,7 @@
             monitor_memory_bytes += proxy.version_monitor.memory_bytes();
             violations.extend(proxy.version_monitor.violations().iter().map(|text| (number, text.clone())));
         }
-        Response::Costs { each, monitor_memory_bytes, violations }
+        Response::Costs { proxies, monitor_memory_bytes, violations }
     }
 
     fn assign(&mut self, specs: Vec<SimulatedProxySpec>, fault: InjectedFault) {
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn change_is_in_force_when_the_last_subscriber_has_it_or_a_newer_one() {
+fn change_has_propagated_when_the_last_subscriber_has_it_or_a_newer_one() {
     let group = |zone| Group { process: 0, zone };
     let subscribers = FixedGroups(vec![(group(3), 2), (group(7), 1), (group(9), 5)]);
     let mut model = Model::new();
