--- a/crates/testbed/src/address.rs
+++ b/crates/testbed/src/address.rs
@@ -1,6 +1,6 @@
-//! Loopback addresses of the fleet's processes. Each process has one of its own and one under which relays represent it, so
-//! that the other end of a connection or datagram is identified by its address. Ports are reserved before and while no process
-//! listens on them.
+//! Loopback addresses of the fleet's processes. Each process has one of its own and one under which relays
+//! represent it, so that the other end of a connection or datagram is identified by its address. Ports are
+//! reserved before and while no process listens on them.
 
 use socket2::{Domain, Socket, Type};
 use std::io;
@@ -50,9 +50,9 @@
     number(FIRST_RELAY_OCTET, address)
 }
 
-/// A port that is reserved for a process that is not started yet or has ended. A bound socket that does not listen keeps the
-/// kernel from giving the port to a connection or to a listener that asks for any port; one that asks for this address and sets
-/// `SO_REUSEADDR`, as servers do, still gets it.
+/// A port that is reserved for a process that is not started yet or has ended. A bound socket that does not
+/// listen keeps the kernel from giving the port to a connection or to a listener that asks for any port; one
+/// that asks for this address and sets `SO_REUSEADDR`, as servers do, still gets it.
 #[derive(Debug)]
 pub struct ReservedPort {
     address: SocketAddr,
--- a/crates/testbed/src/backend_model/tests.rs
+++ b/crates/testbed/src/backend_model/tests.rs
@@ -13,7 +13,7 @@
     assert!(model.advance(19_999).is_empty());
     assert_eq!(model.advance(20_001), [0, 1, 2, 3]);
     assert_eq!(model.arrive(20_001, 5, 10_000), Admission::Accepted);
-    assert_eq!(model.next(), Some(30_001), "a single request has a core to itself");
+    assert_eq!(model.next(), Some(30_001), "a single request has one core to itself");
 }
 
 #[test]
@@ -22,12 +22,12 @@
     assert_eq!((model.capacity(0), model.capacity(500_000), model.capacity(9_000_000)), (1.0, 1.5, 2.0));
     model.arrive(0, 1, 100_000);
     model.arrive(0, 2, 100_000);
-    let end = (100_000..400_000).step_by(1_000).find(|&t| !model.advance(t).is_empty());
-    assert!(end.is_some_and(|t| (150_000..200_000).contains(&t)), "{end:?}");
+    let finished_at = (100_000..400_000).step_by(1_000).find(|&t| !model.advance(t).is_empty());
+    assert!(finished_at.is_some_and(|t| (150_000..200_000).contains(&t)), "{finished_at:?}");
 }
 
 #[test]
-fn hanging_backend_swallows_requests_and_paused_one_resumes() {
+fn hanging_backend_swallows_requests_and_paused_backend_resumes() {
     let mut model = BackendModel::new(SPEC, 0, None);
     model.set_hangs(true);
     assert_eq!(model.arrive(0, 1, 10), Admission::Swallowed);
--- a/crates/testbed/src/callers.rs
+++ b/crates/testbed/src/callers.rs
@@ -1,7 +1,9 @@
-//! Emulated callers of the external processor: a campaign of requests over the plain stream or `ext_proc`, callers that are
-//! killed at random, backends that crash, and an independent ledger of effects. It measures the cost of a decision.
+//! Emulated callers of the external processor. A campaign sends requests over the plain stream or `ext_proc`,
+//! kills callers at random, lets backends crash, records all effects independently of the processor, and
+//! measures the cost of a decision.
 //!
-//! Backends are entries of the ledger: only callers and the processor communicate over loopback sockets.
+//! Backends exist only as entries of the ledger: no traffic leaves the callers and the processor, which
+//! communicate over loopback sockets.
 
 mod envoy;
 mod ledger;
@@ -31,12 +33,12 @@
 /// Upper bound on the callers of a campaign.
 const MAX_CALLERS: usize = 64;
 /// Upper bound on the backends of a campaign.
-const MAX_BOXES: usize = 8_000;
-/// An answer that takes longer counts as lost.
+const MAX_BACKENDS: usize = 8_000;
+/// An answer that takes longer than this counts as missing.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Interval at which a paced caller checks for due requests.
+/// Interval at which a caller checks for requests that are due.
 const PACING_INTERVAL: Duration = Duration::from_millis(1);
-/// The service classes; each request draws one.
+/// The request classes; each request gets a random one.
 const CLASSES: [&str; 3] = ["read", "submit", "charge"];
 
 /// Why a campaign could not be run.
@@ -49,23 +51,26 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     /// The processor rejected a call.
-    #[error("a caller: {0}")]
+    #[error("the processor rejected a call: {0}")]
     Call(#[from] tonic::Status),
-    /// The processor rejected a connection.
-    #[error("a caller: {0}")]
+    /// A connection to the processor failed.
+    #[error("cannot connect to the processor: {0}")]
     Connect(#[from] tonic::transport::Error),
     /// This caller received no answer in time, with this number of requests open.
-    #[error("caller {0} heard nothing for {RESPONSE_TIMEOUT:?}, {1} questions open")]
+    #[error("caller {0} received no answer for {RESPONSE_TIMEOUT:?}, with {1} requests open")]
     NoAnswer(usize, usize),
-    /// This caller received an answer that fits no question.
-    #[error("caller {0}: {1}")]
+    /// This caller received an answer that the protocol does not allow here; with a description.
+    #[error("caller {0} received an unexpected answer: {1}")]
     UnexpectedAnswer(usize, String),
     /// A value of the campaign is out of range.
-    #[error("1 to {MAX_REQUESTS} requests, 1 to {MAX_CALLERS} callers, 1 to {MAX_BOXES} boxes")]
+    #[error(
+        "a campaign has 1 to {MAX_REQUESTS} requests, 1 to {MAX_CALLERS} callers, 1 to {MAX_BACKENDS} backends, \
+         and at least 1 open request for each caller"
+    )]
     OutOfRange,
 }
 
-/// A campaign.
+/// The parameters of a campaign.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Campaign {
     /// Requests of all callers.
@@ -106,10 +111,10 @@
         let protocol = if *envoy { "ext_proc" } else { "plain stream" };
         write!(
             f,
-            "{requests} requests, {callers} callers over the {protocol}, {open} open each, {boxes} boxes, "
+            "{requests} requests, {callers} callers over the {protocol}, {open} open each, {boxes} backends, "
         )?;
         if *rate > 0.0 {
-            write!(f, "{rate} a second, seed {seed}")
+            write!(f, "{rate} requests/s, seed {seed}")
         } else {
             write!(f, "unpaced, seed {seed}")
         }
@@ -138,21 +143,21 @@
         rate <= 0.0 || (sent as f64) < self.started_at.elapsed().as_secs_f64() * rate
     }
 
-    /// Sends an attempt to a backend; `None` where no backend has this address.
+    /// Emulates an attempt at a backend; `None` where no backend has this address.
     fn send(&self, to: &str, request: &CampaignRequest) -> Option<pb::Outcome> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner).send(to, request)
     }
 }
 
-/// Runs a campaign against a processor of its own.
+/// Runs a campaign against a processor that it starts.
 ///
 /// # Errors
-/// Where the processor does not start, or an answer is missing or unexpected.
-pub fn play(campaign: &Campaign) -> Result<CampaignResult, CallersError> {
+/// Where the campaign is out of range, the processor does not start, or an answer is missing or unexpected.
+pub fn run(campaign: &Campaign) -> Result<CampaignResult, CallersError> {
     let in_range = |value: usize, max: usize| (1..=max).contains(&value);
     if !in_range(campaign.requests, MAX_REQUESTS)
         || !in_range(campaign.callers, MAX_CALLERS)
-        || !in_range(campaign.boxes, MAX_BOXES)
+        || !in_range(campaign.boxes, MAX_BACKENDS)
         || campaign.open == 0
     {
         return Err(CallersError::OutOfRange);
@@ -161,14 +166,14 @@
     let local = LocalSet::new();
     local.block_on(&runtime, async {
         let processor = Processor::start(campaign.program.as_deref(), campaign.boxes).await?;
-        let address = processor.callers()?;
+        let address = processor.caller_address()?;
         let context = Arc::new(CampaignContext {
             campaign: campaign.clone(),
             address,
             ledger: Mutex::new(Ledger::new(campaign)),
             started_at: Instant::now(),
         });
-        let before = processor.used()?.0;
+        let cpu_before = processor.usage()?.0;
         let callers: Vec<_> = (0..campaign.callers)
             .map(|number| {
                 if campaign.envoy {
@@ -183,47 +188,48 @@
             let one = caller.await.map_err(|e| CallersError::UnexpectedAnswer(0, e.to_string()))??;
             all.add(&one);
         }
-        all.span = context.started_at.elapsed();
-        let (cpu_s, memory_mb) = processor.used()?;
-        (all.cpu_s, all.memory_mb) = (cpu_s - before, memory_mb);
+        all.duration = context.started_at.elapsed();
+        let (cpu_s, memory_mb) = processor.usage()?;
+        (all.cpu_s, all.memory_mb) = (cpu_s - cpu_before, memory_mb);
         let ledger = context.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        all.effects = (ledger.effects, ledger.doubled);
+        all.effects = (ledger.effects, ledger.duplicate_effects);
         Ok(all)
     })
 }
 
-/// The random number generator of a caller, and the requests assigned to it.
+/// The random number generator of the caller with this number, and the requests assigned to it.
 fn assign_requests(campaign: &Campaign, number: usize) -> (fastrand::Rng, VecDeque<CampaignRequest>) {
     let mut rng = fastrand::Rng::with_seed(campaign.seed.wrapping_add(1 + number as u64));
-    let request = (number..campaign.requests).step_by(campaign.callers);
+    let numbers = (number..campaign.requests).step_by(campaign.callers);
     let queued =
-        request.map(|n| CampaignRequest { number: n as u64, class: rng.usize(..CLASSES.len()) }).collect();
+        numbers.map(|n| CampaignRequest { number: n as u64, class: rng.usize(..CLASSES.len()) }).collect();
     (rng, queued)
 }
 
-/// Measures the memory of open leases: MB before, MB with them, and the number granted.
+/// Measures the processor's memory for this number of open leases. Returns its memory without them and with
+/// them, MB, and the number of leases granted.
 ///
 /// # Errors
-/// Where the processor does not start, or does not answer.
-pub fn hold(campaign: &Campaign, leases: usize) -> Result<(f64, f64, usize), CallersError> {
+/// Where the processor does not start, or an answer is missing.
+pub fn measure_lease_memory(campaign: &Campaign, leases: usize) -> Result<(f64, f64, usize), CallersError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
     local.block_on(&runtime, async {
         let processor = Processor::start(campaign.program.as_deref(), campaign.boxes).await?;
-        let address = processor.callers()?;
-        let mut connection = CallerConnection::open(address).await?;
-        let before = processor.used()?.1;
+        let address = processor.caller_address()?;
+        let mut connection = CallerConnection::connect(address).await?;
+        let memory_before = processor.usage()?.1;
         let mut granted = 0;
         for tag in 1..=leases as u64 {
             let id = tag.to_be_bytes().to_vec();
             let decide = pb::DecideRequest { id, class: "charge".into(), ..pb::DecideRequest::default() };
-            connection.ask(tag, pb::question::Question::Decide(decide)).await;
+            connection.send_question(tag, pb::question::Question::Decide(decide)).await;
             let answer = timeout(RESPONSE_TIMEOUT, connection.answers.message()).await;
             let answer = answer.map_err(|_| CallersError::NoAnswer(0, 1))??.and_then(|t| t.answer);
             granted +=
                 usize::from(matches!(answer.and_then(|a| a.answer), Some(pb::answer::Answer::Send(_))));
         }
         sleep(PACING_INTERVAL).await;
-        Ok((before, processor.used()?.1, granted))
+        Ok((memory_before, processor.usage()?.1, granted))
     })
 }
--- a/crates/testbed/src/callers/envoy.rs
+++ b/crates/testbed/src/callers/envoy.rs
@@ -1,9 +1,10 @@
-//! Callers as Envoy's `ext_proc` filter: a stream for each request over one connection, headers as `raw_value`, the
-//! response's headers as the report, local replies named by `response.code_details`. `failure_mode_allow` is off: without
-//! the processor's decision nothing is sent, and the client receives an error.
+//! Callers that behave as Envoy's `ext_proc` filter: a stream for each request over one connection, header
+//! values as `raw_value`, the response headers as the report, and `response.code_details` to identify Envoy's
+//! local replies. `failure_mode_allow` is off: without the processor's decision nothing is sent, and the
+//! client receives an error.
 //!
-//! A client whose Envoy is killed during its request retries it with a new id and the same idempotency key, and not at all
-//! where the class is not idempotent.
+//! A client whose Envoy is killed during its request retries it with a new id and the same idempotency key; a
+//! request of a non-idempotent class is not retried.
 
 use super::{
     CLASSES, CallersError, CampaignContext, CampaignRequest, CampaignResult, PACING_INTERVAL,
@@ -34,7 +35,7 @@
     number: usize,
     queued: Mutex<VecDeque<(CampaignRequest, u32)>>,
     sent: AtomicU64,
-    /// Its current connection; replacing it emulates a kill.
+    /// Its current connection; replacing it emulates a kill and a restart.
     connection: watch::Sender<Channel>,
 }
 
@@ -42,7 +43,7 @@
 enum ExchangeOutcome {
     /// The client has its final answer.
     Ended(pb::End),
-    /// Envoy was killed, and all its open requests with it.
+    /// Envoy was killed, which ended all its open requests.
     Killed,
 }
 
@@ -64,7 +65,7 @@
     let connection = watch::channel(connect(context.address).await?).0;
     let envoy = Arc::new(Envoy { context, number, queued, sent: AtomicU64::new(0), connection });
     let clients: Vec<_> = (0..open)
-        .map(|_| tokio::spawn(client(Arc::clone(&envoy), fastrand::Rng::with_seed(rng.u64(..)))))
+        .map(|_| tokio::spawn(run_client(Arc::clone(&envoy), fastrand::Rng::with_seed(rng.u64(..)))))
         .collect();
     let mut all = CampaignResult::empty();
     for client in clients {
@@ -74,8 +75,8 @@
     Ok(all)
 }
 
-/// A client: one request at a time, until none is queued.
-async fn client(envoy: Arc<Envoy>, mut rng: fastrand::Rng) -> Result<CampaignResult, CallersError> {
+/// Runs a client: it sends one request at a time, until none is queued.
+async fn run_client(envoy: Arc<Envoy>, mut rng: fastrand::Rng) -> Result<CampaignResult, CallersError> {
     let mut result = CampaignResult::empty();
     let mut connection = envoy.connection.subscribe();
     loop {
@@ -92,9 +93,9 @@
             exchange_outcome = envoy.exchange(channel, &request, retries, &mut rng, &mut result) => exchange_outcome?,
         };
         match exchange_outcome {
-            ExchangeOutcome::Ended(end) => result.ends[end as usize] += 1,
+            ExchangeOutcome::Ended(end) => result.final_outcomes[end as usize] += 1,
             ExchangeOutcome::Killed if CLASSES[request.class] == "charge" => {
-                result.ends[pb::End::Unknown as usize] += 1;
+                result.final_outcomes[pb::End::Unknown as usize] += 1;
             }
             ExchangeOutcome::Killed => {
                 envoy
@@ -131,8 +132,8 @@
     }
 }
 
-/// The response of a backend, or Envoy's local reply.
-fn response(outcome: pb::Outcome) -> ProcessingRequest {
+/// The headers of a backend's response, or of Envoy's local reply, for the outcome of an attempt.
+fn response_headers(outcome: pb::Outcome) -> ProcessingRequest {
     let (status, extra_header, details) = match outcome {
         pb::Outcome::Served => ("200", None, "via_upstream"),
         pb::Outcome::TurnedAway => ("503", Some(header("x-unprocessed", "1")), "via_upstream"),
@@ -152,7 +153,7 @@
     }
 }
 
-/// The final outcome for the client of an immediate response.
+/// The final outcome that the status of an immediate response stands for.
 fn outcome_of_status(code: i32) -> pb::End {
     match code {
         503 => pb::End::Refused,
@@ -161,12 +162,12 @@
     }
 }
 
-/// The backend that the response to the request headers selects.
+/// The address of the backend that the processor selects in its response to the request headers.
 fn destination(answer: &HeadersResponse) -> Option<String> {
     let mutation = answer.response.as_ref()?.header_mutation.as_ref()?;
     let mut set = mutation.set_headers.iter().filter_map(|option| option.header.as_ref());
-    let named = set.find(|h| h.key == "x-gateway-destination-endpoint")?;
-    String::from_utf8(named.raw_value.clone()).ok()
+    let endpoint = set.find(|h| h.key == "x-gateway-destination-endpoint")?;
+    String::from_utf8(endpoint.raw_value.clone()).ok()
 }
 
 impl Envoy {
@@ -180,7 +181,7 @@
     ) -> Result<ProcessingAnswer, CallersError> {
         let message = timeout(RESPONSE_TIMEOUT, from.message()).await;
         let message = message.map_err(|_| CallersError::NoAnswer(self.number, 1))??;
-        message.and_then(|r| r.response).ok_or_else(|| self.unexpected("no response"))
+        message.and_then(|r| r.response).ok_or_else(|| self.unexpected("a message without a response"))
     }
 
     async fn exchange(
@@ -192,13 +193,13 @@
         result: &mut CampaignResult,
     ) -> Result<ExchangeOutcome, CallersError> {
         let (messages, outgoing) = mpsc::channel(2);
-        let began = Instant::now();
+        let asked_at = Instant::now();
         let _ = messages.send(request_headers(request, retries)).await;
         let mut client = ExternalProcessorClient::new(channel);
         let mut answer = client.process(ReceiverStream::new(outgoing)).await?.into_inner();
         let first = self.receive(&mut answer).await?;
         result.decisions += 1;
-        result.times.saturating_record(u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX));
+        result.latencies.saturating_record(u64::try_from(asked_at.elapsed().as_micros()).unwrap_or(u64::MAX));
         let to = match first {
             ProcessingAnswer::ImmediateResponse(answer) => {
                 return Ok(ExchangeOutcome::Ended(outcome_of_status(
@@ -206,20 +207,22 @@
                 )));
             }
             ProcessingAnswer::RequestHeaders(answer) => {
-                destination(&answer).ok_or_else(|| self.unexpected("no box"))?
+                destination(&answer).ok_or_else(|| self.unexpected("a decision without an endpoint"))?
             }
             other => return Err(self.unexpected(format!("{other:?}"))),
         };
-        result.sends += 1;
-        let outcome =
-            self.context.send(&to, request).ok_or_else(|| self.unexpected(format!("no box {to}")))?;
+        result.attempts += 1;
+        let outcome = self
+            .context
+            .send(&to, request)
+            .ok_or_else(|| self.unexpected(format!("no backend has the address {to}")))?;
         let kill_every = self.context.campaign.kill_every;
         if kill_every > 0 && rng.usize(..kill_every) == 0 {
             result.kills += 1;
             self.connection.send_replace(connect(self.context.address).await?);
             return Ok(ExchangeOutcome::Killed);
         }
-        let _ = messages.send(response(outcome)).await;
+        let _ = messages.send(response_headers(outcome)).await;
         Ok(ExchangeOutcome::Ended(match self.receive(&mut answer).await? {
             ProcessingAnswer::ImmediateResponse(answer) => {
                 outcome_of_status(answer.status.map_or(0, |status| status.code))
--- a/crates/testbed/src/callers/ledger.rs
+++ b/crates/testbed/src/callers/ledger.rs
@@ -1,4 +1,4 @@
-//! The emulated backends of a campaign, and the effects of requests there.
+//! The emulated backends of a campaign, and the effects that requests had there.
 
 use super::{CLASSES, Campaign, CampaignRequest};
 use external_processor::generated as pb;
@@ -7,24 +7,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Backends of a cell, which share idempotency keys.
+/// Number of backends of a cell; they share their idempotency keys.
 pub(super) const BACKENDS_PER_CELL: usize = 3;
-/// Retention of an idempotency key.
+/// How long a cell retains an idempotency key.
 const KEY_TTL: Duration = Duration::from_secs(3);
 
 /// Records which requests took effect, independently of what callers report.
 pub(super) struct Ledger {
     rng: fastrand::Rng,
-    trouble_every: usize,
-    /// For each backend: attempts until it is back after a crash.
+    fault_interval: usize,
+    /// For each backend: number of attempts that fail before it is up again after a crash; 0 while it is up.
     down: Vec<u32>,
     by_address: FxHashMap<String, usize>,
-    /// For each request: the backend and time of its last recorded effect.
+    /// For each request: backend and time of its last recorded effect.
     executed: FxHashMap<u64, (usize, Instant)>,
-    /// Effects of requests that are not retryable.
+    /// Effects of keyed and non-idempotent requests.
     pub(super) effects: u64,
-    /// Those of them that a request had taken before.
-    pub(super) doubled: u64,
+    /// How many of these effects repeated an earlier one of the same request.
+    pub(super) duplicate_effects: u64,
 }
 
 /// The address of a backend; nothing listens there.
@@ -37,12 +37,12 @@
         let addresses = (0..campaign.boxes).map(|i| (backend_address(i).to_string(), i));
         Self {
             rng: fastrand::Rng::with_seed(campaign.seed),
-            trouble_every: campaign.trouble_every,
+            fault_interval: campaign.trouble_every,
             down: vec![0; campaign.boxes],
             by_address: addresses.collect(),
             executed: FxHashMap::default(),
             effects: 0,
-            doubled: 0,
+            duplicate_effects: 0,
         }
     }
 
@@ -53,8 +53,8 @@
             self.down[backend] -= 1;
             return Some(pb::Outcome::CouldNotConnect);
         }
-        let fault = self.trouble_every > 0 && self.rng.usize(..self.trouble_every) == 0;
-        Some(match fault.then(|| self.rng.u32(..10)) {
+        let has_fault = self.fault_interval > 0 && self.rng.usize(..self.fault_interval) == 0;
+        Some(match has_fault.then(|| self.rng.u32(..10)) {
             None => {
                 self.execute(backend, request);
                 pb::Outcome::Served
@@ -78,16 +78,16 @@
             return;
         }
         let earlier = self.executed.get(&request.number).copied();
-        let is_duplicate = earlier.is_some_and(|(first, when)| {
+        let is_deduplicated = earlier.is_some_and(|(first, when)| {
             CLASSES[request.class] == "submit"
                 && first / BACKENDS_PER_CELL == backend / BACKENDS_PER_CELL
                 && when.elapsed() < KEY_TTL
         });
-        if is_duplicate {
+        if is_deduplicated {
             return;
         }
         self.effects += 1;
-        self.doubled += u64::from(earlier.is_some());
+        self.duplicate_effects += u64::from(earlier.is_some());
         self.executed.insert(request.number, (backend, Instant::now()));
     }
 }
--- a/crates/testbed/src/callers/processor.rs
+++ b/crates/testbed/src/callers/processor.rs
@@ -33,14 +33,14 @@
     .to_string()
 }
 
-/// Configuration of the gRPC front end.
+/// Configuration of the external processor's gRPC front end, TOML.
 const EXTERNAL_PROCESSOR_CONFIG: &str = "listen = \"127.0.0.1:0\"\n";
 
-/// The processor: a process of its own, whose CPU time and memory the operating system reports, or a thread of this one,
-/// without these figures.
+/// The processor: a separate process, whose CPU time and memory the operating system reports, or a thread of
+/// this process, for which these are not measured.
 pub(super) enum Processor {
     Process { intermediary: Intermediary, files: [PathBuf; 2] },
-    Thread { listening: BoundAddresses, stop: Option<oneshot::Sender<()>>, thread: Option<JoinHandle<()>> },
+    Thread { bound: BoundAddresses, stop: Option<oneshot::Sender<()>>, thread: Option<JoinHandle<()>> },
 }
 
 impl Drop for Processor {
@@ -56,26 +56,26 @@
 }
 
 impl Processor {
-    /// Starts the processor and waits until it has received the backends.
+    /// Starts the processor, and waits until it has received its backends from discovery.
     ///
     /// # Errors
-    /// Where it can't be started or is not ready in time.
+    /// Where it cannot be started, or is not ready in time.
     pub(super) async fn start(program: Option<&Path>, backends: usize) -> Result<Self, CallersError> {
         let addresses: Vec<SocketAddr> = (0..backends).map(backend_address).collect();
         let config = config(backends, discovery(&addresses, BACKENDS_PER_CELL).await?);
         let processor = match program {
-            Some(program) => Self::process(program, &config)?,
-            None => Self::thread(&config)?,
+            Some(program) => Self::start_process(program, &config)?,
+            None => Self::start_thread(&config)?,
         };
-        let clients = match &processor {
+        let client_address = match &processor {
             Self::Process { intermediary, .. } => intermediary.address,
-            Self::Thread { listening, .. } => listening.clients,
+            Self::Thread { bound, .. } => bound.clients,
         };
-        wait_until_up(clients).await?;
+        wait_until_up(client_address).await?;
         Ok(processor)
     }
 
-    fn process(program: &Path, config: &str) -> Result<Self, CallersError> {
+    fn start_process(program: &Path, config: &str) -> Result<Self, CallersError> {
         let file =
             |name: &str| env::temp_dir().join(format!("testbed-callers-{}.{name}", std::process::id()));
         let files = [file("json"), file("toml")];
@@ -87,7 +87,7 @@
         Ok(Self::Process { intermediary, files })
     }
 
-    fn thread(config: &str) -> Result<Self, CallersError> {
+    fn start_thread(config: &str) -> Result<Self, CallersError> {
         let start_error =
             |e: &dyn fmt::Display| CallersError::Process(CostError::Intermediary(e.to_string()));
         let http = Config::parse(config.as_bytes(), |_| None).map_err(|e| start_error(&e))?;
@@ -101,37 +101,41 @@
             let stop = async {
                 let _ = stopped.await;
             };
-            let started = move |_: &Handle, listening| {
-                let _ = address_sender.send(listening);
+            let started = move |_: &Handle, bound| {
+                let _ = address_sender.send(bound);
             };
             let served = LocalSet::new().block_on(&runtime, server::serve(front_ends, stop, None, started));
             if let Err(error) = served {
-                eprintln!("the processor: {error}");
+                eprintln!("the external processor failed: {error}");
             }
         });
-        let listening = address_receiver.recv().map_err(|_| start_error(&"it ended before it listened"))?;
-        Ok(Self::Thread { listening, stop: Some(stop), thread: Some(thread) })
+        let bound = address_receiver
+            .recv()
+            .map_err(|_| start_error(&"the external processor ended before it listened"))?;
+        Ok(Self::Thread { bound, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// The address that accepts callers.
+    /// The address at which the processor accepts callers.
     ///
     /// # Errors
     /// Where the processor has reported none.
-    pub(super) fn callers(&self) -> Result<SocketAddr, CallersError> {
-        let callers = match self {
+    pub(super) fn caller_address(&self) -> Result<SocketAddr, CallersError> {
+        let address = match self {
             Self::Process { intermediary, .. } => intermediary.second,
-            Self::Thread { listening, .. } => listening.external_processor,
+            Self::Thread { bound, .. } => bound.external_processor,
         };
-        callers.ok_or_else(|| {
-            CallersError::Process(CostError::Intermediary("the program tells no address for callers".into()))
+        address.ok_or_else(|| {
+            CallersError::Process(CostError::Intermediary(
+                "the program reported no address for callers".into(),
+            ))
         })
     }
 
-    /// CPU seconds so far, and resident memory in MB; zeros for a thread.
+    /// CPU time so far, seconds, and resident memory, MB; zeros for a thread.
     ///
     /// # Errors
-    /// Where the process is gone.
-    pub(super) fn used(&self) -> Result<(f64, f64), CallersError> {
+    /// Where the process has ended.
+    pub(super) fn usage(&self) -> Result<(f64, f64), CallersError> {
         match self {
             Self::Process { intermediary, .. } => Ok(intermediary.used()?),
             Self::Thread { .. } => Ok((0.0, 0.0)),
--- a/crates/testbed/src/callers/stream_caller.rs
+++ b/crates/testbed/src/callers/stream_caller.rs
@@ -1,4 +1,4 @@
-//! A caller over the plain stream: one connection with many open requests.
+//! A caller that uses the plain stream: one connection with many open requests.
 
 use super::{
     CLASSES, CallersError, CampaignContext, CampaignRequest, CampaignResult, PACING_INTERVAL,
@@ -16,8 +16,9 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::Streaming;
 
-/// Questions queued at most between a caller and its connection.
+/// Upper bound on the questions queued between a caller and its connection.
 const QUESTION_QUEUE_LENGTH: usize = 1_024;
+
 /// A connection to the processor with its open stream.
 pub(super) struct CallerConnection {
     questions: mpsc::Sender<pb::Question>,
@@ -29,33 +30,33 @@
     ///
     /// # Errors
     /// Where the processor does not accept the connection or the stream.
-    pub(super) async fn open(address: SocketAddr) -> Result<Self, CallersError> {
+    pub(super) async fn connect(address: SocketAddr) -> Result<Self, CallersError> {
         let channel = tonic::transport::Endpoint::from_shared(format!("http://{address}"))?.connect().await?;
         let (questions, outgoing) = mpsc::channel(QUESTION_QUEUE_LENGTH);
         let answers = DecisionsClient::new(channel).converse(ReceiverStream::new(outgoing)).await?;
         Ok(Self { questions, answers: answers.into_inner() })
     }
 
-    /// Sends a question.
-    pub(super) async fn ask(&self, tag: u64, question: pb::question::Question) {
-        // The end of a connection shows on its answer stream.
+    /// Sends a question. A failure is not reported here: it ends the stream of answers.
+    pub(super) async fn send_question(&self, tag: u64, question: pb::question::Question) {
         let _ = self.questions.send(pb::Question { tag, question: Some(question) }).await;
     }
 }
 
-/// A request that waits for its decision or its final answer.
+/// A request without its decision, or without its final answer.
 struct PendingRequest {
     request: CampaignRequest,
     /// When the decision was requested; `None` once it has arrived.
-    sent: Option<Instant>,
+    asked_at: Option<Instant>,
 }
 
-/// A caller over all its connections.
+/// A caller. It opens a new connection each time it is killed.
 pub(super) struct Caller {
     number: usize,
     context: Arc<CampaignContext>,
     rng: fastrand::Rng,
     queued: VecDeque<CampaignRequest>,
+    /// Requests to be sent once more, with the time from which.
     retries: VecDeque<(Instant, CampaignRequest)>,
     open: FxHashMap<u64, PendingRequest>,
     next_tag: u64,
@@ -85,7 +86,7 @@
     /// # Errors
     /// Where an answer is missing or unexpected, or a connection fails.
     pub(super) async fn run(mut self) -> Result<CampaignResult, CallersError> {
-        let mut connection = CallerConnection::open(self.context.address).await?;
+        let mut connection = CallerConnection::connect(self.context.address).await?;
         while !(self.queued.is_empty() && self.retries.is_empty() && self.open.is_empty()) {
             self.send_due(&connection).await;
             let next_wake = self.next_wake();
@@ -100,23 +101,24 @@
                 return Err(CallersError::UnexpectedAnswer(self.number, "the stream ended".into()));
             };
             if !self.handle_answer(&connection, answer).await? {
-                // Killed: answers in flight are lost, and its requests are sent again.
+                // The caller is killed: answers in flight are lost, and its successor retries all open
+                // requests.
                 self.result.kills += 1;
                 let mut lost: Vec<(u64, PendingRequest)> = self.open.drain().collect();
                 lost.sort_unstable_by_key(|(tag, _)| *tag);
                 for (_, pending) in lost {
                     self.queued.push_front(pending.request);
                 }
-                connection = CallerConnection::open(self.context.address).await?;
+                connection = CallerConnection::connect(self.context.address).await?;
             }
         }
         Ok(self.result)
     }
 
-    /// When there is something to do besides receiving answers.
+    /// When requests may have to be sent; `None` where there are only answers to wait for.
     fn next_wake(&self) -> Option<Instant> {
-        let room = self.open.len() < self.context.campaign.open;
-        let paced = (room && !self.queued.is_empty()).then(|| Instant::now() + PACING_INTERVAL);
+        let may_open = self.open.len() < self.context.campaign.open;
+        let paced = (may_open && !self.queued.is_empty()).then(|| Instant::now() + PACING_INTERVAL);
         let retries = self.retries.front().map(|(at, _)| *at);
         [paced, retries].into_iter().flatten().min()
     }
@@ -139,12 +141,12 @@
                 idempotency_key: key,
                 ..pb::DecideRequest::default()
             };
-            self.open.insert(tag, PendingRequest { request, sent: Some(Instant::now()) });
-            connection.ask(tag, pb::question::Question::Decide(decide)).await;
+            self.open.insert(tag, PendingRequest { request, asked_at: Some(Instant::now()) });
+            connection.send_question(tag, pb::question::Question::Decide(decide)).await;
         }
     }
 
-    /// Handles an answer; false where the caller is killed after it.
+    /// Handles an answer. Returns false where the caller is killed after it.
     async fn handle_answer(
         &mut self,
         connection: &CallerConnection,
@@ -158,19 +160,21 @@
             return Ok(true);
         }
         let pending = self.open.remove(&tagged.tag);
-        let mut pending = pending.ok_or_else(|| unexpected(format!("{answer:?} answers nothing")))?;
-        if let Some(sent) = pending.sent.take() {
+        let mut pending =
+            pending.ok_or_else(|| unexpected(format!("{answer:?}, whose tag fits no open request")))?;
+        if let Some(asked_at) = pending.asked_at.take() {
             self.result.decisions += 1;
-            let micros = u64::try_from(sent.elapsed().as_micros()).unwrap_or(u64::MAX);
-            self.result.times.saturating_record(micros);
+            let micros = u64::try_from(asked_at.elapsed().as_micros()).unwrap_or(u64::MAX);
+            self.result.latencies.saturating_record(micros);
         }
         let is_killed =
             self.context.campaign.kill_every > 0 && self.rng.usize(..self.context.campaign.kill_every) == 0;
         match answer {
             A::Send(send) => {
-                self.result.sends += 1;
+                self.result.attempts += 1;
                 let outcome = self.context.send(&send.endpoint, &pending.request);
-                let outcome = outcome.ok_or_else(|| unexpected(format!("no box {}", send.endpoint)))?;
+                let outcome = outcome
+                    .ok_or_else(|| unexpected(format!("no backend has the address {}", send.endpoint)))?;
                 let report = pb::ReportRequest {
                     lease: send.lease,
                     outcome: outcome as i32,
@@ -181,18 +185,18 @@
                 if is_killed {
                     return Ok(false);
                 }
-                connection.ask(tagged.tag, pb::question::Question::Report(report)).await;
+                connection.send_question(tagged.tag, pb::question::Question::Report(report)).await;
             }
             A::Final(end) => {
-                let count = self.result.ends.get_mut(end.end as usize);
-                *count.ok_or_else(|| unexpected(format!("end {}", end.end)))? += 1;
+                let count = self.result.final_outcomes.get_mut(end.end as usize);
+                *count.ok_or_else(|| unexpected(format!("unknown final outcome {}", end.end)))? += 1;
             }
-            A::InFlight(granted) => {
+            A::InFlight(in_flight) => {
                 self.result.in_flight += 1;
-                self.retry_later(pending.request, u64::from(granted.ask_again_ms));
+                self.retry_later(pending.request, u64::from(in_flight.ask_again_ms));
             }
             A::Rejected(pb::Rejected { reason, .. }) if reason == pb::Reason::Overload as i32 => {
-                self.result.overload += 1;
+                self.result.overloads += 1;
                 self.retry_later(pending.request, 50);
             }
             other => return Err(unexpected(format!("{other:?}"))),
--- a/crates/testbed/src/connection_fault_matrix.rs
+++ b/crates/testbed/src/connection_fault_matrix.rs
@@ -1,7 +1,7 @@
 //! What troubles of connections cost: each kind at several degrees, on small and large fleets, as a table.
 //!
-//! No box is sick on these days. Whatever is lost beyond what the troubles take by themselves, and every ejection, is
-//! the proxy's doing.
+//! No box is sick on these days. Whatever is lost beyond what the troubles take by themselves, and every
+//! ejection, is the proxy's doing.
 
 use crate::script::{BackendFault, BackendFaultKind, Script, ScriptError};
 use crate::sockets::{self, ScenarioResult, SocketScenarioError};
--- a/crates/testbed/src/http1.rs
+++ b/crates/testbed/src/http1.rs
@@ -86,7 +86,8 @@
     Ok(Some((length, message)))
 }
 
-/// Reads one message; `None` where the connection ends before its first byte. `buffer` holds the bytes after it.
+/// Reads one message; `None` where the connection ends before its first byte. `buffer` holds the bytes after
+/// it.
 ///
 /// # Errors
 /// Where the connection breaks or the message is invalid.
--- a/crates/testbed/src/invariant_checker.rs
+++ b/crates/testbed/src/invariant_checker.rs
@@ -1,5 +1,5 @@
-//! Checks the four rules and computes the goodput from what clients, backends and discovery observed. Pure: no I/O, no
-//! clock, and no input from the proxies' own reports.
+//! Checks the four rules (see [`CheckReport::violations`]) and computes the goodput from the observations of
+//! clients, backends and discovery. Pure: no I/O, no clock, and no input from the proxies' own reports.
 
 mod observation;
 mod report;
@@ -16,20 +16,22 @@
 
 /// How long after the notification a proxy may still send to a draining or removed backend, microseconds.
 pub const DRAIN_GRACE: Micros = 1_000_000;
-/// Sent more than this multiple of its capacity ...
+/// A warming backend is overloaded where it receives more than this multiple of the work that it can do
+/// within [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// ... within this time, microseconds, a warming backend is overloaded.
+/// Length of the sliding window over which the work of a warming backend is summed, microseconds.
 pub const OVERLOAD_WINDOW: Micros = 2_000_000;
 /// Requests beyond the slow-start limit that are tolerated: a few may arrive together by chance.
 const OVERLOAD_SLACK_REQUESTS: f64 = 2.0;
 
-/// Checks a scenario. `slack` is the scheduling delay in microseconds that the machine may add: 0 in virtual time.
+/// Checks a scenario. `slack` is the scheduling delay, in microseconds, that the machine may add to each time
+/// bound; it is 0 in virtual time.
 #[must_use]
 pub fn check(script: &Script, log: &ObservationLog, slack: Micros) -> CheckReport {
     check_ordered(script, &log.in_order(), slack)
 }
 
-/// Checks observations that are already in the order of time; see [`check`].
+/// As [`check`], for observations that are already in the order of time.
 #[must_use]
 pub fn check_ordered(script: &Script, observations: &[(Micros, Observation)], slack: Micros) -> CheckReport {
     let mut checker = Checker::new(script, slack);
@@ -39,7 +41,7 @@
     checker.finish()
 }
 
-/// One start of a request at a backend.
+/// A request that a backend started to process.
 struct Attempt {
     at: Micros,
     backend: usize,
@@ -51,15 +53,15 @@
     deadline: Micros,
     proxy: usize,
     response: Option<ResponseKind>,
-    answered_at: Micros,
-    /// The proxy's process was killed before it answered, or was already gone when the request was written.
+    responded_at: Micros,
+    /// The proxy's process was killed before it responded, or had already ended when the request was written.
     proxy_killed: bool,
-    /// A proxy may have read it.
+    /// Whether a proxy may have read it.
     accepted: bool,
     attempts: Vec<Attempt>,
 }
 
-/// Work that a backend received at a time, microseconds on one core.
+/// Work that a backend received at one time, microseconds on one core.
 struct ReceivedWork {
     at: Micros,
     work: Micros,
@@ -72,7 +74,7 @@
     recent: Vec<ReceivedWork>,
 }
 
-/// A time for which a proxy's process was stopped.
+/// An interval in which a proxy's process was stopped.
 #[derive(Clone, Copy)]
 struct Stall {
     from: Micros,
@@ -83,9 +85,9 @@
     script: &'a Script,
     slack: Micros,
     requests: FxHashMap<u64, RequestRecord>,
-    /// When a proxy was notified that a backend accepts no more requests, by proxy and backend.
+    /// When a proxy was notified that a backend accepts no more requests; the key is (proxy, backend).
     not_ready_since: FxHashMap<(usize, usize), Micros>,
-    /// Link faults of the script; a proxy is not responsible for delays on a link.
+    /// Link faults of the script; delays on a link do not count against a proxy.
     links: Links,
     scenario_started_at: Option<Micros>,
     stalls: FxHashMap<usize, Vec<Stall>>,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The longest delay that link faults add to what is sent between these times, over all `directions`.
+    /// The longest delay that link faults add to messages sent between these times, summed over `directions`.
     fn max_link_delay(&self, link: Link, directions: &[Direction], from: Micros, to: Micros) -> Micros {
         let has_faults = self.script.has_links(link.between);
         let Some(started_at) = self.scenario_started_at.filter(|_| has_faults) else { return 0 };
@@ -129,10 +131,11 @@
         stalls.filter(|stall| stall.from <= to && from <= stall.until).max_by_key(|stall| stall.until)
     }
 
-    /// The latest time at which the client may receive the answer. The time of a stall does not count: a request read
-    /// before the stall is due when the process continues, and one that arrived during the stall has its complete
-    /// time from there, as the process can't know how long it has waited.
-    fn latest_answer(&self, proxy: usize, sent_at: Micros, deadline: Micros) -> Micros {
+    /// The latest time at which the client may receive the response. Stalls do not count: a request that was
+    /// read before a stall is due when the process continues, and one that arrived during a stall has its
+    /// full timeout from then on, because the process does not know how long the request was queued in the
+    /// socket.
+    fn latest_response_time(&self, proxy: usize, sent_at: Micros, deadline: Micros) -> Micros {
         let due = match self.last_stall(proxy, sent_at, deadline) {
             Some(stall) if sent_at >= stall.from => deadline + stall.until - sent_at,
             Some(stall) => deadline.max(stall.until),
@@ -185,9 +188,9 @@
 
     fn proxy_killed(&mut self, proxy: usize) {
         self.killed_proxies.insert(proxy);
-        let unanswered =
+        let without_response =
             self.requests.values_mut().filter(|request| request.proxy == proxy && request.response.is_none());
-        unanswered.for_each(|request| request.proxy_killed = true);
+        without_response.for_each(|request| request.proxy_killed = true);
     }
 
     fn request_not_accepted(&mut self, at: Micros, id: u64) {
@@ -196,15 +199,16 @@
             request.attempts.is_empty()
         });
         if !no_attempt {
-            let description = format!("request {id} was taken, and its connection ended");
-            self.report.add_violation(Rule::FinalAnswer, at, &description);
+            let description =
+                format!("request {id} reached a backend, yet its connection closed before the proxy read it");
+            self.report.add_violation(Rule::FinalResponse, at, &description);
         }
     }
 
     fn request_sent(&mut self, at: Micros, id: u64, class: usize, deadline: Micros, proxy: usize) {
         let previous = self.requests.get(&id);
         let duplicate = previous.is_some_and(|request| request.accepted);
-        // The client's time began with the first connection on which it sent the request.
+        // The timeout of the client began when it sent the request on its first connection.
         let sent_at = previous.map_or(at, |request| request.sent_at);
         let request = RequestRecord {
             class,
@@ -212,51 +216,56 @@
             deadline,
             proxy,
             response: None,
-            answered_at: 0,
+            responded_at: 0,
             proxy_killed: self.killed_proxies.contains(&proxy),
             accepted: true,
             attempts: Vec::new(),
         };
         self.requests.insert(id, request);
         if duplicate {
-            self.report.add_violation(Rule::FinalAnswer, at, &format!("request {id} was asked twice"));
+            self.report.add_violation(Rule::FinalResponse, at, &format!("request {id} was sent twice"));
         }
     }
 
     fn response_received(&mut self, at: Micros, id: u64, kind: ResponseKind) {
         let Some(request) = self.requests.get_mut(&id) else {
-            let description = format!("an answer to {id}, which nobody asked");
-            return self.report.add_violation(Rule::FinalAnswer, at, &description);
+            let description = format!("response to request {id}, which no client sent");
+            return self.report.add_violation(Rule::FinalResponse, at, &description);
         };
         let (class, proxy) = (request.class, request.proxy);
         let (sent_at, deadline) = (request.sent_at, request.deadline);
         let attempted = !request.attempts.is_empty();
-        request.answered_at = at;
+        request.responded_at = at;
         if request.response.replace(kind).is_some() {
-            self.report.add_violation(Rule::FinalAnswer, at, &format!("request {id} was answered twice"));
+            self.report.add_violation(
+                Rule::FinalResponse,
+                at,
+                &format!("request {id} received two responses"),
+            );
         }
-        let latest = self.latest_answer(proxy, sent_at, deadline);
+        let latest = self.latest_response_time(proxy, sent_at, deadline);
         if at > latest + self.slack {
             let sent_s = sent_at as f64 / 1e6;
             let late = at - latest;
-            let description =
-                format!("request {id}, asked of proxy {proxy} at {sent_s:.3} s, was answered {late} us late");
-            self.report.add_violation(Rule::FinalAnswer, at, &description);
+            let description = format!(
+                "request {id}, sent to proxy {proxy} at {sent_s:.3} s, received its response {late} us late"
+            );
+            self.report.add_violation(Rule::FinalResponse, at, &description);
         }
         if kind == ResponseKind::Forged || (kind == ResponseKind::Served && !attempted) {
-            let description = format!("request {id} got an answer that no box made");
-            self.report.add_violation(Rule::FinalAnswer, at, &description);
+            let description = format!("request {id} received a response that no backend produced");
+            self.report.add_violation(Rule::FinalResponse, at, &description);
         }
         let safe = self.script.classes[class].idempotency == IdempotencySpec::Safe;
         if kind == ResponseKind::Rejected && attempted && !safe {
-            let description = format!("request {id} was refused and may have run");
+            let description = format!("request {id} was rejected after a backend had started it");
             self.report.add_violation(Rule::SingleEffect, at, &description);
         }
     }
 
     fn attempt_arrived(&mut self, at: Micros, id: u64, backend: usize) {
         let Some(request) = self.requests.get(&id) else {
-            let description = format!("box {backend} got {id}, which nobody asked");
+            let description = format!("backend {backend} received request {id}, which no client sent");
             return self.report.add_violation(Rule::SingleEffect, at, &description);
         };
         let proxy = request.proxy;
@@ -264,7 +273,7 @@
         self.check_drain_grace(at, proxy, backend);
     }
 
-    /// Rule 3: the grace period counts from when the notification could reach a running process.
+    /// Checks rule 3. The grace period begins when a running process could have received the notification.
     fn check_drain_grace(&mut self, at: Micros, proxy: usize, backend: usize) {
         let Some(&notified_at) = self.not_ready_since.get(&(proxy, backend)) else { return };
         let stall = self.last_stall(proxy, notified_at, notified_at + DRAIN_GRACE);
@@ -276,13 +285,15 @@
         let in_transit = self.max_link_delay(to_backend, &[Direction::Out], received_at, at);
         if at > received_at + DRAIN_GRACE + self.slack + in_transit {
             let late = (at - received_at) as f64 / 1e6;
-            let description = format!("proxy {proxy} sent to box {backend} {late:.2} s after it drains");
+            let description = format!(
+                "proxy {proxy} sent to backend {backend} {late:.2} s after the notification that it is not ready"
+            );
             self.report.add_violation(Rule::DrainGrace, at, &description);
         }
     }
 
-    /// Whether an attempt at `backend` repeats the effect of the request's first attempt.
-    fn repeats_effect(&self, class: &ClassSpec, first: &Attempt, at: Micros, backend: usize) -> bool {
+    /// Whether an attempt at `backend` has the effect of the request's first attempt a second time.
+    fn duplicates_effect(&self, class: &ClassSpec, first: &Attempt, at: Micros, backend: usize) -> bool {
         let same_group = match class.idempotency {
             IdempotencySpec::Safe => return false,
             IdempotencySpec::Unsafe => return true,
@@ -295,22 +306,22 @@
     fn attempt_started(&mut self, at: Micros, id: u64, backend: usize) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.script.classes[request.class];
-        let repeated =
-            request.attempts.first().is_some_and(|first| self.repeats_effect(class, first, at, backend));
+        let duplicated =
+            request.attempts.first().is_some_and(|first| self.duplicates_effect(class, first, at, backend));
         let rejected =
             request.response == Some(ResponseKind::Rejected) && class.idempotency != IdempotencySpec::Safe;
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts.push(Attempt { at, backend });
         }
-        if repeated || rejected {
-            let problem = if repeated { "ran twice" } else { "ran after it was refused" };
-            let description = format!("request {id} {problem}, now at box {backend}");
+        if duplicated || rejected {
+            let problem = if duplicated { "had its effect twice" } else { "started after it was rejected" };
+            let description = format!("request {id} {problem}, at backend {backend}");
             self.report.add_violation(Rule::SingleEffect, at, &description);
         }
     }
 
-    /// Rule 4: the work received within any [`OVERLOAD_WINDOW`] stays under [`OVERLOAD_MULTIPLE`] times the capacity
-    /// that the backend had at the window's start.
+    /// Checks rule 4: the work received within any [`OVERLOAD_WINDOW`] stays below [`OVERLOAD_MULTIPLE`]
+    /// times the work that the backend can do in it with the capacity that it had at the start of the window.
     fn check_slow_start(&mut self, at: Micros, backend: usize, work: Micros) {
         let fleet = &self.script.fleet;
         let warm_up = &mut self.backends[backend];
@@ -323,7 +334,8 @@
         warm_up.recent.retain(|received| received.at >= from);
         let received: f64 = warm_up.recent.iter().map(|received| received.work as f64).sum();
         let progress = (from - started_at) as f64 / micros(fleet.warm_up_s).max(1) as f64;
-        // What a faster one can do beyond that is not counted: the bound is that of the settings.
+        // A backend that is faster than the settings assume counts with a speed of 1: the bound follows the
+        // settings.
         let speed = self.script.speed(backend).min(1.0);
         let capacity = fleet.cores
             * speed
@@ -332,7 +344,8 @@
             OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW as f64 + OVERLOAD_SLACK_REQUESTS * work as f64;
         if received > limit {
             let multiple = received / (capacity * OVERLOAD_WINDOW as f64);
-            let description = format!("box {backend}, cold, got {multiple:.1} times what it can do");
+            let description =
+                format!("warming backend {backend} received {multiple:.1} times the work that it can do");
             self.report.add_violation(Rule::SlowStart, at, &description);
         }
     }
--- a/crates/testbed/src/invariant_checker/observation.rs
+++ b/crates/testbed/src/invariant_checker/observation.rs
@@ -1,4 +1,5 @@
-//! Observations: what clients, backends and discovery recorded of a scenario, independently of the proxies' own reports.
+//! Observations: what clients, backends and discovery recorded of a scenario, independently of the proxies'
+//! own reports.
 
 use balancer::api::Micros;
 
@@ -7,7 +8,7 @@
 pub enum ResponseKind {
     /// A backend's complete response.
     Served,
-    /// 429 or 503.
+    /// Status 429 or 503.
     Rejected,
     /// Any other response.
     Failed,
@@ -36,7 +37,7 @@
         /// The kind of response.
         kind: ResponseKind,
     },
-    /// A request's last byte reached a backend, which started it. A backend that hangs counts as having started it.
+    /// A backend received a complete request and started it. A hanging backend counts as having started it.
     AttemptStarted {
         /// The request.
         id: u64,
@@ -66,12 +67,13 @@
         /// The backend.
         backend: usize,
     },
-    /// The connection ended before any proxy read the request; the client may send it once more.
+    /// The connection closed before any proxy read the request; the client may send it once more.
     RequestNotAccepted {
         /// The request.
         id: u64,
     },
-    /// A client's request reached no proxy: the front end had not yet detected that the proxy was gone.
+    /// A client's request reached no proxy: the front end had not yet detected that the proxy's process had
+    /// ended.
     RequestUndelivered {
         /// Its class, as an index into the script's classes.
         class: usize,
@@ -81,7 +83,7 @@
         /// The proxy.
         proxy: usize,
     },
-    /// A proxy's process was restarted; it has none of its predecessor's notifications.
+    /// A proxy's process was restarted; the notifications of its predecessor no longer apply.
     ProxyRestarted {
         /// The proxy.
         proxy: usize,
@@ -103,7 +105,7 @@
         /// The backend.
         backend: usize,
     },
-    /// The scenario started; the times of link faults count from here.
+    /// The scenario started; the times of link faults are relative to this.
     ScenarioStarted,
     /// A proxy called discovery.
     DiscoveryCalled {
--- a/crates/testbed/src/invariant_checker/report.rs
+++ b/crates/testbed/src/invariant_checker/report.rs
@@ -3,17 +3,17 @@
 use balancer::api::Micros;
 use std::fmt;
 
-/// Number of violations that are described one by one; all are counted.
-const MAX_MESSAGES: usize = 20;
+/// Violations beyond this number are only counted, not described.
+const MAX_DESCRIBED_VIOLATIONS: usize = 20;
 
-/// The rules that a proxy must never break.
+/// The rules that a proxy must never violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rule {
-    /// Each request gets exactly one final answer, in time.
-    FinalAnswer = 1,
-    /// No effect happens twice.
+    /// Each request gets exactly one final response, in time.
+    FinalResponse = 1,
+    /// No effect of a keyed or non-idempotent request occurs twice.
     SingleEffect = 2,
-    /// No new request goes to a draining or removed backend after the grace period.
+    /// No attempt starts at a draining or removed backend after the grace period.
     DrainGrace = 3,
     /// No warming backend is overloaded.
     SlowStart = 4,
@@ -24,19 +24,19 @@
 pub struct ClassTotals {
     /// Requests that a proxy accepted.
     pub requests: u64,
-    /// Served within the latency objective.
+    /// Requests served within the latency objective.
     pub in_time: u64,
-    /// Served after the latency objective.
+    /// Requests served after the latency objective.
     pub late: u64,
-    /// Rejected with 429 or 503.
+    /// Requests rejected with status 429 or 503.
     pub rejected: u64,
-    /// Answered with a failure.
+    /// Requests with any other response.
     pub failed: u64,
     /// Attempts that reached backends.
     pub attempts: u64,
     /// Requests that reached no proxy.
     pub undelivered: u64,
-    /// Unanswered because the proxy's process was killed, or was stopped past the deadline.
+    /// Requests without a response because the proxy's process was killed, or was stopped past the deadline.
     pub excused: u64,
     /// Sum of the priority weights of all requests.
     pub total_weight: f64,
@@ -75,7 +75,9 @@
     pub classes: Vec<ClassTotals>,
     /// Lowest goodput of any window of five seconds, 0 to 1.
     pub worst_goodput: f64,
-    /// Number of violations of rules 1 to 4.
+    /// Number of violations of each rule: (1) each request gets exactly one final response, in time; (2) no
+    /// effect of a keyed or non-idempotent request occurs twice; (3) no attempt starts at a draining or
+    /// removed backend after the grace period; (4) no warming backend is overloaded.
     pub violations: [u64; 4],
     /// Descriptions of the first violations.
     pub messages: Vec<String>,
@@ -90,7 +92,8 @@
         self.violations == [0; 4]
     }
 
-    /// The latency within which this fraction (0 to 1) of the served responses arrived, microseconds; 0 without any.
+    /// The latency within which this fraction (0 to 1) of the served responses arrived, microseconds; 0
+    /// without any.
     #[must_use]
     pub fn percentile(&self, fraction: f64) -> Micros {
         let last = self.latencies.len().saturating_sub(1);
@@ -101,7 +104,7 @@
     pub(super) fn add_violation(&mut self, rule: Rule, at: Micros, description: &str) {
         let number = rule as usize;
         self.violations[number - 1] += 1;
-        if self.messages.len() < MAX_MESSAGES {
+        if self.messages.len() < MAX_DESCRIBED_VIOLATIONS {
             self.messages.push(format!("rule {number} at {:.3} s: {description}", at as f64 / 1e6));
         }
     }
@@ -112,7 +115,7 @@
         let total = &self.total;
         writeln!(
             f,
-            "goodput {:.3}, worst 5 s {:.3}; asked {}, in time {}, late {}, refused {}, failed {}, attempts {}{}",
+            "goodput {:.3}, worst 5 s {:.3}; requests {}, in time {}, late {}, rejected {}, failed {}, attempts {}{}",
             total.goodput(),
             self.worst_goodput,
             total.requests,
@@ -123,7 +126,7 @@
             total.attempts,
             match (total.undelivered, total.excused) {
                 (0, 0) => String::new(),
-                (undelivered, excused) => format!(", missed {undelivered}, excused {excused}"),
+                (undelivered, excused) => format!(", undelivered {undelivered}, excused {excused}"),
             }
         )?;
         let ms = |fraction| self.percentile(fraction) as f64 / 1e3;
@@ -131,7 +134,7 @@
         self.messages.iter().try_for_each(|message| writeln!(f, "{message}"))?;
         write!(
             f,
-            "rules broken: {} {} {} {}",
+            "violations of rules 1 to 4: {} {} {} {}",
             self.violations[0], self.violations[1], self.violations[2], self.violations[3]
         )
     }
--- a/crates/testbed/src/invariant_checker/tests.rs
+++ b/crates/testbed/src/invariant_checker/tests.rs
@@ -13,16 +13,17 @@
 ]
 "#;
 
-/// The violations of each rule when request 1 of this class is sent to proxy 0 at time 0, followed by `seen`.
-fn violations(class: usize, seen: &[(Micros, Observation)]) -> [u64; 4] {
-    report(class, seen).violations
+/// The violations of each rule where request 1 of this class is sent to proxy 0 at time 0, followed by
+/// `observations`.
+fn violations(class: usize, observations: &[(Micros, Observation)]) -> [u64; 4] {
+    report(class, observations).violations
 }
 
-fn report(class: usize, seen: &[(Micros, Observation)]) -> CheckReport {
-    let script = Script::parse(SCRIPT, Path::new("day")).expect("a good script");
+fn report(class: usize, observations: &[(Micros, Observation)]) -> CheckReport {
+    let script = Script::parse(SCRIPT, Path::new("scenario")).expect("a valid script");
     let mut log = ObservationLog::default();
     log.add(0, Observation::RequestSent { id: 1, class, end: 500_000, proxy: 0 });
-    for &(at, observation) in seen {
+    for &(at, observation) in observations {
         log.add(at, observation);
     }
     check(&script, &log, 0)
@@ -37,15 +38,15 @@
 }
 
 #[test]
-fn one_answer_in_time_is_clean_and_earns_its_weight() {
-    let good = report(1, &[(10, attempt_started(0)), (50_000, response(ResponseKind::Served))]);
-    assert_eq!((good.violations, good.total.earned_weight, good.total.in_time), ([0; 4], 9.0, 1));
+fn one_response_in_time_is_clean_and_earns_its_weight() {
+    let in_time = report(1, &[(10, attempt_started(0)), (50_000, response(ResponseKind::Served))]);
+    assert_eq!((in_time.violations, in_time.total.earned_weight, in_time.total.in_time), ([0; 4], 9.0, 1));
     let late = report(1, &[(10, attempt_started(0)), (300_000, response(ResponseKind::Served))]);
     assert_eq!((late.violations, late.total.earned_weight, late.total.late), ([0; 4], 4.5, 1));
 }
 
 #[test]
-fn rule_1_counts_missing_duplicate_late_and_forged_answers() {
+fn rule_1_counts_missing_duplicate_late_and_forged_responses() {
     assert_eq!(violations(0, &[]), [1, 0, 0, 0]);
     let served = (20, response(ResponseKind::Served));
     assert_eq!(
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn rule_2_counts_repeated_effects_and_rejections_after_an_attempt() {
+fn rule_2_counts_duplicate_effects_and_rejections_after_an_attempt() {
     let end = (90, response(ResponseKind::Failed));
     assert_eq!(violations(2, &[(10, attempt_started(0)), (20, attempt_started(2)), end]), [0, 1, 0, 0]);
     // Backends 0 and 6 share a cell, 0 and 2 do not.
@@ -105,11 +106,11 @@
         [1, 0, 0, 0],
         "another process was killed"
     );
-    let asked = Observation::RequestSent { id: 2, class: 0, end: 500_000, proxy: 0 };
+    let sent = Observation::RequestSent { id: 2, class: 0, end: 500_000, proxy: 0 };
     let (served, restarted) =
         (response(ResponseKind::Served), (25, Observation::ProxyRestarted { proxy: 0 }));
     assert_eq!(
-        violations(0, &[(10, attempt_started(0)), (15, served), killed(20, 0), restarted, (30, asked)])[0],
+        violations(0, &[(10, attempt_started(0)), (15, served), killed(20, 0), restarted, (30, sent)])[0],
         1,
         "sent to the successor"
     );
@@ -126,18 +127,22 @@
     let answered =
         |at| violations(0, &[(10, attempt_started(0)), stalled, (at, response(ResponseKind::Failed))]);
     assert_eq!((answered(900_000), answered(900_001)), ([0; 4], [1, 0, 0, 0]));
-    // A request that arrives during the stall has its complete time from the end of the stall.
-    let asked = (300, Observation::RequestSent { id: 2, class: 0, end: 500_300, proxy: 0 });
+    // A request that arrives during the stall has its full timeout from the end of the stall.
+    let sent_during_stall = (300, Observation::RequestSent { id: 2, class: 0, end: 500_300, proxy: 0 });
     let second = |at| {
         let end = (at, Observation::ResponseReceived { id: 2, kind: ResponseKind::Failed });
-        violations(0, &[stalled, asked, (400, response(ResponseKind::Failed)), end])[0]
+        violations(0, &[stalled, sent_during_stall, (400, response(ResponseKind::Failed)), end])[0]
     };
     assert_eq!((second(1_400_000), second(1_400_001)), (0, 1));
     let notified = (50, Observation::BackendNotified { proxy: 0, backend: 3, ready: false });
     let late = Observation::AttemptRejected { id: 1, backend: 3 };
     let end = (120, response(ResponseKind::Failed));
-    let sent = |at| violations(0, &[notified, stalled, end, (at, late)])[2];
-    assert_eq!((sent(1_900_000), sent(1_900_001)), (0, 1), "the grace counts from the end of the stall");
+    let rule_3 = |at| violations(0, &[notified, stalled, end, (at, late)])[2];
+    assert_eq!(
+        (rule_3(1_900_000), rule_3(1_900_001)),
+        (0, 1),
+        "the grace period counts from the end of the stall"
+    );
 }
 
 #[test]
@@ -164,21 +169,22 @@
 #[test]
 fn rule_4_limits_work_within_two_seconds() {
     let overload = |count: u64| {
-        let mut seen = vec![(0, Observation::BackendStarted { backend: 0 })];
+        let mut observations = vec![(0, Observation::BackendStarted { backend: 0 })];
         for n in 0..count {
-            seen.push((
+            observations.push((
                 n * 1_000,
                 Observation::RequestSent { id: 10 + n, class: 0, end: 9_000_000, proxy: 0 },
             ));
-            seen.push((n * 1_000, Observation::AttemptStarted { id: 10 + n, backend: 0, work: 10_000 }));
-            seen.push((
+            observations
+                .push((n * 1_000, Observation::AttemptStarted { id: 10 + n, backend: 0, work: 10_000 }));
+            observations.push((
                 n * 1_000 + 500,
                 Observation::ResponseReceived { id: 10 + n, kind: ResponseKind::Served },
             ));
         }
-        violations(0, &seen)[3]
+        violations(0, &observations)[3]
     };
-    // Three times a third of a core for two seconds: 198 requests of 10 ms, and the slack of two.
+    // Three times a third of a core for two seconds: 198 requests of 10 ms, and a slack of two requests.
     assert_eq!((overload(200), overload(210) > 0), (0, true));
 }
 
@@ -186,8 +192,8 @@
 fn link_delay_does_not_count_against_a_proxy() {
     let link_fault =
         "link = [{ between = \"clients\", at_s = 0.2, for_s = 1.0, cut = true, way = \"back\" }]\nclass = [";
-    let script =
-        Script::parse(&SCRIPT.replace("class = [", link_fault), Path::new("day")).expect("a good script");
+    let script = Script::parse(&SCRIPT.replace("class = [", link_fault), Path::new("scenario"))
+        .expect("a valid script");
     let violations_of = |started| {
         let mut log = ObservationLog::default();
         log.add(
@@ -205,9 +211,9 @@
 #[test]
 fn unaccepted_request_may_be_sent_again_and_is_not_lost() {
     let unaccepted = (20, Observation::RequestNotAccepted { id: 1 });
-    let sent_again_event = (30, Observation::RequestSent { id: 1, class: 0, end: 500_030, proxy: 0 });
+    let resent = (30, Observation::RequestSent { id: 1, class: 0, end: 500_030, proxy: 0 });
     let served = [(40, attempt_started(0)), (50, response(ResponseKind::Served))];
-    let sent_again = report(0, &[unaccepted, sent_again_event, served[0], served[1]]);
+    let sent_again = report(0, &[unaccepted, resent, served[0], served[1]]);
     assert_eq!(
         (sent_again.violations, sent_again.total.requests, sent_again.total.undelivered),
         ([0; 4], 1, 0)
@@ -220,27 +226,27 @@
     assert_eq!(
         violations(0, &[(10, attempt_started(0)), unaccepted, (30, response(ResponseKind::Failed))])[0],
         1,
-        "a backend had already started it"
+        "a backend had already started the request"
     );
     // A request written to a killed process is excused; one sent to its successor is not.
-    let asked = |at| (at, Observation::RequestSent { id: 2, class: 0, end: at + 500_000, proxy: 0 });
+    let sent = |at| (at, Observation::RequestSent { id: 2, class: 0, end: at + 500_000, proxy: 0 });
     let (killed, restarted) =
         ((60, Observation::ProxyKilled { proxy: 0 }), (70, Observation::ProxyRestarted { proxy: 0 }));
-    assert_eq!(violations(0, &[served[0], served[1], killed, asked(65), restarted])[0], 0);
-    assert_eq!(violations(0, &[served[0], served[1], killed, restarted, asked(75)])[0], 1);
+    assert_eq!(violations(0, &[served[0], served[1], killed, sent(65), restarted])[0], 0);
+    assert_eq!(violations(0, &[served[0], served[1], killed, restarted, sent(75)])[0], 1);
 }
 
-/// Guards against a checker that measures a slow backend by the capacity of one at full speed.
+/// Guards against a checker that applies the capacity of a backend at full speed to a slow one.
 #[test]
 fn rule_4_counts_the_capacity_of_a_slow_backend() {
     let overloads = |speeds: &str| {
         let text = SCRIPT.replace("boxes = 12,", &format!("boxes = 12, speeds = [{speeds}],"));
-        let script = Script::parse(&text, Path::new("day")).expect("a good script");
+        let script = Script::parse(&text, Path::new("scenario")).expect("a valid script");
         let mut log = ObservationLog::default();
         log.add(0, Observation::BackendStarted { backend: 0 });
         log.add(0, Observation::RequestSent { id: 1, class: 0, end: 500_000, proxy: 0 });
         let capacity = script.fleet.initial_capacity * script.fleet.cores * OVERLOAD_WINDOW as f64;
-        // Twice what a warming backend of full speed can do, in one window.
+        // Twice the work that a warming backend at full speed can do in one window.
         let work = (capacity * 2.0 / 100.0) as Micros;
         for n in 0..100 {
             log.add(n * 1_000, Observation::AttemptStarted { id: 1, backend: 0, work });
@@ -249,5 +255,5 @@
         check(&script, &log, 0).violations[3]
     };
     assert_eq!(overloads("1.0"), 0, "within the bound of {OVERLOAD_MULTIPLE}");
-    assert!(overloads("0.25") > 0, "eight times what a backend of a quarter of the speed can do");
+    assert!(overloads("0.25") > 0, "eight times the work that a backend at a quarter of the speed can do");
 }
--- a/crates/testbed/src/invariant_checker/totals.rs
+++ b/crates/testbed/src/invariant_checker/totals.rs
@@ -1,4 +1,5 @@
-//! Totals of a checked scenario: outcomes and weights by class, goodput by window, and unanswered requests.
+//! Totals of a checked scenario: outcomes and weights by class, goodput by window, and requests without a
+//! response.
 
 use super::report::{CheckReport, Rule};
 use super::{Checker, ClassTotals, RequestRecord, ResponseKind};
@@ -8,7 +9,8 @@
 
 /// Length of the windows over which the worst goodput is taken, microseconds.
 const GOODPUT_WINDOW: Micros = 5_000_000;
-/// A window counts if it has the largest window's weight over this: the last one may hold only a few requests.
+/// A window counts only if its weight is at least that of the heaviest window divided by this: the last
+/// window may have only a few requests.
 const MIN_WINDOW_DIVISOR: f64 = 4.0;
 
 /// Priority weight of the requests sent within one window.
@@ -42,7 +44,7 @@
             window.earned += earned;
             window.total += class.priority_weight;
             if request.response.is_none() {
-                self.count_unanswered(id);
+                self.count_missing_response(id);
             }
         }
         self.report.latencies.sort_unstable();
@@ -53,25 +55,26 @@
         self.report
     }
 
-    /// A request without an answer violates rule 1 unless its process was killed or had no time to answer.
-    fn count_unanswered(&mut self, id: u64) {
+    /// Counts a request without a response: a violation of rule 1, unless the proxy's process was killed or
+    /// was stalled past the deadline.
+    fn count_missing_response(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id) else { return };
         let (proxy, sent_at, deadline) = (request.proxy, request.sent_at, request.deadline);
-        if request.proxy_killed || self.latest_answer(proxy, sent_at, deadline) > deadline {
+        if request.proxy_killed || self.latest_response_time(proxy, sent_at, deadline) > deadline {
             self.report.classes[request.class].excused += 1;
             return;
         }
         let sent_s = sent_at as f64 / 1e6;
         let description =
-            format!("request {id}, asked of proxy {proxy} at {sent_s:.3} s, never got an answer");
-        self.report.add_violation(Rule::FinalAnswer, deadline, &description);
+            format!("request {id}, sent to proxy {proxy} at {sent_s:.3} s, received no response");
+        self.report.add_violation(Rule::FinalResponse, deadline, &description);
     }
 }
 
 impl RequestRecord {
-    /// Time from sending the request to its answer, microseconds.
+    /// Time from sending the request to its response, microseconds.
     fn latency(&self) -> Micros {
-        self.answered_at.saturating_sub(self.sent_at)
+        self.responded_at.saturating_sub(self.sent_at)
     }
 }
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins that cause failures, a judge that believes no proxy, and measurements. Nothing in the product imports
-//! this crate.
+//! Stand-ins that cause failures, a judge that believes no proxy, and measurements. Nothing in the product
+//! imports this crate.
 //!
-//! A [`script`] says what fleet, traffic and troubles a day has. It is played in [`virtual_time`] or on loopback
-//! [`sockets`]; either way [`invariant_checker`] tells from what the stand-ins saw whether the four rules held and what the
-//! service was worth.
+//! A [`script`] says what fleet, traffic and troubles a day has. It is played in [`virtual_time`] or on
+//! loopback [`sockets`]; either way [`invariant_checker`] tells from what the stand-ins saw whether the four
+//! rules held and what the service was worth.
 
 pub mod address;
 pub mod backend_model;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -18,8 +18,8 @@
 use testbed::script::Script;
 use testbed::{connection_fault_matrix, demo, scale, virtual_time};
 
-/// Stand-ins, fault scripts, a judge of the four rules, and measurements. Ends with code 0 where no rule broke, 1
-/// where one did, 2 where nothing could be played.
+/// Stand-ins, fault scripts, a judge of the four rules, and measurements. Ends with code 0 where no rule
+/// broke, 1 where one did, 2 where nothing could be played.
 #[derive(Parser)]
 #[command(name = "testbed", version)]
 struct Arguments {
@@ -50,7 +50,8 @@
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Play a day for every seed: over processes, or in virtual time, beside what plain choices make of the same arrivals.
+    /// Play a day for every seed: over processes, or in virtual time, beside what plain choices make of the
+    /// same arrivals.
     Fleet {
         #[command(flatten)]
         order: FleetOrder,
@@ -91,7 +92,8 @@
         #[arg(long, default_value = "target/release/load-balancing-proxy")]
         proxy: PathBuf,
     },
-    /// Play callers of the external processor that are killed at random among boxes that crash, and measure a decision.
+    /// Play callers of the external processor that are killed at random among boxes that crash, and measure a
+    /// decision.
     Callers {
         #[command(flatten)]
         campaign: Campaign,
@@ -134,8 +136,8 @@
         /// Where the rig listens.
         rig: SocketAddr,
     },
-    /// Memory, processor time, bytes and waits of one proxy by the size of what it is told and asked, with straight lines
-    /// through them, as JSON lines on standard output.
+    /// Memory, processor time, bytes and waits of one proxy by the size of what it is told and asked, with
+    /// straight lines through them, as JSON lines on standard output.
     Slopes {
         #[command(flatten)]
         order: SlopesOrder,
@@ -208,8 +210,8 @@
     /// For the random numbers of the stand-ins.
     #[arg(long, default_value_t = 20_261_202)]
     seed: u64,
-    /// Only this family (backends, tenants, config, classes, `idle_clients`, `open_requests`, rate, fleet, clients,
-    /// `over_share`), or quantities whose name holds this.
+    /// Only this family (backends, tenants, config, classes, `idle_clients`, `open_requests`, rate, fleet,
+    /// clients, `over_share`), or quantities whose name holds this.
     #[arg(long, default_value = "")]
     only: String,
     /// Sizes in place of the usual ones, with commas; for one family.
@@ -234,7 +236,8 @@
     /// How many seeds, one after another.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Requests a second as a part of what keeps all boxes busy, in place of the script's; several with commas.
+    /// Requests a second as a part of what keeps all boxes busy, in place of the script's; several with
+    /// commas.
     #[arg(long, value_delimiter = ',')]
     load: Vec<f64>,
     /// The program.
@@ -399,15 +402,19 @@
             measure(&Load { boxes, clients, requests, turns, proxy })
         }
         Command::Callers { campaign, hold: Some(leases) } => {
-            let (before, with, held) = callers::hold(&campaign, leases)?;
-            println!("{held} leases out at {} boxes: {before:.1} MB -> {with:.1} MB", campaign.boxes);
-            Ok(held > 0)
+            let (memory_before, memory_with_leases, granted) =
+                callers::measure_lease_memory(&campaign, leases)?;
+            println!(
+                "{granted} open leases, {} backends: {memory_before:.1} MB -> {memory_with_leases:.1} MB",
+                campaign.boxes
+            );
+            Ok(granted > 0)
         }
         Command::Callers { campaign, hold: None } => {
             println!("{campaign}");
-            let played = callers::play(&campaign)?;
-            println!("{played}");
-            Ok(played.ended() == campaign.requests as u64 && played.effects.1 == 0)
+            let result = callers::run(&campaign)?;
+            println!("{result}");
+            Ok(result.finished_requests() == campaign.requests as u64 && result.effects.1 == 0)
         }
         Command::Scale { scale: Scale::Fleet(order) } => play_scale(order),
         Command::Scale { scale: Scale::Hollow { rig } } => {
--- a/crates/testbed/src/sockets.rs
+++ b/crates/testbed/src/sockets.rs
@@ -1,6 +1,6 @@
-//! Scenarios over loopback sockets: real proxies, each on its own thread, with emulated backends, discovery and clients.
-//! The emulators record observations for the invariant checker. Here one thread runs all emulators; `fleet` distributes
-//! them over several shards.
+//! Scenarios over loopback sockets: real proxies, each on its own thread, with emulated backends, discovery
+//! and clients. The emulators record observations for the invariant checker. Here one thread runs all
+//! emulators; `fleet` distributes them over several shards.
 
 mod backends;
 mod clients;
@@ -116,11 +116,13 @@
     pub unserved: UnservedCounts,
 }
 
-/// Runs a scenario. `slack` is the timing tolerance of this machine in microseconds; `watch` is called once a second.
+/// Runs a scenario. `slack` is the timing tolerance of this machine in microseconds; `watch` is called once a
+/// second.
 ///
 /// # Errors
-/// [`SocketScenarioError`] where an emulator or a proxy can't be started, or the script contains process or link faults,
-/// which need proxies in processes of their own. Rule violations are not errors but part of the report.
+/// [`SocketScenarioError`] where an emulator or a proxy can't be started, or the script contains process or
+/// link faults, which need proxies in processes of their own. Rule violations are not errors but part of the
+/// report.
 pub fn play(
     script: &Script,
     slack: Micros,
--- a/crates/testbed/src/sockets/backends.rs
+++ b/crates/testbed/src/sockets/backends.rs
@@ -55,7 +55,8 @@
 }
 
 impl EmulatedBackend {
-    /// Starts a warmed-up backend. Its address stays reserved while it is down, so that no other socket gets the port.
+    /// Starts a warmed-up backend. Its address stays reserved while it is down, so that no other socket gets
+    /// the port.
     ///
     /// # Errors
     /// Where the address can't be reserved or listened on.
@@ -191,8 +192,9 @@
         Ok(())
     }
 
-    /// Draws whether a fault is injected now. The draw for a request depends only on its id and on how often this fault was
-    /// drawn for it before, so that the same requests are hit in whatever order and at whichever backends they arrive.
+    /// Draws whether a fault is injected now. The draw for a request depends only on its id and on how often
+    /// this fault was drawn for it before, so that the same requests are hit in whatever order and at
+    /// whichever backends they arrive.
     fn fault_applies(&self, kind: BackendFaultKind, id: Option<u64>) -> bool {
         let probability = self.faults.borrow().get(&kind).copied().unwrap_or(0.0);
         if probability == 0.0 {
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Sends on an idle connection, or on a new one. Where the proxy closes the idle connection while the request is on
-    /// its way, the request is sent once more on a new connection.
+    /// Sends on an idle connection, or on a new one. Where the proxy closes the idle connection while the
+    /// request is on its way, the request is sent once more on a new connection.
     async fn exchange(
         &self,
         planned: &PlannedRequest,
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -1,5 +1,5 @@
-//! Emulated discovery: one agent for each proxy, or one service context by all proxies. It receives changes after a delay,
-//! answers watches, and records what it has sent.
+//! Emulated discovery: one agent for each proxy, or one service context by all proxies. It receives changes
+//! after a delay, answers watches, and records what it has sent.
 
 use super::listen_on_loopback;
 use super::shard::ShardContext;
@@ -149,7 +149,8 @@
         json!({"revision": self.revision.get(), "complete": true, "members": members})
     }
 
-    /// Applies the change of a backend after the notification delay; the shared service applies it for all proxies at once.
+    /// Applies the change of a backend after the notification delay; the shared service applies it for all
+    /// proxies at once.
     pub(crate) fn schedule_update(self: Rc<Self>, backend: usize) {
         let random_extra = if self.queue.is_some() { 0.0 } else { self.rng.borrow_mut().f64() };
         let delay_s = self.context.state.script.fleet.notification_delay_s * (1.0 + random_extra);
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Waits for the shared service's call queue and returns whether the call succeeded. Agents accept each call at once; a
-    /// continued watch does not go through the queue.
+    /// Waits for the shared service's call queue and returns whether the call succeeded. Agents accept each
+    /// call at once; a continued watch does not go through the queue.
     async fn accepts_call(&self, after: Option<u64>) -> bool {
         let Some(queue) = &self.queue else { return true };
         let continues_watch =
@@ -205,8 +206,8 @@
         matches!(outcome, CallOutcome::Done(_)) && !self.context.state.discovery_is_down()
     }
 
-    /// Waits for a newer revision and returns whether the watch ended well: while discovery is down, an agent stays silent
-    /// and the shared service ends its watches.
+    /// Waits for a newer revision and returns whether the watch ended well: while discovery is down, an agent
+    /// stays silent and the shared service ends its watches.
     async fn wait_for_change(&self, after: Option<u64>, wait: Duration) -> bool {
         let Some(after) = after else { return true };
         let is_down = || self.context.state.discovery_is_down();
--- a/crates/testbed/src/sockets/shared_state.rs
+++ b/crates/testbed/src/sockets/shared_state.rs
@@ -1,5 +1,5 @@
-//! State shared by the emulators of all shards: the script, the scenario's clock, the backends as discovery sees them,
-//! and the proxies as the clients' front end sees them.
+//! State shared by the emulators of all shards: the script, the scenario's clock, the backends as discovery
+//! sees them, and the proxies as the clients' front end sees them.
 
 use crate::plan::Plan;
 use crate::script::{BackendFaultKind, Script};
@@ -224,8 +224,8 @@
         }
     }
 
-    /// Selects the proxy for a request: the planned one while it is open, else a random open one of the same zone, if
-    /// there is any.
+    /// Selects the proxy for a request: the planned one while it is open, else a random open one of the same
+    /// zone, if there is any.
     pub(crate) fn select_proxy(&self, meant: usize, rng: &mut fastrand::Rng) -> Option<usize> {
         if self.proxy_endpoint(meant).is_open() {
             return Some(meant);
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -1,5 +1,5 @@
-//! Simulation in virtual time: many request engines in one process, modelled backends, and external clients that hold
-//! leases. The same script and seed give the same result to the last event.
+//! Simulation in virtual time: many request engines, emulated backends, and external clients with leases, all
+//! in one process. The same script and seed give the same sequence of events.
 
 mod backends;
 mod processes;
@@ -21,15 +21,15 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Start of a scenario on the virtual clock, microseconds; backends may have started before it.
+/// Start of a scenario on the virtual clock, microseconds; greater than 0, because backends may have started
+/// earlier.
 const START: Micros = 1_000_000_000;
-/// How long a scenario may last after its traffic ends, microseconds.
+/// How long the simulation may continue after the last request was sent, microseconds.
 const MAX_DRAIN_TIME: Micros = 60_000_000;
-/// Time from the grant of a lease to sending, microseconds.
+/// Time from the grant of a lease to sending the request, microseconds.
 const SEND_DELAY: Micros = 500;
-/// Longest such time of a slow lease holder, microseconds.
+/// Upper bound on this time for slow lease holders, microseconds.
 const MAX_SLOW_SEND_DELAY: Micros = 600_000;
-/// Limits of each engine.
 const ENGINE_LIMITS: EngineLimits = EngineLimits { requests: 20_000, leases: 5_000 };
 
 struct VirtualMessages;
@@ -41,20 +41,20 @@
     type Response = ();
 }
 
-/// Result of a scenario.
+/// The result of a scenario.
 #[derive(Debug, PartialEq)]
 pub struct Report {
     /// Rule violations and goodput.
     pub judgement: CheckReport,
     /// Load distribution over the backends.
     pub spread: Spread,
-    /// Load of warming backends; `None` if none started.
+    /// Load of backends that were warming up; `None` where no backend started during the scenario.
     pub cold: Option<SlowStartLoad>,
-    /// Counters of all engines.
+    /// Request counters, summed over all engines, including those of ended processes.
     pub counts: Counts,
-    /// Lease counters of all engines.
+    /// Lease counters, summed in the same way.
     pub leases: LeaseCounts,
-    /// Requests and leases still open at the end; has to be 0.
+    /// Requests and leases still open at the end; other than 0 means that an engine has lost track of some.
     pub left_open: usize,
     /// Number of simulated events.
     pub events: u64,
@@ -98,7 +98,6 @@
     }
 }
 
-/// One attempt.
 struct Attempt {
     proxy: usize,
     /// Incarnation of the process that made it.
@@ -112,13 +111,13 @@
     give_up_at: Micros,
     revoked: bool,
     finished: bool,
-    /// The backend sends a malformed response.
+    /// Whether the backend sends a malformed response.
     malformed: bool,
 }
 
 struct SimulatedBackend {
     model: Option<BackendModel>,
-    /// Time of its next timer event.
+    /// Time of its next timer event; `Micros::MAX` where there is none.
     due: Micros,
     draining: bool,
     started_at: Option<Micros>,
@@ -143,7 +142,7 @@
     backends: Vec<SimulatedBackend>,
     attempts: Vec<Attempt>,
     by_lease: FxHashMap<LeaseId, usize>,
-    /// The list of backends at the start of the scenario.
+    /// The backends at the start of the scenario; also the persisted list of a restarted process.
     initial_snapshot: Vec<Backend>,
     log: ObservationLog,
     discovery_down: u32,
@@ -264,7 +263,8 @@
         Ok(simulation)
     }
 
-    /// Delivers the initial snapshot to all proxies, and schedules the faults and the first request.
+    /// Delivers the initial snapshot to all proxies; schedules the process actions, the faults and the first
+    /// request.
     fn schedule_start(&mut self) {
         let (script, plan) = (self.script, self.plan);
         self.initial_snapshot =
@@ -292,7 +292,8 @@
         self.at(self.now + delay, event);
     }
 
-    /// One-way latency between the proxy and the backend of an attempt.
+    /// One-way latency between the proxy and the backend of an attempt, microseconds; within a zone it is a
+    /// quarter of the latency across zones.
     fn latency(&self, index: usize) -> Micros {
         let same_zone =
             self.script.zone(self.attempts[index].proxy) == self.script.zone(self.attempts[index].backend);
@@ -302,7 +303,7 @@
 
     fn handle(&mut self, event: Event) {
         if let Some(proxy) = self.affected_proxy(&event)
-            && self.processes[proxy].defers(event)
+            && self.processes[proxy].defer_or_drop(event)
         {
             return;
         }
@@ -313,7 +314,7 @@
             }
             Event::ProcessAction(index) => self.apply_process_event(index),
             Event::SnapshotArrives(proxy) => self.deliver_snapshot(proxy),
-            // Only the latest of several scheduled timers is valid.
+            // A timer that was rescheduled leaves its earlier event in the queue; that one is ignored.
             Event::ProxyTimer(proxy) => {
                 if self.proxy_due[proxy] <= self.now {
                     self.proxy_due[proxy] = Micros::MAX;
@@ -337,7 +338,7 @@
         }
     }
 
-    /// The proxy whose process has to be running to handle this event.
+    /// The proxy whose process must be running to handle this event.
     fn affected_proxy(&self, event: &Event) -> Option<usize> {
         match *event {
             Event::ProxyTimer(proxy)
--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -38,7 +38,7 @@
     pub(super) fn schedule_backend(&mut self, backend: usize) {
         let simulated = &mut self.backends[backend];
         let next = simulated.model.as_ref().and_then(BackendModel::next).unwrap_or(Micros::MAX);
-        // A timer event that was scheduled before and is no longer due is ignored.
+        // An event that was scheduled for another time stays in the queue and is ignored when it occurs.
         if std::mem::replace(&mut simulated.due, next) != next && next < Micros::MAX {
             self.at(next, Event::BackendTimer(backend));
         }
@@ -134,7 +134,8 @@
                     _ => model.set_slow(degree),
                 }
             }
-            // Of the connection faults, only resets during a request exist in virtual time.
+            // Virtual time emulates no connections: of these faults only resets during a request are
+            // simulated.
             BackendFaultKind::ResetRequest
             | BackendFaultKind::BreakAnswer
             | BackendFaultKind::CloseAfter
--- a/crates/testbed/src/virtual_time/processes.rs
+++ b/crates/testbed/src/virtual_time/processes.rs
@@ -1,4 +1,5 @@
-//! Proxy processes in virtual time: kill, termination, stall and restart; and the front end that routes requests to them.
+//! Proxy processes in virtual time: kill, termination, stall and restart; and the front end that routes
+//! requests to them.
 
 use super::{Event, Simulation, engine};
 use crate::invariant_checker::Observation;
@@ -12,33 +13,34 @@
 /// The process of a proxy.
 #[derive(Clone, Default)]
 pub(super) struct Process {
-    /// Number of restarts.
+    /// How often it was restarted.
     pub(super) incarnation: u32,
     /// When it ended; `None` while it runs.
     ended_at: Option<Micros>,
-    /// It was terminated; the front end no longer routes to it.
+    /// Whether it has been asked to terminate (SIGTERM); the front end no longer routes to it.
     ending: bool,
     stopped: bool,
-    /// Events during a stall.
+    /// Events that arrived while it was stopped.
     deferred: Vec<Event>,
     queued_requests: Vec<usize>,
 }
 
 impl Process {
-    pub(super) fn runs(&self) -> bool {
+    pub(super) fn is_running(&self) -> bool {
         self.ended_at.is_none()
     }
 
-    /// Whether an event is deferred by a stall, or dropped because the process has ended.
-    pub(super) fn defers(&mut self, event: Event) -> bool {
+    /// Defers an event while the process is stopped. Returns true where the event must not be handled now: it
+    /// was deferred, or the process has ended and the event is dropped.
+    pub(super) fn defer_or_drop(&mut self, event: Event) -> bool {
         if self.stopped {
             self.deferred.push(event);
         }
         self.stopped || self.ended_at.is_some()
     }
 
-    /// Whether a request is queued in the socket of a stopped process.
-    pub(super) fn queues(&mut self, index: usize) -> bool {
+    /// Queues a request in the socket of a stopped process; returns whether it did so.
+    pub(super) fn queue_if_stopped(&mut self, index: usize) -> bool {
         if self.stopped {
             self.queued_requests.push(index);
         }
@@ -47,8 +49,8 @@
 }
 
 impl Simulation<'_> {
-    /// The proxy that receives a request intended for this one; `None` if the front end has not detected its end yet, or
-    /// no other proxy serves.
+    /// The proxy that receives a request intended for this one; `None` where the front end has not yet
+    /// detected that its process has ended, or where no other proxy accepts requests.
     pub(super) fn route(&mut self, intended: usize) -> Option<usize> {
         let process = &self.processes[intended];
         match process.ended_at {
@@ -56,7 +58,7 @@
             Some(since) if self.now < since + micros(self.script.fleet.front_end_detection_s) => return None,
             _ => {}
         }
-        let is_serving = |proxy: usize| self.processes[proxy].runs() && !self.processes[proxy].ending;
+        let is_serving = |proxy: usize| self.processes[proxy].is_running() && !self.processes[proxy].ending;
         self.script.in_place_of(intended, is_serving, &mut self.rng)
     }
 
@@ -69,10 +71,11 @@
                 self.process_ended(proxy);
             }
             ProcessAction::Term => self.processes[proxy].ending = true,
-            // Without open requests it has ended by itself; open ones now violate rule 1.
+            // A process without open requests would have ended by now; requests that are still open violate
+            // rule 1.
             ProcessAction::Reap => self.process_ended(proxy),
             ProcessAction::Start(list) => self.restart(proxy, list),
-            ProcessAction::Stop(until) if self.processes[proxy].runs() => {
+            ProcessAction::Stop(until) if self.processes[proxy].is_running() => {
                 self.log.add(self.now, Observation::ProxyStalled { proxy, until: super::START + until });
                 self.processes[proxy].stopped = true;
             }
@@ -92,7 +95,7 @@
 
     fn restart(&mut self, proxy: usize, list: InitialList) {
         let incarnation = self.processes[proxy].incarnation + 1;
-        // The settings were valid at the start of the scenario.
+        // Cannot fail: the same settings were valid at the start of the scenario.
         let Ok(new) = engine(self.script, proxy, incarnation, self.now) else { return };
         let old = std::mem::replace(&mut self.proxies[proxy], new);
         self.ended_process_totals.add(old.counts(), old.lease_counts());
@@ -121,7 +124,7 @@
         self.run_commands(proxy);
     }
 
-    /// Ends a stall: first handles the deferred events, then reads the queued requests, in order.
+    /// Ends a stall: handles the deferred events, then reads the queued requests, each in order of arrival.
     fn resume(&mut self, proxy: usize) {
         let process = &mut self.processes[proxy];
         process.stopped = false;
--- a/crates/testbed/src/virtual_time/proxies.rs
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -48,13 +48,13 @@
 
     pub(super) fn lease_granted(&mut self, proxy: usize, grant: LeaseGrant) {
         let LeaseGrant { lease, request, attempt, backend, send_by, give_up_at } = grant;
-        // A client that already has its response lets the lease expire.
+        // Where the client already has its response, the lease is left to expire.
         let Some(&client) = self.proxies[proxy].responder(request) else { return };
         let index = self.record_attempt(proxy, client, (request, attempt), backend, give_up_at);
         (self.attempts[index].lease, self.attempts[index].send_by) = (Some(lease), send_by);
         self.by_lease.insert(lease, index);
-        let slow = self.rng.f64() < self.script.traffic.slow_callers;
-        let delay = if slow { self.rng.u64(0..MAX_SLOW_SEND_DELAY) } else { SEND_DELAY };
+        let is_slow = self.rng.f64() < self.script.traffic.slow_callers;
+        let delay = if is_slow { self.rng.u64(0..MAX_SLOW_SEND_DELAY) } else { SEND_DELAY };
         self.after(delay, Event::LeaseHolderSends(index));
     }
 
@@ -83,14 +83,14 @@
         self.attempts.len() - 1
     }
 
-    /// Reports the end of an attempt to its engine, once.
+    /// Reports the result of an attempt to its engine; later calls for the same attempt have no effect.
     pub(super) fn finish_attempt(&mut self, index: usize, outcome: Outcome) {
         let attempt = &mut self.attempts[index];
         if std::mem::replace(&mut attempt.finished, true) {
             return;
         }
         let (proxy, request, number, lease) = (attempt.proxy, attempt.request, attempt.number, attempt.lease);
-        if attempt.incarnation != self.processes[proxy].incarnation || !self.processes[proxy].runs() {
+        if attempt.incarnation != self.processes[proxy].incarnation || !self.processes[proxy].is_running() {
             return;
         }
         let ended = AttemptEnd {
@@ -106,7 +106,7 @@
                 if self.rng.f64() < self.script.traffic.lost_reports {
                     return;
                 }
-                // The engine counts late reports; they have no effect.
+                // Fails for a late report, which the engine counts and ignores.
                 let _ = self.proxies[proxy].report_result(self.now, lease, ended);
             }
         }
--- a/crates/testbed/src/virtual_time/requests.rs
+++ b/crates/testbed/src/virtual_time/requests.rs
@@ -24,13 +24,13 @@
         self.proxy_receives(proxy, index);
     }
 
-    /// The proxy has read the complete request.
+    /// Admits a request at its proxy, which has read it completely.
     pub(super) fn proxy_receives(&mut self, proxy: usize, index: usize) {
-        if self.processes[proxy].queues(index) {
+        if self.processes[proxy].queue_if_stopped(index) {
             return;
         }
         let arrival = self.plan.arrivals[index];
-        let leased = self.rng.f64() < self.script.traffic.leased;
+        let is_leased = self.rng.f64() < self.script.traffic.leased;
         let client = index as u64;
         let arrival = IncomingRequest {
             class: arrival.class,
@@ -40,7 +40,7 @@
             timeout: self.script.classes[usize::from(arrival.class)].deadline_ms * 1_000,
             expected_work: None,
             is_retry: false,
-            dispatch: if leased { Dispatch::Leased } else { Dispatch::Proxied(client) },
+            dispatch: if is_leased { Dispatch::Leased } else { Dispatch::Proxied(client) },
         };
         if let Err(Overload::Requests(client) | Overload::Leases(client)) =
             self.proxies[proxy].admit(self.now, arrival, client)
--- a/crates/testbed/tests/callers.rs
+++ b/crates/testbed/tests/callers.rs
@@ -1,6 +1,6 @@
-//! Callers of the external processor that are killed at random, among boxes that crash: a short campaign.
+//! A short campaign: callers of the external processor that are killed at random, and backends that crash.
 
-use testbed::callers::{Campaign, play};
+use testbed::callers::{Campaign, run};
 
 #[test]
 fn decides_every_request_without_duplicate_effects() {
@@ -17,14 +17,14 @@
             seed,
             program: None,
         };
-        let played = play(&campaign).expect("a campaign");
-        println!("seed {seed}: {played}");
-        assert_eq!(played.ended(), 6_000, "seed {seed}: every request has its end");
-        assert_eq!(played.effects.1, 0, "seed {seed}: doubled effects");
-        let [_, served, _, failed, unknown, _] = played.ends;
+        let result = run(&campaign).expect("a completed campaign");
+        println!("seed {seed}: {result}");
+        assert_eq!(result.finished_requests(), 6_000, "seed {seed}: every request has its final answer");
+        assert_eq!(result.effects.1, 0, "seed {seed}: duplicate effects");
+        let [_, served, _, failed, unknown, _] = result.final_outcomes;
         assert!(
-            played.kills > 5 && failed + unknown > 0,
-            "seed {seed}: nothing went wrong, nothing is shown"
+            result.kills > 5 && failed + unknown > 0,
+            "seed {seed}: too few faults for the test to show anything"
         );
         assert!(served > 3_000, "seed {seed}: {served} served");
     }
--- a/crates/testbed/tests/connection_faults.rs
+++ b/crates/testbed/tests/connection_faults.rs
@@ -1,6 +1,6 @@
-//! Connections that break before healthy boxes. What counts is events: which outcomes the decisions were told, how many
-//! servers were ejected although none was sick, and that the rules held. On the decisions before they weighed evidence
-//! the steady cases ejected healthy boxes 8 to 17 times.
+//! Connections that break before healthy boxes. What counts is events: which outcomes the decisions were
+//! told, how many servers were ejected although none was sick, and that the rules held. On the decisions
+//! before they weighed evidence the steady cases ejected healthy boxes 8 to 17 times.
 
 use balancer::api::Outcome;
 use testbed::connection_fault_matrix::{Case, Pattern, Row};
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden check of the committed results: each line of `docs/capacity` is read, and written again as it stands.
+//! Golden check of the committed results: each line of `docs/capacity` is read, and written again as it
+//! stands.
 
 use golden_files::GoldenFiles;
 use std::fs;
--- a/crates/testbed/tests/socket_days.rs
+++ b/crates/testbed/tests/socket_days.rs
@@ -1,5 +1,5 @@
-//! Days on loopback sockets with real proxies. The machine may be a second late: verdicts come from what was seen, not
-//! from how fast.
+//! Days on loopback sockets with real proxies. The machine may be a second late: verdicts come from what was
+//! seen, not from how fast.
 
 use std::path::Path;
 use testbed::script::{BackendFaultKind, Script};
