--- a/crates/testbed/src/backend_model.rs
+++ b/crates/testbed/src/backend_model.rs
@@ -163,7 +163,7 @@
     }
 
     /// Sets whether new requests are rejected.
-    pub fn set_drains(&mut self, draining: bool) {
+    pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -347,8 +347,8 @@
     let report = virtual_time::play(script)?;
     println!("{}", report.judgement);
     println!("{:?}\n{:?}", report.counts, report.leases);
-    println!("{} events; requests and leases still open at the end: {}", report.events, report.left_open);
-    Ok(report.judgement.is_clean() && report.left_open == 0)
+    println!("{} events; requests and leases still open at the end: {}", report.events, report.open_at_end);
+    Ok(report.judgement.is_clean() && report.open_at_end == 0)
 }
 
 fn median(values: impl Iterator<Item = f64>) -> f64 {
--- a/crates/testbed/src/sockets/backends.rs
+++ b/crates/testbed/src/sockets/backends.rs
@@ -268,7 +268,7 @@
             BackendFaultKind::Crash => self.restart(),
             BackendFaultKind::Drain => {
                 self.backend_status().set_draining(starts);
-                self.with_model(|model| model.set_drains(starts));
+                self.with_model(|model| model.set_draining(starts));
             }
             BackendFaultKind::Hang => self.with_model(|model| model.set_hangs(starts)),
             BackendFaultKind::Pause => self.with_model(|model| model.set_stands(starts)),
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -54,8 +54,8 @@
     pub counts: Counts,
     /// Lease counters, summed in the same way.
     pub leases: LeaseCounts,
-    /// Requests and leases still open at the end; other than 0 means that an engine has lost track of some.
-    pub left_open: usize,
+    /// Number of requests and leases still open at the end; 0 unless an engine failed to end some.
+    pub open_at_end: usize,
     /// Number of simulated events.
     pub events: u64,
 }
@@ -167,10 +167,10 @@
         simulation.handle(event);
     }
     let mut totals = std::mem::take(&mut simulation.ended_process_totals);
-    let mut left_open = 0;
+    let mut open_at_end = 0;
     for engine in &simulation.proxies {
         totals.add(engine.counts(), engine.lease_counts());
-        left_open += engine.open_requests() + engine.active_leases();
+        open_at_end += engine.open_requests() + engine.active_leases();
     }
     let observations = simulation.log.in_order();
     Ok(Report {
@@ -179,7 +179,7 @@
         cold: slow_start_load::measure(script, &plan, &observations),
         counts: totals.counts,
         leases: totals.leases,
-        left_open,
+        open_at_end,
         events,
     })
 }
--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -122,7 +122,7 @@
             BackendFaultKind::Drain => {
                 simulated.draining = starts;
                 if let Some(model) = &mut simulated.model {
-                    model.set_drains(starts);
+                    model.set_draining(starts);
                 }
                 self.notify_all(backend);
             }
--- a/crates/testbed/tests/virtual_days.rs
+++ b/crates/testbed/tests/virtual_days.rs
@@ -25,7 +25,7 @@
     let script = shortened_script("fleet-300.toml", 0.25);
     let (first, second) = (play(&script).expect("a completed run"), play(&script).expect("a completed run"));
     assert!(first.judgement.is_clean(), "{}", first.judgement);
-    assert_eq!(first.left_open, 0);
+    assert_eq!(first.open_at_end, 0);
     assert!(first.leases.granted > 1_000 && first.leases.expired > 0, "{:?}", first.leases);
     assert_eq!(first, second, "the same seed gives the same result");
 }
@@ -40,7 +40,7 @@
         script.seed = seed;
         let report = play(&script).expect("a completed run");
         assert!(report.judgement.is_clean(), "seed {seed}: {}", report.judgement);
-        assert_eq!(report.left_open, 0, "seed {seed}");
+        assert_eq!(report.open_at_end, 0, "seed {seed}");
         assert!(report.judgement.total.goodput() > 0.5, "seed {seed}: {}", report.judgement);
     }
 }
@@ -64,7 +64,7 @@
         fault.degree = if what == BackendFaultKind::Slow { 4.0 } else { 0.5 };
         let report = play(&script).expect("a completed run");
         assert!(report.judgement.is_clean(), "{what:?}: {}", report.judgement);
-        assert_eq!(report.left_open, 0, "{what:?}");
+        assert_eq!(report.open_at_end, 0, "{what:?}");
         // The fault had an effect: the same scenario without it has a better result.
         let mut without_fault = script.clone();
         without_fault.backend_faults.clear();
