--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -23,7 +23,7 @@
         let admission = model.arrive(self.now, index as u64, work);
         if admission == Admission::Rejected {
             self.log.add(self.now, Observation::AttemptRejected { id: client, backend });
-            return self.after(latency, Event::ProxyReceives { index, outcome: AttemptResult::Full });
+            return self.after(latency, Event::ProxyReceives { index, outcome: AttemptResult::Rejected });
         }
         simulated.in_flight.push(index);
         let (reset_fraction, malformed_fraction) = (simulated.reset_fraction, simulated.malformed_fraction);
@@ -38,7 +38,7 @@
     pub(super) fn schedule_backend(&mut self, backend: usize) {
         let simulated = &mut self.backends[backend];
         let next = simulated.model.as_ref().and_then(BackendModel::next).unwrap_or(Micros::MAX);
-        // A timer event that was scheduled before and is no longer due is ignored.
+        // An event that was scheduled for another time stays in the queue and is ignored when it occurs.
         if std::mem::replace(&mut simulated.due, next) != next && next < Micros::MAX {
             self.at(next, Event::BackendTimer(backend));
         }
@@ -122,7 +122,7 @@
             BackendFaultKind::Drain => {
                 simulated.draining = starts;
                 if let Some(model) = &mut simulated.model {
-                    model.set_drains(starts);
+                    model.set_draining(starts);
                 }
                 self.notify_all(backend);
             }
@@ -134,7 +134,8 @@
                     _ => model.set_slow(degree),
                 }
             }
-            // Of the connection faults, only resets during a request exist in virtual time.
+            // Virtual time emulates no connections: of these faults only resets during a request are
+            // simulated.
             BackendFaultKind::ResetRequest
             | BackendFaultKind::BreakAnswer
             | BackendFaultKind::CloseAfter
