--- a/crates/testbed/src/fleet/emulator_threads.rs
+++ b/crates/testbed/src/fleet/emulator_threads.rs
@@ -1,4 +1,4 @@
-//! The threads that run the emulators of a scenario over processes, one shard each.
+//! The threads that run the emulators of a scenario with proxy processes, one shard each.
 
 use super::link_relays;
 use super::relay::Clock;
@@ -26,16 +26,16 @@
     pub(super) agents: Vec<SocketAddr>,
     /// The initial backend list of each proxy.
     pub(super) lists: Vec<Value>,
-    /// Starts the load of each thread at the given time of the scenario's clock.
+    /// Each starts the load of one thread at the time sent, microseconds on the scenario's clock.
     pub(super) start_signals: Vec<oneshot::Sender<Micros>>,
-    /// The threads, which end after the last response can have arrived.
+    /// The threads; they end once no response can arrive any more.
     pub(super) threads: Vec<JoinHandle<io::Result<ThreadResults>>>,
 }
 
-/// Starts the emulators on this number of threads, and a thread for relays where the script has link faults.
+/// Starts the emulators on this number of threads, and a thread for relays if the script has link faults.
 ///
 /// # Errors
-/// Where a socket can't be opened or a thread ends early.
+/// A socket can't be opened, or a thread ends early.
 pub(super) fn start(
     shared_state: &Arc<SharedState>,
     backend_changes: UnboundedReceiver<usize>,
@@ -67,7 +67,7 @@
                 let Ok(began) = start_signalled.await else { return Ok(ThreadResults::default()) };
                 let load = shard.start(began);
                 let _ = load.await;
-                // Backends serve requests of other threads until the scenario is over.
+                // The backends of this thread serve requests of other threads until the scenario ends.
                 let load_end = shared_state.now().max(began + micros(shared_state.script.seconds));
                 shared_state.sleep_until(load_end + shared_state.script.longest_deadline() + TAIL).await;
                 Ok(shard.take_results())
--- a/crates/testbed/src/fleet/link_relays.rs
+++ b/crates/testbed/src/fleet/link_relays.rs
@@ -1,4 +1,4 @@
-//! The relays between proxies and their peers for the link faults of a scenario.
+//! The relays that apply the link faults of a scenario between proxies and their peers.
 
 use super::relay::{self, Clock};
 use super::scenario::FleetError;
@@ -15,11 +15,13 @@
 
 /// The relays of a scenario, on a thread that ends with the scenario's shared state.
 pub(super) struct Relays {
+    /// Port of the discovery relay, and its target for each proxy.
     discovery: Option<(u16, Arc<OnceLock<Vec<SocketAddr>>>)>,
 }
 
 impl Relays {
-    /// Routes the discovery relay to these agents and returns the addresses at which proxies reach them.
+    /// Sets the agents as targets of the discovery relay, and returns the addresses at which proxies reach
+    /// them.
     pub(super) fn proxy_targets(&self, agents: &[SocketAddr]) -> Vec<SocketAddr> {
         let Some((port, targets)) = &self.discovery else { return agents.to_vec() };
         let _ = targets.set(agents.to_vec());
@@ -28,10 +30,10 @@
     }
 }
 
-/// Starts the relays on a thread of their own; `None` where the script has no link faults.
+/// Starts the relays on a separate thread; `None` if the script has no link faults.
 ///
 /// # Errors
-/// Where a relay has no socket or its thread ends early.
+/// A relay's socket can't be opened, or the thread ends early.
 pub(super) fn start(shared_state: &Arc<SharedState>, clock: &Clock) -> Result<Option<Relays>, FleetError> {
     if shared_state.script.link_faults.is_empty() {
         return Ok(None);
@@ -46,7 +48,7 @@
             let is_open = opened.is_ok();
             let _ = sender.send(opened);
             if is_open {
-                // Relays run until all other owners of the shared state are gone.
+                // Relays run until all other owners have dropped the shared state.
                 while Arc::strong_count(&shared_state) > 1 {
                     sleep(Duration::from_millis(100)).await;
                 }
@@ -59,12 +61,12 @@
 fn open(shared_state: &Arc<SharedState>, clock: &Clock) -> io::Result<Relays> {
     let (script, links) = (&shared_state.script, Rc::new(Links::new(&shared_state.script)));
     if script.has_links(LinkEndpoints::Boxes) {
-        let port = |backend: usize| {
+        let relay_port = |backend: usize| {
             let address = shared_state.backend_status(backend).address();
             relay::streams(&links, clock, LinkEndpoints::Boxes, backend, Rc::new(move |_| address))
         };
         shared_state
-            .set_backend_relays((0..script.fleet.backends).map(port).collect::<io::Result<Vec<_>>>()?);
+            .set_backend_relays((0..script.fleet.backends).map(relay_port).collect::<io::Result<Vec<_>>>()?);
     }
     let mut discovery = None;
     if script.has_links(LinkEndpoints::Discovery) {
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios with many proxy processes and with faults of processes, backends and links, compared with reference policies
-//! on the same arrivals.
+//! Scenarios with many proxy processes and with faults of processes, backends and links. The results can be
+//! compared with reference policies on the same arrivals.
 
 mod emulator_threads;
 mod link_relays;
--- a/crates/testbed/src/fleet/process_controller.rs
+++ b/crates/testbed/src/fleet/process_controller.rs
@@ -1,4 +1,4 @@
-//! Starts, signals, replaces and ends the proxy processes of a scenario.
+//! The proxy processes of a scenario: starts, signals, replacements and exits.
 
 use super::processes::{END_TIMEOUT, Folder, Machine, Process, ProxyInstance};
 use super::scenario::FleetError;
@@ -15,22 +15,25 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time for which new connections still arrive after a process received SIGTERM.
+/// Time for which the front end still opens connections to a process that has received SIGTERM.
 const TERM_DETECTION_DELAY: Duration = Duration::from_millis(300);
 
-/// Starts, signals and ends the proxy processes, and records what it did.
+/// Starts, signals, replaces and ends the proxy processes, and logs these events as observations.
 pub(super) struct ProcessController {
     shared_state: Arc<SharedState>,
     machine: Machine,
     pub(super) instances: Vec<ProxyInstance>,
+    /// The current process of each proxy.
     running: Vec<Option<Process>>,
-    /// Replaced processes that received SIGTERM, and replacements that are not ready yet.
-    leaving: Vec<(usize, Process)>,
+    /// Replaced processes that received SIGTERM, and replacements that are not ready yet, with their proxies.
+    in_replacement: Vec<(usize, Process)>,
+    /// The list of backends at the start of the scenario, for each proxy.
     lists: Vec<Value>,
-    pub(super) record: RefCell<ObservationLog>,
-    crashed: Option<FleetError>,
+    pub(super) log: RefCell<ObservationLog>,
+    first_crash: Option<FleetError>,
+    /// Processor time of the processes that no longer run, seconds.
     cpu_s: f64,
-    // The last field: dropped after the processes.
+    // Declared last, so that it is dropped after the processes.
     pub(super) folder: Folder,
 }
 
@@ -45,25 +48,26 @@
             machine: machine.clone(),
             instances: Vec::new(),
             running: Vec::new(),
-            leaving: Vec::new(),
+            in_replacement: Vec::new(),
             lists,
-            record: RefCell::default(),
-            crashed: None,
+            log: RefCell::default(),
+            first_crash: None,
             cpu_s: 0.0,
             folder: Folder::new()?,
         })
     }
 
-    fn record_event(&self, observation: Observation) {
-        self.record.borrow_mut().add(self.shared_state.now(), observation);
+    fn log_event(&self, observation: Observation) {
+        self.log.borrow_mut().add(self.shared_state.now(), observation);
     }
 
     fn start(&mut self, proxy: usize, list: InitialList) -> io::Result<Process> {
         let empty_list = json!({"revision": 0, "complete": true, "members": []});
-        let known = if list == InitialList::Old { &self.lists[proxy] } else { &empty_list };
-        self.instances[proxy].start(&self.shared_state.script, &self.machine, known)
+        let initial_list = if list == InitialList::Old { &self.lists[proxy] } else { &empty_list };
+        self.instances[proxy].start(&self.shared_state.script, &self.machine, initial_list)
     }
 
+    /// Starts a process for each proxy, and opens the proxies to clients in turn as they become ready.
     pub(super) async fn start_all(&mut self) -> Result<(), FleetError> {
         for proxy in 0..self.instances.len() {
             let process = self.start(proxy, InitialList::Old)?;
@@ -80,85 +84,88 @@
         Ok(())
     }
 
-    /// Kills the process of a proxy and waits for it.
+    /// Kills the process of a proxy and waits for its exit.
     fn kill(&mut self, proxy: usize) {
         self.shared_state.proxy_endpoint(proxy).record_kill();
         if let Some(mut process) = self.running[proxy].take() {
-            self.crash(proxy, &mut process);
+            self.check_crash(proxy, &mut process);
             self.cpu_s += process.cpu_s();
             process.kill();
         }
-        // The requests it had accepted are lost with it.
-        self.record_event(Observation::ProxyKilled { proxy });
+        // The requests that it has accepted are lost.
+        self.log_event(Observation::ProxyKilled { proxy });
     }
 
-    /// Records a crash where a process that should run has ended.
-    fn crash(&mut self, proxy: usize, process: &mut Process) {
+    /// Records a crash if a process that should run has exited; only the first one is reported.
+    fn check_crash(&mut self, proxy: usize, process: &mut Process) {
         if let Some(status) = process.ended() {
-            let crashed = FleetError::Crashed(proxy, status.to_string(), process.log_tail());
-            self.crashed.get_or_insert(crashed);
+            let crash = FleetError::Crashed(proxy, status.to_string(), process.log_tail());
+            self.first_crash.get_or_insert(crash);
         }
     }
 
-    /// Sends SIGTERM to a process that no longer serves here. Its processor time from now on is not counted.
-    fn dismiss(&mut self, proxy: usize, mut process: Process) {
+    /// Sends SIGTERM to a process that is no longer the proxy's current one. Its processor time from now on
+    /// is not counted.
+    fn terminate(&mut self, proxy: usize, mut process: Process) {
         self.cpu_s += process.cpu_s();
         process.terminate();
-        self.leaving.push((proxy, process));
+        self.in_replacement.push((proxy, process));
     }
 
-    /// Ends a process whose grace period after SIGTERM is over.
+    /// Ends the process of a proxy at the end of its grace period after SIGTERM.
     fn reap(&mut self, proxy: usize) {
         if let Some(process) = self.running[proxy].take() {
-            // Read first: the kernel drops the figure once the exit status is collected.
+            // Read before the exit status is collected, as the kernel then discards the figure.
             self.cpu_s += process.cpu_s();
-            self.has_ended(proxy, process);
+            self.check_exit(proxy, process);
         }
     }
 
-    /// Handles a process after SIGTERM: a failed exit is a crash; one that still runs is killed on drop.
-    pub(super) fn has_ended(&mut self, proxy: usize, mut process: Process) {
-        if process.ended_badly() {
-            self.crash(proxy, &mut process);
+    /// Handles a process after SIGTERM: a failed exit is a crash; a process that still runs is killed on
+    /// drop.
+    pub(super) fn check_exit(&mut self, proxy: usize, mut process: Process) {
+        if process.has_failed() {
+            self.check_crash(proxy, &mut process);
         }
     }
 
-    /// Sends SIGTERM to all and returns those that received it, now or before. A replacement that never became ready is
-    /// killed.
+    /// Sends SIGTERM to all current processes, and returns all processes that received it, now or before.
+    /// Replacements that never became ready are killed.
     pub(super) fn terminate_all(&mut self) -> Vec<(usize, Process)> {
-        self.leaving.retain(|(_, process)| process.was_terminated());
+        self.in_replacement.retain(|(_, process)| process.was_terminated());
         for (proxy, process) in std::mem::take(&mut self.running).into_iter().enumerate() {
             if let Some(mut process) = process {
-                self.crash(proxy, &mut process);
-                self.dismiss(proxy, process);
+                self.check_crash(proxy, &mut process);
+                self.terminate(proxy, process);
             }
         }
-        std::mem::take(&mut self.leaving)
+        std::mem::take(&mut self.in_replacement)
     }
 
     /// The mean processor time of a proxy, seconds.
     ///
     /// # Errors
-    /// The first crash, where there was one.
-    pub(super) fn cost(&mut self) -> Result<f64, FleetError> {
-        match self.crashed.take() {
-            Some(crashed) => Err(crashed),
+    /// The first crash, if there was one.
+    pub(super) fn mean_cpu_s(&mut self) -> Result<f64, FleetError> {
+        match self.first_crash.take() {
+            Some(crash) => Err(crash),
             None => Ok(self.cpu_s / self.instances.len().max(1) as f64),
         }
     }
 }
 
 /// Waits until all processes have exited, at most for [`END_TIMEOUT`].
-pub(super) async fn wait_for_exit(mut sender: Vec<(usize, Process)>) -> Vec<(usize, Process)> {
+pub(super) async fn wait_for_exit(mut processes: Vec<(usize, Process)>) -> Vec<(usize, Process)> {
     let end = tokio::time::Instant::now() + END_TIMEOUT;
-    while sender.iter_mut().any(|(_, process)| process.ended().is_none()) && tokio::time::Instant::now() < end
+    while processes.iter_mut().any(|(_, process)| process.ended().is_none())
+        && tokio::time::Instant::now() < end
     {
         sleep(Duration::from_millis(20)).await;
     }
-    sender
+    processes
 }
 
-/// Runs the plan's process events at their times.
+/// Runs the plan's process events at their times. `began` is the start of the scenario, microseconds.
 pub(super) async fn run_process_events(
     controller: &Rc<RefCell<ProcessController>>,
     shared_state: &Arc<SharedState>,
@@ -184,7 +191,7 @@
                 let mut controller = controller.borrow_mut();
                 if let Some(process) = &mut controller.running[proxy] {
                     process.stop();
-                    controller.record_event(Observation::ProxyStalled { proxy, until: began + until });
+                    controller.log_event(Observation::ProxyStalled { proxy, until: began + until });
                 }
             }
             ProcessAction::Continue => {
@@ -200,15 +207,15 @@
     }
 }
 
-/// Starts a process for a proxy that has none, and opens the proxy once the process serves.
+/// Starts a process for a proxy that has none, and opens the proxy to clients once the process answers `/up`.
 fn start_process(
     controller: &Rc<RefCell<ProcessController>>,
     shared_state: &Arc<SharedState>,
     proxy: usize,
     list: InitialList,
 ) {
-    // Recorded before the start: the time to readiness includes the start itself.
-    controller.borrow().record_event(Observation::ProxyRestarted { proxy });
+    // Logged before the start, so that the time to readiness includes the start itself.
+    controller.borrow().log_event(Observation::ProxyRestarted { proxy });
     let started = controller.borrow_mut().start(proxy, list);
     let Ok(process) = started else { return };
     let (console, listen) = (process.console(), controller.borrow().instances[proxy].listen());
@@ -218,14 +225,15 @@
         if Process::wait_until_up(listen).await {
             shared_state.proxy_endpoint(proxy).set_open(true);
             let mut controller = controller.borrow_mut();
-            controller.record_event(Observation::ProxyReady { proxy });
+            controller.log_event(Observation::ProxyReady { proxy });
             let running = controller.running.get_mut(proxy).and_then(Option::as_mut);
             running.into_iter().filter(|p| p.console() == console).for_each(Process::mark_ready);
         }
     });
 }
 
-/// Closes a proxy to new requests after the front end's detection delay, unless it was killed or opened again since.
+/// Closes a proxy to new requests after the front end's detection delay, unless it was killed or reopened
+/// since.
 fn close_later(shared_state: &Arc<SharedState>, proxy: usize, delay: Duration) {
     let shared_state = Arc::clone(shared_state);
     let kills_before = shared_state.proxy_endpoint(proxy).kill_count();
@@ -239,22 +247,23 @@
     });
 }
 
-/// Starts a replacement, which takes over once it is ready; the old process serves until then.
+/// Starts a replacement, which becomes the current process once it is ready. The old process serves until
+/// then.
 async fn replace(controller: Rc<RefCell<ProcessController>>, proxy: usize) {
     let started = controller.borrow_mut().start(proxy, InitialList::Old);
     let Ok(process) = started else { return };
     let console = process.console();
-    controller.borrow_mut().leaving.push((proxy, process));
+    controller.borrow_mut().in_replacement.push((proxy, process));
     if !Process::wait_until_ready(console).await {
         return;
     }
     let mut controller = controller.borrow_mut();
-    let position = controller.leaving.iter().position(|(_, p)| p.console() == console);
-    let Some((_, mut new)) = position.map(|position| controller.leaving.swap_remove(position)) else {
+    let position = controller.in_replacement.iter().position(|(_, p)| p.console() == console);
+    let Some((_, mut new)) = position.map(|position| controller.in_replacement.swap_remove(position)) else {
         return;
     };
     new.mark_ready();
     if let Some(old) = controller.running[proxy].replace(new) {
-        controller.dismiss(proxy, old);
+        controller.terminate(proxy, old);
     }
 }
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! Proxy processes: started on their own loopback addresses, polled for readiness, signalled, and ended with the testbed.
-//! Each is identified by its child handle, never by name.
+//! Proxy processes: started on their own loopback addresses, polled for readiness, signalled, and ended with
+//! the testbed. Each is identified by its child handle, never by name.
 
 use super::{FleetError, process_guard};
 use crate::address::{self, ReservedPort};
@@ -18,42 +18,43 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Limit on the time until a process is ready; hundreds start at once on a few cores.
+/// Limit on the time until a process is ready. It is long because hundreds of processes start at once on a
+/// few cores.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval between two readiness polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Limit on the time of one poll.
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes read at most of a console's response.
+/// Maximum number of bytes read of a console's response.
 const MAX_RESPONSE_BYTES: usize = 512;
-/// Limit on the exit of processes at the end of a scenario, before they are killed.
+/// Time for processes to exit at the end of a scenario, before they are killed.
 pub(super) const END_TIMEOUT: Duration = Duration::from_secs(5);
-/// The log line of a process that restored learned limits.
+/// Text in the log of a process that restored learned limits.
 const RESTORED_LOG_TEXT: &str = "restored learned limits from the snapshot";
-/// Clock ticks a second in `/proc`: fixed in Linux's interface to programs.
+/// Clock ticks per second in `/proc`; fixed in Linux's user-space interface.
 const TICKS_PER_SECOND: f64 = 100.0;
-
 /// Size of a memory page, bytes.
 const PAGE_BYTES: u64 = 4_096;
 
-/// The binaries that the testbed runs, and their limits.
+/// The binaries that the testbed runs, their limits, and the tolerances of the machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// The proxy's binary.
     pub proxy: PathBuf,
-    /// The testbed's own binary, through which processes are started.
+    /// The testbed's own binary, through which processes are started so that they end with it.
     pub keeper: PathBuf,
     /// Memory limit in the configuration of a process, MB.
     pub memory_mb: usize,
-    /// File descriptors that a process may open.
+    /// Limit on the file descriptors of a process.
     pub descriptors: u64,
-    /// Threads for the emulators.
+    /// Number of threads for the emulators.
     pub threads: usize,
     /// Timing tolerance of the machine, microseconds.
     pub slack: u64,
 }
 
-/// The temporary folder of a scenario, with a folder for each proxy's configuration, `TMPDIR` and logs. Removed on drop.
+/// The temporary folder of a scenario, with a folder for each proxy's configuration, `TMPDIR` and logs.
+/// Removed on drop.
 pub(crate) struct Folder(PathBuf);
 
 impl Folder {
@@ -64,12 +65,12 @@
         Ok(Self(path))
     }
 
-    /// The number of processes that logged the restoration of learned limits. Shows whether a scenario exercised the
-    /// hand-over; no check depends on it.
-    pub(super) fn handed_on(&self) -> u64 {
+    /// The number of processes that logged the restoration of learned limits. It shows whether a scenario
+    /// exercised the handover of learned state between processes; no check depends on it.
+    pub(super) fn restored_processes(&self) -> u64 {
         let files =
             |path: &Path| fs::read_dir(path).into_iter().flatten().flatten().map(|entry| entry.path());
-        let logs = files(&self.0).flat_map(|place| files(&place).collect::<Vec<_>>());
+        let logs = files(&self.0).flat_map(|folder| files(&folder).collect::<Vec<_>>());
         let logs = logs.filter(|path| path.is_file()).filter_map(|path| fs::read_to_string(path).ok());
         logs.filter(|text| text.contains(RESTORED_LOG_TEXT)).count() as u64
     }
@@ -90,12 +91,15 @@
     child: Child,
     console: ReservedPort,
     log: PathBuf,
+    /// It received SIGSTOP and has not been continued.
     stopped: bool,
+    /// It received SIGTERM.
     terminated: bool,
+    /// It has been seen ready.
     ready: bool,
 }
 
-/// What the successive processes of one proxy share: addresses and folder.
+/// The addresses and the folder that successive processes of one proxy share.
 pub(crate) struct ProxyInstance {
     proxy: usize,
     listen: ReservedPort,
@@ -117,11 +121,17 @@
         self.listen.address()
     }
 
-    /// Starts a process. The calling thread has to live as long as the process.
+    /// Starts a process with this initial list of backends. The calling thread has to outlive the process,
+    /// which is killed when the thread ends.
     ///
     /// # Errors
-    /// Where an address, a file or the process can't be created.
-    pub(crate) fn start(&mut self, script: &Script, machine: &Machine, known: &Value) -> io::Result<Process> {
+    /// An address, a file or the process can't be created.
+    pub(crate) fn start(
+        &mut self,
+        script: &Script,
+        machine: &Machine,
+        initial_list: &Value,
+    ) -> io::Result<Process> {
         self.starts += 1;
         let console = ReservedPort::new(address::process_address(self.proxy))?;
         let seed =
@@ -129,7 +139,7 @@
         let config = json!({"name": format!("p{}", self.proxy), "listen": self.listen().to_string(),
             "discovery": self.discovery.to_string(), "console": console.address().to_string(), "seed": format!("{seed:x}"),
             "limits": {"cores": 1.0, "memory_mb": machine.memory_mb, "sockets": machine.descriptors},
-            "known": known, "settings": script.settings(self.proxy)});
+            "known": initial_list, "settings": script.settings(self.proxy)});
         let file = self.folder.join(format!("config-{}.json", self.starts));
         let log = self.folder.join(format!("log-{}", self.starts));
         fs::write(&file, config.to_string())?;
@@ -145,7 +155,8 @@
 }
 
 impl Process {
-    /// Polls until the process is ready, has ended, or [`READY_TIMEOUT`] is over; whether it is ready.
+    /// Polls until the process is ready, has exited, or [`READY_TIMEOUT`] has passed; returns whether it is
+    /// ready.
     pub(crate) async fn is_ready(&mut self) -> bool {
         let console = self.console();
         let mut ready = std::pin::pin!(Self::wait_until_ready(console));
@@ -160,7 +171,7 @@
         }
     }
 
-    /// Polls the console until it reports readiness, at most for [`READY_TIMEOUT`].
+    /// Polls the console until it reports readiness, at most for [`READY_TIMEOUT`]; returns whether it did.
     pub(super) async fn wait_until_ready(console: SocketAddr) -> bool {
         let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
@@ -172,7 +183,8 @@
         false
     }
 
-    /// Polls `/up` until it returns 200, at most for [`READY_TIMEOUT`], as a front end does.
+    /// Polls `/up` as a front end does, until it returns 200, at most for [`READY_TIMEOUT`]; returns whether
+    /// it did.
     pub(super) async fn wait_until_up(listen: SocketAddr) -> bool {
         let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
@@ -190,7 +202,8 @@
 
     fn signal(&self, signal: Signal) {
         if let Ok(pid) = i32::try_from(self.child.id()) {
-            // An error means that it has exited, which `ended` reports. The id stays reserved until it is waited for.
+            // An error means that it has exited, which `ended` reports. The kernel does not reuse the id
+            // before the exit status is collected.
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
@@ -205,19 +218,17 @@
         self.signal(Signal::SIGCONT);
     }
 
-    /// Records that the process is ready.
     pub(super) fn mark_ready(&mut self) {
         self.ready = true;
     }
 
-    /// Whether it exited with a failure. One that received SIGTERM before it was ready may not have installed its signal
-    /// handler yet, and does not count.
-    pub(super) fn ended_badly(&mut self) -> bool {
+    /// Whether it exited with a failure. A process that received SIGTERM before it was ready does not count,
+    /// as it may not have installed its signal handler yet.
+    pub(super) fn has_failed(&mut self) -> bool {
         let may_lack_handler = self.terminated && !self.ready;
         self.ended().is_some_and(|status| !status.success() && !may_lack_handler)
     }
 
-    /// Whether it received SIGTERM.
     pub(super) fn was_terminated(&self) -> bool {
         self.terminated
     }
@@ -243,12 +254,12 @@
         cpu_s(self.child.id()).unwrap_or(0.0)
     }
 
-    /// Its memory, bytes.
+    /// Its resident memory, bytes.
     pub(crate) fn memory(&self) -> u64 {
         memory(self.child.id())
     }
 
-    /// The last lines of its log.
+    /// The last three lines of its log, on one line.
     pub(crate) fn log_tail(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().rev().take(3).collect();
@@ -265,28 +276,29 @@
     }
 }
 
-/// Processor time of a process, seconds.
+/// User and system processor time of a process, seconds; `None` if it has exited.
 pub(crate) fn cpu_s(id: u32) -> Option<f64> {
     let text = fs::read_to_string(Path::new("/proc").join(id.to_string()).join("stat")).ok()?;
-    // The name in brackets may contain blanks; user and system time are the 12th and 13th fields after it.
+    // The program name in parentheses may contain spaces; user and system time are the 12th and 13th fields
+    // after it.
     let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
-    let ticks = |place: usize| fields.get(place).and_then(|field| field.parse::<f64>().ok());
+    let ticks = |index: usize| fields.get(index).and_then(|field| field.parse::<f64>().ok());
     Some((ticks(11)? + ticks(12)?) / TICKS_PER_SECOND)
 }
 
-/// Memory of a process, bytes; 0 where it is gone.
+/// Resident memory of a process, bytes; 0 if it has exited.
 pub(crate) fn memory(id: u32) -> u64 {
     let text = fs::read_to_string(Path::new("/proc").join(id.to_string()).join("statm")).unwrap_or_default();
     text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
-/// Sends a command to a console; whether it succeeded.
+/// Sends a command to a console and returns whether it succeeded.
 async fn console_succeeds(console: SocketAddr, call: &str) -> io::Result<bool> {
     let mut stream = TcpStream::connect(console).await?;
     stream.write_all(format!("{call}\n").as_bytes()).await?;
-    let mut answer = Vec::new();
-    (&mut stream).take(MAX_RESPONSE_BYTES as u64).read_to_end(&mut answer).await?;
-    Ok(answer.starts_with(b"SUCCESS"))
+    let mut response = Vec::new();
+    (&mut stream).take(MAX_RESPONSE_BYTES as u64).read_to_end(&mut response).await?;
+    Ok(response.starts_with(b"SUCCESS"))
 }
 
 impl From<(usize, &Process)> for FleetError {
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -1,7 +1,7 @@
-//! Relays that apply the delays, losses and cuts of [`links`](crate::links) to TCP streams and UDP datagrams. Peers are
-//! identified by their addresses. TCP: a relay listens on all loopback addresses (bound to the loopback device), and the
-//! destination address names the proxy. UDP: each process has a relay socket, and a datagram that arrives at one is
-//! forwarded from the relay socket of its sender.
+//! Relays that apply the delays, losses and cuts of [`links`](crate::links) to TCP streams and UDP datagrams.
+//! Peers are identified by their addresses. TCP: a relay listens on all loopback addresses (bound to the
+//! loopback device), and the destination address identifies the proxy. UDP: each process has a relay socket,
+//! and a datagram that arrives at one is forwarded from the relay socket of its sender.
 
 use crate::address;
 use crate::links::{BandwidthQueue, Link, Links};
@@ -22,22 +22,23 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// Size limit of one forwarded chunk of a stream, bytes.
+/// Maximum size of one forwarded chunk of a stream, bytes.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
-/// Chunks in flight at most on one connection and direction.
+/// Maximum number of chunks in flight in one direction of a connection.
 const MAX_CHUNKS: usize = 64;
-/// Size limit of a forwarded datagram, bytes.
+/// Maximum size of a forwarded datagram, bytes.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Datagrams in flight at most in all; further ones are dropped.
+/// Maximum number of datagrams in flight over all links; more are dropped.
 const MAX_DATAGRAMS: usize = 65_536;
 
-/// The scenario's clock for relays: link faults apply by the time since its start. Before the start no fault applies.
+/// The scenario's clock for relays: link faults apply by the time since the start of the scenario, and none
+/// before it.
 #[derive(Clone, Default)]
 pub struct Clock(Arc<Mutex<Option<Instant>>>);
 
 impl Clock {
-    /// Sets the start of the scenario.
-    pub fn begin(&self, at: Instant) {
+    /// Sets the start of the scenario, which may lie in the future.
+    pub fn start_at(&self, at: Instant) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(at);
     }
 
@@ -49,14 +50,14 @@
     }
 }
 
-/// The target of a relay for each proxy; `None` while there is none yet.
+/// The address to which a relay connects for each proxy; `None` while it is not known.
 pub type Target = Rc<dyn Fn(usize) -> Option<SocketAddr>>;
 
-/// Starts a relay of streams on this thread and returns its port. Callers connect to `address::relay_address(proxy)`, which
-/// identifies the proxy's link, whichever side connects.
+/// Starts a stream relay on this thread and returns its port. Connections to `address::relay_address(proxy)`
+/// are relayed over the link of that proxy, whether the proxy or its peer connects.
 ///
 /// # Errors
-/// Where the listener can't be opened.
+/// The listener can't be opened.
 pub fn streams(
     links: &Rc<Links>,
     clock: &Clock,
@@ -69,11 +70,11 @@
     let (links, clock) = (Rc::clone(links), clock.clone());
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let called = stream.local_addr().ok().and_then(|at| match at {
+            let destination = stream.local_addr().ok().and_then(|at| match at {
                 SocketAddr::V4(at) => address::process_behind_relay(*at.ip()),
                 SocketAddr::V6(_) => None,
             });
-            let Some(proxy) = called else { continue };
+            let Some(proxy) = destination else { continue };
             let link = Link { between, proxy, peer };
             let relayed = relay_connection(Rc::clone(&links), clock.clone(), link, stream, target(proxy));
             tokio::task::spawn_local(relayed);
@@ -89,7 +90,8 @@
     inbound: TcpStream,
     target: Option<SocketAddr>,
 ) {
-    // On a cut link a new connection is accepted here and stays silent: a user process can't suppress the handshake.
+    // On a cut link, a new connection is accepted and no data passes: a user-space process can't suppress the
+    // handshake.
     wait_until_due(&links, &clock, link, Direction::Out, 0).await;
     let outbound = match target {
         Some(target) => TcpStream::connect(target).await,
@@ -102,7 +104,7 @@
     let mut out =
         pin!(forward(Rc::clone(&links), clock.clone(), link, Direction::Out, inbound_read, outbound_write));
     let mut back = pin!(forward(links, clock, link, Direction::Back, outbound_read, inbound_write));
-    // A side that breaks ends the other one, as without a relay; a half-close does not.
+    // An error in one direction ends the other one, as without a relay; a half-close does not.
     tokio::select! {
         ended_cleanly = &mut out => if ended_cleanly { back.await; },
         ended_cleanly = &mut back => if ended_cleanly { out.await; },
@@ -111,16 +113,16 @@
 
 async fn wait_until_due(links: &Links, clock: &Clock, link: Link, direction: Direction, sequence: u64) {
     if let Some((began, now)) = clock.now() {
-        let passage = links.piece(link, direction, now, sequence);
-        let at = (now + passage.delay).max(passage.not_before);
+        let delivery = links.chunk(link, direction, now, sequence);
+        let at = (now + delivery.delay).max(delivery.not_before);
         if at > now {
             tokio::time::sleep_until(began + Duration::from_micros(at)).await;
         }
     }
 }
 
-/// Forwards one direction of a connection, in order; returns whether it ended without an error. Reading continues while
-/// earlier chunks wait for their time.
+/// Forwards one direction of a connection, in order; returns whether it ended without an error. Reading
+/// continues while earlier chunks are delayed.
 async fn forward(
     links: Rc<Links>,
     clock: Clock,
@@ -140,9 +142,10 @@
             }
             sequence += 1;
             let at = clock.now().map(|(began, now)| {
-                let passage = links.piece(link, direction, now, sequence);
-                let passed = bandwidth_queue.pass(now, chunk.len(), links.bandwidth(link, direction, now));
-                began + Duration::from_micros((passed + passage.delay).max(passage.not_before))
+                let delivery = links.chunk(link, direction, now, sequence);
+                let transmitted_at =
+                    bandwidth_queue.transmit(now, chunk.len(), links.bandwidth(link, direction, now));
+                began + Duration::from_micros((transmitted_at + delivery.delay).max(delivery.not_before))
             });
             sender.send((at, chunk)).await.map_err(|_| io::ErrorKind::BrokenPipe)?;
         }
@@ -170,26 +173,26 @@
 #[derive(Debug, Default)]
 pub struct DatagramCounts {
     /// Forwarded datagrams, duplicates included.
-    pub passed: AtomicU64,
+    pub forwarded: AtomicU64,
     /// Datagrams lost by link faults.
     pub lost: AtomicU64,
-    /// Datagrams from unknown senders, or beyond the limit in flight.
-    pub refused: AtomicU64,
+    /// Datagrams dropped because the sender is unknown or too many are in flight.
+    pub rejected: AtomicU64,
 }
 
-/// Starts a relay of datagrams among processes on this thread; `real` has the address on which each one listens.
-/// Returns the relay address of each process.
+/// Starts a relay of datagrams among processes on this thread. `process_addresses` are the addresses on which
+/// they listen. Returns the relay address of each process, to which the others send.
 ///
 /// # Errors
-/// Where a relay socket can't be opened.
+/// A relay socket can't be opened.
 pub async fn datagrams(
     links: &Rc<Links>,
     clock: &Clock,
-    real: &[SocketAddrV4],
+    process_addresses: &[SocketAddrV4],
     counts: &Arc<DatagramCounts>,
 ) -> io::Result<Vec<SocketAddr>> {
     let mut relay_sockets = Vec::new();
-    for process in 0..real.len() {
+    for process in 0..process_addresses.len() {
         relay_sockets.push(Rc::new(UdpSocket::bind((address::relay_address(process), 0)).await?));
     }
     let addresses =
@@ -198,11 +201,11 @@
         links: Rc::clone(links),
         clock: clock.clone(),
         relay_sockets,
-        real: real.into(),
+        process_addresses: process_addresses.into(),
         permits: Arc::new(Semaphore::new(MAX_DATAGRAMS)),
         counts: Arc::clone(counts),
     });
-    for to in 0..real.len() {
+    for to in 0..process_addresses.len() {
         tokio::task::spawn_local(Rc::clone(&relay).receive(to));
     }
     Ok(addresses)
@@ -215,7 +218,7 @@
     /// The relay's socket for each process.
     relay_sockets: Vec<Rc<UdpSocket>>,
     /// The address on which each process listens.
-    real: Vec<SocketAddrV4>,
+    process_addresses: Vec<SocketAddrV4>,
     /// One permit for each datagram in flight.
     permits: Arc<Semaphore>,
     counts: Arc<DatagramCounts>,
@@ -226,11 +229,12 @@
     async fn receive(self: Rc<Self>, to: usize) {
         let mut sequences: HashMap<usize, u64> = HashMap::new();
         let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
-        // An error reports an earlier destination that was unreachable; the socket stays usable.
+        // An error reports that the destination of an earlier datagram was unreachable; the socket stays
+        // usable.
         loop {
             let Ok((length, sender)) = self.relay_sockets[to].recv_from(&mut bytes).await else { continue };
             let Some(from) = self.sender_index(sender) else {
-                self.counts.refused.fetch_add(1, Ordering::Relaxed);
+                self.counts.rejected.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             let sequence = sequences.entry(from).or_default();
@@ -251,24 +255,25 @@
         }
     }
 
-    /// The process that sends from this address.
+    /// The process that sends from this address; `None` if there is none.
     fn sender_index(&self, sender: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(sender) = sender else { return None };
-        address::process_with(*sender.ip()).filter(|&process| self.real.get(process) == Some(&sender))
+        address::process_with(*sender.ip())
+            .filter(|&process| self.process_addresses.get(process) == Some(&sender))
     }
 
-    /// Sends a datagram after a delay in microseconds; drops it where too many are in flight.
+    /// Sends a datagram after a delay in microseconds; drops it if too many are in flight.
     fn send_later(&self, from: usize, to: usize, bytes: Vec<u8>, delay_us: Micros) {
         let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else {
-            self.counts.refused.fetch_add(1, Ordering::Relaxed);
+            self.counts.rejected.fetch_add(1, Ordering::Relaxed);
             return;
         };
-        let (relay_socket, target) = (Rc::clone(&self.relay_sockets[from]), self.real[to]);
+        let (relay_socket, target) = (Rc::clone(&self.relay_sockets[from]), self.process_addresses[to]);
         let counts = Arc::clone(&self.counts);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_micros(delay_us)).await;
             if relay_socket.send_to(&bytes, target).await.is_ok() {
-                counts.passed.fetch_add(1, Ordering::Relaxed);
+                counts.forwarded.fetch_add(1, Ordering::Relaxed);
             }
             drop(permit);
         });
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! Results as rows: one JSON line each, a text table, and medians over seeds. No I/O.
+//! Results of scenarios as rows: one JSON line each, a text table, and medians over seeds. No I/O.
 
 use crate::invariant_checker::{CheckReport, check_ordered};
 use crate::plan::Plan;
@@ -22,24 +22,29 @@
     pub script: String,
     /// The version of the proxy.
     pub build: String,
-    /// `processes`, `virtual` or the name of a reference.
-    pub way: String,
+    /// How the scenario was run: `processes`, `virtual` or the name of a reference policy.
+    #[serde(rename = "way")]
+    pub mode: String,
     /// The scenario's seed.
     pub seed: u64,
     /// Request rate over the capacity of all backends.
     pub load: f64,
-    /// Requests sent.
-    pub asked: u64,
-    /// Priority weight earned over priority weight requested.
-    pub worth: f64,
-    /// Fraction served within the deadline.
+    /// Number of requests sent.
+    #[serde(rename = "asked")]
+    pub requests: u64,
+    /// Priority weight earned, as a fraction of the priority weight requested.
+    #[serde(rename = "worth")]
+    pub goodput: f64,
+    /// Fraction of the requests that were served within the latency objective.
     pub in_time: f64,
-    /// Requests rejected.
-    pub refused: u64,
-    /// Requests failed.
+    /// Number of requests rejected with 429 or 503.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Number of requests answered with a failure.
     pub failed: u64,
-    /// Requests that reached no proxy.
-    pub missed: u64,
+    /// Number of requests that reached no proxy.
+    #[serde(rename = "missed")]
+    pub undelivered: u64,
     /// Requests lost with a killed process, or whose deadline passed while their process was stopped.
     pub excused: u64,
     /// Median response time of served requests, milliseconds.
@@ -47,33 +52,37 @@
     /// 99th percentile of the response time of served requests, milliseconds.
     pub p99_ms: f64,
     /// Violations of rules 1 to 4.
-    pub broken: [u64; 4],
-    /// How evenly backends were loaded.
+    #[serde(rename = "broken")]
+    pub violations: [u64; 4],
+    /// Load distribution over the backends.
     pub spread: Spread,
-    /// Load of warming backends relative to their capacity, where any started.
-    #[serde(default)]
-    pub cold: Option<SlowStartLoad>,
-    /// Time to readiness of restarted processes, where there were any.
+    /// Load of warming backends, if any started.
+    #[serde(default, rename = "cold")]
+    pub slow_start_load: Option<SlowStartLoad>,
+    /// Time to readiness of restarted processes, if there were any.
     #[serde(default)]
     pub restarts: Option<Restarts>,
-    /// Processes that restored the learned limits of their predecessors, according to their logs.
-    #[serde(default)]
-    pub handed_on: u64,
-    /// Cost of the processes and of the testbed, where there were processes.
+    /// Number of processes that restored the learned limits of their predecessors, according to their logs.
+    #[serde(default, rename = "handed_on")]
+    pub restored_processes: u64,
+    /// Cost of the processes and of the testbed; `None` without processes.
     pub cost: Option<Cost>,
 }
 
-/// Cost of a scenario over processes, and the testbed's own delay.
+/// Processor time of a scenario with processes, and the testbed's own delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
     /// Mean processor time of a process, seconds.
     pub proxy_cpu_s: f64,
     /// Processor time of the testbed, seconds.
-    pub rig_cpu_s: f64,
+    #[serde(rename = "rig_cpu_s")]
+    pub testbed_cpu_s: f64,
     /// 99th percentile of the delay with which requests were sent, milliseconds.
-    pub late_p99_ms: f64,
+    #[serde(rename = "late_p99_ms")]
+    pub start_delay_p99_ms: f64,
     /// Whether that delay makes the result invalid.
-    pub spoilt: bool,
+    #[serde(rename = "spoilt")]
+    pub is_invalid: bool,
 }
 
 /// The proxy's version.
@@ -83,52 +92,52 @@
 }
 
 impl Row {
-    /// Creates the row of a checked scenario.
+    /// Creates the row of a checked scenario, without the figures that only some modes have.
     #[must_use]
-    pub fn new(script: &Script, way: &str, judged: &CheckReport, spread: Spread) -> Self {
-        let all = &judged.total;
-        let asked = all.requests + all.undelivered;
+    pub fn new(script: &Script, mode: &str, report: &CheckReport, spread: Spread) -> Self {
+        let total = &report.total;
+        let requests = total.requests + total.undelivered;
         Self {
             script: script.title.clone(),
             build: build(),
-            way: way.into(),
+            mode: mode.into(),
             seed: script.seed,
             load: script.traffic.per_s / script.capacity_per_s(),
-            asked,
-            worth: all.goodput(),
-            in_time: all.in_time as f64 / (asked as f64).max(1.0),
-            refused: all.rejected,
-            failed: all.failed,
-            missed: all.undelivered,
-            excused: all.excused,
-            p50_ms: judged.percentile(0.5) as f64 / 1e3,
-            p99_ms: judged.percentile(0.99) as f64 / 1e3,
-            broken: judged.violations,
+            requests,
+            goodput: total.goodput(),
+            in_time: total.in_time as f64 / (requests as f64).max(1.0),
+            rejected: total.rejected,
+            failed: total.failed,
+            undelivered: total.undelivered,
+            excused: total.excused,
+            p50_ms: report.percentile(0.5) as f64 / 1e3,
+            p99_ms: report.percentile(0.99) as f64 / 1e3,
+            violations: report.violations,
             spread,
-            cold: None,
+            slow_start_load: None,
             restarts: None,
-            handed_on: 0,
+            restored_processes: 0,
             cost: None,
         }
     }
 
-    /// Whether no rule was violated.
+    /// Whether none of the rules 1 to 4 was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
-        self.broken == [0; 4]
+        self.violations == [0; 4]
     }
 }
 
-/// Runs each reference policy on the script's arrivals.
+/// Runs each reference policy on the script's arrivals; one row per policy.
 #[must_use]
 pub fn references(script: &Script) -> Vec<Row> {
     let plan = Plan::draw(script);
     let row = |policy: Policy| {
-        let seen = reference::play(script, &plan, policy).in_order();
-        let judged = check_ordered(script, &seen, 0);
-        let spread = spread::measure(script, &plan, &seen, reference::START);
-        let way = serde_json::to_value(policy).ok().and_then(|v| v.as_str().map(str::to_owned));
-        Row::new(script, &way.unwrap_or_default(), &judged, spread)
+        let observations = reference::play(script, &plan, policy).in_order();
+        let report = check_ordered(script, &observations, 0);
+        let spread = spread::measure(script, &plan, &observations, reference::START);
+        let mode = serde_json::to_value(policy).ok().and_then(|v| v.as_str().map(str::to_owned));
+        Row::new(script, &mode.unwrap_or_default(), &report, spread)
     };
     Policy::ALL.into_iter().map(row).collect()
 }
@@ -136,13 +145,13 @@
 /// Runs the proxy's logic in virtual time.
 ///
 /// # Errors
-/// Where the script's values give invalid settings.
+/// The script's values give invalid settings.
 pub fn in_virtual_time(script: &Script) -> Result<Row, SettingsError> {
     let report = virtual_time::play(script)?;
-    Ok(Row { cold: report.cold, ..Row::new(script, "virtual", &report.judgement, report.spread) })
+    Ok(Row { slow_start_load: report.cold, ..Row::new(script, "virtual", &report.judgement, report.spread) })
 }
 
-/// The head of [`line()`].
+/// The header of the text table, with the column names of [`line()`].
 #[must_use]
 pub fn head() -> String {
     format!(
@@ -168,96 +177,101 @@
     )
 }
 
-/// A row of the text table.
+/// A line of the text table, without a line break.
 #[must_use]
 pub fn line(row: &Row) -> String {
-    let s = &row.spread;
+    let spread = &row.spread;
     let mut text = format!(
         "{:<12} {:>5.2} {:>6} {:>6.3} {:>6.3} {:>7} {:>6} {:>6}  {:>7.1} {:>7.1}  {:>5.2} {:>5.2} {:>6.3} {:>6.3}  {:>6} {:>6.0}  {:>5.2} {:>5}  ",
-        row.way,
+        row.mode,
         row.load,
-        row.asked,
-        row.worth,
+        row.requests,
+        row.goodput,
         row.in_time,
-        row.refused,
+        row.rejected,
         row.failed,
-        row.missed + row.excused,
+        row.undelivered + row.excused,
         row.p50_ms,
         row.p99_ms,
-        s.busiest,
-        s.least,
-        s.deviation,
-        s.chance,
-        s.idle,
-        s.idle_most,
-        s.connections,
-        row.broken.iter().sum::<u64>(),
+        spread.max_load,
+        spread.min_load,
+        spread.deviation,
+        spread.random_deviation,
+        spread.idle_windows,
+        spread.max_idle_windows,
+        spread.connections_per_request,
+        row.violations.iter().sum::<u64>(),
     );
-    for recovery in &s.recovery_s {
+    for recovery in &spread.recovery_s {
         let _ = match recovery {
             Some(seconds) => write!(text, " {seconds:.0}"),
             None => write!(text, " never"),
         };
     }
-    if let Some(cold) = &row.cold {
+    if let Some(load) = &row.slow_start_load {
         let _ = write!(
             text,
-            "  [cold: {} starts, {:.2} of the bound at the most, {:.2} in the mean; {:.1} % refused meanwhile]",
-            cold.starts,
-            cold.most,
-            cold.used,
-            100.0 * cold.refused_part()
+            "  [slow start: {} backend starts; load {:.2} of the bound at most, {:.2} on average; {:.1} % rejected during warm-up]",
+            load.starts,
+            load.max_load,
+            load.mean_load,
+            100.0 * load.rejected_fraction()
         );
     }
     if let Some(restarts) = &row.restarts {
         let Restarts { restarted, in_time, median_s, worst_s } = restarts;
         let _ = write!(
             text,
-            "  [up within 10 s: {in_time} of {restarted}; {median_s:.1} s, worst {worst_s:.1} s]"
+            "  [restarts ready within 10 s: {in_time} of {restarted}; median {median_s:.1} s, longest {worst_s:.1} s]"
         );
     }
     if let Some(cost) = &row.cost {
-        let spoilt = if cost.spoilt { ", SPOILT: the laboratory was late itself" } else { "" };
+        let invalid = if cost.is_invalid { ", INVALID: the testbed sent requests too late" } else { "" };
         let _ = write!(
             text,
-            "  [cpu s: {:.2} a proxy, {:.1} laboratory; late p99 {:.1} ms{spoilt}]",
-            cost.proxy_cpu_s, cost.rig_cpu_s, cost.late_p99_ms
+            "  [CPU: {:.2} s per proxy, {:.1} s testbed; start delay p99 {:.1} ms{invalid}]",
+            cost.proxy_cpu_s, cost.testbed_cpu_s, cost.start_delay_p99_ms
         );
     }
     text
 }
 
-/// Reads rows, one JSON line each; empty lines are passed over.
+/// Parses rows, one JSON line each; empty lines are skipped.
 ///
 /// # Errors
-/// The line's number and what is wrong with it.
+/// The number of the first malformed or too long line, from 1, and the problem.
 pub fn parse(text: &str) -> Result<Vec<Row>, String> {
     let mut rows = Vec::new();
     for (number, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
         if line.len() > MAX_LINE_BYTES {
-            return Err(format!("line {}: {} bytes, {MAX_LINE_BYTES} at most", number + 1, line.len()));
+            return Err(format!(
+                "line {}: {} bytes, must be at most {MAX_LINE_BYTES}",
+                number + 1,
+                line.len()
+            ));
         }
         rows.push(serde_json::from_str(line).map_err(|e| format!("line {}: {e}", number + 1))?);
     }
     Ok(rows)
 }
 
-/// Least, median and most.
+/// Minimum, median and maximum; NaN without values.
 fn range(mut values: Vec<f64>) -> (f64, f64, f64) {
     values.sort_unstable_by(f64::total_cmp);
-    let at = |place: usize| values.get(place).copied().unwrap_or(f64::NAN);
+    let at = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
     (at(0), at(values.len() / 2), at(values.len().saturating_sub(1)))
 }
 
-/// Medians with their range over seeds, of each way at each load of each script; in the order in which they first come.
+/// A table of medians with their range over seeds, for each script, load, mode and build, in the order of
+/// their first rows.
 #[must_use]
 pub fn compare(rows: &[Row]) -> String {
     let key =
-        |row: &Row| (row.script.clone(), format!("{:.2}", row.load), row.way.clone(), row.build.clone());
-    let mut keys = Vec::new();
+        |row: &Row| (row.script.clone(), format!("{:.2}", row.load), row.mode.clone(), row.build.clone());
+    let mut groups = Vec::new();
     for row in rows {
-        if !keys.contains(&key(row)) {
-            keys.push(key(row));
+        if !groups.contains(&key(row)) {
+            groups.push(key(row));
         }
     }
     let mut text = format!(
@@ -265,25 +279,25 @@
         "way", "load", "days", "worth", "refused, %", "p99, ms", "busiest", "least", "deviation / chance"
     );
     let mut script = None;
-    for key_of in keys {
-        if script.as_ref() != Some(&key_of.0) {
-            let _ = writeln!(text, "{}", key_of.0);
-            script = Some(key_of.0.clone());
+    for group in groups {
+        if script.as_ref() != Some(&group.0) {
+            let _ = writeln!(text, "{}", group.0);
+            script = Some(group.0.clone());
         }
-        let same: Vec<&Row> = rows.iter().filter(|row| key(row) == key_of).collect();
-        let _ = write!(text, "{:<12} {:>5} {:>5} ", key_of.2, key_of.1, same.len());
+        let group_rows: Vec<&Row> = rows.iter().filter(|row| key(row) == group).collect();
+        let _ = write!(text, "{:<12} {:>5} {:>5} ", group.2, group.1, group_rows.len());
         let figures: [&dyn Fn(&Row) -> f64; 6] = [
-            &|r| r.worth,
-            &|r| 100.0 * r.refused as f64 / (r.asked as f64).max(1.0),
-            &|r| r.p99_ms,
-            &|r| r.spread.busiest,
-            &|r| r.spread.least,
-            &|r| r.spread.deviation / r.spread.chance,
+            &|row| row.goodput,
+            &|row| 100.0 * row.rejected as f64 / (row.requests as f64).max(1.0),
+            &|row| row.p99_ms,
+            &|row| row.spread.max_load,
+            &|row| row.spread.min_load,
+            &|row| row.spread.deviation / row.spread.random_deviation,
         ];
         for figure in figures {
-            let (least, median, most) = range(same.iter().map(|row| figure(row)).collect());
+            let (min, median, max) = range(group_rows.iter().map(|row| figure(row)).collect());
             let decimals = if median >= 20.0 { 0 } else { 3 };
-            let cell = format!("{median:.decimals$} ({least:.decimals$}..{most:.decimals$})");
+            let cell = format!("{median:.decimals$} ({min:.decimals$}..{max:.decimals$})");
             let _ = write!(text, " {cell:<22}");
         }
         text.push('\n');
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario over processes, from the start of the first one to the end of the last.
+//! Runs a scenario with proxy processes, from the start of the first process to the exit of the last one.
 
 use super::emulator_threads;
 use super::process_controller::{ProcessController, run_process_events, wait_for_exit};
@@ -22,11 +22,12 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Upper bound on the processes of one scenario.
+/// Maximum number of proxy processes in one scenario.
 const MAX_PROCESSES: usize = 400;
 /// Time between the readiness of all processes and the first request, microseconds.
 const HEAD_START: Micros = 200_000;
-/// Start delay (99th percentile, milliseconds) above which a result shows the machine and not the program.
+/// 99th percentile of the start delay above which a result measures the machine and not the program,
+/// milliseconds.
 const MAX_START_DELAY_P99_MS: f64 = 25.0;
 
 /// Why a scenario could not be run.
@@ -36,28 +37,32 @@
     #[error("{0}")]
     Script(#[from] ScriptError),
     /// An emulator or a process could not be started.
-    #[error("the laboratory: {0}")]
+    #[error("testbed I/O error: {0}")]
     Io(#[from] io::Error),
     /// An emulator thread ended early.
-    #[error("a thread of stand-ins ended before the day did")]
+    #[error("an emulator thread ended before the scenario did")]
     EmulatorEnded,
-    /// The proxy with this index was not ready in time; with the end of its log.
-    #[error("proxy {0} was not ready in time; its log ends with: {1}")]
+    /// The proxy with this index did not become ready: it exited or took too long; with the last lines of its
+    /// log.
+    #[error("proxy {0} did not become ready; its log ends with: {1}")]
     NotReady(usize, String),
-    /// The proxy with this index ended unexpectedly; with its exit status and the end of its log.
-    #[error("proxy {0} ended by itself ({1}); its log ends with: {2}")]
+    /// The proxy with this index exited unexpectedly; with its exit status and the last lines of its log.
+    #[error("proxy {0} exited unexpectedly ({1}); its log ends with: {2}")]
     Crashed(usize, String, String),
 }
 
-/// Runs a scenario with proxies as processes of their own.
+/// Runs a scenario with a process for each proxy.
 ///
 /// # Errors
-/// [`FleetError`] where the scenario can't be run or a process crashes. Rule violations are not errors but part of the row.
+/// The scenario can't be run or a process crashes. Rule violations are not errors; they are counted in the
+/// row.
 pub fn play(script: &Script, machine: &Machine) -> Result<Row, FleetError> {
     script.check()?;
     if script.fleet.proxies > MAX_PROCESSES {
-        let problem =
-            format!("{} processes, {MAX_PROCESSES} at most; more in virtual time", script.fleet.proxies);
+        let problem = format!(
+            "{} processes, must be at most {MAX_PROCESSES} (use virtual time for more)",
+            script.fleet.proxies
+        );
         return Err(ScriptError::Value("fleet.proxies".into(), problem).into());
     }
     process_guard::all_descriptors()?;
@@ -75,13 +80,13 @@
     }
     controller.start_all().await?;
     let began = shared_state.now() + HEAD_START;
-    clock.begin(shared_state.instant(began));
+    clock.start_at(shared_state.instant(began));
     // A thread that has ended early is reported when it is joined.
     for start_signal in emulators.start_signals {
         let _ = start_signal.send(began);
     }
     let testbed_cpu_before_s = cpu_s(std::process::id()).unwrap_or(0.0);
-    controller.record.borrow_mut().add(began, Observation::ScenarioStarted);
+    controller.log.borrow_mut().add(began, Observation::ScenarioStarted);
     let controller = Rc::new(RefCell::new(controller));
     run_process_events(&controller, &shared_state, began).await;
     let end = began + micros(script.seconds).max(shared_state.plan.quiet_after());
@@ -89,32 +94,36 @@
     while emulators.threads.iter().any(|thread| !thread.is_finished()) {
         sleep(Duration::from_millis(20)).await;
     }
-    let rig_cpu_s = cpu_s(std::process::id()).unwrap_or(0.0) - testbed_cpu_before_s;
-    let ending = controller.borrow_mut().terminate_all();
-    let ending = wait_for_exit(ending).await;
-    for (proxy, process) in ending {
-        controller.borrow_mut().has_ended(proxy, process);
+    let testbed_cpu_s = cpu_s(std::process::id()).unwrap_or(0.0) - testbed_cpu_before_s;
+    let terminated = controller.borrow_mut().terminate_all();
+    let terminated = wait_for_exit(terminated).await;
+    for (proxy, process) in terminated {
+        controller.borrow_mut().check_exit(proxy, process);
     }
-    let handed_on = controller.borrow().folder.handed_on();
-    let proxy_cpu_s = controller.borrow_mut().cost()?;
-    let (mut record, mut start_delays_us) = (controller.borrow_mut().record.take(), Vec::new());
+    let restored_processes = controller.borrow().folder.restored_processes();
+    let proxy_cpu_s = controller.borrow_mut().mean_cpu_s()?;
+    let (mut log, mut start_delays_us) = (controller.borrow_mut().log.take(), Vec::new());
     for thread in emulators.threads {
-        let (thread_record, thread_start_delays) = thread.join().map_err(|_| FleetError::EmulatorEnded)??;
-        record.append(thread_record);
+        let (thread_log, thread_start_delays) = thread.join().map_err(|_| FleetError::EmulatorEnded)??;
+        log.append(thread_log);
         start_delays_us.extend(thread_start_delays);
     }
     start_delays_us.sort_unstable();
-    let late_p99_ms =
+    let start_delay_p99_ms =
         start_delays_us.get(start_delays_us.len() * 99 / 100).map_or(0.0, |&us| f64::from(us) / 1e3);
-    let observations = record.in_order();
+    let observations = log.in_order();
     let report = check_ordered(script, &observations, machine.slack);
     report.messages.iter().for_each(|message| eprintln!("{message}"));
     let spread = spread::measure(script, &shared_state.plan, &observations, began);
     let mut row = Row::new(script, "processes", &report, spread);
-    row.cold = slow_start_load::measure(script, &shared_state.plan, &observations);
+    row.slow_start_load = slow_start_load::measure(script, &shared_state.plan, &observations);
     row.restarts = restarts::measure(&observations);
-    row.handed_on = handed_on;
-    row.cost =
-        Some(Cost { proxy_cpu_s, rig_cpu_s, late_p99_ms, spoilt: late_p99_ms > MAX_START_DELAY_P99_MS });
+    row.restored_processes = restored_processes;
+    row.cost = Some(Cost {
+        proxy_cpu_s,
+        testbed_cpu_s,
+        start_delay_p99_ms,
+        is_invalid: start_delay_p99_ms > MAX_START_DELAY_P99_MS,
+    });
     Ok(row)
 }
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,5 +1,5 @@
-//! Link faults: when a message on a link arrives, if at all. Pure: the seed determines the affected links, and the n-th
-//! message of a link has the same outcome in each run.
+//! Link faults: whether and when a message on a link is delivered. Pure: the seed determines the affected
+//! links, and the n-th message of a link has the same outcome in each run.
 
 use crate::script::{Direction, LinkEndpoints, LinkFault, Script, micros, zone_of};
 use balancer::api::Micros;
@@ -11,9 +11,9 @@
 /// Smallest delay of a reordered or duplicated datagram, microseconds.
 const REORDER_DELAY: Micros = 20_000;
 
-/// Random stream that selects the affected links.
+/// Index of the random stream that selects the affected links.
 const LINK_SELECTION: u64 = 1;
-/// First of the random streams of message outcomes, one per [`Direction`].
+/// Index of the first random stream of message outcomes; there is one per [`Direction`].
 const MESSAGE_OUTCOME: u64 = 2;
 
 /// A link between a proxy and another endpoint.
@@ -23,7 +23,7 @@
     pub between: LinkEndpoints,
     /// The proxy; between two proxies, the one with the lower number.
     pub proxy: usize,
-    /// The other endpoint's number; 0 for clients and discovery.
+    /// The index of the other endpoint; 0 for clients and discovery.
     pub peer: usize,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Delivery outcome of a datagram: the additional delay of each copy, microseconds.
+/// Outcome of a datagram: the additional delay of each copy, microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramDelivery {
     /// The first copy; `None` if the datagram is lost.
@@ -47,7 +47,7 @@
 
 /// Delivery of a chunk of a stream, which arrives in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passage {
+pub struct ChunkDelivery {
     /// Additional delay, microseconds.
     pub delay: Micros,
     /// Earliest arrival since the start of the scenario, microseconds.
@@ -69,7 +69,7 @@
 }
 
 impl Links {
-    /// The link faults of a script.
+    /// Creates the schedule of a script's link faults.
     #[must_use]
     pub fn new(script: &Script) -> Self {
         let schedule = |fault: &LinkFault| ScheduledFault {
@@ -84,22 +84,23 @@
         }
     }
 
+    /// The random numbers of the n-th message under a fault, the same in each run.
     fn rng(&self, fault: usize, link: Link, purpose: u64, nth: u64) -> fastrand::Rng {
         let stream = (link.proxy as u64) << 40 ^ (link.peer as u64) << 16 ^ (fault as u64) << 8 ^ purpose;
         fastrand::Rng::with_seed(self.seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ nth.rotate_left(33))
     }
 
-    /// Whether a fault affects a link and direction at this time.
+    /// Whether a fault affects a link and direction at this time since the start of the scenario.
     fn affects(&self, index: usize, link: Link, direction: Direction, now: Micros) -> bool {
         let ScheduledFault { fault, from, to } = &self.faults[index];
         let zone = |proxy: usize| zone_of(proxy, self.zones);
         let in_zone = fault.zone.is_none_or(|faulty_zone| {
-            // Between proxies, only links that leave the zone are affected.
+            // Between proxies, the fault affects only links that cross the boundary of the zone.
             let proxy_inside = zone(link.proxy) == faulty_zone;
             let peer_inside = link.between == LinkEndpoints::Proxies && zone(link.peer) == faulty_zone;
             proxy_inside != peer_inside
         });
-        let in_direction = fault.way == Direction::Both || fault.way == direction;
+        let in_direction = fault.direction == Direction::Both || fault.direction == direction;
         (*from..*to).contains(&now)
             && fault.between == link.between
             && in_direction
@@ -117,42 +118,43 @@
         self.faults.iter().enumerate().filter(affects)
     }
 
-    /// Delivery outcome of the n-th datagram of a link and direction.
+    /// Outcome of the n-th datagram of a link and direction, sent at `now` since the start of the scenario.
     #[must_use]
     pub fn datagram(&self, link: Link, direction: Direction, now: Micros, nth: u64) -> DatagramDelivery {
         let mut delay = 0;
         let mut duplicated = false;
         for (index, ScheduledFault { fault, .. }) in self.active_faults(link, direction, now) {
             let mut rng = self.rng(index, link, MESSAGE_OUTCOME + direction as u64, nth + 1);
-            if fault.cut || rng.f64() < fault.drop {
+            if fault.cut || rng.f64() < fault.loss_fraction {
                 return DatagramDelivery::default();
             }
             delay += draw_delay(fault, &mut rng);
-            duplicated |= rng.f64() < fault.duplicate;
-            if rng.f64() < fault.reorder {
-                delay += REORDER_DELAY + 2 * micros((fault.delay_ms + fault.spread_ms) / 1e3);
+            duplicated |= rng.f64() < fault.duplication_fraction;
+            if rng.f64() < fault.reorder_fraction {
+                delay += REORDER_DELAY + 2 * micros((fault.delay_ms + fault.jitter_ms) / 1e3);
             }
         }
         DatagramDelivery { first: Some(delay), second: duplicated.then_some(delay + REORDER_DELAY) }
     }
 
-    /// Delivery of the n-th chunk of a stream.
+    /// Delivery of the n-th chunk of a stream, sent at `now` since the start of the scenario.
     #[must_use]
-    pub fn piece(&self, link: Link, direction: Direction, now: Micros, nth: u64) -> Passage {
-        let mut passage = Passage::default();
+    pub fn chunk(&self, link: Link, direction: Direction, now: Micros, nth: u64) -> ChunkDelivery {
+        let mut delivery = ChunkDelivery::default();
         for (index, ScheduledFault { fault, to, .. }) in self.active_faults(link, direction, now) {
             let mut rng = self.rng(index, link, MESSAGE_OUTCOME + direction as u64, nth + 1);
-            passage.delay += draw_delay(fault, &mut rng);
-            let losses = (0..MAX_RETRANSMITS).take_while(|_| rng.f64() < fault.drop).count();
-            passage.delay += RETRANSMIT_DELAY * ((1 << losses) - 1);
+            delivery.delay += draw_delay(fault, &mut rng);
+            let losses = (0..MAX_RETRANSMITS).take_while(|_| rng.f64() < fault.loss_fraction).count();
+            delivery.delay += RETRANSMIT_DELAY * ((1 << losses) - 1);
             if fault.cut {
-                passage.not_before = passage.not_before.max(*to);
+                delivery.not_before = delivery.not_before.max(*to);
             }
         }
-        passage
+        delivery
     }
 
-    /// Largest delay of what is sent on a stream between two times, microseconds; the invariant checker allows for it.
+    /// Upper bound on the delay of stream data sent between two times, microseconds; the invariant checker
+    /// allows for it.
     #[must_use]
     pub fn max_delay(&self, link: Link, direction: Direction, from: Micros, to: Micros) -> Micros {
         let delays = self.faults.iter().enumerate().filter_map(|(index, scheduled)| {
@@ -161,38 +163,40 @@
                 return None;
             }
             let fault = &scheduled.fault;
-            let retransmission = if fault.drop > 0.0 { RETRANSMIT_DELAY << MAX_RETRANSMITS } else { 0 };
-            // Limited bandwidth has no delay bound of its own, except the remaining time of the fault.
-            let blocked = if fault.cut || fault.kbytes_s > 0.0 { scheduled.to - now } else { 0 };
-            Some(micros((fault.delay_ms + fault.spread_ms) / 1e3) + retransmission + blocked)
+            let retransmission =
+                if fault.loss_fraction > 0.0 { RETRANSMIT_DELAY << MAX_RETRANSMITS } else { 0 };
+            // With limited bandwidth, only the remaining time of the fault bounds the delay.
+            let blocked = if fault.cut || fault.bandwidth_kbytes_s > 0.0 { scheduled.to - now } else { 0 };
+            Some(micros((fault.delay_ms + fault.jitter_ms) / 1e3) + retransmission + blocked)
         });
         delays.sum()
     }
 
-    /// Bandwidth limit, bytes per second; `None` if unlimited.
+    /// Smallest bandwidth limit in effect, bytes per second; `None` if unlimited.
     #[must_use]
     pub fn bandwidth(&self, link: Link, direction: Direction, now: Micros) -> Option<f64> {
-        let limits =
-            self.active_faults(link, direction, now).map(|(_, scheduled)| scheduled.fault.kbytes_s * 1e3);
+        let limits = self
+            .active_faults(link, direction, now)
+            .map(|(_, scheduled)| scheduled.fault.bandwidth_kbytes_s * 1e3);
         limits.filter(|&limit| limit > 0.0).min_by(f64::total_cmp)
     }
 }
 
 fn draw_delay(fault: &LinkFault, rng: &mut fastrand::Rng) -> Micros {
-    micros((fault.delay_ms + rng.f64() * fault.spread_ms) / 1e3)
+    micros((fault.delay_ms + rng.f64() * fault.jitter_ms) / 1e3)
 }
 
-/// Transmission queue of a link with limited bandwidth.
+/// Transmission queue of a connection over a link with limited bandwidth.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BandwidthQueue {
     free_at: Micros,
 }
 
 impl BandwidthQueue {
-    /// Queues bytes at a time; returns when the last one is transmitted. `per_s` is the bandwidth in bytes per second,
-    /// `None` if unlimited.
-    pub fn pass(&mut self, now: Micros, bytes: usize, per_s: Option<f64>) -> Micros {
-        let duration = per_s.map_or(0, |per_s| (bytes as f64 / per_s * 1e6) as Micros);
+    /// Queues bytes at a time, and returns the time at which the last one is transmitted, microseconds. The
+    /// bandwidth is `None` if unlimited.
+    pub fn transmit(&mut self, now: Micros, bytes: usize, bytes_per_s: Option<f64>) -> Micros {
+        let duration = bytes_per_s.map_or(0, |rate| (bytes as f64 / rate * 1e6) as Micros);
         self.free_at = self.free_at.max(now) + duration;
         self.free_at
     }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,17 +1,20 @@
-//! The plan of a scenario, drawn in advance: all requests, and all events of proxy processes. Pure: the same script and
-//! seed give the same plan for runs with processes, in virtual time, and of the reference policies.
+//! The plan of a scenario, drawn in advance: all requests and all events of proxy processes. Pure: the same
+//! script and seed give the same plan for runs with processes, runs in virtual time, and the reference
+//! policies.
 
 use crate::script::{
     ClassSpec, InitialList, ProcessFault, ProcessFaultKind, Script, Traffic, WorkSpec, micros,
 };
 use balancer::api::Micros;
 
-/// Largest exponential draw, in means: a single request must not occupy a backend for the complete scenario.
+/// Largest exponential draw, as a multiple of the mean, so that a single request does not occupy a backend
+/// for the complete scenario.
 const MAX_MEANS: f64 = 10.0;
-/// Time from SIGTERM to SIGKILL beyond the longest deadline, microseconds.
+/// Time from SIGTERM to SIGKILL in addition to the longest deadline, microseconds.
 const TERMINATION_GRACE: Micros = 700_000;
 
-/// How long responses are awaited after the last request beyond the longest deadline, microseconds.
+/// Time for which responses are awaited after the last request in addition to the longest deadline,
+/// microseconds.
 pub(crate) const TAIL: Micros = 1_500_000;
 
 /// One client request.
@@ -23,7 +26,7 @@
     pub class: u8,
     /// Index of its tenant.
     pub tenant: u16,
-    /// The proxy to which the front end sends it while that proxy is up.
+    /// The proxy to which the front end sends it while that proxy is available.
     pub proxy: u16,
     /// Its work on a core of speed 1, microseconds.
     pub work: Micros,
@@ -44,7 +47,7 @@
     Continue,
     /// Start with this list of backends.
     Start(InitialList),
-    /// A successor process takes over while it serves.
+    /// A successor process takes over while the old one serves.
     Replace,
 }
 
@@ -77,7 +80,8 @@
         Self { arrivals: arrivals(script), processes }
     }
 
-    /// Time of the last process event since the start of the scenario, microseconds; the checked time ends no sooner.
+    /// Time of the last process event since the start of the scenario, microseconds; 0 without events. The
+    /// scenario ends no sooner.
     #[must_use]
     pub fn quiet_after(&self) -> Micros {
         self.processes.last().map_or(0, |event| event.at)
@@ -108,7 +112,7 @@
 fn draw_work_ms(class: &ClassSpec, rng: &mut fastrand::Rng) -> f64 {
     let [from, to] = class.work_ms;
     match class.work {
-        WorkSpec::Even => from + rng.f64() * (to - from),
+        WorkSpec::Uniform => from + rng.f64() * (to - from),
         WorkSpec::Exponential => {
             let mean = f64::midpoint(from, to);
             (-(1.0 - rng.f64()).ln() * mean).min(mean * MAX_MEANS)
@@ -118,8 +122,8 @@
 
 fn draw_tenant(traffic: &Traffic, rng: &mut fastrand::Rng) -> u16 {
     let tenants = traffic.tenants.max(1);
-    let first = traffic.first_tenant > 0.0 && rng.f64() < traffic.first_tenant;
-    if first || tenants == 1 { 0 } else { rng.u16(0..tenants) }
+    let is_first = traffic.first_tenant_share > 0.0 && rng.f64() < traffic.first_tenant_share;
+    if is_first || tenants == 1 { 0 } else { rng.u16(0..tenants) }
 }
 
 fn cumulative(weights: &[f64]) -> Vec<f64> {
@@ -134,17 +138,18 @@
 fn proxy_weights(script: &Script, rng: &mut fastrand::Rng) -> Vec<f64> {
     let (traffic, proxies) = (&script.traffic, script.fleet.proxies);
     let mut weights: Vec<f64> = (0..proxies).map(|_| (normal(rng) * traffic.skew).exp()).collect();
-    if traffic.busy_proxies > 0.0 {
-        let busy = ((proxies as f64 * traffic.busy_proxies).round() as usize).clamp(1, proxies);
+    if traffic.busy_proxy_fraction > 0.0 {
+        let busy = ((proxies as f64 * traffic.busy_proxy_fraction).round() as usize).clamp(1, proxies);
         rescale(&mut weights, traffic.busy_share, |proxy| proxy < busy);
     }
-    if traffic.first_zone > 0.0 {
-        rescale(&mut weights, traffic.first_zone, |proxy| script.zone(proxy) == 0);
+    if traffic.first_zone_share > 0.0 {
+        rescale(&mut weights, traffic.first_zone_share, |proxy| script.zone(proxy) == 0);
     }
     weights
 }
 
-/// Scales the weights so that the selected ones have this share of the sum, and the others the rest.
+/// Scales the weights so that the selected ones make up this share of the sum, and the others the rest.
+/// Weights stay as they are if one of the two groups has none.
 fn rescale(weights: &mut [f64], share: f64, selected: impl Fn(usize) -> bool) {
     let sum = |weights: &[f64], inside: bool| -> f64 {
         weights
@@ -193,7 +198,7 @@
 /// The process events drawn so far.
 struct ProcessEvents {
     longest_deadline: Micros,
-    /// When the last responses are due.
+    /// Time at which the last responses are due, microseconds since the start of the scenario.
     end: Micros,
     events: Vec<ProcessEvent>,
 }
@@ -218,18 +223,18 @@
                 self.push(to, proxy, ProcessAction::Start(fault.list));
             }
             ProcessFaultKind::End => {
-                let reaped_at = from + self.longest_deadline + TERMINATION_GRACE;
+                let reap_at = from + self.longest_deadline + TERMINATION_GRACE;
                 self.push(from, proxy, ProcessAction::Term);
-                self.push(reaped_at, proxy, ProcessAction::Reap);
-                self.push(to.max(reaped_at), proxy, ProcessAction::Start(fault.list));
+                self.push(reap_at, proxy, ProcessAction::Reap);
+                self.push(to.max(reap_at), proxy, ProcessAction::Start(fault.list));
             }
             ProcessFaultKind::Stall => self.add_stalls(fault, proxy, from, stagger),
             ProcessFaultKind::Replace => self.push(from, proxy, ProcessAction::Replace),
         }
     }
 
-    /// Adds one stall, or periodic ones until the last responses are due. Periodic stalls are staggered over the
-    /// proxies of a wave, so that they do not all stop at once.
+    /// Adds one stall, or periodic ones until the last responses are due. Periodic stalls are staggered over
+    /// the proxies of a wave, so that they do not all stop at once.
     fn add_stalls(&mut self, fault: &ProcessFault, proxy: usize, from: Micros, stagger: Stagger) {
         let to = from + micros(fault.for_s);
         let period = micros(fault.every_s);
--- a/crates/testbed/src/restarts.rs
+++ b/crates/testbed/src/restarts.rs
@@ -1,4 +1,4 @@
-//! Readiness of restarted proxy processes, measured from outside by their `/up`. Pure.
+//! Time to readiness of restarted proxy processes, measured from outside by polling `/up`. Pure.
 
 use crate::invariant_checker::Observation;
 use balancer::api::Micros;
@@ -22,37 +22,39 @@
 }
 
 impl Restarts {
-    /// Whether at least 90 % were ready in time.
+    /// Whether at least 90 % of the restarted processes were ready in time.
     #[must_use]
-    pub fn is_soon(&self) -> bool {
+    pub fn is_sufficient(&self) -> bool {
         self.in_time * 10 >= self.restarted * 9
     }
 }
 
-/// Measures readiness; `None` if no process was restarted. `seen` is in the order of time.
+/// Measures the time to readiness; `None` if no process was restarted. The observations are ordered by time.
 #[must_use]
-pub fn measure(seen: &[(Micros, Observation)]) -> Option<Restarts> {
+pub fn measure(observations: &[(Micros, Observation)]) -> Option<Restarts> {
     let mut starting: FxHashMap<usize, Micros> = FxHashMap::default();
-    let (mut out, mut times) = (Restarts::default(), Vec::new());
-    for &(at, what) in seen {
-        match what {
+    let (mut restarts, mut times) = (Restarts::default(), Vec::new());
+    for &(at, observation) in observations {
+        match observation {
             Observation::ProxyRestarted { proxy } => {
-                out.restarted += 1;
+                restarts.restarted += 1;
                 starting.insert(proxy, at);
             }
             Observation::ProxyReady { proxy } => {
                 times.extend(starting.remove(&proxy).map(|since| at - since));
             }
             Observation::ProxyKilled { proxy } => {
-                let gone = starting.remove(&proxy).is_some_and(|since| at - since < READY_TIMEOUT);
-                out.restarted -= u64::from(gone);
+                let killed_while_starting =
+                    starting.remove(&proxy).is_some_and(|since| at - since < READY_TIMEOUT);
+                restarts.restarted -= u64::from(killed_while_starting);
             }
             _ => {}
         }
     }
     times.sort_unstable();
-    out.in_time = times.iter().filter(|&&time| time <= READY_TIMEOUT).count() as u64;
-    let seconds = |place: usize| times.get(place).map_or(0.0, |&time| time as f64 / 1e6);
-    (out.median_s, out.worst_s) = (seconds(times.len() / 2), seconds(times.len().saturating_sub(1)));
-    (out.restarted > 0).then_some(out)
+    restarts.in_time = times.iter().filter(|&&time| time <= READY_TIMEOUT).count() as u64;
+    let seconds = |index: usize| times.get(index).map_or(0.0, |&time| time as f64 / 1e6);
+    (restarts.median_s, restarts.worst_s) =
+        (seconds(times.len() / 2), seconds(times.len().saturating_sub(1)));
+    (restarts.restarted > 0).then_some(restarts)
 }
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -1,4 +1,4 @@
-//! Fault scripts (TOML): a fleet, its traffic, and the faults injected into it.
+//! Fault scripts (TOML): the fleet of a scenario, its traffic, and the faults that are injected.
 
 mod discovery;
 mod faults;
@@ -22,13 +22,13 @@
 use std::{fs, io};
 use thiserror::Error;
 
-/// Longest traffic time, and longest fault, in seconds.
+/// Maximum time of traffic and maximum duration of a fault, seconds.
 const MAX_SECONDS: f64 = 600.0;
-/// Largest number of backends.
+/// Maximum number of backends.
 const MAX_BACKENDS: usize = 20_000;
-/// Largest number of proxies.
+/// Maximum number of proxies.
 const MAX_PROXIES: usize = 2_000;
-/// Largest expected number of requests in one run.
+/// Maximum expected number of requests in one run.
 const MAX_REQUESTS: f64 = 5_000_000.0;
 
 /// Why a script can't be run.
@@ -37,10 +37,10 @@
     /// The file can't be read.
     #[error("cannot read {0}: {1}")]
     Unreadable(PathBuf, io::Error),
-    /// The text is not TOML of the expected form; the message names line and column.
+    /// The text is not TOML of the expected form; the message contains line and column.
     #[error("{0}: {1}")]
     Malformed(PathBuf, Box<toml::de::Error>),
-    /// A value is out of range: the key, and the range or reason.
+    /// A value is out of range; with the key, and the range or the reason.
     #[error("`{0}`: {1}")]
     Value(String, String),
 }
@@ -49,10 +49,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Title, printed with the results.
+    /// The title printed with the results.
     #[serde(default)]
     pub title: String,
-    /// Seed of all random numbers; the same seed gives the same result in virtual time.
+    /// Seed of all random numbers; in virtual time, the same seed gives the same result.
     pub seed: u64,
     /// How long clients send requests, seconds; 0.1 to 600.
     pub seconds: f64,
@@ -72,7 +72,7 @@
     /// Faults of proxy processes.
     #[serde(default, rename = "process")]
     pub process_faults: Vec<ProcessFault>,
-    /// Faults of links between two endpoints (only in runs with processes).
+    /// Faults of links between two endpoints; only in runs with processes.
     #[serde(default, rename = "link")]
     pub link_faults: Vec<LinkFault>,
 }
@@ -84,19 +84,19 @@
 }
 
 impl Script {
-    /// Reads and checks a script file.
+    /// Reads and validates a script file.
     ///
     /// # Errors
-    /// The file can't be read, is malformed, or holds a value out of range.
+    /// The file can't be read, is malformed, or contains a value out of range.
     pub fn read(path: &Path) -> Result<Self, ScriptError> {
         let text = fs::read_to_string(path).map_err(|error| ScriptError::Unreadable(path.into(), error))?;
         Self::parse(&text, path)
     }
 
-    /// Parses and checks a script; `path` only appears in error messages.
+    /// Parses and validates a script; `path` appears only in error messages.
     ///
     /// # Errors
-    /// The text is malformed, or holds a value out of range.
+    /// The text is malformed, or contains a value out of range.
     pub fn parse(text: &str, path: &Path) -> Result<Self, ScriptError> {
         let script: Self =
             toml::from_str(text).map_err(|error| ScriptError::Malformed(path.into(), Box::new(error)))?;
--- a/crates/testbed/src/script/discovery.rs
+++ b/crates/testbed/src/script/discovery.rs
@@ -11,23 +11,25 @@
     /// One agent per proxy, or one shared service.
     #[serde(default)]
     pub mode: DiscoveryMode,
-    /// Shortest and longest processing time of a call at the shared service, milliseconds; an open watch costs nothing.
+    /// Minimum and maximum processing time of a call at the shared service, milliseconds. An open watch takes
+    /// no processing time.
     #[serde(default = "default_call_ms")]
     pub call_ms: [f64; 2],
-    /// Queueing time after which a call fails, milliseconds.
+    /// Time in the shared service's queue after which a call fails, milliseconds.
     #[serde(default = "default_fails_after_ms")]
     pub fails_after_ms: f64,
 }
 
-/// Which service delivers the list.
+/// The service that delivers the list.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiscoveryMode {
-    /// An agent beside each proxy, which receives changes and responds immediately.
+    /// An agent next to each proxy, which receives changes and responds immediately.
     #[default]
     Pushed,
     /// One shared service, which processes the calls of all proxies in order.
-    Asked,
+    #[serde(rename = "asked")]
+    OnRequest,
 }
 
 fn default_call_ms() -> [f64; 2] {
@@ -49,10 +51,10 @@
 }
 
 impl Discovery {
-    /// The call queue of the shared service; `None` with agents.
+    /// The call queue of the shared service; `None` if agents deliver the list.
     pub(crate) fn queue(&self, seed: u64) -> Option<CallQueue> {
-        let [shortest, longest] = self.call_ms.map(|ms| micros(ms / 1e3));
-        (self.mode == DiscoveryMode::Asked)
-            .then(|| CallQueue::new((shortest, longest), micros(self.fails_after_ms / 1e3), seed))
+        let [min, max] = self.call_ms.map(|ms| micros(ms / 1e3));
+        (self.mode == DiscoveryMode::OnRequest)
+            .then(|| CallQueue::new((min, max), micros(self.fails_after_ms / 1e3), seed))
     }
 }
--- a/crates/testbed/src/script/faults.rs
+++ b/crates/testbed/src/script/faults.rs
@@ -7,19 +7,20 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendFault {
-    /// Kind of fault.
+    /// The kind of fault.
     pub what: BackendFaultKind,
-    /// Start of the fault, seconds.
+    /// Start of the fault, seconds since the start of the scenario.
     pub at_s: f64,
     /// Duration of the fault, seconds.
     pub for_s: f64,
-    /// Fraction of the backends that are affected, drawn at random.
+    /// Fraction of the backends that are affected, selected at random.
     #[serde(default)]
     pub part: f64,
     /// Affects all backends of this zone instead of a fraction.
     #[serde(default)]
     pub zone: Option<u16>,
-    /// Severity: the factor of `slow`, otherwise the fraction of the requests, responses or connections affected.
+    /// Severity: for `slow` the factor of the service time, otherwise the fraction of the requests, responses
+    /// or connections that are affected.
     #[serde(default)]
     pub degree: f64,
 }
@@ -28,9 +29,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum BackendFaultKind {
-    /// The process dies, and restarts at the end of the fault.
+    /// The process crashes, and restarts at the end of the fault.
     Crash,
-    /// Requests are accepted and never answered.
+    /// Requests are accepted but never answered.
     Hang,
     /// The process makes no progress.
     Pause,
@@ -59,7 +60,7 @@
 }
 
 impl BackendFaultKind {
-    /// Faults of connections, which are no evidence of a backend's health.
+    /// Faults of connections, which are not evidence of an unhealthy backend.
     pub const OF_CONNECTIONS: [Self; 7] = [
         Self::Reset,
         Self::ResetRequest,
@@ -83,12 +84,12 @@
 pub struct ProcessFault {
     /// Kind of fault.
     pub what: ProcessFaultKind,
-    /// Start of the fault, seconds.
+    /// Start of the fault, seconds since the start of the scenario.
     pub at_s: f64,
-    /// How long the process is down or stopped, seconds.
+    /// Time for which the process is down or stopped, seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// Fraction of the proxies that are affected, drawn at random.
+    /// Fraction of the proxies that are affected, selected at random.
     #[serde(default)]
     pub part: f64,
     /// Number of waves into which the affected proxies are divided.
@@ -97,7 +98,8 @@
     /// Time between two waves, seconds.
     #[serde(default)]
     pub wave_s: f64,
-    /// Period of repeated stalls until the last responses are due, seconds; the processes are staggered. 0: one stall.
+    /// Period of stalls, which recur until the last responses are due, seconds; the stalls of the processes
+    /// are staggered. 0: a single stall.
     #[serde(default)]
     pub every_s: f64,
     /// The list of backends with which a process restarts.
@@ -119,7 +121,7 @@
     End,
     /// The process is stopped (SIGSTOP) and continued later (SIGCONT).
     Stall,
-    /// A successor process takes over while it serves (only in runs with processes).
+    /// A successor process takes over while the old one serves; only in runs with processes.
     Replace,
 }
 
@@ -127,7 +129,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum InitialList {
-    /// The list from the start of the scenario.
+    /// The list as it was at the start of the scenario.
     #[default]
     Old,
     /// No list.
@@ -140,40 +142,40 @@
 pub struct LinkFault {
     /// The endpoints.
     pub between: LinkEndpoints,
-    /// Start of the fault, seconds.
+    /// Start of the fault, seconds since the start of the scenario.
     pub at_s: f64,
     /// Duration of the fault, seconds.
     pub for_s: f64,
-    /// Fraction of the links that are affected, determined by the seed.
+    /// Fraction of the links that are affected, selected by the seed.
     #[serde(default = "all_links")]
     pub part: f64,
-    /// Affects only links of this zone's proxies.
+    /// Affects only links of this zone's proxies; between proxies, only links that cross the zone's boundary.
     #[serde(default)]
     pub zone: Option<u16>,
     /// The affected direction.
-    #[serde(default)]
-    pub way: Direction,
-    /// The link passes nothing.
+    #[serde(default, rename = "way")]
+    pub direction: Direction,
+    /// Whether the link delivers nothing.
     #[serde(default)]
     pub cut: bool,
     /// Additional delay of each message, milliseconds.
     #[serde(default)]
     pub delay_ms: f64,
-    /// Largest additional jitter, drawn for each message, milliseconds.
-    #[serde(default)]
-    pub spread_ms: f64,
+    /// Maximum jitter, drawn for each message and added to the delay, milliseconds.
+    #[serde(default, rename = "spread_ms")]
+    pub jitter_ms: f64,
     /// Fraction of the messages that are lost; over TCP they arrive after a retransmission delay.
-    #[serde(default)]
-    pub drop: f64,
+    #[serde(default, rename = "drop")]
+    pub loss_fraction: f64,
     /// Fraction of the datagrams that are duplicated.
-    #[serde(default)]
-    pub duplicate: f64,
-    /// Fraction of the datagrams that are overtaken by later ones.
-    #[serde(default)]
-    pub reorder: f64,
+    #[serde(default, rename = "duplicate")]
+    pub duplication_fraction: f64,
+    /// Fraction of the datagrams that are delayed so that later ones can overtake them.
+    #[serde(default, rename = "reorder")]
+    pub reorder_fraction: f64,
     /// Bandwidth, kilobytes per second; 0: unlimited.
-    #[serde(default)]
-    pub kbytes_s: f64,
+    #[serde(default, rename = "kbytes_s")]
+    pub bandwidth_kbytes_s: f64,
 }
 
 const fn all_links() -> f64 {
@@ -188,14 +190,14 @@
     Clients,
     /// Proxies and backends.
     Boxes,
-    /// Proxies and discovery.
+    /// Proxies and the discovery service.
     Discovery,
     /// Two proxies (datagrams).
     Proxies,
 }
 
-/// Direction on a link. Out leads from the client to the proxy, from the proxy to a backend or discovery, and from the
-/// proxy with the lower number to the other one.
+/// Direction on a link. Outbound is from the client to the proxy, from the proxy to a backend or discovery,
+/// and from the proxy with the lower index to the other one.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
@@ -204,15 +206,15 @@
     Both,
     /// Outbound.
     Out,
-    /// Return direction.
+    /// The reverse of outbound.
     Back,
 }
 
 impl Script {
-    /// The backends that a fault affects: random, but the same for the same seed.
+    /// The backends that a fault affects; the same seed selects the same ones.
     ///
     /// # Panics
-    /// If there is no backend fault of this index.
+    /// There is no backend fault with this index.
     #[must_use]
     pub fn faulty_backends(&self, index: usize) -> Vec<usize> {
         let fault = &self.backend_faults[index];
@@ -226,10 +228,10 @@
         all
     }
 
-    /// The proxies that a process fault affects: random, but the same for the same seed.
+    /// The proxies that a process fault affects; the same seed selects the same ones.
     ///
     /// # Panics
-    /// If there is no process fault of this index.
+    /// There is no process fault with this index.
     #[must_use]
     pub fn faulty_proxies(&self, index: usize) -> Vec<usize> {
         let mut rng =
--- a/crates/testbed/src/script/fleet.rs
+++ b/crates/testbed/src/script/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a script: backends and proxies, and how they are spread over zones and cells.
+//! The fleet of a script: backends and proxies, and their assignment to zones and cells.
 
 use super::{Script, micros};
 use crate::backend_model::BackendSpec;
@@ -13,38 +13,39 @@
     pub backends: usize,
     /// Number of proxies; 1 to 2,000.
     pub proxies: usize,
-    /// Number of zones; backends and proxies are assigned to them in turn. 1 to 64.
+    /// Number of zones, to which backends and proxies are assigned round-robin; 1 to 64.
     pub zones: u16,
-    /// Cells in each zone; the backends of a cell share a deduplication store. 1 to 1,000.
+    /// Number of cells in each zone; the backends of a cell share a deduplication store. 1 to 1,000.
     pub cells: u16,
-    /// Cores of a backend: the number of requests that run at full speed in parallel.
+    /// Number of cores of a backend: the number of requests that run in parallel at full speed.
     pub cores: f64,
-    /// Requests that a backend accepts for each core, running and queued; more are rejected.
+    /// Number of requests, running and queued, that a backend accepts per core; more are rejected.
     #[serde(rename = "holds")]
     pub queue_per_core: f64,
-    /// Fraction of its capacity with which a backend starts; 0.01 to 1.
+    /// Fraction of its capacity that a backend has when it starts; 0.01 to 1.
     #[serde(default = "default_initial_capacity", rename = "cold_from")]
     pub initial_capacity: f64,
     /// Warm-up time of a backend, seconds.
     #[serde(default = "default_warm_up_s", rename = "cold_s")]
     pub warm_up_s: f64,
-    /// Warm-up time in the proxies' settings where it differs from the real one, seconds: an injected
+    /// Warm-up time in the proxies' settings if it differs from the real one, seconds: an injected
     /// configuration fault.
     #[serde(default, rename = "told_cold_s")]
     pub configured_warm_up_s: Option<f64>,
-    /// How far discovery's wall clock, used for start times, is behind the proxies', seconds; negative if it is ahead.
+    /// How far discovery's wall clock, which gives backends' start times, is behind the proxies', seconds;
+    /// negative if it is ahead.
     #[serde(default)]
     pub clock_behind_s: f64,
     /// One-way latency between zones, milliseconds; within a zone it is a quarter of that.
     #[serde(default = "default_cross_zone_ms")]
     pub cross_zone_ms: f64,
-    /// Delay of notifications about backends, seconds: between this value and twice this value.
+    /// Minimum delay of notifications about backends, seconds; the maximum is twice this value.
     #[serde(default = "default_notification_delay_s", rename = "news_s")]
     pub notification_delay_s: f64,
-    /// Relative speeds of the backends' cores, assigned in turn; empty: 1 for all.
+    /// Relative speeds of the backends' cores, assigned round-robin; empty: 1 for all.
     #[serde(default)]
     pub speeds: Vec<f64>,
-    /// How long the front end keeps sending to a proxy whose process is gone, seconds.
+    /// Time for which the front end still sends to a proxy whose process has exited, seconds.
     #[serde(default = "default_front_end_detection_s", rename = "front_notice_s")]
     pub front_end_detection_s: f64,
 }
@@ -69,13 +70,13 @@
     1.0
 }
 
-/// The zone of a backend or proxy: they are assigned in turn.
+/// The zone of a backend or proxy; they are assigned round-robin.
 pub(crate) fn zone_of(index: usize, zones: u16) -> u16 {
     (index % usize::from(zones)) as u16
 }
 
 impl Script {
-    /// Requests per second that keep all backends busy.
+    /// The request rate that uses the complete capacity of all backends, per second.
     #[must_use]
     pub fn capacity_per_s(&self) -> f64 {
         let cores: f64 = (0..self.fleet.backends).map(|backend| self.speed(backend) * self.fleet.cores).sum();
@@ -89,7 +90,7 @@
         if speeds.is_empty() { 1.0 } else { speeds[backend % speeds.len()] }
     }
 
-    /// The specification of a backend for its model.
+    /// The parameters of a backend for its model.
     #[must_use]
     pub fn box_spec(&self, backend: usize) -> BackendSpec {
         BackendSpec {
@@ -107,7 +108,7 @@
         zone_of(index, self.fleet.zones)
     }
 
-    /// A random proxy of the same zone that serves in place of an unavailable one; `None` if there is none.
+    /// A random serving proxy of the same zone as an unavailable one; `None` if there is none.
     pub(crate) fn in_place_of(
         &self,
         unavailable: usize,
--- a/crates/testbed/src/script/proxy_settings.rs
+++ b/crates/testbed/src/script/proxy_settings.rs
@@ -1,16 +1,16 @@
-//! The settings that a script gives its proxies.
+//! The proxies' settings, generated from a script.
 
 use super::{ClassSpec, DiscoveryMode, IdempotencySpec, Script, micros};
 use serde_json::{Value, json};
 
 impl Script {
-    /// A proxy's settings in the format of its configuration.
+    /// The settings of a proxy, in the format of its configuration file.
     #[must_use]
     pub fn settings(&self, proxy: usize) -> Value {
         let warm_up_s = self.fleet.configured_warm_up_s.unwrap_or(self.fleet.warm_up_s);
         let mode = match self.discovery.mode {
             DiscoveryMode::Pushed => "pushed",
-            DiscoveryMode::Asked => "on_request",
+            DiscoveryMode::OnRequest => "on_request",
         };
         let class_settings = |class: &ClassSpec| {
             let (effect, group) = match class.idempotency {
@@ -23,11 +23,11 @@
                 "worth": class.priority_weight, "lateWorth": class.late_weight_fraction, "effect": effect, "group": group,
                 "keyTtlUs": micros(class.dedup_s)})
         };
-        // Each tenant's allowance is one and a half times an even share of the traffic.
+        // The quota of each tenant is one and a half times an equal share of the traffic.
         let tenants = f64::from(self.traffic.tenants);
-        let allowance = self.traffic.per_s * 1.5 / tenants.max(1.0);
+        let quota_per_s = self.traffic.per_s * 1.5 / tenants.max(1.0);
         let tenant_settings = (0..self.traffic.tenants)
-            .map(|tenant| json!({"name": format!("t{tenant}"), "allowancePerS": allowance}));
+            .map(|tenant| json!({"name": format!("t{tenant}"), "allowancePerS": quota_per_s}));
         let zones: Vec<String> = (0..self.fleet.zones).map(|zone| format!("z{zone}")).collect();
         json!({"me": proxy, "balancers": self.fleet.proxies, "zone": self.zone(proxy),
             "failureDomains": zones, "kinds": ["box"], "membershipMode": mode,
--- a/crates/testbed/src/script/tests.rs
+++ b/crates/testbed/src/script/tests.rs
@@ -21,17 +21,21 @@
 "#;
 
 fn parse(text: &str) -> Result<Script, ScriptError> {
-    Script::parse(text, Path::new("day.toml"))
+    Script::parse(text, Path::new("scenario.toml"))
 }
 
 #[test]
 fn parses_a_valid_script_and_renders_valid_settings() {
-    let script = parse(VALID).expect("a good script");
+    let script = parse(VALID).expect("a valid script");
     assert_eq!(script.faulty_backends(0).len(), 6);
-    assert_eq!(script.faulty_backends(0), script.faulty_backends(0), "the same backends for the same seed");
+    assert_eq!(
+        script.faulty_backends(0),
+        script.faulty_backends(0),
+        "the same seed selects the same backends"
+    );
     let settings = script.settings(1).to_string();
     assert!(settings::parse_settings(settings.as_bytes()).is_ok(), "{settings}");
-    // Each cell lies in one zone.
+    // Each cell belongs to one zone.
     for (a, b) in (0..12).flat_map(|a| (0..12).map(move |b| (a, b))) {
         assert!(script.cell(a) != script.cell(b) || script.zone(a) == script.zone(b));
     }
@@ -39,7 +43,7 @@
 
 #[test]
 fn rejects_invalid_values_by_key() {
-    for (good, bad, expected) in [
+    for (valid, invalid, expected) in [
         ("seconds = 10.0", "seconds = 1e9", "seconds"),
         ("boxes = 12", "boxes = 0", "fleet.boxes"),
         ("per_s = 100.0", "per_s = 1e9", "traffic.per_s"),
@@ -51,15 +55,15 @@
         ("share = 1.0", "shard = 1.0", "line 9"),
         ("share = 1.0", "share = 0.0", "class"),
     ] {
-        let text = VALID.replace(good, bad);
+        let text = VALID.replace(valid, invalid);
         assert_ne!(text, VALID);
-        let error = parse(&text).expect_err(bad).to_string();
-        assert!(error.contains(expected), "{bad}: {error}");
+        let error = parse(&text).expect_err(invalid).to_string();
+        assert!(error.contains(expected), "{invalid}: {error}");
     }
 }
 
 #[test]
-fn random_bytes_never_panic() {
+fn mutated_scripts_never_panic_the_parser() {
     let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..5_000 {
         let mut bytes = VALID.as_bytes().to_vec();
--- a/crates/testbed/src/script/traffic.rs
+++ b/crates/testbed/src/script/traffic.rs
@@ -10,50 +10,52 @@
 pub struct Traffic {
     /// Requests per second over all proxies.
     pub per_s: f64,
-    /// Fraction of the requests whose attempts external clients make under leases (only in virtual time).
+    /// Fraction of the requests whose attempts external clients make under leases; only in virtual time.
     #[serde(default)]
     pub leased: f64,
     /// Fraction of the lease reports that are lost.
     #[serde(default)]
     pub lost_reports: f64,
-    /// Fraction of the lease holders that delay sending.
+    /// Fraction of the leases under which the external client delays sending.
     #[serde(default)]
     pub slow_callers: f64,
-    /// Number of tenants, each with the same quota.
+    /// Number of tenants, each with the same quota; 0: all requests belong to one tenant without a configured
+    /// quota.
     #[serde(default)]
     pub tenants: u16,
-    /// Fraction of the traffic that the first tenant sends; all tenants share the rest.
-    #[serde(default)]
-    pub first_tenant: f64,
+    /// Fraction of the traffic that comes from the first tenant in any case; the rest is spread evenly over
+    /// all tenants.
+    #[serde(default, rename = "first_tenant")]
+    pub first_tenant_share: f64,
     /// Standard deviation of the logarithm of a proxy's traffic; 0 to 3.
     #[serde(default)]
     pub skew: f64,
     /// Fraction of the proxies that are busy; 0: none.
-    #[serde(default)]
-    pub busy_proxies: f64,
+    #[serde(default, rename = "busy_proxies")]
+    pub busy_proxy_fraction: f64,
     /// Fraction of the traffic that arrives at the busy proxies.
     #[serde(default)]
     pub busy_share: f64,
     /// Fraction of the traffic that arrives in the first zone; 0: no zone is preferred.
-    #[serde(default)]
-    pub first_zone: f64,
+    #[serde(default, rename = "first_zone")]
+    pub first_zone_share: f64,
 }
 
 /// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name, the first part of the path.
+    /// Its name, which is the first segment of the request path.
     pub name: String,
     /// `safe`, `unsafe`, `keyed-zone` or `keyed-cell`.
     #[serde(rename = "effect")]
     pub idempotency: IdempotencySpec,
-    /// How long backends deduplicate retries by key, seconds.
+    /// How long backends deduplicate retries by idempotency key, seconds.
     #[serde(default = "default_dedup_s", rename = "key_s")]
     pub dedup_s: f64,
     /// Relative share of the traffic; the shares need not add up to 1.
     pub share: f64,
-    /// Smallest and largest work on one core, milliseconds.
+    /// Minimum and maximum work on a core of speed 1, milliseconds.
     pub work_ms: [f64; 2],
     /// Distribution of the work.
     #[serde(default)]
@@ -66,7 +68,7 @@
     /// Priority weight of a response within the latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Fraction of the weight that a later response earns.
+    /// Fraction of the priority weight that a later response earns.
     #[serde(default, rename = "late_worth")]
     pub late_weight_fraction: f64,
 }
@@ -77,8 +79,9 @@
 pub enum WorkSpec {
     /// Uniform between the two bounds.
     #[default]
-    Even,
-    /// Exponential, with the midpoint of the two bounds as its mean, limited to ten times the mean.
+    #[serde(rename = "even")]
+    Uniform,
+    /// Exponential, with the midpoint of the two bounds as the mean, limited to ten times the mean.
     Exponential,
 }
 
@@ -86,13 +89,13 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum IdempotencySpec {
-    /// Any number of attempts.
+    /// Idempotent: any number of attempts may run.
     Safe,
-    /// At most one attempt may run.
+    /// Non-idempotent: at most one attempt may run.
     Unsafe,
-    /// Retries are deduplicated within a zone.
+    /// Keyed: retries are deduplicated within a zone.
     KeyedZone,
-    /// Retries are deduplicated within a cell.
+    /// Keyed: retries are deduplicated within a cell.
     KeyedCell,
 }
 
@@ -123,7 +126,7 @@
             / total_share
     }
 
-    /// The longest client deadline of all classes, microseconds.
+    /// The longest client deadline of all classes, microseconds; 0 without classes.
     #[must_use]
     pub fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|class| class.deadline_ms * 1_000).max().unwrap_or(0)
--- a/crates/testbed/src/slow_start_load.rs
+++ b/crates/testbed/src/slow_start_load.rs
@@ -1,9 +1,9 @@
-//! Load that all proxies together send to warming backends, relative to the slow-start limit. Pure: computed from
-//! observations only.
+//! Load that all proxies together send to warming backends, relative to the slow-start limit. Pure: computed
+//! from observations only.
 //!
-//! A warming backend is overloaded when it receives more than N + 2 sqrt(N) + 2 requests of mean work within `fallUs`. N is
-//! the work that the settings allow: `fallMultiple` times the capacity at the start of the window. Rejected requests
-//! count too, as they reached the backend.
+//! A warming backend is overloaded when it receives more than N + 2 sqrt(N) + 2 requests of mean work within
+//! `fallUs`. N is the work that the settings allow: `fallMultiple` times the capacity at the start of the
+//! window. Attempts that the backend rejected count too, as they reached it.
 
 use crate::invariant_checker::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, Observation, ResponseKind};
 use crate::plan::Plan;
@@ -19,41 +19,45 @@
     /// Number of backend starts.
     pub starts: u64,
     /// Largest load of one backend in any window, relative to N + 2 sqrt(N) + 2; above 1 it is overloaded.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max_load: f64,
     /// Mean load relative to the bound, over consecutive windows during warm-up.
-    pub used: f64,
+    #[serde(rename = "used")]
+    pub mean_load: f64,
     /// Requests sent while any backend was warming up.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// How many of them were rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
 }
 
 impl SlowStartLoad {
     /// Fraction of the requests sent during warm-up that were rejected, 0 to 1.
     #[must_use]
-    pub fn refused_part(&self) -> f64 {
-        self.refused as f64 / (self.asked as f64).max(1.0)
+    pub fn rejected_fraction(&self) -> f64 {
+        self.rejected as f64 / (self.requests as f64).max(1.0)
     }
 }
 
-/// Requests of mean work that the settings allow a backend within `fallUs`; `age` is the time since its start,
-/// microseconds.
+/// Requests of mean work that the settings allow a backend within `fallUs`; `age` is the time since its
+/// start, microseconds.
 #[must_use]
 pub fn allowed(script: &Script, backend: usize, age: Micros) -> f64 {
     let fleet = &script.fleet;
     let age = age as f64 / micros(fleet.warm_up_s).max(1) as f64;
-    let part = fleet.initial_capacity + (1.0 - fleet.initial_capacity) * age.min(1.0);
+    let capacity_fraction = fleet.initial_capacity + (1.0 - fleet.initial_capacity) * age.min(1.0);
     let per_s = fleet.cores * script.speed(backend) * 1e3 / script.mean_work_ms();
-    OVERLOAD_MULTIPLE * part * per_s * OVERLOAD_WINDOW as f64 / 1e6
+    OVERLOAD_MULTIPLE * capacity_fraction * per_s * OVERLOAD_WINDOW as f64 / 1e6
 }
 
-/// Upper bound of the random variation where this number of requests is allowed.
+/// Bound on the number of requests, with random variation, where this number is allowed: N + 2 sqrt(N) + 2.
 #[must_use]
 pub fn bound(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// One incarnation of a backend, until it is warm or restarts.
+/// One incarnation of a backend, until it is warmed up or restarts.
 struct Incarnation {
     backend: usize,
     started: Micros,
@@ -70,7 +74,8 @@
         let from = at.saturating_sub(OVERLOAD_WINDOW).max(self.started);
         self.recent.push_back((at, work));
         self.sum += work;
-        while let Some((_, old)) = self.recent.front().copied().filter(|&(when, _)| when < from) {
+        while let Some((_, old)) = self.recent.front().copied().filter(|&(received_at, _)| received_at < from)
+        {
             self.recent.pop_front();
             self.sum -= old;
         }
@@ -82,26 +87,34 @@
     }
 }
 
-/// Measures the load; `None` if no backend started. `seen` is in the order of time.
+/// Measures the load; `None` if no backend started. The observations are ordered by time.
 #[must_use]
-pub fn measure(script: &Script, plan: &Plan, seen: &[(Micros, Observation)]) -> Option<SlowStartLoad> {
-    let cold = micros(script.fleet.warm_up_s);
-    let mean = script.mean_work_ms() * 1e3;
-    let work_of = |id: u64| plan.arrivals.get(id as usize).map_or(1.0, |arrival| arrival.work as f64 / mean);
-    let asked_last = seen.iter().rev().find(|(_, seen)| matches!(seen, Observation::RequestSent { .. }));
-    let asked_last = asked_last.map_or(0, |&(at, _)| at);
-    let mut out = SlowStartLoad::default();
+pub fn measure(
+    script: &Script,
+    plan: &Plan,
+    observations: &[(Micros, Observation)],
+) -> Option<SlowStartLoad> {
+    let warm_up_us = micros(script.fleet.warm_up_s);
+    let mean_work_us = script.mean_work_ms() * 1e3;
+    let work_of =
+        |id: u64| plan.arrivals.get(id as usize).map_or(1.0, |arrival| arrival.work as f64 / mean_work_us);
+    let last_request = observations
+        .iter()
+        .rev()
+        .find(|(_, observation)| matches!(observation, Observation::RequestSent { .. }));
+    let last_request_at = last_request.map_or(0, |&(at, _)| at);
+    let mut load = SlowStartLoad::default();
     let mut current: Vec<Option<usize>> = vec![None; script.fleet.backends];
     let mut incarnations: Vec<Incarnation> = Vec::new();
-    let (mut any_until, mut meanwhile) = (None, FxHashSet::default());
-    for &(at, what) in seen {
-        match what {
+    let (mut warm_up_end, mut warm_up_requests) = (None, FxHashSet::default());
+    for &(at, observation) in observations {
+        match observation {
             Observation::BackendStarted { backend } => {
-                out.starts += 1;
+                load.starts += 1;
                 current[backend] = Some(incarnations.len());
-                any_until = any_until.max(Some(at + cold));
+                warm_up_end = warm_up_end.max(Some(at + warm_up_us));
                 // Only windows that start during warm-up and end during the traffic count.
-                let span = cold.min(asked_last.saturating_sub(at));
+                let span = warm_up_us.min(last_request_at.saturating_sub(at));
                 let windows = vec![0.0; (span / OVERLOAD_WINDOW) as usize];
                 incarnations.push(Incarnation {
                     backend,
@@ -112,35 +125,36 @@
                 });
             }
             Observation::AttemptStarted { backend, .. } | Observation::AttemptRejected { backend, .. } => {
-                let work = match what {
-                    Observation::AttemptStarted { work, .. } => work as f64 / mean,
+                let work = match observation {
+                    Observation::AttemptStarted { work, .. } => work as f64 / mean_work_us,
                     Observation::AttemptRejected { id, .. } => work_of(id),
                     _ => 0.0,
                 };
-                let incarnation = current[backend].and_then(|place| incarnations.get_mut(place));
+                let incarnation = current[backend].and_then(|index| incarnations.get_mut(index));
                 if let Some(incarnation) =
-                    incarnation.filter(|incarnation| at < incarnation.started + cold + OVERLOAD_WINDOW)
+                    incarnation.filter(|incarnation| at < incarnation.started + warm_up_us + OVERLOAD_WINDOW)
                 {
-                    out.most = out.most.max(incarnation.add(script, at, work));
+                    load.max_load = load.max_load.max(incarnation.add(script, at, work));
                 }
             }
-            Observation::RequestSent { id, .. } if any_until.is_some_and(|until| at < until) => {
-                // A request that is sent again counts once.
-                out.asked += u64::from(meanwhile.insert(id));
+            Observation::RequestSent { id, .. } if warm_up_end.is_some_and(|end| at < end) => {
+                // A retried request counts once.
+                load.requests += u64::from(warm_up_requests.insert(id));
             }
             Observation::ResponseReceived { id, kind: ResponseKind::Rejected } => {
-                out.refused += u64::from(meanwhile.remove(&id));
+                load.rejected += u64::from(warm_up_requests.remove(&id));
             }
             _ => {}
         }
     }
-    let parts: Vec<f64> = incarnations.iter().flat_map(|incarnation| parts(script, incarnation)).collect();
-    out.used = parts.iter().sum::<f64>() / (parts.len() as f64).max(1.0);
-    (out.starts > 0).then_some(out)
+    let relative_loads: Vec<f64> =
+        incarnations.iter().flat_map(|incarnation| relative_loads(script, incarnation)).collect();
+    load.mean_load = relative_loads.iter().sum::<f64>() / (relative_loads.len() as f64).max(1.0);
+    (load.starts > 0).then_some(load)
 }
 
 /// The load of each window relative to the bound.
-fn parts<'a>(script: &'a Script, incarnation: &'a Incarnation) -> impl Iterator<Item = f64> + 'a {
+fn relative_loads<'a>(script: &'a Script, incarnation: &'a Incarnation) -> impl Iterator<Item = f64> + 'a {
     incarnation.windows.iter().enumerate().map(|(number, sum)| {
         sum / bound(allowed(script, incarnation.backend, number as Micros * OVERLOAD_WINDOW))
     })
--- a/crates/testbed/tests/laboratory.rs
+++ b/crates/testbed/tests/laboratory.rs
@@ -1,5 +1,5 @@
-//! Days over processes of the program, with faults of processes and links. Verdicts come from what the stand-ins saw:
-//! rules, and counts with room for a slow machine.
+//! Scenarios with proxy processes, and with faults of processes and links. The checks use only what the
+//! emulators observed: violations of the rules, and counts with tolerances for a slow machine.
 
 #[path = "shared/machine.rs"]
 mod machine;
@@ -25,7 +25,7 @@
 }
 
 fn script() -> Script {
-    Script::read(&script_path()).expect("a good script")
+    Script::read(&script_path()).expect("a valid script")
 }
 
 fn process(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
@@ -39,33 +39,33 @@
         for_s: 1.0,
         part: 1.0,
         zone: None,
-        way: Direction::Both,
+        direction: Direction::Both,
         cut: false,
         delay_ms: 0.0,
-        spread_ms: 0.0,
-        drop: 0.0,
-        duplicate: 0.0,
-        reorder: 0.0,
-        kbytes_s: 0.0,
+        jitter_ms: 0.0,
+        loss_fraction: 0.0,
+        duplication_fraction: 0.0,
+        reorder_fraction: 0.0,
+        bandwidth_kbytes_s: 0.0,
     }
 }
 
-fn played(script: &Script) -> Row {
-    let row = play(script, &machine()).expect("it plays");
+fn run(script: &Script) -> Row {
+    let row = play(script, &machine()).expect("the scenario runs");
     println!("{}", testbed::fleet::report::line(&row));
-    assert_eq!(row.broken, [0; 4], "{row:?}");
-    assert!(row.asked > 450, "{} of some 600 requests were asked", row.asked);
+    assert_eq!(row.violations, [0; 4], "{row:?}");
+    assert!(row.requests > 450, "{} of about 600 requests were sent", row.requests);
     row
 }
 
 #[test]
 fn serves_nearly_all_requests_without_faults() {
-    let row = played(&script());
-    assert!((row.failed, row.missed, row.excused) == (0, 0, 0), "{row:?}");
-    assert!(row.refused * 10 <= row.asked, "{row:?}");
-    assert!(row.spread.least > 0.2 && row.spread.busiest < 2.5, "{:?}", row.spread);
-    let cost = row.cost.expect("processes cost");
-    assert!(cost.proxy_cpu_s > 0.0 && cost.rig_cpu_s > 0.0);
+    let row = run(&script());
+    assert!((row.failed, row.undelivered, row.excused) == (0, 0, 0), "{row:?}");
+    assert!(row.rejected * 10 <= row.requests, "{row:?}");
+    assert!(row.spread.min_load > 0.2 && row.spread.max_load < 2.5, "{:?}", row.spread);
+    let cost = row.cost.expect("the cost of the processes");
+    assert!(cost.proxy_cpu_s > 0.0 && cost.testbed_cpu_s > 0.0);
 }
 
 #[test]
@@ -81,9 +81,9 @@
         degree: 0.0,
     };
     script.backend_faults = vec![drain];
-    let row = played(&script);
-    assert!(row.missed > 0, "the front went on sending for a while: {row:?}");
-    assert!(row.missed + row.excused < row.asked / 4, "{row:?}");
+    let row = run(&script);
+    assert!(row.undelivered > 0, "the front end still sent to killed processes for a while: {row:?}");
+    assert!(row.undelivered + row.excused < row.requests / 4, "{row:?}");
     assert!(row.in_time > 0.6, "{row:?}");
 }
 
@@ -91,33 +91,40 @@
 fn answers_after_a_two_second_stop() {
     let mut script = script();
     script.process_faults = vec![process(ProcessFaultKind::Stall, 0.33, 2.0)];
-    let row = played(&script);
-    assert!(row.p99_ms > 600.0 || row.excused + row.refused + row.failed > 0, "the stall shows: {row:?}");
-    assert_eq!(row.missed, 0, "a process that stands is not gone: {row:?}");
+    let row = run(&script);
+    assert!(
+        row.p99_ms > 600.0 || row.excused + row.rejected + row.failed > 0,
+        "the stall has an effect: {row:?}"
+    );
+    assert_eq!(row.undelivered, 0, "a stopped process still accepts connections: {row:?}");
 }
 
 #[test]
 fn loses_no_request_on_sigterm_or_replacement() {
     let mut script = script();
-    let ended = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::End, 0.25, 0.5) };
+    let terminated = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::End, 0.25, 0.5) };
     let replaced = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::Replace, 0.25, 0.0) };
-    script.process_faults = vec![ended, replaced];
-    let row = played(&script);
+    script.process_faults = vec![terminated, replaced];
+    let row = run(&script);
     assert_eq!((row.excused, row.failed), (0, 0), "{row:?}");
-    assert!(row.missed * 20 <= row.asked, "{row:?}");
+    assert!(row.undelivered * 20 <= row.requests, "{row:?}");
 }
 
 #[test]
-fn holds_rules_with_slow_lossy_and_cut_links() {
+fn violates_no_rule_with_slow_lossy_and_cut_links() {
     let mut script = script();
-    let slow = LinkFault { part: 0.3, delay_ms: 200.0, spread_ms: 50.0, ..link(LinkEndpoints::Boxes) };
-    let lossy = LinkFault { at_s: 2.0, part: 0.3, drop: 0.2, ..link(LinkEndpoints::Boxes) };
+    let slow = LinkFault { part: 0.3, delay_ms: 200.0, jitter_ms: 50.0, ..link(LinkEndpoints::Boxes) };
+    let lossy = LinkFault { at_s: 2.0, part: 0.3, loss_fraction: 0.2, ..link(LinkEndpoints::Boxes) };
     let cut = LinkFault { part: 0.5, cut: true, ..link(LinkEndpoints::Discovery) };
     let clients = LinkFault { part: 0.2, at_s: 2.0, for_s: 0.5, cut: true, ..link(LinkEndpoints::Clients) };
     script.link_faults = vec![slow, lossy, cut, clients];
-    let calm = play(&Script { link_faults: Vec::new(), ..script.clone() }, &machine()).expect("it plays");
-    let row = played(&script);
-    assert!(row.p50_ms > calm.p50_ms || row.p99_ms > calm.p99_ms, "{row:?}\n{calm:?}");
+    let without_faults =
+        play(&Script { link_faults: Vec::new(), ..script.clone() }, &machine()).expect("the scenario runs");
+    let row = run(&script);
+    assert!(
+        row.p50_ms > without_faults.p50_ms || row.p99_ms > without_faults.p99_ms,
+        "{row:?}\n{without_faults:?}"
+    );
 }
 
 #[test]
@@ -142,20 +149,20 @@
 #[test]
 fn ends_all_processes_when_the_testbed_is_killed() {
     let mut command = Command::new(KEEPER);
-    // What a killed laboratory leaves behind goes with the test.
+    // The killed testbed leaves its temporary folder behind: it lies in this folder, which the test removes.
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("killed-laboratory");
-    fs::create_dir_all(&folder).expect("a folder");
+    fs::create_dir_all(&folder).expect("the folder is created");
     command.env("TMPDIR", &folder);
     command.arg("fleet").arg(script_path()).arg("--no-references").arg("--proxy").arg(program());
-    let mut laboratory =
-        Ended(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it starts"));
+    let mut testbed_process =
+        Ended(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the testbed starts"));
     let mut processes = Vec::new();
     wait_until("24 processes run", || {
-        processes = children(laboratory.0.id()).into_iter().filter(|&id| runs(id)).collect();
+        processes = children(testbed_process.0.id()).into_iter().filter(|&id| runs(id)).collect();
         processes.len() == 24
     });
-    laboratory.0.kill().expect("it is killed");
-    laboratory.0.wait().expect("it ends");
-    wait_until("all of them are gone", || !processes.iter().any(|&id| runs(id)));
-    fs::remove_dir_all(&folder).expect("only this test uses it");
+    testbed_process.0.kill().expect("the testbed is killed");
+    testbed_process.0.wait().expect("the testbed exits");
+    wait_until("all processes have exited", || !processes.iter().any(|&id| runs(id)));
+    fs::remove_dir_all(&folder).expect("the folder is removed, as only this test uses it");
 }
--- a/crates/testbed/tests/slow_start_load.rs
+++ b/crates/testbed/tests/slow_start_load.rs
@@ -1,6 +1,6 @@
-//! Cold backends under the sum of what thirty processes send them: never beyond N + 2 root N + 2 requests of mean work
-//! within `fallUs`. Over processes and, on a wider grid, in virtual time; and the measure itself by records made by hand,
-//! also such as break the bound.
+//! Load that all proxies together send to warming backends: it must not exceed N + 2 sqrt(N) + 2 requests of
+//! mean work within `fallUs`. Checked with thirty proxy processes and, over more parameters, in virtual time.
+//! The measurement itself is checked with observations written by hand, some of which exceed the bound.
 
 #[path = "shared/machine.rs"]
 mod machine;
@@ -17,20 +17,20 @@
 use testbed::script::{BackendFault, BackendFaultKind, InitialList, ProcessFault, ProcessFaultKind, Script};
 use testbed::slow_start_load::{SlowStartLoad, allowed, bound, measure};
 
-/// Thirty processes before ten backends, three of which come back cold at once.
+/// Thirty proxies and ten backends, three of which restart at once.
 fn script() -> Script {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scripts/cold-30.toml");
-    Script::read(&path).expect("a good script")
+    Script::read(&path).expect("a valid script")
 }
 
-/// The same with thirty backends, a third of them cold, and work of so many milliseconds.
-fn ten_of_thirty(work_ms: f64) -> Script {
+/// The script with thirty backends, of which a third restarts, and this mean work.
+fn ten_of_thirty_backends(work_ms: f64) -> Script {
     let mut script = script();
     (script.fleet.backends, script.backend_faults[0].part) = (30, 1.0 / 3.0);
     with_work(script, work_ms)
 }
 
-/// The load stays; who asks for more work waits for longer.
+/// The script with this mean work at the same load; latency objectives and deadlines grow with the work.
 fn with_work(mut script: Script, work_ms: f64) -> Script {
     for class in &mut script.classes {
         class.work_ms = [work_ms / 2.0, work_ms * 1.5];
@@ -38,12 +38,12 @@
             ((work_ms * 10.0) as u64 + 140, (work_ms * 20.0) as u64 + 700);
     }
     script.traffic.per_s = 0.8 * script.capacity_per_s();
-    script.check().expect("it can be played");
+    script.check().expect("a valid script");
     script
 }
 
-/// Four backends, each dead for half a second, one after another.
-fn one_by_one(mut script: Script) -> Script {
+/// The script with four backends that crash one after another, each for 0.4 s.
+fn with_successive_restarts(mut script: Script) -> Script {
     let crash = |at_s| BackendFault {
         what: BackendFaultKind::Crash,
         at_s,
@@ -56,60 +56,67 @@
     script
 }
 
-/// Backends that hold two requests and turn the rest away, which counts as work that reached them. They begin at the least
-/// part that sites have: where it is 0.05 budgets are used up to the bound, and chance leads beyond it in 4 of 1,000 days.
-fn turned_away(mut script: Script) -> Script {
+/// The script with backends that accept two requests and reject the rest, which counts as work that reached
+/// them. Their initial capacity is at least 0.15, the minimum at real sites: with 0.05, slow-start budgets
+/// are used up to the bound, and random variation exceeds it in 4 of 1,000 scenarios.
+fn with_rejecting_backends(mut script: Script) -> Script {
     (script.fleet.queue_per_core, script.fleet.initial_capacity) =
         (2.0, script.fleet.initial_capacity.max(0.15));
     script
 }
 
-/// No process's settings let it take a cold backend for one.
-fn with_wrong_budgets(mut script: Script) -> Script {
+/// The script with settings by which no proxy treats a backend as warming up.
+fn with_wrong_warm_up_time(mut script: Script) -> Script {
     script.fleet.configured_warm_up_s = Some(0.0);
     script
 }
 
-/// No other rule is broken, so many backends started and got something, and none got more than the bound. The judge's own
-/// rule 4 is older and narrower where N is small (N and two requests): it is left to the days of the other tests. So is
-/// rule 1 over processes, which is a matter of time: where two cores have other work beside two of these days, answers
-/// came more than its second of slack late. Virtual time judges it to the microsecond.
-fn holds(row: &Row, starts: u64) -> SlowStartLoad {
+/// Checks that no other rule is violated, that this number of backends started and received requests, and
+/// that none received more than the bound. Rule 4 of the invariant checker is not checked here: its bound is
+/// stricter where N is small (N + 2 requests), and scenarios of other tests check it. Nor is rule 1 with
+/// processes, which depends on time: on two cores with other work and two of these scenarios at once,
+/// responses were later than the tolerance of one second. In virtual time rule 1 is checked to the
+/// microsecond.
+fn assert_within_bound(row: &Row, starts: u64) -> SlowStartLoad {
     println!("{}", line(row));
-    let first = usize::from(row.way == "processes");
-    assert!(row.broken[first..3].iter().all(|&broken| broken == 0), "{row:?}");
-    let cold = row.cold.expect("backends started");
-    assert_eq!(cold.starts, starts, "{cold:?}");
-    assert!(cold.most > 0.0 && cold.most <= 1.0, "{cold:?}");
-    cold
+    let first_rule = usize::from(row.mode == "processes");
+    assert!(row.violations[first_rule..3].iter().all(|&violations| violations == 0), "{row:?}");
+    let load = row.slow_start_load.expect("backends started");
+    assert_eq!(load.starts, starts, "{load:?}");
+    assert!(load.max_load > 0.0 && load.max_load <= 1.0, "{load:?}");
+    load
 }
 
-fn played(script: &Script) -> Row {
-    play(script, &machine()).expect("it plays")
+fn run(script: &Script) -> Row {
+    play(script, &machine()).expect("the scenario runs")
 }
 
 #[test]
-fn three_of_ten_at_once() {
-    holds(&played(&script()), 3);
+fn bounds_load_when_three_of_ten_backends_restart_at_once() {
+    assert_within_bound(&run(&script()), 3);
 }
 
 #[test]
-fn ten_of_thirty_at_once() {
-    let mut script = ten_of_thirty(100.0);
+fn bounds_load_when_ten_of_thirty_backends_restart_at_once() {
+    let mut script = ten_of_thirty_backends(100.0);
     script.fleet.initial_capacity = 0.15;
-    holds(&played(&script), 10);
+    assert_within_bound(&run(&script), 10);
 }
 
 #[test]
-fn one_after_another_before_backends_that_turn_away() {
-    let row = played(&turned_away(one_by_one(script())));
-    assert!(row.spread.turned_away > 0, "backends turned away, so that requests were sent on: {row:?}");
-    holds(&row, 4);
+fn bounds_load_when_rejecting_backends_restart_one_after_another() {
+    let row = run(&with_rejecting_backends(with_successive_restarts(script())));
+    assert!(
+        row.spread.rejected_attempts > 0,
+        "backends rejected attempts, so that requests were retried: {row:?}"
+    );
+    assert_within_bound(&row, 4);
 }
 
-/// The old processes and the new ones both have budgets, and the new ones go on from limits learnt while all was warm.
+/// Old and new processes have slow-start budgets at the same time, and the new ones restore limits that were
+/// learned while all backends were warmed up.
 #[test]
-fn over_a_replacement_of_all_processes_that_hand_on_what_they_learnt() {
+fn bounds_load_while_all_processes_are_replaced_and_restore_learned_limits() {
     let mut script = script();
     (script.backend_faults[0].at_s, script.backend_faults[0].for_s, script.seconds) = (1.5, 0.4, 5.5);
     script.process_faults = vec![ProcessFault {
@@ -122,36 +129,37 @@
         every_s: 0.0,
         list: InitialList::Old,
     }];
-    let row = played(&script);
-    assert!(row.handed_on >= 10, "{} of 30 went on from what was learnt", row.handed_on);
-    holds(&row, 3);
+    let row = run(&script);
+    assert!(row.restored_processes >= 10, "{} of 30 processes restored limits", row.restored_processes);
+    assert_within_bound(&row, 3);
 }
 
-/// Told that no backend is ever cold, thirty processes push one over: the measure sees it from outside.
+/// Thirty processes whose settings contain no warm-up time overload a backend: the measurement must show it.
 #[test]
-fn processes_with_wrong_budgets_push_a_backend_over() {
-    let mut script = with_wrong_budgets(script());
+fn detects_overload_by_processes_with_wrong_warm_up_time() {
+    let mut script = with_wrong_warm_up_time(script());
     script.fleet.initial_capacity = 0.01;
-    let row = played(&script);
+    let row = run(&script);
     println!("{}", line(&row));
-    assert!(row.cold.is_some_and(|cold| cold.most > 1.0), "{row:?}");
+    assert!(row.slow_start_load.is_some_and(|load| load.max_load > 1.0), "{row:?}");
 }
 
-/// "The wall clock may step, forward or back, by seconds or an hour": backends whose starts are told by a clock that was
-/// stepped are as cold as others.
+/// A wall clock may step forward or back by seconds or an hour. Guards against an overload of
+/// warming backends whose start times discovery took from a stepped clock.
 #[test]
-fn backends_are_cold_by_whatever_wall_clock_their_starts_are_told() {
+fn bounds_load_when_start_times_come_from_a_stepped_wall_clock() {
     for behind_s in [3_600.0, -3_600.0, 30.0] {
         let mut script = script();
         (script.fleet.initial_capacity, script.fleet.clock_behind_s) = (0.01, behind_s);
-        println!("{behind_s} s behind");
-        holds(&played(&script), 3);
+        println!("discovery's clock is {behind_s} s behind");
+        assert_within_bound(&run(&script), 3);
     }
 }
 
-/// The first class is light and hardly asked for: what a backend bears follows the work that comes.
+/// Guards against slow-start budgets derived from the work of the first class, which here is light and rare,
+/// rather than from the work of the actual traffic.
 #[test]
-fn a_light_first_class_makes_no_budget_larger() {
+fn bounds_load_when_the_first_class_is_light_and_rare() {
     for seed in 1..=4 {
         let mut script = Script { seed, ..script() };
         (script.classes[0].share, script.classes[1].share) = (0.05, 0.95);
@@ -159,157 +167,176 @@
         (script.classes[0].latency_objective_ms, script.classes[0].deadline_ms) = (10, 100);
         script.traffic.per_s = 0.8 * script.capacity_per_s();
         script.seconds = 8.0;
-        script.check().expect("it can be played");
-        holds(&in_virtual_time(&script).expect("it plays"), 3);
+        script.check().expect("a valid script");
+        assert_within_bound(&in_virtual_time(&script).expect("the scenario runs"), 3);
     }
 }
 
 #[test]
-fn many_days_in_virtual_time() {
+fn bounds_load_over_many_scenarios_in_virtual_time() {
     for seed in 1..=4 {
         for work_ms in [40.0, 100.0, 400.0] {
-            for cold_from in [0.05, 0.15, 0.33] {
-                let with = |mut script: Script| {
-                    (script.seed, script.fleet.initial_capacity) = (seed, cold_from);
-                    // So long that a cold backend gets something also where work is heavy.
+            for initial_capacity in [0.05, 0.15, 0.33] {
+                let run_with = |mut script: Script| {
+                    (script.seed, script.fleet.initial_capacity) = (seed, initial_capacity);
+                    // Long enough that a warming backend receives a request even if the work is heavy.
                     script.seconds = script.seconds.max(work_ms / 40.0);
-                    in_virtual_time(&script).expect("it plays")
+                    in_virtual_time(&script).expect("the scenario runs")
                 };
-                holds(&with(with_work(script(), work_ms)), 3);
-                holds(&with(ten_of_thirty(work_ms)), 10);
-                if cold_from >= 0.15 {
-                    holds(&with(turned_away(ten_of_thirty(work_ms))), 10);
+                assert_within_bound(&run_with(with_work(script(), work_ms)), 3);
+                assert_within_bound(&run_with(ten_of_thirty_backends(work_ms)), 10);
+                if initial_capacity >= 0.15 {
+                    assert_within_bound(
+                        &run_with(with_rejecting_backends(ten_of_thirty_backends(work_ms))),
+                        10,
+                    );
                 }
-                let row = with(with_work(one_by_one(script()), work_ms));
-                holds(&row, row.cold.expect("backends started").starts);
+                let row = run_with(with_work(with_successive_restarts(script()), work_ms));
+                assert_within_bound(&row, row.slow_start_load.expect("backends started").starts);
             }
         }
     }
 }
 
 #[test]
-fn wrong_budgets_show_in_virtual_time() {
+fn detects_wrong_warm_up_time_in_virtual_time() {
     for seed in 1..=3 {
         let script = Script { seed, ..script() };
-        let right = in_virtual_time(&script).expect("it plays").cold.expect("three started");
-        let wrong = in_virtual_time(&with_wrong_budgets(script)).expect("it plays").cold.expect("as before");
-        assert!(right.most <= 1.0 && wrong.most > 1.0, "seed {seed}: {right:?} {wrong:?}");
+        let right = in_virtual_time(&script)
+            .expect("the scenario runs")
+            .slow_start_load
+            .expect("three backends started");
+        let wrong = in_virtual_time(&with_wrong_warm_up_time(script))
+            .expect("the scenario runs")
+            .slow_start_load
+            .expect("three backends started");
+        assert!(right.max_load <= 1.0 && wrong.max_load > 1.0, "seed {seed}: {right:?} {wrong:?}");
     }
 }
 
-// ---- The measure itself ----
+// ---- The measurement itself ----
 
-const MEAN: u64 = 40_000;
-/// `fallUs` of the script.
-const WINDOW: u64 = 2_000_000;
+/// Mean work of the script, microseconds.
+const MEAN_WORK_US: u64 = 40_000;
+/// `fallUs` of the script, microseconds.
+const WINDOW_US: u64 = 2_000_000;
 
-/// Ten times 40 ms are 250 requests a second on ten cores; a backend begins with 1.25 a second, three times that for 2 s.
+/// With 40 ms of mean work, a backend of the script serves 25 requests per second and starts with 0.05 of
+/// that: 1.25 requests per second. `fallMultiple` 3 and `fallUs` 2 s allow 7.5 requests.
 #[test]
-fn what_is_allowed_follows_the_settings() {
+fn allowed_load_follows_the_settings() {
     let script = script();
     assert!((allowed(&script, 0, 0) - 7.5).abs() < 1e-9);
-    assert!((allowed(&script, 0, 10_000_000) - 78.75).abs() < 1e-9, "half way it has 0.525 of its capacity");
+    assert!(
+        (allowed(&script, 0, 10_000_000) - 78.75).abs() < 1e-9,
+        "half-way through its warm-up a backend has 0.525 of its capacity"
+    );
     assert!((allowed(&script, 0, 90_000_000) - 150.0).abs() < 1e-9);
     assert!((bound(9.0) - 17.0).abs() < 1e-9);
 }
 
-fn began(at: u64, id: u64, work: u64) -> (u64, Observation) {
+fn attempt_started(at: u64, id: u64, work: u64) -> (u64, Observation) {
     (at, Observation::AttemptStarted { id, backend: 1, work })
 }
 
-fn use_of(seen: &[(u64, Observation)]) -> Option<SlowStartLoad> {
-    measure(&script(), &Plan::default(), seen)
+fn measured(observations: &[(u64, Observation)]) -> Option<SlowStartLoad> {
+    measure(&script(), &Plan::default(), observations)
 }
 
-const STARTED: (u64, Observation) = (1_000_000, Observation::BackendStarted { backend: 1 });
+const BACKEND_STARTED: (u64, Observation) = (1_000_000, Observation::BackendStarted { backend: 1 });
 
 #[test]
-fn one_request_more_than_the_bound_is_seen() {
-    let most = bound(allowed(&script(), 1, 0)).floor() as u64;
+fn detects_one_request_above_the_bound() {
+    let max_requests = bound(allowed(&script(), 1, 0)).floor() as u64;
     let at_once = |count: u64| -> Vec<_> {
-        let those = (0..count).map(|id| began(1_000_000 + id, id, MEAN));
-        [STARTED].into_iter().chain(those).collect()
+        let attempts = (0..count).map(|id| attempt_started(1_000_000 + id, id, MEAN_WORK_US));
+        [BACKEND_STARTED].into_iter().chain(attempts).collect()
     };
-    let held = use_of(&at_once(most)).expect("one started");
-    assert!(held.most <= 1.0 && held.most > 0.9, "{held:?}");
-    assert!(use_of(&at_once(most + 1)).expect("one started").most > 1.0);
-    // As many turned away are work that reached it, too.
-    let mut turned: Vec<_> = at_once(most);
-    turned.push((1_100_000, Observation::AttemptRejected { id: 99, backend: 1 }));
-    assert!(use_of(&turned).expect("one started").most > 1.0);
-    // Of half the mean's work there may be twice as many.
-    let light: Vec<_> = at_once(most * 2)
+    let within = measured(&at_once(max_requests)).expect("a backend started");
+    assert!(within.max_load <= 1.0 && within.max_load > 0.9, "{within:?}");
+    assert!(measured(&at_once(max_requests + 1)).expect("a backend started").max_load > 1.0);
+    // A rejected attempt counts too, as it reached the backend.
+    let mut with_rejection: Vec<_> = at_once(max_requests);
+    with_rejection.push((1_100_000, Observation::AttemptRejected { id: 99, backend: 1 }));
+    assert!(measured(&with_rejection).expect("a backend started").max_load > 1.0);
+    // With half the mean work, twice as many requests are allowed.
+    let light: Vec<_> = at_once(max_requests * 2)
         .into_iter()
-        .map(|(at, seen)| match seen {
-            Observation::AttemptStarted { id, backend: at_box, .. } => {
-                (at, Observation::AttemptStarted { id, backend: at_box, work: MEAN / 2 })
+        .map(|(at, observation)| match observation {
+            Observation::AttemptStarted { id, backend, .. } => {
+                (at, Observation::AttemptStarted { id, backend, work: MEAN_WORK_US / 2 })
             }
             other => (at, other),
         })
         .collect();
-    assert!(use_of(&light).expect("one started").most <= 1.0);
+    assert!(measured(&light).expect("a backend started").max_load <= 1.0);
 }
 
 #[test]
-fn only_what_comes_together_and_to_a_cold_backend_counts() {
-    let most = bound(allowed(&script(), 1, 0)).floor() as u64;
-    // Twice as many, but half of them a window later.
-    let twice = (0..2 * most).map(|id| began(1_000_000 + id / most * (WINDOW + 1), id, MEAN));
-    let spread: Vec<_> = [STARTED].into_iter().chain(twice.clone()).collect();
-    assert!(use_of(&spread).expect("one started").most <= 1.0);
-    // The same after it started anew is nothing that the first life had.
-    assert_eq!(use_of(&twice.collect::<Vec<_>>()), None, "nobody started");
-    let others: Vec<_> =
-        (0..99).map(|id| (1_000_000, Observation::AttemptStarted { id, backend: 2, work: MEAN })).collect();
-    let others: Vec<_> = [STARTED].into_iter().chain(others).collect();
-    assert!(use_of(&others).expect("one started").most.abs() < f64::EPSILON);
-    // Warm since a window: any number.
-    let warm = 1_000_000 + 20_000_000 + WINDOW;
-    let late: Vec<_> = [STARTED].into_iter().chain((0..500).map(|id| began(warm, id, MEAN))).collect();
-    assert!(use_of(&late).expect("one started").most.abs() < f64::EPSILON);
+fn counts_only_requests_to_a_warming_backend_within_one_window() {
+    let max_requests = bound(allowed(&script(), 1, 0)).floor() as u64;
+    // Twice as many, but half of them one window later.
+    let twice = (0..2 * max_requests)
+        .map(|id| attempt_started(1_000_000 + id / max_requests * (WINDOW_US + 1), id, MEAN_WORK_US));
+    let in_two_windows: Vec<_> = [BACKEND_STARTED].into_iter().chain(twice.clone()).collect();
+    assert!(measured(&in_two_windows).expect("a backend started").max_load <= 1.0);
+    // The same attempts without a start of the backend do not count, nor do those of another backend.
+    assert_eq!(measured(&twice.collect::<Vec<_>>()), None, "no backend started");
+    let others: Vec<_> = (0..99)
+        .map(|id| (1_000_000, Observation::AttemptStarted { id, backend: 2, work: MEAN_WORK_US }))
+        .collect();
+    let others: Vec<_> = [BACKEND_STARTED].into_iter().chain(others).collect();
+    assert!(measured(&others).expect("a backend started").max_load.abs() < f64::EPSILON);
+    // One window after the end of the warm-up, any number is allowed.
+    let warm_at = 1_000_000 + 20_000_000 + WINDOW_US;
+    let late: Vec<_> = [BACKEND_STARTED]
+        .into_iter()
+        .chain((0..500).map(|id| attempt_started(warm_at, id, MEAN_WORK_US)))
+        .collect();
+    assert!(measured(&late).expect("a backend started").max_load.abs() < f64::EPSILON);
 }
 
 #[test]
-fn the_used_part_and_what_was_refused_meanwhile() {
-    let asked = |at, id| (at, Observation::RequestSent { id, class: 0, end: at + 1_500_000, proxy: 0 });
-    let refused = |at, id| (at, Observation::ResponseReceived { id, kind: ResponseKind::Rejected });
-    let first = bound(allowed(&script(), 1, 0));
-    let second = bound(allowed(&script(), 1, WINDOW));
-    let seen = [
-        asked(500_000, 1),
-        STARTED,
-        refused(1_000_001, 1),
-        asked(1_000_001, 2),
-        began(1_000_002, 2, MEAN),
-        asked(2_000_000, 3),
-        refused(2_000_100, 3),
-        began(3_500_000, 4, 2 * MEAN),
-        asked(5_000_000, 5),
+fn measures_mean_load_and_rejections_during_warm_up() {
+    let sent = |at, id| (at, Observation::RequestSent { id, class: 0, end: at + 1_500_000, proxy: 0 });
+    let rejected = |at, id| (at, Observation::ResponseReceived { id, kind: ResponseKind::Rejected });
+    let first_bound = bound(allowed(&script(), 1, 0));
+    let second_bound = bound(allowed(&script(), 1, WINDOW_US));
+    let observations = [
+        sent(500_000, 1),
+        BACKEND_STARTED,
+        rejected(1_000_001, 1),
+        sent(1_000_001, 2),
+        attempt_started(1_000_002, 2, MEAN_WORK_US),
+        sent(2_000_000, 3),
+        rejected(2_000_100, 3),
+        attempt_started(3_500_000, 4, 2 * MEAN_WORK_US),
+        sent(5_000_000, 5),
     ];
-    let cold = use_of(&seen).expect("one started");
-    assert_eq!((cold.starts, cold.asked, cold.refused), (1, 3, 1), "{cold:?}");
-    assert!((cold.used - f64::midpoint(1.0 / first, 2.0 / second)).abs() < 1e-9, "{cold:?}");
-    assert!((cold.refused_part() - 1.0 / 3.0).abs() < 1e-9);
+    let load = measured(&observations).expect("a backend started");
+    assert_eq!((load.starts, load.requests, load.rejected), (1, 3, 1), "{load:?}");
+    assert!((load.mean_load - f64::midpoint(1.0 / first_bound, 2.0 / second_bound)).abs() < 1e-9, "{load:?}");
+    assert!((load.rejected_fraction() - 1.0 / 3.0).abs() < 1e-9);
 }
 
 proptest! {
-    /// Beside a count of each window by itself.
+    /// The maximum load agrees with a separate count of the window that ends at each attempt.
     #[test]
-    fn the_fullest_window_is_found(
+    fn finds_the_window_with_the_maximum_load(
         mut times in proptest::collection::vec((1_000_000_u64..26_000_000, 1_u64..120_000), 1..80),
     ) {
         times.sort_unstable();
         let script = script();
-        let seen: Vec<_> = times.iter().enumerate().map(|(id, &(at, work))| began(at, id as u64, work)).collect();
-        let found = use_of(&[&[STARTED], seen.as_slice()].concat()).expect("one started").most;
-        let cold = times.iter().filter(|(at, _)| *at < 1_000_000 + 20_000_000 + WINDOW);
-        let parts = cold.map(|&(end, _)| {
-            let from = end.saturating_sub(WINDOW).max(1_000_000);
+        let observations: Vec<_> = times.iter().enumerate().map(|(id, &(at, work))| attempt_started(at, id as u64, work)).collect();
+        let found = measured(&[&[BACKEND_STARTED], observations.as_slice()].concat()).expect("a backend started").max_load;
+        let during_warm_up = times.iter().filter(|(at, _)| *at < 1_000_000 + 20_000_000 + WINDOW_US);
+        let loads = during_warm_up.map(|&(end, _)| {
+            let from = end.saturating_sub(WINDOW_US).max(1_000_000);
             let within = times.iter().filter(|&&(at, _)| at >= from && at <= end);
-            let sum: f64 = within.map(|&(_, work)| work as f64 / MEAN as f64).sum();
+            let sum: f64 = within.map(|&(_, work)| work as f64 / MEAN_WORK_US as f64).sum();
             sum / bound(allowed(&script, 1, from - 1_000_000))
         });
-        let most = parts.fold(0.0, f64::max);
-        prop_assert!((found - most).abs() < 1e-6, "{found} and {most}");
+        let expected = loads.fold(0.0, f64::max);
+        prop_assert!((found - expected).abs() < 1e-6, "{found}, expected {expected}");
     }
 }
