--- a/crates/testbed/src/fleet/emulator_threads.rs
+++ b/crates/testbed/src/fleet/emulator_threads.rs
@@ -64,11 +64,11 @@
                     let _ = sender.send(Some(agents.iter().map(|a| (a.address, a.list())).unzip()));
                 }
                 drop(sender);
-                let Ok(began) = start_signalled.await else { return Ok(ThreadResults::default()) };
-                let load = shard.start(began);
+                let Ok(scenario_start) = start_signalled.await else { return Ok(ThreadResults::default()) };
+                let load = shard.start(scenario_start);
                 let _ = load.await;
                 // The backends of this thread serve requests of other threads until the scenario ends.
-                let load_end = shared_state.now().max(began + micros(shared_state.script.seconds));
+                let load_end = shared_state.now().max(scenario_start + micros(shared_state.script.seconds));
                 shared_state.sleep_until(load_end + shared_state.script.longest_deadline() + TAIL).await;
                 Ok(shard.take_results())
             })
--- a/crates/testbed/src/fleet/process_controller.rs
+++ b/crates/testbed/src/fleet/process_controller.rs
@@ -67,7 +67,7 @@
         self.instances[proxy].start(&self.shared_state.script, &self.machine, initial_list)
     }
 
-    /// Starts a process for each proxy, and opens the proxies to clients in turn as they become ready.
+    /// Starts a process for each proxy, and opens each one to clients once it is ready, in order.
     pub(super) async fn start_all(&mut self) -> Result<(), FleetError> {
         for proxy in 0..self.instances.len() {
             let process = self.start(proxy, InitialList::Old)?;
@@ -165,14 +165,15 @@
     processes
 }
 
-/// Runs the plan's process events at their times. `began` is the start of the scenario, microseconds.
+/// Runs the plan's process events at their times. `scenario_start` is the start of the scenario,
+/// microseconds.
 pub(super) async fn run_process_events(
     controller: &Rc<RefCell<ProcessController>>,
     shared_state: &Arc<SharedState>,
-    began: Micros,
+    scenario_start: Micros,
 ) {
     for event in &shared_state.plan.processes {
-        shared_state.sleep_until(began + event.at).await;
+        shared_state.sleep_until(scenario_start + event.at).await;
         let proxy = event.proxy;
         match event.action {
             ProcessAction::Kill => {
@@ -191,7 +192,7 @@
                 let mut controller = controller.borrow_mut();
                 if let Some(process) = &mut controller.running[proxy] {
                     process.stop();
-                    controller.log_event(Observation::ProxyStalled { proxy, until: began + until });
+                    controller.log_event(Observation::ProxyStalled { proxy, until: scenario_start + until });
                 }
             }
             ProcessAction::Continue => {
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -95,7 +95,7 @@
     stopped: bool,
     /// It received SIGTERM.
     terminated: bool,
-    /// It has been seen ready.
+    /// Its readiness was observed.
     ready: bool,
 }
 
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -44,9 +44,9 @@
 
     /// The start, and the time since then in microseconds; `None` before the start.
     fn now(&self) -> Option<(Instant, Micros)> {
-        let began = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let began = began.filter(|&began| began <= Instant::now())?;
-        Some((began, began.elapsed().as_micros() as Micros))
+        let started_at = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let started_at = started_at.filter(|&started_at| started_at <= Instant::now())?;
+        Some((started_at, started_at.elapsed().as_micros() as Micros))
     }
 }
 
@@ -112,11 +112,11 @@
 }
 
 async fn wait_until_due(links: &Links, clock: &Clock, link: Link, direction: Direction, sequence: u64) {
-    if let Some((began, now)) = clock.now() {
+    if let Some((started_at, now)) = clock.now() {
         let delivery = links.chunk(link, direction, now, sequence);
         let at = (now + delivery.delay).max(delivery.not_before);
         if at > now {
-            tokio::time::sleep_until(began + Duration::from_micros(at)).await;
+            tokio::time::sleep_until(started_at + Duration::from_micros(at)).await;
         }
     }
 }
@@ -141,11 +141,11 @@
                 return Ok(read.is_ok());
             }
             sequence += 1;
-            let at = clock.now().map(|(began, now)| {
+            let at = clock.now().map(|(started_at, now)| {
                 let delivery = links.chunk(link, direction, now, sequence);
                 let transmitted_at =
                     bandwidth_queue.transmit(now, chunk.len(), links.bandwidth(link, direction, now));
-                began + Duration::from_micros((transmitted_at + delivery.delay).max(delivery.not_before))
+                started_at + Duration::from_micros((transmitted_at + delivery.delay).max(delivery.not_before))
             });
             sender.send((at, chunk)).await.map_err(|_| io::ErrorKind::BrokenPipe)?;
         }
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -133,7 +133,7 @@
 pub fn references(script: &Script) -> Vec<Row> {
     let plan = Plan::draw(script);
     let row = |policy: Policy| {
-        let observations = reference::play(script, &plan, policy).in_order();
+        let observations = reference::simulate(script, &plan, policy).in_order();
         let report = check_ordered(script, &observations, 0);
         let spread = spread::measure(script, &plan, &observations, reference::START);
         let mode = serde_json::to_value(policy).ok().and_then(|v| v.as_str().map(str::to_owned));
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -79,17 +79,17 @@
         controller.instances.push(ProxyInstance::new(&controller.folder, proxy, agent)?);
     }
     controller.start_all().await?;
-    let began = shared_state.now() + HEAD_START;
-    clock.start_at(shared_state.instant(began));
+    let scenario_start = shared_state.now() + HEAD_START;
+    clock.start_at(shared_state.instant(scenario_start));
     // A thread that has ended early is reported when it is joined.
     for start_signal in emulators.start_signals {
-        let _ = start_signal.send(began);
+        let _ = start_signal.send(scenario_start);
     }
     let testbed_cpu_before_s = cpu_s(std::process::id()).unwrap_or(0.0);
-    controller.log.borrow_mut().add(began, Observation::ScenarioStarted);
+    controller.log.borrow_mut().add(scenario_start, Observation::ScenarioStarted);
     let controller = Rc::new(RefCell::new(controller));
-    run_process_events(&controller, &shared_state, began).await;
-    let end = began + micros(script.seconds).max(shared_state.plan.quiet_after());
+    run_process_events(&controller, &shared_state, scenario_start).await;
+    let end = scenario_start + micros(script.seconds).max(shared_state.plan.quiet_after());
     shared_state.sleep_until(end).await;
     while emulators.threads.iter().any(|thread| !thread.is_finished()) {
         sleep(Duration::from_millis(20)).await;
@@ -114,7 +114,7 @@
     let observations = log.in_order();
     let report = check_ordered(script, &observations, machine.slack);
     report.messages.iter().for_each(|message| eprintln!("{message}"));
-    let spread = spread::measure(script, &shared_state.plan, &observations, began);
+    let spread = spread::measure(script, &shared_state.plan, &observations, scenario_start);
     let mut row = Row::new(script, "processes", &report, spread);
     row.slow_start_load = slow_start_load::measure(script, &shared_state.plan, &observations);
     row.restarts = restarts::measure(&observations);
--- a/crates/testbed/src/reference.rs
+++ b/crates/testbed/src/reference.rs
@@ -67,7 +67,7 @@
 
 /// Simulates a scenario; returns what clients and backends observed.
 #[must_use]
-pub fn play(script: &Script, plan: &Plan, policy: Policy) -> ObservationLog {
+pub fn simulate(script: &Script, plan: &Plan, policy: Policy) -> ObservationLog {
     let mut simulation = Simulation::new(script, plan, policy);
     while let Some(Reverse((at, _, event))) = simulation.events.pop() {
         match event {
--- a/crates/testbed/src/reference/tests.rs
+++ b/crates/testbed/src/reference/tests.rs
@@ -16,7 +16,7 @@
 fn results_match_queueing_theory() {
     let script = scenario(0.6, "");
     let plan = Plan::draw(&script);
-    let report = |policy| check(&script, &play(&script, &plan, policy), 0);
+    let report = |policy| check(&script, &simulate(&script, &plan, policy), 0);
     let (central_queue, random) = (report(Policy::CentralQueue), report(Policy::Random));
     // With 60 backends at 60 % load requests rarely queue: the 99th percentile is that of the work, 184 ms.
     assert!((150_000..220_000).contains(&central_queue.percentile(0.99)), "{central_queue}");
@@ -36,7 +36,7 @@
     let script = scenario(0.5, &format!("trouble = [{faults}]"));
     let plan = Plan::draw(&script);
     for policy in Policy::ALL {
-        let report = check(&script, &play(&script, &plan, policy), 0);
+        let report = check(&script, &simulate(&script, &plan, policy), 0);
         assert_eq!(report.violations[0], 0, "{policy:?}: {report}");
         assert!(report.total.failed + report.total.rejected > 0, "{policy:?}: the faults have an effect");
     }
--- a/crates/testbed/src/slow_start_load.rs
+++ b/crates/testbed/src/slow_start_load.rs
@@ -60,10 +60,11 @@
 /// One incarnation of a backend, until it is warmed up or restarts.
 struct Incarnation {
     backend: usize,
-    started: Micros,
+    started_at: Micros,
     /// Work received within the last window, in requests of mean work.
     recent: VecDeque<(Micros, f64)>,
-    sum: f64,
+    /// Sum of `recent`.
+    recent_work: f64,
     /// Work received in each consecutive window from the start.
     windows: Vec<f64>,
 }
@@ -71,19 +72,19 @@
 impl Incarnation {
     /// Adds received work; returns the load of the window that ends now, relative to the bound.
     fn add(&mut self, script: &Script, at: Micros, work: f64) -> f64 {
-        let from = at.saturating_sub(OVERLOAD_WINDOW).max(self.started);
+        let from = at.saturating_sub(OVERLOAD_WINDOW).max(self.started_at);
         self.recent.push_back((at, work));
-        self.sum += work;
+        self.recent_work += work;
         while let Some((_, old)) = self.recent.front().copied().filter(|&(received_at, _)| received_at < from)
         {
             self.recent.pop_front();
-            self.sum -= old;
+            self.recent_work -= old;
         }
-        let window = ((at - self.started) / OVERLOAD_WINDOW) as usize;
+        let window = ((at - self.started_at) / OVERLOAD_WINDOW) as usize;
         if let Some(window) = self.windows.get_mut(window) {
             *window += work;
         }
-        self.sum / bound(allowed(script, self.backend, from - self.started))
+        self.recent_work / bound(allowed(script, self.backend, from - self.started_at))
     }
 }
 
@@ -118,9 +119,9 @@
                 let windows = vec![0.0; (span / OVERLOAD_WINDOW) as usize];
                 incarnations.push(Incarnation {
                     backend,
-                    started: at,
+                    started_at: at,
                     recent: VecDeque::new(),
-                    sum: 0.0,
+                    recent_work: 0.0,
                     windows,
                 });
             }
@@ -131,8 +132,8 @@
                     _ => 0.0,
                 };
                 let incarnation = current[backend].and_then(|index| incarnations.get_mut(index));
-                if let Some(incarnation) =
-                    incarnation.filter(|incarnation| at < incarnation.started + warm_up_us + OVERLOAD_WINDOW)
+                if let Some(incarnation) = incarnation
+                    .filter(|incarnation| at < incarnation.started_at + warm_up_us + OVERLOAD_WINDOW)
                 {
                     load.max_load = load.max_load.max(incarnation.add(script, at, work));
                 }
--- a/crates/testbed/src/spread.rs
+++ b/crates/testbed/src/spread.rs
@@ -66,16 +66,16 @@
     pub first_use_s: Vec<Option<f64>>,
 }
 
-/// Measures the distribution. `began` is the start of the scenario on the clock of the observations,
+/// Measures the distribution. `scenario_start` is the start of the scenario on the clock of the observations,
 /// microseconds.
 #[must_use]
 pub fn measure(
     script: &Script,
     plan: &Plan,
     observations: &[(Micros, Observation)],
-    began: Micros,
+    scenario_start: Micros,
 ) -> Spread {
-    let mut loads = Loads::new(script, began);
+    let mut loads = Loads::new(script, scenario_start);
     let mut in_time = InTime::default();
     let mut starts: Vec<(usize, Micros, Option<f64>)> = Vec::new();
     let mut is_out = vec![false; script.fleet.backends];
@@ -85,9 +85,14 @@
         match observation {
             Observation::RequestSent { id, class, .. } => {
                 requests += 1;
-                in_time.request_sent(at, began, id, script.classes[class].latency_objective_ms * 1_000);
+                in_time.request_sent(
+                    at,
+                    scenario_start,
+                    id,
+                    script.classes[class].latency_objective_ms * 1_000,
+                );
             }
-            Observation::RequestUndelivered { .. } => in_time.request_undelivered(at, began),
+            Observation::RequestUndelivered { .. } => in_time.request_undelivered(at, scenario_start),
             Observation::ResponseReceived { id, kind } => in_time.response_received(at, id, kind),
             Observation::AttemptStarted { backend, .. } => {
                 attempts += 1;
@@ -144,21 +149,21 @@
 
 /// Attempts that each backend started, in total and by window.
 struct Loads {
-    began: Micros,
+    scenario_start: Micros,
     counts: Vec<u64>,
     windows: Vec<Vec<u32>>,
 }
 
 impl Loads {
-    fn new(script: &Script, began: Micros) -> Self {
+    fn new(script: &Script, scenario_start: Micros) -> Self {
         let windows = (script.seconds.floor() as usize).max(1);
         let backends = script.fleet.backends;
-        Self { began, counts: vec![0; backends], windows: vec![vec![0; backends]; windows] }
+        Self { scenario_start, counts: vec![0; backends], windows: vec![vec![0; backends]; windows] }
     }
 
     fn add(&mut self, at: Micros, backend: usize) {
         self.counts[backend] += 1;
-        let window = at.saturating_sub(self.began) / WINDOW;
+        let window = at.saturating_sub(self.scenario_start) / WINDOW;
         if let Some(window) = self.windows.get_mut(window as usize) {
             window[backend] += 1;
         }
@@ -253,8 +258,8 @@
 }
 
 impl InTime {
-    fn count_request(&mut self, at: Micros, began: Micros) -> usize {
-        let window = (at.saturating_sub(began) / WINDOW) as usize;
+    fn count_request(&mut self, at: Micros, scenario_start: Micros) -> usize {
+        let window = (at.saturating_sub(scenario_start) / WINDOW) as usize;
         if self.windows.len() <= window {
             self.windows.resize(window + 1, (0, 0));
         }
@@ -262,13 +267,13 @@
         window
     }
 
-    fn request_sent(&mut self, at: Micros, began: Micros, id: u64, latency_objective: Micros) {
-        let window = self.count_request(at, began);
+    fn request_sent(&mut self, at: Micros, scenario_start: Micros, id: u64, latency_objective: Micros) {
+        let window = self.count_request(at, scenario_start);
         self.requests.insert(id, (at, latency_objective, window));
     }
 
-    fn request_undelivered(&mut self, at: Micros, began: Micros) {
-        self.count_request(at, began);
+    fn request_undelivered(&mut self, at: Micros, scenario_start: Micros) {
+        self.count_request(at, scenario_start);
     }
 
     fn response_received(&mut self, at: Micros, id: u64, kind: ResponseKind) {
--- a/crates/testbed/src/spread/tests.rs
+++ b/crates/testbed/src/spread/tests.rs
@@ -12,7 +12,7 @@
 
 /// Measures 40 requests per second: `to` selects the backend of each request, `served` the seconds whose
 /// requests are served.
-fn play(script: &Script, to: impl Fn(u64) -> usize, served: impl Fn(u64) -> bool) -> Spread {
+fn measure_spread(script: &Script, to: impl Fn(u64) -> usize, served: impl Fn(u64) -> bool) -> Spread {
     let (mut observations, mut plan) = (Vec::new(), Plan::draw(script));
     plan.processes.clear();
     for id in 0..800 {
@@ -28,10 +28,10 @@
 #[test]
 fn measures_even_load_of_round_robin_and_uneven_load_of_a_single_backend() {
     let script = script("}");
-    let even = play(&script, |id| (id % 4) as usize, |_| true);
+    let even = measure_spread(&script, |id| (id % 4) as usize, |_| true);
     assert_eq!((even.max_load, even.min_load, even.deviation, even.idle_windows), (1.0, 1.0, 0.0, 0));
     assert!((even.random_deviation - (0.75_f64 / 200.0).sqrt()).abs() < 1e-9);
-    let single = play(&script, |_| 2, |_| true);
+    let single = measure_spread(&script, |_| 2, |_| true);
     assert_eq!((single.max_load, single.min_load, single.idle_windows), (4.0, 0.0, 60));
     assert!(single.max_idle_windows < 1.0, "random selection leaves none of 80 windows of a backend idle");
 }
@@ -68,7 +68,7 @@
 #[test]
 fn expects_load_in_proportion_to_speed() {
     let script = script(", speeds = [2.0, 1.0, 1.0, 1.0] }");
-    let spread = play(&script, |id| [0, 0, 1, 2, 3][(id % 5) as usize], |_| true);
+    let spread = measure_spread(&script, |id| [0, 0, 1, 2, 3][(id % 5) as usize], |_| true);
     assert!((spread.max_load - 1.0).abs() < 1e-9 && (spread.min_load - 1.0).abs() < 1e-9, "{spread:?}");
 }
 
@@ -82,9 +82,9 @@
         4..=6 => others[(id % 3) as usize],
         _ => (id % 4) as usize,
     };
-    let recovered = play(&script, to, |second| !(4..=8).contains(&second));
+    let recovered = measure_spread(&script, to, |second| !(4..=8).contains(&second));
     assert_eq!((recovered.idle_windows, recovered.recovery_s.as_slice()), (0, [Some(2.0)].as_slice()));
     assert_eq!(recovered.first_use_s, [], "no start of a backend was observed");
-    let unrecovered = play(&script, to, |second| second < 4);
+    let unrecovered = measure_spread(&script, to, |second| second < 4);
     assert_eq!(unrecovered.recovery_s, [None]);
 }
--- a/crates/testbed/tests/laboratory.rs
+++ b/crates/testbed/tests/laboratory.rs
@@ -28,11 +28,11 @@
     Script::read(&script_path()).expect("a valid script")
 }
 
-fn process(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
+fn process_fault(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
     ProcessFault { what, at_s: 1.0, for_s, part, waves: 1, wave_s: 0.0, every_s: 0.0, list: InitialList::Old }
 }
 
-fn link(between: LinkEndpoints) -> LinkFault {
+fn link_fault(between: LinkEndpoints) -> LinkFault {
     LinkFault {
         between,
         at_s: 1.0,
@@ -71,7 +71,7 @@
 #[test]
 fn recovers_from_mass_kill_with_stale_list_during_drain() {
     let mut script = script();
-    script.process_faults = vec![process(ProcessFaultKind::Kill, 0.7, 0.5)];
+    script.process_faults = vec![process_fault(ProcessFaultKind::Kill, 0.7, 0.5)];
     let drain = BackendFault {
         what: BackendFaultKind::Drain,
         at_s: 0.7,
@@ -90,7 +90,7 @@
 #[test]
 fn answers_after_a_two_second_stop() {
     let mut script = script();
-    script.process_faults = vec![process(ProcessFaultKind::Stall, 0.33, 2.0)];
+    script.process_faults = vec![process_fault(ProcessFaultKind::Stall, 0.33, 2.0)];
     let row = run(&script);
     assert!(
         row.p99_ms > 600.0 || row.excused + row.rejected + row.failed > 0,
@@ -102,8 +102,10 @@
 #[test]
 fn loses_no_request_on_sigterm_or_replacement() {
     let mut script = script();
-    let terminated = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::End, 0.25, 0.5) };
-    let replaced = ProcessFault { waves: 3, wave_s: 0.3, ..process(ProcessFaultKind::Replace, 0.25, 0.0) };
+    let terminated =
+        ProcessFault { waves: 3, wave_s: 0.3, ..process_fault(ProcessFaultKind::End, 0.25, 0.5) };
+    let replaced =
+        ProcessFault { waves: 3, wave_s: 0.3, ..process_fault(ProcessFaultKind::Replace, 0.25, 0.0) };
     script.process_faults = vec![terminated, replaced];
     let row = run(&script);
     assert_eq!((row.excused, row.failed), (0, 0), "{row:?}");
@@ -113,10 +115,11 @@
 #[test]
 fn violates_no_rule_with_slow_lossy_and_cut_links() {
     let mut script = script();
-    let slow = LinkFault { part: 0.3, delay_ms: 200.0, jitter_ms: 50.0, ..link(LinkEndpoints::Boxes) };
-    let lossy = LinkFault { at_s: 2.0, part: 0.3, loss_fraction: 0.2, ..link(LinkEndpoints::Boxes) };
-    let cut = LinkFault { part: 0.5, cut: true, ..link(LinkEndpoints::Discovery) };
-    let clients = LinkFault { part: 0.2, at_s: 2.0, for_s: 0.5, cut: true, ..link(LinkEndpoints::Clients) };
+    let slow = LinkFault { part: 0.3, delay_ms: 200.0, jitter_ms: 50.0, ..link_fault(LinkEndpoints::Boxes) };
+    let lossy = LinkFault { at_s: 2.0, part: 0.3, loss_fraction: 0.2, ..link_fault(LinkEndpoints::Boxes) };
+    let cut = LinkFault { part: 0.5, cut: true, ..link_fault(LinkEndpoints::Discovery) };
+    let clients =
+        LinkFault { part: 0.2, at_s: 2.0, for_s: 0.5, cut: true, ..link_fault(LinkEndpoints::Clients) };
     script.link_faults = vec![slow, lossy, cut, clients];
     let without_faults =
         play(&Script { link_faults: Vec::new(), ..script.clone() }, &machine()).expect("the scenario runs");
--- a/crates/testbed/tests/slow_start_load.rs
+++ b/crates/testbed/tests/slow_start_load.rs
@@ -42,7 +42,7 @@
     script
 }
 
-/// The script with four backends that crash one after another, each for 0.4 s.
+/// The script with four crashes of a tenth of the backends, one after another, each for 0.4 s.
 fn with_successive_restarts(mut script: Script) -> Script {
     let crash = |at_s| BackendFault {
         what: BackendFaultKind::Crash,
@@ -327,8 +327,11 @@
     ) {
         times.sort_unstable();
         let script = script();
-        let observations: Vec<_> = times.iter().enumerate().map(|(id, &(at, work))| attempt_started(at, id as u64, work)).collect();
-        let found = measured(&[&[BACKEND_STARTED], observations.as_slice()].concat()).expect("a backend started").max_load;
+        let observations: Vec<_> =
+            times.iter().enumerate().map(|(id, &(at, work))| attempt_started(at, id as u64, work)).collect();
+        let found = measured(&[&[BACKEND_STARTED], observations.as_slice()].concat())
+            .expect("a backend started")
+            .max_load;
         let during_warm_up = times.iter().filter(|(at, _)| *at < 1_000_000 + 20_000_000 + WINDOW_US);
         let loads = during_warm_up.map(|&(end, _)| {
             let from = end.saturating_sub(WINDOW_US).max(1_000_000);
--- a/crates/testbed/tests/spread.rs
+++ b/crates/testbed/tests/spread.rs
@@ -53,7 +53,7 @@
     }
 }
 
-fn process(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
+fn process_fault(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
     ProcessFault { what, at_s: 1.0, for_s, part, waves: 1, wave_s: 0.0, every_s: 0.0, list: InitialList::Old }
 }
 
@@ -64,7 +64,7 @@
 #[test]
 fn rejects_hardly_any_request_when_seven_in_ten_proxies_are_killed() {
     let mut script = script(0.6);
-    let kill = process(ProcessFaultKind::Kill, 0.7, 1.0);
+    let kill = process_fault(ProcessFaultKind::Kill, 0.7, 1.0);
     script.process_faults = vec![kill];
     let (row, _) = run_with_reference(&script);
     assert!(row.undelivered + row.excused > 0, "the kill has an effect");
@@ -126,7 +126,7 @@
 #[test]
 fn rejects_few_requests_after_a_third_of_the_proxies_stalled() {
     let mut script = script(0.6);
-    script.process_faults = vec![process(ProcessFaultKind::Stall, 0.33, 2.0)];
+    script.process_faults = vec![process_fault(ProcessFaultKind::Stall, 0.33, 2.0)];
     let (row, _) = run_with_reference(&script);
     assert!(row.p99_ms > 1_500.0, "the stall has an effect: {row:?}");
     assert!(row.rejected * 100 <= row.requests * 8, "{} of {} rejected", row.rejected, row.requests);
@@ -140,10 +140,10 @@
     let crashes = [2.0, 4.0, 6.0, 8.0].map(|at_s| backend_fault(BackendFaultKind::Crash, at_s, 1.0, 0.15));
     script.backend_faults = crashes.to_vec();
     script.process_faults =
-        vec![ProcessFault { waves: 10, wave_s: 0.7, ..process(ProcessFaultKind::End, 1.0, 0.5) }];
+        vec![ProcessFault { waves: 10, wave_s: 0.7, ..process_fault(ProcessFaultKind::End, 1.0, 0.5) }];
     let (row, _) = run_with_reference(&script);
-    // They were 0.87 and 0.19 when the slow-start budget of a backend was shared only by proxies with an
-    // instance slot there.
+    // They were 0.87 and 0.19 when only proxies with a slot at a backend received a part of its slow-start
+    // budget.
     assert!(row.goodput > 0.9 && row.spread.min_load > 0.35, "{row:?}");
     let first_use_s = &row.spread.first_use_s;
     assert_eq!(first_use_s.len(), 36, "four times nine backends restart: {first_use_s:?}");
