--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -15,7 +15,7 @@
         /// `Micros::MAX` for no limit.
         start_by: Micros,
         /// Time at which the attempt times out.
-        give_up_at: Micros,
+        timeout_at: Micros,
     },
     /// Final response: the request was rejected, and the client may safely retry it.
     Reject {
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -35,7 +35,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Whether the client has its final response.
-    pub is_answered: bool,
+    pub has_final_response: bool,
     /// Time since the send.
     pub elapsed: Micros,
     /// Values of the backend's load report; empty if there was none.
--- a/crates/balancer/src/api/learned_state.rs
+++ b/crates/balancer/src/api/learned_state.rs
@@ -12,7 +12,7 @@
     /// Requests in flight from this instance.
     pub limit: f64,
     /// Whether the limit is derived from that of the machine kind, since this backend has no own samples yet.
-    pub is_shared: bool,
+    pub uses_kind_limit: bool,
 }
 
 /// The concurrency limit of one machine kind.
@@ -30,9 +30,9 @@
     /// Number of samples.
     pub samples: u32,
     /// Moving average of the latency.
-    pub mean: f64,
+    pub mean_us: f64,
     /// Latency without queueing; `None` while there are too few samples.
-    pub baseline: Option<f64>,
+    pub baseline_us: Option<f64>,
 }
 
 /// Everything that an instance has learned from its traffic.
@@ -45,7 +45,7 @@
     /// Latencies, by class and then by machine kind.
     pub latencies: Vec<LearnedLatency>,
     /// Highest recent rate of served requests, per second.
-    pub peak_rate: f64,
+    pub peak_requests_per_s: f64,
     /// Fraction of the requests, 0 to 1, that is rejected for lack of capacity.
     pub rejected_fraction: f64,
 }
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -161,7 +161,7 @@
     /// Cost of a health check, as a fraction of the mean weight of a request.
     pub health_check_cost: f64,
     /// Indices of the values in a load report.
-    pub load_report: LoadReportFields,
+    pub load_report_fields: LoadReportFields,
     /// Whether only responses to health checks carry load reports.
     pub load_report_by_health_check: bool,
     /// Which actions the instance may use.
--- a/crates/balancer/src/api/unserved.rs
+++ b/crates/balancer/src/api/unserved.rs
@@ -13,7 +13,7 @@
     /// Its tenant is over its quota while requests are rejected for lack of capacity.
     OverQuota,
     /// Its attempts failed, and idempotency or the maximum number of attempts allows no other one.
-    NoFurtherAttempt,
+    NoAttemptAllowed,
     /// Its attempt failed, and the retry budget is exhausted.
     RetryBudget,
 }
@@ -21,7 +21,7 @@
 impl UnservedCause {
     /// All causes, each at the index of its discriminant.
     pub const ALL: [Self; 5] =
-        [Self::QueueTimeout, Self::TooLate, Self::OverQuota, Self::NoFurtherAttempt, Self::RetryBudget];
+        [Self::QueueTimeout, Self::TooLate, Self::OverQuota, Self::NoAttemptAllowed, Self::RetryBudget];
 
     /// Label of the cause in metrics and logs.
     #[must_use]
@@ -30,7 +30,7 @@
             Self::QueueTimeout => "queue_timeout",
             Self::TooLate => "too_late",
             Self::OverQuota => "over_quota",
-            Self::NoFurtherAttempt => "no_further_attempt",
+            Self::NoAttemptAllowed => "no_further_attempt",
             Self::RetryBudget => "retry_budget",
         }
     }
@@ -48,7 +48,7 @@
 
     /// Number of requests that ended for this cause.
     #[must_use]
-    pub fn of(&self, cause: UnservedCause) -> u64 {
+    pub fn count(&self, cause: UnservedCause) -> u64 {
         self.0[cause as usize]
     }
 
@@ -80,10 +80,10 @@
 /// `label count` for each cause that occurred, separated by commas.
 impl fmt::Display for UnservedCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let occurred = UnservedCause::ALL.into_iter().filter(|&cause| self.of(cause) > 0);
+        let occurred = UnservedCause::ALL.into_iter().filter(|&cause| self.count(cause) > 0);
         for (position, cause) in occurred.enumerate() {
             let separator = if position > 0 { ", " } else { "" };
-            write!(f, "{separator}{} {}", cause.label(), self.of(cause))?;
+            write!(f, "{separator}{} {}", cause.label(), self.count(cause))?;
         }
         Ok(())
     }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -142,7 +142,7 @@
     }
 
     /// Concurrency limit and requests in flight of each ready backend, for operators.
-    pub fn limits(&self) -> impl Iterator<Item = (f64, u32)> {
+    pub fn backend_limits(&self) -> impl Iterator<Item = (f64, u32)> {
         self.fleet.ready_backends().map(|backend| (backend.limit, backend.in_flight))
     }
 
--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -74,7 +74,7 @@
     /// Why an attempt that starts now cannot serve the request; `None` if it can.
     pub(super) fn unservable_cause(&self, now: Micros, request: &OpenRequest) -> Option<UnservedCause> {
         if self.retry_scope(now, request) == RetryScope::Nowhere {
-            return Some(UnservedCause::NoFurtherAttempt);
+            return Some(UnservedCause::NoAttemptAllowed);
         }
         self.is_too_late(now, request).then_some(UnservedCause::TooLate)
     }
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -40,7 +40,7 @@
             state: AttemptState::InFlight,
         });
         let (request, backend) = (request.id, backend.id);
-        out.push(Action::Send { request, backend, start_by, give_up_at: timeout.give_up_at });
+        out.push(Action::Send { request, backend, start_by, timeout_at: timeout.timeout_at });
     }
 
     fn count_attempt(&mut self, now: Micros, backend_index: usize) {
@@ -73,7 +73,7 @@
         attempt.state =
             if never_executed { AttemptState::NeverExecuted } else { AttemptState::MayHaveExecuted };
         let (attempt, class) = (*attempt, request.class);
-        if result.is_answered {
+        if result.has_final_response {
             self.traffic.rejections.record_response();
         }
         if was_session {
@@ -82,7 +82,7 @@
         } else {
             self.record_outcome(now, class, attempt, result, out);
         }
-        if result.is_answered || self.requests.open[request_index].is_answered {
+        if result.has_final_response || self.requests.open[request_index].is_answered {
             self.close(request_index);
         } else {
             self.retry(now, request_index, result.outcome, out);
--- a/crates/balancer/src/balancer/learned_state.rs
+++ b/crates/balancer/src/balancer/learned_state.rs
@@ -11,7 +11,7 @@
             backends: self.fleet.ready_backends().map(BackendState::learned).collect(),
             machine_kinds: self.kind_limits.iter().map(KindLimit::learned).collect(),
             latencies: self.traffic.latencies.estimates.iter().map(LatencyEstimate::learned).collect(),
-            peak_rate: self.traffic.throughput.peak,
+            peak_requests_per_s: self.traffic.throughput.peak,
             rejected_fraction: self.traffic.rejections.fraction,
         }
     }
@@ -27,8 +27,8 @@
         }
         for (estimate, learned) in estimates.iter_mut().zip(&state.latencies) {
             estimate.samples = learned.samples;
-            estimate.mean_us = learned.mean;
-            estimate.baseline_us = learned.baseline.unwrap_or(f64::MAX);
+            estimate.mean_us = learned.mean_us;
+            estimate.baseline_us = learned.baseline_us.unwrap_or(f64::MAX);
             estimate.updated_at = now;
         }
         for learned in &state.backends {
@@ -36,14 +36,14 @@
             let backend = &mut self.fleet.backends[backend_index];
             if backend.started_at == learned.started_at {
                 backend.limit = learned.limit;
-                backend.uses_kind_limit = learned.is_shared;
+                backend.uses_kind_limit = learned.uses_kind_limit;
             }
         }
         for (kind, learned) in self.kind_limits.iter_mut().zip(&state.machine_kinds) {
             kind.limit = learned.limit;
             kind.is_doubling = learned.is_doubling;
         }
-        self.traffic.throughput.peak = state.peak_rate;
+        self.traffic.throughput.peak = state.peak_requests_per_s;
         self.traffic.rejections.fraction = state.rejected_fraction;
         true
     }
@@ -55,7 +55,7 @@
             backend: self.id,
             started_at: self.started_at,
             limit: self.limit,
-            is_shared: self.uses_kind_limit,
+            uses_kind_limit: self.uses_kind_limit,
         }
     }
 }
@@ -69,6 +69,6 @@
 impl LatencyEstimate {
     fn learned(&self) -> LearnedLatency {
         let baseline = Some(self.baseline_us).filter(|_| self.has_baseline());
-        LearnedLatency { samples: self.samples, mean: self.mean_us, baseline }
+        LearnedLatency { samples: self.samples, mean_us: self.mean_us, baseline_us: baseline }
     }
 }
--- a/crates/balancer/src/balancer/limits.rs
+++ b/crates/balancer/src/balancer/limits.rs
@@ -54,7 +54,7 @@
     /// recent service time, the limit is set directly: to that of the machine kind, scaled by the speed of
     /// the backend relative to its kind. So all instances send less to slow backends, whatever the cause.
     pub(super) fn apply_load_report(&mut self, now: Micros, backend_index: usize, report: &[f32]) {
-        let Some(field) = self.settings.load_report.mean_service_ms else { return };
+        let Some(field) = self.settings.load_report_fields.mean_service_ms else { return };
         let Some(service_ms) = report.get(field).map(|&ms| f64::from(ms)) else { return };
         if !service_ms.is_finite() || service_ms <= 0.0 {
             return;
--- a/crates/balancer/src/balancer/retries.rs
+++ b/crates/balancer/src/balancer/retries.rs
@@ -16,7 +16,7 @@
 
 /// When an attempt times out, and what a timeout means.
 pub(super) struct AttemptTimeout {
-    pub(super) give_up_at: Micros,
+    pub(super) timeout_at: Micros,
     /// Whether a timeout means that the attempt was lost.
     pub(super) means_loss: bool,
 }
@@ -109,7 +109,7 @@
         let class = &self.settings.classes[request.class];
         let is_last = request.attempts.len() + 1 >= request.max_attempts;
         if is_last || class.idempotency == Idempotency::NonIdempotent || self.retry_budget.is_empty() {
-            return AttemptTimeout { give_up_at: request.deadline, means_loss: false };
+            return AttemptTimeout { timeout_at: request.deadline, means_loss: false };
         }
         let mean_us = self.traffic.latencies.class_mean_us(request.class);
         let short_us = class.latency_objective as f64 * SHORT_TIMEOUT_OBJECTIVE_FRACTION;
@@ -117,7 +117,7 @@
         let doublings = request.attempts.iter().filter(|attempt| attempt.timeout_means_loss).count() as i32;
         let timeout_us =
             if means_loss { short_us * 2_f64.powi(doublings) } else { mean_us * LONG_TIMEOUT_MEAN_MULTIPLE };
-        let give_up_at = request.deadline.min(now.saturating_add(timeout_us as Micros));
-        AttemptTimeout { give_up_at, means_loss }
+        let timeout_at = request.deadline.min(now.saturating_add(timeout_us as Micros));
+        AttemptTimeout { timeout_at, means_loss }
     }
 }
--- a/crates/balancer/tests/clocks.rs
+++ b/crates/balancer/tests/clocks.rs
@@ -56,7 +56,7 @@
                     backend,
                     attempt: u16::from(step.choice % 2),
                     outcome,
-                    is_answered: outcome == Outcome::Ok,
+                    has_final_response: outcome == Outcome::Ok,
                     elapsed: 5 * MS,
                     load_report: &[],
                 };
--- a/crates/balancer/tests/common/emulated_proxy.rs
+++ b/crates/balancer/tests/common/emulated_proxy.rs
@@ -26,7 +26,7 @@
     /// The backend's entry in the list at the time of the send.
     entry: Backend,
     pub sent_at: Micros,
-    pub give_up_at: Micros,
+    pub timeout_at: Micros,
     pub state: AttemptState,
 }
 
@@ -97,9 +97,9 @@
 
     fn execute(&mut self, action: &Action) {
         match *action {
-            Action::Send { request, backend, start_by, give_up_at } => {
+            Action::Send { request, backend, start_by, timeout_at } => {
                 assert!(start_by > self.now, "rule 2: sent after the latest time at which it may begin");
-                self.check_send(request, backend, give_up_at);
+                self.check_send(request, backend, timeout_at);
             }
             Action::Reject { request, .. } => self.check_final_response(request, true),
             Action::Fail { request } => self.check_final_response(request, false),
@@ -119,13 +119,13 @@
         }
     }
 
-    fn check_send(&mut self, request: RequestId, backend: BackendId, give_up_at: Micros) {
+    fn check_send(&mut self, request: RequestId, backend: BackendId, timeout_at: Micros) {
         let entry = self.backends.get(&backend).copied().expect("sent to a backend that was never listed");
         assert!(!self.unavailable.contains_key(&backend), "rule 3: sent to a draining or removed backend");
         let settings = &self.settings;
         let tracked = self.requests.get_mut(&request).expect("sent an unknown request");
         assert!(!tracked.ended, "rule 1: sent after the final response");
-        assert!(give_up_at <= tracked.deadline, "rule 1: an attempt times out after the deadline");
+        assert!(timeout_at <= tracked.deadline, "rule 1: an attempt times out after the deadline");
         assert!(tracked.attempts.len() < usize::from(settings.permissions.max_attempts));
         let in_flight = tracked.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight);
         assert!(!in_flight || settings.permissions.hedging, "rule 2: two attempts in flight");
@@ -152,7 +152,7 @@
             backend,
             entry,
             sent_at: self.now,
-            give_up_at,
+            timeout_at,
             state: AttemptState::InFlight,
         });
     }
@@ -233,7 +233,7 @@
             backend,
             attempt,
             outcome,
-            is_answered,
+            has_final_response: is_answered,
             elapsed,
             load_report,
         }))
@@ -290,7 +290,7 @@
             }
             for sent in self.attempts_in_flight() {
                 let attempt = &self.requests[&sent.request].attempts[usize::from(sent.attempt)];
-                if attempt.give_up_at <= self.now {
+                if attempt.timeout_at <= self.now {
                     self.finish(sent.request, sent.attempt, Outcome::Timeout);
                 }
             }
--- a/crates/balancer/tests/common/fixtures.rs
+++ b/crates/balancer/tests/common/fixtures.rs
@@ -52,7 +52,7 @@
         over_quota_weight: 0.1,
         cross_zone_cost: 0.05,
         health_check_cost: 0.01,
-        load_report: LoadReportFields::default(),
+        load_report_fields: LoadReportFields::default(),
         load_report_by_health_check: false,
         permissions: Permissions {
             max_attempts: 4,
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -89,8 +89,9 @@
 #[test]
 fn limits_tolerate_a_draining_queue_and_not_a_standing_one() {
     let mut proxy = EmulatedProxy::new(single_zone(), one_zone(2));
-    let min_limit =
-        |proxy: &EmulatedProxy| proxy.balancer.limits().map(|(limit, _)| limit).fold(f64::MAX, f64::min);
+    let min_limit = |proxy: &EmulatedProxy| {
+        proxy.balancer.backend_limits().map(|(limit, _)| limit).fold(f64::MAX, f64::min)
+    };
     proxy.load(0, 300, 1, |_| 20 * MS);
     proxy.load(1_000, 400, 1, |_| 80 * MS);
     assert_eq!(proxy.rejections(), 0, "the queue drains");
@@ -130,7 +131,7 @@
 #[test]
 fn a_load_report_lowers_the_limit_of_a_slow_backend_at_once_where_an_instance_has_few_slots() {
     let mut settings = Settings { instance_count: 100, ..single_zone() };
-    settings.load_report.mean_service_ms = Some(0);
+    settings.load_report_fields.mean_service_ms = Some(0);
     let sends_to_even = |even_are_slow: bool| {
         let mut sends = 0;
         for instance_index in 0..20 {
--- a/crates/balancer/tests/retries.rs
+++ b/crates/balancer/tests/retries.rs
@@ -38,7 +38,7 @@
         }
         proxy.request(request(0, class));
         let attempt = &proxy.requests[&0].attempts[0];
-        (attempt.give_up_at - attempt.sent_at, proxy)
+        (attempt.timeout_at - attempt.sent_at, proxy)
     };
     let (timeout, mut proxy) = timeout_after(IDEMPOTENT, 5 * MS);
     assert!((100 * MS..200 * MS).contains(&timeout), "{timeout} us with an objective of 500 ms");
@@ -72,7 +72,7 @@
     }
     let attempts = &proxy.requests[&1_000].attempts;
     let timeouts: Vec<Micros> =
-        attempts.iter().map(|attempt| (attempt.give_up_at - attempt.sent_at) / MS).collect();
+        attempts.iter().map(|attempt| (attempt.timeout_at - attempt.sent_at) / MS).collect();
     assert_eq!(timeouts.first(), Some(&125), "a lost response still leaves time for a retry");
     assert!(timeouts.windows(2).all(|pair| pair[1] > pair[0]), "{timeouts:?}");
     assert_eq!(attempts.last().map(|attempt| attempt.state), Some(AttemptState::MayHaveExecuted));
@@ -115,7 +115,7 @@
     for seed in 0..8 {
         let proxy = load_with_broken_connections(0.1, seed);
         let unserved = proxy.balancer.unserved();
-        assert_eq!(unserved.of(UnservedCause::RetryBudget), 0, "seed {seed}: {unserved}");
+        assert_eq!(unserved.count(UnservedCause::RetryBudget), 0, "seed {seed}: {unserved}");
     }
 }
 
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -56,7 +56,7 @@
             backend: number,
             attempt,
             outcome: Outcome::Ok,
-            is_answered: false,
+            has_final_response: false,
             elapsed: 5,
             load_report: &[1.0],
         })
--- a/crates/balancer/tests/settings_change.rs
+++ b/crates/balancer/tests/settings_change.rs
@@ -47,12 +47,12 @@
 #[test]
 fn learned_limits_survive_a_change_of_settings() {
     let mut proxy = EmulatedProxy::new(settings(), (0..3).map(backend));
-    let initial: Vec<_> = proxy.balancer.limits().collect();
+    let initial: Vec<_> = proxy.balancer.backend_limits().collect();
     proxy.load(0, 200, 1, |_| 40 * MS);
-    let before: Vec<_> = proxy.balancer.limits().collect();
+    let before: Vec<_> = proxy.balancer.backend_limits().collect();
     assert_ne!(before, initial, "the limits differ from the initial ones");
     let mut changed = settings();
     changed.classes.push(class(Idempotency::Idempotent));
     proxy.event(Event::SettingsChanged(&changed));
-    assert_eq!(proxy.balancer.limits().collect::<Vec<_>>(), before);
+    assert_eq!(proxy.balancer.backend_limits().collect::<Vec<_>>(), before);
 }
--- a/crates/external-processor/src/envoy.rs
+++ b/crates/external-processor/src/envoy.rs
@@ -329,7 +329,7 @@
 
     fn send_response(&self, now: Micros, decision: &SendDecision) -> Box<ProcessingResponse> {
         let endpoint = decision.endpoint.to_string();
-        let time_left_ms = decision.grant.give_up_at.saturating_sub(now) / 1_000;
+        let time_left_ms = decision.grant.timeout_at.saturating_sub(now) / 1_000;
         let set_headers = vec![
             set_header(&self.settings.endpoint_header, endpoint.clone()),
             set_header(&self.settings.headers.time_left, time_left_ms.to_string()),
--- a/crates/external-processor/src/grpc_codec.rs
+++ b/crates/external-processor/src/grpc_codec.rs
@@ -121,7 +121,7 @@
         lease: decision.grant.lease.to_string(),
         attempt: u32::from(decision.grant.attempt),
         send_within_ms: ms_rounded_down(decision.grant.send_by.saturating_sub(now)),
-        wait_ms: ms_rounded_down(decision.grant.give_up_at.saturating_sub(now)),
+        wait_ms: ms_rounded_down(decision.grant.timeout_at.saturating_sub(now)),
         repeat: match decision.retry_scope {
             RetryScope::Never => pb::Repeat::Never,
             RetryScope::UnlessExecuted => pb::Repeat::IfNeverRan,
--- a/crates/external-processor/tests/decision_service.rs
+++ b/crates/external-processor/tests/decision_service.rs
@@ -135,7 +135,7 @@
     let mut harness = Harness::new(6);
     let request = harness.request(1, IDEMPOTENT, "a");
     let decision = harness.send_decision(request).expect("a backend");
-    harness.advance_time(decision.grant.give_up_at + REPORT_GRACE - harness.now);
+    harness.advance_time(decision.grant.timeout_at + REPORT_GRACE - harness.now);
     let reported = harness.report(1, decision.grant.lease, Outcome::Ok);
     assert_eq!(harness.reply(reported), Some(Reply::Rejected(RejectReason::Lease(LeaseError::Late))));
     assert!(harness.service.is_empty(), "its caller does not wait for another decision");
--- a/crates/http-proxy/src/backend_pool/attempt.rs
+++ b/crates/http-proxy/src/backend_pool/attempt.rs
@@ -31,7 +31,7 @@
 }
 
 impl BackendPool {
-    /// Makes an attempt of a request on a backend. It ends at `times.give_up_at` or when it is cancelled. The
+    /// Makes an attempt of a request on a backend. It ends at `times.timeout_at` or when it is cancelled. The
     /// time limit of a streamed upload counts from its last byte, so that its attempt may end later.
     pub async fn attempt(
         self: Rc<Self>,
@@ -41,7 +41,7 @@
         cancellation: Rc<CancellationSignal>,
     ) -> AttemptEnd {
         match self.start(&backend, &request, &times, &cancellation).await {
-            Ok(started) => self.perform(started, backend, &request, times.give_up_at, &cancellation).await,
+            Ok(started) => self.perform(started, backend, &request, times.timeout_at, &cancellation).await,
             Err(outcome) => outcome.into(),
         }
     }
@@ -59,7 +59,7 @@
         if cancellation.is_start_cancelled() || request.has_client_disconnected().await {
             return Err(Outcome::NotSent);
         }
-        let connection = self.connect_unless_cancelled(backend, times.give_up_at, cancellation).await?;
+        let connection = self.connect_unless_cancelled(backend, times.timeout_at, cancellation).await?;
         // During the connect the backend may have started to drain, or may have been replaced: it must not
         // get further requests.
         if !backend.is_ready.get() || connection.incarnation != backend.incarnation.get() {
@@ -71,7 +71,7 @@
             return Err(Outcome::NotSent);
         }
         let started_at = Instant::now();
-        let time_left = times.give_up_at.saturating_duration_since(started_at).min(request.timeout);
+        let time_left = times.timeout_at.saturating_duration_since(started_at).min(request.timeout);
         // During the connect the time in which a retry may start may have passed: a later retry could be
         // executed twice.
         let is_late = times.start_by.is_some_and(|start_by| started_at >= start_by);
@@ -106,7 +106,7 @@
         started: StartedAttempt,
         backend: Rc<PooledBackend>,
         request: &ForwardedRequest,
-        give_up_at: Instant,
+        timeout_at: Instant,
         cancellation: &CancellationSignal,
     ) -> AttemptEnd {
         let StartedAttempt { mut connection, started_at, time_left } = started;
@@ -126,7 +126,7 @@
             biased;
             exchanged = exchange(&mut connection.sender, outbound) => exchanged,
             () = cancelled => Err(ExchangeError::Cancelled),
-            () = wait_for_deadline_and_final_polls(request, give_up_at) => Err(ExchangeError::TimedOut),
+            () = wait_for_deadline_and_final_polls(request, timeout_at) => Err(ExchangeError::TimedOut),
         };
         // A request that the socket has not accepted completely can't be executed, so that a retry is safe;
         // otherwise it may have been executed. Nothing is awaited between reading the count and dropping the
@@ -167,8 +167,8 @@
 
 /// Waits until the time limit of an attempt has passed and everything that its backend has sent by then is
 /// read: after a stall the runtime runs timers before it polls sockets.
-async fn wait_for_deadline_and_final_polls(request: &ForwardedRequest, give_up_at: Instant) {
-    wait_for_deadline(request, give_up_at).await;
+async fn wait_for_deadline_and_final_polls(request: &ForwardedRequest, timeout_at: Instant) {
+    wait_for_deadline(request, timeout_at).await;
     for _ in 0..FINAL_POLLS {
         tokio::task::yield_now().await;
     }
@@ -176,8 +176,8 @@
 
 /// Waits until the time limit of an attempt has passed. For a streamed upload it counts from the last byte;
 /// until then the client has to reach the minimum transfer rate.
-async fn wait_for_deadline(request: &ForwardedRequest, give_up_at: Instant) {
-    let RequestBody::Streamed(upload) = &request.body else { return sleep_until(give_up_at).await };
+async fn wait_for_deadline(request: &ForwardedRequest, timeout_at: Instant) {
+    let RequestBody::Streamed(upload) = &request.body else { return sleep_until(timeout_at).await };
     let started_at = Instant::now();
     let completed_at = loop {
         if let Some(completed_at) = upload.completed_at() {
--- a/crates/proxy-server/src/learned_state.rs
+++ b/crates/proxy-server/src/learned_state.rs
@@ -9,7 +9,7 @@
         backend: learned.backend,
         started_at: learned.started_at,
         limit: learned.limit,
-        is_shared: learned.is_shared,
+        is_shared: learned.uses_kind_limit,
     };
     let machine_kind = |learned: LearnedKindLimit| StoredKindLimit {
         limit: learned.limit,
@@ -17,14 +17,14 @@
     };
     let latency = |learned: LearnedLatency| StoredLatency {
         samples: learned.samples,
-        mean: learned.mean,
-        baseline: learned.baseline,
+        mean: learned.mean_us,
+        baseline: learned.baseline_us,
     };
     StoredLearnedState {
         backends: state.backends.into_iter().map(backend).collect(),
         machine_kinds: state.machine_kinds.into_iter().map(machine_kind).collect(),
         latencies: state.latencies.into_iter().map(latency).collect(),
-        peak_rate: state.peak_rate,
+        peak_rate: state.peak_requests_per_s,
         rejected_fraction: state.rejected_fraction,
     }
 }
@@ -35,20 +35,20 @@
         backend: stored.backend,
         started_at: stored.started_at,
         limit: stored.limit,
-        is_shared: stored.is_shared,
+        uses_kind_limit: stored.is_shared,
     };
     let machine_kind =
         |stored: StoredKindLimit| LearnedKindLimit { limit: stored.limit, is_doubling: stored.is_doubling };
     let latency = |stored: StoredLatency| LearnedLatency {
         samples: stored.samples,
-        mean: stored.mean,
-        baseline: stored.baseline,
+        mean_us: stored.mean,
+        baseline_us: stored.baseline,
     };
     LearnedState {
         backends: stored.backends.into_iter().map(backend).collect(),
         machine_kinds: stored.machine_kinds.into_iter().map(machine_kind).collect(),
         latencies: stored.latencies.into_iter().map(latency).collect(),
-        peak_rate: stored.peak_rate,
+        peak_requests_per_s: stored.peak_rate,
         rejected_fraction: stored.rejected_fraction,
     }
 }
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -28,7 +28,7 @@
     /// The attempt must not start at or after this instant; `None`: no limit.
     pub start_by: Option<Instant>,
     /// The time limit, at which an unfinished attempt is aborted.
-    pub give_up_at: Instant,
+    pub timeout_at: Instant,
 }
 
 /// Executes the engine's commands. No method may call the engine before it returns.
@@ -248,8 +248,8 @@
 
     /// The concurrency limit and the requests in flight of each ready backend.
     #[must_use]
-    pub fn limits(&self) -> Vec<(f64, u32)> {
-        self.0.engine.borrow().limits()
+    pub fn backend_limits(&self) -> Vec<(f64, u32)> {
+        self.0.engine.borrow().backend_limits()
     }
 
     /// Calls the engine, handles its expired timers, and executes the resulting commands.
@@ -316,7 +316,7 @@
         self.0.cancellations.borrow_mut().insert(attempt, Rc::clone(&signal));
         let clock = self.0.clock;
         let start_by = (schedule.start_by < Micros::MAX).then(|| clock.instant(schedule.start_by));
-        let times = AttemptTimes { start_by, give_up_at: clock.instant(schedule.give_up_at) };
+        let times = AttemptTimes { start_by, timeout_at: clock.instant(schedule.timeout_at) };
         let running_attempt = self.0.transport.start_attempt(backend, outbound_request, times, signal);
         let handle = self.clone();
         tokio::task::spawn_local(async move {
--- a/crates/request-engine/src/engine/attempts.rs
+++ b/crates/request-engine/src/engine/attempts.rs
@@ -53,7 +53,7 @@
             backend,
             attempt: number,
             outcome: end.outcome,
-            is_answered: self.responder(request).is_none(),
+            has_final_response: self.responder(request).is_none(),
             elapsed,
             load_report: end.load_report.as_slice(),
         };
@@ -93,8 +93,8 @@
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, backend, start_by, give_up_at } => {
-                    self.start_attempt(now, request, backend, Schedule { start_by, give_up_at });
+                Action::Send { request, backend, start_by, timeout_at } => {
+                    self.start_attempt(now, request, backend, Schedule { start_by, timeout_at });
                 }
                 Action::Reject { request, retry_after } => {
                     self.respond(request, FinalOutcome::Rejected { retry_after });
@@ -134,7 +134,7 @@
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         let attempt = open.attempts.len() as u16;
         let may_start =
-            open.responder.is_some() && open.attempts.len() < open.max_attempts && schedule.give_up_at > now;
+            open.responder.is_some() && open.attempts.len() < open.max_attempts && schedule.timeout_at > now;
         let state = AttemptState::InFlight;
         open.attempts.push(Attempt { backend, sent_at: now, state, lease_serial: PROXIED });
         self.counts.attempts += 1;
@@ -169,9 +169,9 @@
         backend: BackendId,
         schedule: Schedule,
     ) {
-        let Schedule { start_by, give_up_at } = schedule;
-        let send_by = give_up_at.min(start_by).min(now.saturating_add(SEND_WINDOW));
-        let expires_at = give_up_at.saturating_add(REPORT_GRACE);
+        let Schedule { start_by, timeout_at } = schedule;
+        let send_by = timeout_at.min(start_by).min(now.saturating_add(SEND_WINDOW));
+        let expires_at = timeout_at.saturating_add(REPORT_GRACE);
         let stage = LeaseStage::Granted;
         let lease = Lease { request, attempt, backend, send_by, expires_at, stage, is_revoked: false };
         let Some(id) = self.leases.grant(lease) else {
@@ -183,7 +183,7 @@
             granted.lease_serial = id.serial;
         }
         self.schedule_timer(expires_at, TimerKind::LeaseExpiry(id.serial));
-        let grant = LeaseGrant { lease: id, request, attempt, backend, send_by, give_up_at };
+        let grant = LeaseGrant { lease: id, request, attempt, backend, send_by, timeout_at };
         self.commands.push_back(Command::GrantLease(grant));
     }
 
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -132,8 +132,8 @@
 
     /// The concurrency limit and the requests in flight of each ready backend.
     #[must_use]
-    pub fn limits(&self) -> Vec<(f64, u32)> {
-        self.balancer.limits().collect()
+    pub fn backend_limits(&self) -> Vec<(f64, u32)> {
+        self.balancer.backend_limits().collect()
     }
 
     /// The balancer's learned state, for the process that replaces this one.
--- a/crates/request-engine/src/messages.rs
+++ b/crates/request-engine/src/messages.rs
@@ -97,7 +97,7 @@
     /// Latest time at which the holder may start the attempt, microseconds.
     pub send_by: Micros,
     /// Time limit at which the holder has to abort the attempt, microseconds.
-    pub give_up_at: Micros,
+    pub timeout_at: Micros,
 }
 
 /// The latest start and the time limit of an attempt.
@@ -106,7 +106,7 @@
     /// The attempt must not start at or after this time, microseconds; `Micros::MAX`: no limit.
     pub start_by: Micros,
     /// Time limit at which an unfinished attempt is aborted, microseconds.
-    pub give_up_at: Micros,
+    pub timeout_at: Micros,
 }
 
 /// A command of the engine to its driver.
--- a/crates/request-engine/tests/edge_cases.rs
+++ b/crates/request-engine/tests/edge_cases.rs
@@ -29,7 +29,7 @@
     let grant = grant.expect("a lease");
     // The report is in transit while the lease expires. A non-idempotent request that may have been executed
     // fails without a retry.
-    harness.advance_time(grant.give_up_at + REPORT_GRACE - harness.now);
+    harness.advance_time(grant.timeout_at + REPORT_GRACE - harness.now);
     assert_eq!(harness.clients[&client].outcome, Some(FinalOutcome::Failed));
     assert_eq!(harness.finish_attempt((client, 0), Outcome::Ok), Err(LeaseError::Late));
     assert_eq!(harness.clients[&client].attempts.len(), 1);
@@ -41,7 +41,7 @@
 fn rejects_a_report_at_lease_expiry_before_the_timer_is_handled() {
     let mut harness = ten_backends();
     let (client, grant) = harness.submit_leased(0);
-    harness.now = grant.expect("a lease").give_up_at + REPORT_GRACE;
+    harness.now = grant.expect("a lease").timeout_at + REPORT_GRACE;
     assert_eq!(harness.finish_attempt((client, 0), Outcome::Ok), Err(LeaseError::Late));
     harness.advance_time(0);
     assert_ne!(harness.clients[&client].outcome, Some(FinalOutcome::Served(None)));
@@ -90,7 +90,7 @@
     let (client, grant) = harness.submit_leased(2);
     harness.disconnect(client);
     assert_eq!(harness.engine.active_leases(), 1, "its attempt may still run");
-    harness.advance_time(grant.expect("a lease").give_up_at + REPORT_GRACE - harness.now);
+    harness.advance_time(grant.expect("a lease").timeout_at + REPORT_GRACE - harness.now);
     assert_eq!((harness.engine.open_requests(), harness.engine.active_leases()), (0, 0));
     assert_eq!(harness.clients[&client].outcome, None);
     harness.finish();
--- a/crates/request-engine/tests/harness/mod.rs
+++ b/crates/request-engine/tests/harness/mod.rs
@@ -269,7 +269,7 @@
         let now = self.now;
         let recent = self.clients.values_mut().rev().take_while(|c| now < c.deadline + CHECKED_PERIOD);
         for attempt in recent.flat_map(|c| &mut c.attempts) {
-            let has_expired = |g: LeaseGrant| now >= g.give_up_at + REPORT_GRACE;
+            let has_expired = |g: LeaseGrant| now >= g.timeout_at + REPORT_GRACE;
             if attempt.execution == Execution::InFlight
                 && !attempt.is_session
                 && attempt.lease.is_some_and(has_expired)
@@ -287,14 +287,14 @@
                         schedule.start_by > self.now,
                         "an attempt was started after its latest start time"
                     );
-                    self.check_send(request, attempt, backend, schedule.give_up_at, None);
+                    self.check_send(request, attempt, backend, schedule.timeout_at, None);
                 }
                 Command::GrantLease(grant) => {
                     self.check_send(
                         grant.request,
                         grant.attempt,
                         grant.backend,
-                        grant.give_up_at,
+                        grant.timeout_at,
                         Some(grant),
                     );
                 }
--- a/crates/request-engine/tests/harness/rules.rs
+++ b/crates/request-engine/tests/harness/rules.rs
@@ -24,7 +24,7 @@
         request: RequestId,
         number: u16,
         backend: BackendId,
-        give_up_at: Micros,
+        timeout_at: Micros,
         lease: Option<LeaseGrant>,
     ) {
         let client = self.by_request[&request];
@@ -37,7 +37,7 @@
             "rule 1: an attempt for client {client} was sent after its final outcome"
         );
         assert!(
-            give_up_at <= client_state.deadline && self.now < client_state.deadline,
+            timeout_at <= client_state.deadline && self.now < client_state.deadline,
             "an attempt may exceed its client's deadline"
         );
         assert_eq!(usize::from(number), client_state.attempts.len(), "attempts are numbered from 0");
@@ -57,7 +57,7 @@
             }
         }
         if let Some(grant) = lease {
-            assert!(grant.send_by <= self.now + SEND_WINDOW && grant.send_by <= grant.give_up_at);
+            assert!(grant.send_by <= self.now + SEND_WINDOW && grant.send_by <= grant.timeout_at);
         }
         let (execution, sent_at) = (Execution::InFlight, self.now);
         client_state.attempts.push(Attempt {
--- a/crates/request-engine/tests/harness/settings.rs
+++ b/crates/request-engine/tests/harness/settings.rs
@@ -46,7 +46,7 @@
         over_quota_weight: 0.1,
         cross_zone_cost: 0.0,
         health_check_cost: 0.0,
-        load_report: LoadReportFields::default(),
+        load_report_fields: LoadReportFields::default(),
         load_report_by_health_check: false,
         permissions: Permissions {
             max_attempts: 4,
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -48,7 +48,7 @@
             over_quota_weight: self.over_quota_weight,
             cross_zone_cost: self.penalties.cross_zone_cost,
             health_check_cost: self.penalties.health_check_cost,
-            load_report: self.load_report.to_fields(),
+            load_report_fields: self.load_report.to_fields(),
             load_report_by_health_check: self.load_report.source == "probe",
             permissions: self.permissions.into(),
             safety: self.safety.into(),
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -22,7 +22,7 @@
     assert!(settings.discovery_on_request && settings.key_affinity && settings.load_report_by_health_check);
     assert_eq!(settings.over_quota_weight, 0.125);
     assert_eq!((settings.cross_zone_cost, settings.health_check_cost), (0.25, 0.0625));
-    let report = settings.load_report;
+    let report = settings.load_report_fields;
     assert_eq!((report.mean_service_ms, report.in_flight, report.queued), (Some(0), Some(1), Some(2)));
     assert_eq!(settings.tenants.iter().map(|t| t.quota_per_s).collect::<Vec<_>>(), [12.5, 0.0]);
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -24,7 +24,11 @@
     let keyed = Idempotency::Keyed { scope: DedupScope::Cell, ttl: 3_000_000 };
     assert_eq!(settings.classes[0].idempotency, keyed);
     assert_eq!(
-        (settings.load_report.in_flight, settings.load_report.mean_service_ms, settings.load_report.queued),
+        (
+            settings.load_report_fields.in_flight,
+            settings.load_report_fields.mean_service_ms,
+            settings.load_report_fields.queued
+        ),
         (Some(1), Some(0), None)
     );
     assert_eq!(settings.permissions.max_retry_after, Some(7));
--- a/crates/simulator-adapter/src/protocol/record.rs
+++ b/crates/simulator-adapter/src/protocol/record.rs
@@ -163,7 +163,7 @@
                 backend,
                 attempt,
                 outcome,
-                is_answered,
+                has_final_response: is_answered,
                 elapsed: Micros::from(elapsed_us),
                 load_report,
             }),
--- a/crates/simulator-adapter/src/protocol/reply.rs
+++ b/crates/simulator-adapter/src/protocol/reply.rs
@@ -25,9 +25,9 @@
     pub fn action(&mut self, instance: u16, action: &Action) {
         self.select_instance(instance);
         match action {
-            Action::Send { request, backend, give_up_at, .. } => self.record(
+            Action::Send { request, backend, timeout_at, .. } => self.record(
                 sent::SEND,
-                &[&request.to_be_bytes(), &give_up_at.to_be_bytes(), &backend.to_be_bytes()],
+                &[&request.to_be_bytes(), &timeout_at.to_be_bytes(), &backend.to_be_bytes()],
             ),
             Action::Reject { request, retry_after } => {
                 self.record(sent::REJECT, &[&request.to_be_bytes(), &saturating_u32_bytes(*retry_after)]);
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -110,7 +110,7 @@
 fn encodes_actions_as_the_protocol_defines() {
     let mut reply = ReplyWriter::default();
     let (request, backend) = (0x5d3a_91c4, 0x0312_4a07);
-    let send = Action::Send { request, backend, start_by: u64::MAX, give_up_at: 0x0081_94da };
+    let send = Action::Send { request, backend, start_by: u64::MAX, timeout_at: 0x0081_94da };
     reply.action(3, &send);
     reply.action(3, &Action::SetTimer { delay: 500_000, token: 77 });
     reply.action(5, &Action::Log("two servers known".into()));
--- a/crates/testbed/benches/decision.rs
+++ b/crates/testbed/benches/decision.rs
@@ -104,7 +104,7 @@
                 backend,
                 attempt: 0,
                 outcome: Outcome::Ok,
-                is_answered: true,
+                has_final_response: true,
                 elapsed: self.now - sent_at,
                 load_report: &[],
             };
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -62,7 +62,7 @@
             let handle = handle.clone();
             tokio::task::spawn_local(async move {
                 loop {
-                    let current_status = (handle.limits(), handle.counts());
+                    let current_status = (handle.backend_limits(), handle.counts());
                     if let Ok(mut published) = published.lock() {
                         *published = current_status;
                     }
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -108,7 +108,7 @@
     backend: usize,
     lease: Option<LeaseId>,
     send_by: Micros,
-    give_up_at: Micros,
+    timeout_at: Micros,
     revoked: bool,
     finished: bool,
     /// Whether the backend sends a malformed response.
--- a/crates/testbed/src/virtual_time/proxies.rs
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -10,11 +10,11 @@
         while let Some(command) = self.proxies[proxy].next_command() {
             match command {
                 Command::StartAttempt { request, attempt, backend, schedule, outbound_request: client } => {
-                    let give_up_at = schedule.give_up_at;
-                    let index = self.record_attempt(proxy, client, (request, attempt), backend, give_up_at);
+                    let timeout_at = schedule.timeout_at;
+                    let index = self.record_attempt(proxy, client, (request, attempt), backend, timeout_at);
                     let latency = self.latency(index);
                     self.after(latency, Event::BackendReceives(index));
-                    self.at(give_up_at, Event::AttemptTimeout(index));
+                    self.at(timeout_at, Event::AttemptTimeout(index));
                 }
                 Command::GrantLease(grant) => self.lease_granted(proxy, grant),
                 Command::RevokeLease { lease, .. } => {
@@ -47,10 +47,10 @@
     }
 
     pub(super) fn lease_granted(&mut self, proxy: usize, grant: LeaseGrant) {
-        let LeaseGrant { lease, request, attempt, backend, send_by, give_up_at } = grant;
+        let LeaseGrant { lease, request, attempt, backend, send_by, timeout_at } = grant;
         // Where the client already has its response, the lease is left to expire.
         let Some(&client) = self.proxies[proxy].responder(request) else { return };
-        let index = self.record_attempt(proxy, client, (request, attempt), backend, give_up_at);
+        let index = self.record_attempt(proxy, client, (request, attempt), backend, timeout_at);
         (self.attempts[index].lease, self.attempts[index].send_by) = (Some(lease), send_by);
         self.by_lease.insert(lease, index);
         let is_slow = self.rng.f64() < self.script.traffic.slow_callers;
@@ -64,7 +64,7 @@
         client: u64,
         (request, number): (RequestId, u16),
         backend: BackendId,
-        give_up_at: Micros,
+        timeout_at: Micros,
     ) -> usize {
         self.attempts.push(Attempt {
             proxy,
@@ -75,7 +75,7 @@
             backend: backend as usize,
             lease: None,
             send_by: Micros::MAX,
-            give_up_at,
+            timeout_at,
             revoked: false,
             finished: false,
             malformed: false,
--- a/crates/testbed/src/virtual_time/requests.rs
+++ b/crates/testbed/src/virtual_time/requests.rs
@@ -56,8 +56,8 @@
         if attempt.revoked || self.now > attempt.send_by {
             return self.finish_attempt(index, Outcome::NotSent);
         }
-        let (latency, give_up_at) = (self.latency(index), attempt.give_up_at);
+        let (latency, timeout_at) = (self.latency(index), attempt.timeout_at);
         self.after(latency, Event::BackendReceives(index));
-        self.at(give_up_at, Event::AttemptTimeout(index));
+        self.at(timeout_at, Event::AttemptTimeout(index));
     }
 }
