--- a/crates/external-processor/src/bridge.rs
+++ b/crates/external-processor/src/bridge.rs
@@ -9,8 +9,8 @@
     Reply, ReplyDelivery, Report, Revocation,
 };
 use balancer::api::{BackendId, Micros, Outcome, RequestId, Settings};
-use request_engine::driver::{Handle, Transport};
-use request_engine::engine::{AttemptEnd, MessageTypes};
+use request_engine::driver::{EngineHandle, Transport};
+use request_engine::engine::{AttemptCompletion, MessageTypes};
 use request_engine::idempotency::SharedRegistry;
 use request_engine::lease::{LeaseError, LeaseId};
 use request_engine::lease_events::{LeaseEvent, LeaseEventQueue, RequestHandle};
@@ -103,16 +103,16 @@
 /// The parts of the engine's thread that the decision service uses.
 pub struct EngineContext<T: Transport> {
     /// The handle of the engine.
-    pub handle: Handle<T>,
+    pub handle: EngineHandle<T>,
     /// The engine's events about leased requests.
     pub lease_events: Rc<LeaseEventQueue>,
     /// Looks up the addresses of backends.
     pub endpoints: EndpointLookup,
 }
 
-struct EngineHandle<'a, T: Transport>(&'a Handle<T>);
+struct DriverLeaseEngine<'a, T: Transport>(&'a EngineHandle<T>);
 
-impl<T: Transport> LeaseEngine for EngineHandle<'_, T>
+impl<T: Transport> LeaseEngine for DriverLeaseEngine<'_, T>
 where
     <T::Messages as MessageTypes>::Responder: From<RequestHandle>,
 {
@@ -126,7 +126,8 @@
         outcome: Outcome,
         load_report: Vec<f32>,
     ) -> Result<(), LeaseError> {
-        self.0.report_result(lease, AttemptEnd { outcome, response: None, load_report, client_wait: 0 })
+        self.0
+            .report_result(lease, AttemptCompletion { outcome, response: None, load_report, client_wait: 0 })
     }
 
     fn establish_session(&mut self, lease: LeaseId) -> Result<Micros, LeaseError> {
@@ -239,7 +240,7 @@
             return self.handle_caller_end(CallerEnd::Stream(message_ref.caller));
         }
         self.callers.borrow_mut().entry(message_ref.caller).or_insert(reply_to);
-        let (now, mut engine) = (self.now(), EngineHandle(&self.engine.handle));
+        let (now, mut engine) = (self.now(), DriverLeaseEngine(&self.engine.handle));
         {
             let mut service = self.service.borrow_mut();
             match operation {
@@ -256,7 +257,7 @@
         let (CallerEnd::Answered(caller) | CallerEnd::Unanswered(caller) | CallerEnd::Stream(caller)) = end;
         self.callers.borrow_mut().remove(&caller);
         self.dropped_callers.borrow_mut().remove(&caller);
-        let (now, mut engine) = (self.now(), EngineHandle(&self.engine.handle));
+        let (now, mut engine) = (self.now(), DriverLeaseEngine(&self.engine.handle));
         let mut service = self.service.borrow_mut();
         match end {
             CallerEnd::Answered(_) => service.call_answered(caller),
@@ -271,11 +272,11 @@
 
     /// Handles all queued events of the engine, and sends the resulting replies and revocations to callers.
     fn handle_lease_events(&self) {
-        let mut engine = EngineHandle(&self.engine.handle);
+        let mut engine = DriverLeaseEngine(&self.engine.handle);
         while let Some(event) = self.engine.lease_events.pop() {
             let endpoint = match &event {
                 LeaseEvent::Granted(_, grant) => (self.engine.endpoints)(grant.backend),
-                LeaseEvent::Revoked(..) | LeaseEvent::Completed(..) => None,
+                LeaseEvent::Revoked(..) | LeaseEvent::RequestCompleted(..) => None,
             };
             let now = self.now();
             self.service.borrow_mut().handle_event(now, event, endpoint, &mut engine);
--- a/crates/external-processor/src/decision_request.rs
+++ b/crates/external-processor/src/decision_request.rs
@@ -4,7 +4,7 @@
 use crate::decision_service::DecisionRequest;
 use crate::settings::Headers;
 use balancer::api::{Idempotency, Micros, Settings};
-use request_engine::idempotency::MAX_NAME_BYTES;
+use request_engine::idempotency::MAX_ID_BYTES;
 use request_engine::request_key::request_key;
 use rustc_hash::FxHashMap;
 use thiserror::Error;
@@ -115,8 +115,8 @@
         let class = class
             .ok_or_else(|| invalid_value(&names.class, format!("no class `{}`", truncated(fields.class))))?;
         for (name, value) in [(&names.id, fields.id), (&names.idempotency_key, fields.idempotency_key)] {
-            if value.len() > MAX_NAME_BYTES {
-                return Err(invalid_value(name, format!("{} bytes, {MAX_NAME_BYTES} at most", value.len())));
+            if value.len() > MAX_ID_BYTES {
+                return Err(invalid_value(name, format!("{} bytes, {MAX_ID_BYTES} at most", value.len())));
             }
         }
         if fields.id.is_empty() {
--- a/crates/external-processor/src/decision_request/tests.rs
+++ b/crates/external-processor/src/decision_request/tests.rs
@@ -47,7 +47,7 @@
         ("x-account", &b"nobody"[..]),
         ("x-time-left-ms", b"-1"),
         ("x-time-left-ms", b"99999999999999999999"),
-        ("x-correlation-id", &[b'a'; MAX_NAME_BYTES + 1]),
+        ("x-correlation-id", &[b'a'; MAX_ID_BYTES + 1]),
         ("x-weight-hint", b"heavy"),
         ("x-service-class", b"\"'`"),
     ] {
--- a/crates/external-processor/src/decision_service/caller_messages.rs
+++ b/crates/external-processor/src/decision_service/caller_messages.rs
@@ -5,7 +5,7 @@
     OpenDecision, RejectReason, Reply, ReplyDelivery, Report,
 };
 use balancer::api::{Idempotency, Micros, Outcome};
-use request_engine::idempotency::{ClaimId, ClaimStatus, CompletedRequest, ExecutionEffect, FinalStatus};
+use request_engine::idempotency::{ClaimId, ClaimStatus, CompletedRequest, ExecutionStatus, FinalStatus};
 use request_engine::lease::LeaseId;
 use request_engine::lease_events::RequestHandle;
 use smallvec::SmallVec;
@@ -68,14 +68,14 @@
         let idempotency = self.idempotency[usize::from(request.class)];
         if request.prior_lease.is_some() && idempotency != Idempotency::Idempotent {
             let status = FinalStatus::Unknown;
-            self.complete_claim(now, claim, request.class, status, ExecutionEffect::Possible);
+            self.complete_claim(now, claim, request.class, status, ExecutionStatus::MayHaveExecuted);
             self.counts.unknown += 1;
             return self.reply(message_ref, Reply::Final { status, is_replayed: false });
         }
         let handle = RequestHandle(self.next_handle);
         self.next_handle += 1;
         let Some(request_id) = engine.admit(request, handle) else {
-            self.registry.borrow_mut().complete(now, claim, NOT_RETAINED, ExecutionEffect::None, 0);
+            self.registry.borrow_mut().complete(now, claim, NOT_RETAINED, ExecutionStatus::NotExecuted, 0);
             return self.reject(message_ref, RejectReason::Overload);
         };
         let open = OpenDecision {
--- a/crates/external-processor/src/decision_service/lease_events.rs
+++ b/crates/external-processor/src/decision_service/lease_events.rs
@@ -26,7 +26,7 @@
                     .map(|open| open.owner);
                 self.revocations.extend(lease_owner.map(|caller| Revocation { caller, lease }));
             }
-            LeaseEvent::Completed(handle, outcome) => {
+            LeaseEvent::RequestCompleted(handle, outcome) => {
                 let status = match outcome {
                     FinalOutcome::Served(_) => FinalStatus::Served,
                     FinalOutcome::Rejected { retry_after } => {
--- a/crates/external-processor/src/decision_service/messages.rs
+++ b/crates/external-processor/src/decision_service/messages.rs
@@ -23,7 +23,7 @@
 /// An HTTP request for which a caller wants a decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecisionRequest {
-    /// Its correlation id, 1 to [`MAX_NAME_BYTES`](request_engine::idempotency::MAX_NAME_BYTES) bytes.
+    /// Its correlation id, 1 to [`MAX_ID_BYTES`](request_engine::idempotency::MAX_ID_BYTES) bytes.
     pub id: Box<[u8]>,
     /// Its idempotency key; `Some` in keyed classes only.
     pub idempotency_key: Option<Box<[u8]>>,
--- a/crates/external-processor/src/decision_service/mod.rs
+++ b/crates/external-processor/src/decision_service/mod.rs
@@ -18,7 +18,7 @@
 
 use balancer::api::{Idempotency, Micros, Outcome, RequestId, Settings};
 use request_engine::idempotency::{
-    ClaimId, CompletedRequest, ExecutionEffect, FinalStatus, FrontEnd, SharedRegistry,
+    ClaimId, CompletedRequest, ExecutionStatus, FinalStatus, FrontEnd, SharedRegistry,
 };
 use request_engine::lease::{LeaseError, LeaseId};
 use request_engine::lease_events::RequestHandle;
@@ -201,7 +201,8 @@
             self.by_lease.remove(&attempt.grant.lease);
         }
         let may_have_run = open.may_have_run || open.attempt.is_some() || status == FinalStatus::Served;
-        let effect = if may_have_run { ExecutionEffect::Possible } else { ExecutionEffect::None };
+        let effect =
+            if may_have_run { ExecutionStatus::MayHaveExecuted } else { ExecutionStatus::NotExecuted };
         let pending = open.pending_tag.map(|tag| MessageRef { caller: open.owner, tag });
         if pending.is_none() && !may_have_run {
             // No caller received an outcome and nothing has run, so the next request is decided anew.
@@ -223,7 +224,7 @@
         claim: ClaimId,
         class: u8,
         status: FinalStatus,
-        effect: ExecutionEffect,
+        effect: ExecutionStatus,
     ) {
         let completed = CompletedRequest { front_end: FrontEnd::External, status };
         self.registry.borrow_mut().complete(now, claim, completed, effect, self.retention(class));
--- a/crates/external-processor/src/grpc_codec.rs
+++ b/crates/external-processor/src/grpc_codec.rs
@@ -136,11 +136,11 @@
         RejectReason::Claim(ClaimError::Full(_)) | RejectReason::Overload | RejectReason::CallerLimit(_) => {
             pb::Reason::Overload
         }
-        RejectReason::Claim(ClaimError::InvalidName(_)) => pb::Reason::Invalid,
+        RejectReason::Claim(ClaimError::InvalidLength(_)) => pb::Reason::Invalid,
         RejectReason::Claim(ClaimError::KeyMismatch) => pb::Reason::OtherKey,
-        RejectReason::Lease(LeaseError::Foreign) => pb::Reason::LeaseForeign,
+        RejectReason::Lease(LeaseError::OtherIncarnation) => pb::Reason::LeaseForeign,
         RejectReason::Lease(LeaseError::Unknown) => pb::Reason::LeaseUnknown,
-        RejectReason::Lease(LeaseError::Late) => pb::Reason::LeaseLate,
+        RejectReason::Lease(LeaseError::Expired) => pb::Reason::LeaseLate,
         RejectReason::Lease(LeaseError::AlreadyReported) => pb::Reason::LeaseDoubled,
         RejectReason::Lease(LeaseError::WrongState) => pb::Reason::LeaseState,
         RejectReason::EndpointMismatch(_) => pb::Reason::Endpoint,
--- a/crates/external-processor/tests/decision_service.rs
+++ b/crates/external-processor/tests/decision_service.rs
@@ -94,7 +94,7 @@
     let request = harness.request_keyed(1, "a", "k");
     let decision = harness.send_decision(request).expect("a backend");
     harness.end_caller(1, ReplyDelivery::Possible);
-    assert_eq!(harness.engine.active_leases(), 0, "the slot is released");
+    assert_eq!(harness.engine.active_lease_count(), 0, "the slot is released");
     for id in ["a", "b"] {
         let request = harness.request_keyed(2, id, "k");
         assert_eq!(harness.reply(request), Some(replayed_outcome(FinalStatus::Unknown)), "{id}");
@@ -126,7 +126,7 @@
     let queued = requests.iter().filter(|&&request| harness.reply(request).is_none()).count();
     assert!(queued > 0, "one backend has no capacity for forty");
     harness.end_caller(1, ReplyDelivery::Possible);
-    assert!(harness.service.is_empty() && harness.engine.active_leases() == 0);
+    assert!(harness.service.is_empty() && harness.engine.active_lease_count() == 0);
     harness.finish();
 }
 
@@ -137,7 +137,7 @@
     let decision = harness.send_decision(request).expect("a backend");
     harness.advance_time(decision.grant.timeout_at + REPORT_GRACE - harness.now);
     let reported = harness.report(1, decision.grant.lease, Outcome::Ok);
-    assert_eq!(harness.reply(reported), Some(Reply::Rejected(RejectReason::Lease(LeaseError::Late))));
+    assert_eq!(harness.reply(reported), Some(Reply::Rejected(RejectReason::Lease(LeaseError::Expired))));
     assert!(harness.service.is_empty(), "its caller does not wait for another decision");
     harness.finish();
 }
@@ -150,7 +150,10 @@
     let reported = harness.report_with_endpoint(1, lease, Outcome::Ok, "127.0.0.1:9");
     assert!(matches!(harness.reply(reported), Some(Reply::Rejected(RejectReason::EndpointMismatch(_)))));
     let reported = harness.report(1, LeaseId { incarnation: 1, ..lease }, Outcome::Ok);
-    assert_eq!(harness.reply(reported), Some(Reply::Rejected(RejectReason::Lease(LeaseError::Foreign))));
+    assert_eq!(
+        harness.reply(reported),
+        Some(Reply::Rejected(RejectReason::Lease(LeaseError::OtherIncarnation)))
+    );
     let reported = harness.report(1, LeaseId { serial: 999, ..lease }, Outcome::Ok);
     assert_eq!(harness.reply(reported), Some(Reply::Rejected(RejectReason::Lease(LeaseError::Unknown))));
     let reported = harness.report(2, lease, Outcome::Ok);
@@ -263,7 +266,7 @@
     harness.advance_time(20 * SECOND);
     let reported = harness.renew(2, lease);
     assert!(matches!(harness.reply(reported), Some(Reply::Renewed(_))));
-    assert_eq!(harness.engine.active_leases(), 1);
+    assert_eq!(harness.engine.active_lease_count(), 1);
     let reported = harness.report(2, lease, Outcome::Ok);
     assert_eq!(harness.reply(reported), Some(Reply::LeaseSettled));
     harness.finish();
--- a/crates/external-processor/tests/harness/engine_at_time.rs
+++ b/crates/external-processor/tests/harness/engine_at_time.rs
@@ -2,7 +2,7 @@
 
 use balancer::api::{Micros, Outcome, RequestId};
 use external_processor::decision_service::{DecisionRequest, LeaseEngine};
-use request_engine::engine::{AttemptEnd, Command, Engine, MessageTypes};
+use request_engine::engine::{AttemptCompletion, Command, Engine, MessageTypes};
 use request_engine::lease::{LeaseError, LeaseId};
 use request_engine::lease_events::{LeaseEvent, RequestHandle};
 use std::collections::VecDeque;
@@ -37,7 +37,7 @@
                     handle(request).map(|handle| LeaseEvent::Revoked(handle, lease))
                 }
                 Command::Respond { responder, outcome, .. } => {
-                    Some(LeaseEvent::Completed(responder, outcome))
+                    Some(LeaseEvent::RequestCompleted(responder, outcome))
                 }
                 _ => None,
             };
@@ -59,7 +59,7 @@
         outcome: Outcome,
         load_report: Vec<f32>,
     ) -> Result<(), LeaseError> {
-        let end = AttemptEnd { outcome, response: None, load_report, client_wait: 0 };
+        let end = AttemptCompletion { outcome, response: None, load_report, client_wait: 0 };
         let result = self.engine.report_result(self.now, lease, end);
         self.queue_events();
         result
--- a/crates/external-processor/tests/harness/mod.rs
+++ b/crates/external-processor/tests/harness/mod.rs
@@ -328,7 +328,7 @@
         }
         assert!(self.service.is_empty(), "{} requests are still open", self.service.len());
         assert_eq!(
-            (self.engine.active_leases(), self.engine.open_requests()),
+            (self.engine.active_lease_count(), self.engine.open_request_count()),
             (0, 0),
             "active leases and open requests"
         );
--- a/crates/http-proxy/src/backend_pool.rs
+++ b/crates/http-proxy/src/backend_pool.rs
@@ -32,7 +32,7 @@
 }
 
 /// The outcome of an attempt or a health check, with its response and load report.
-type AttemptEnd = request_engine::engine::AttemptEnd<crate::exchange::BackendResponse>;
+type AttemptCompletion = request_engine::engine::AttemptCompletion<crate::exchange::BackendResponse>;
 
 /// A listed backend and its idle connections.
 pub struct PooledBackend {
--- a/crates/http-proxy/src/backend_pool/attempt.rs
+++ b/crates/http-proxy/src/backend_pool/attempt.rs
@@ -5,7 +5,7 @@
 
 use super::connect::ConnectError;
 use super::connection::BackendConnection;
-use super::{AttemptEnd, BackendPool, PooledBackend};
+use super::{AttemptCompletion, BackendPool, PooledBackend};
 use crate::exchange::{ExchangeError, ForwardedRequest, RequestBody, build_request, exchange, min_head_size};
 use crate::min_transfer_rate;
 use balancer::api::Outcome;
@@ -39,7 +39,7 @@
         request: Rc<ForwardedRequest>,
         times: AttemptTimes,
         cancellation: Rc<CancellationSignal>,
-    ) -> AttemptEnd {
+    ) -> AttemptCompletion {
         match self.start(&backend, &request, &times, &cancellation).await {
             Ok(started) => self.perform(started, backend, &request, times.timeout_at, &cancellation).await,
             Err(outcome) => outcome.into(),
@@ -108,7 +108,7 @@
         request: &ForwardedRequest,
         timeout_at: Instant,
         cancellation: &CancellationSignal,
-    ) -> AttemptEnd {
+    ) -> AttemptCompletion {
         let StartedAttempt { mut connection, started_at, time_left } = started;
         let outbound = build_request(request, backend.address.get(), time_left);
         let socket = Rc::clone(&connection.socket);
--- a/crates/http-proxy/src/backend_pool/health_check.rs
+++ b/crates/http-proxy/src/backend_pool/health_check.rs
@@ -1,6 +1,6 @@
 //! Health checks of backends.
 
-use super::{AttemptEnd, BackendPool, PooledBackend};
+use super::{AttemptCompletion, BackendPool, PooledBackend};
 use crate::exchange::{ExchangeError, ForwardedRequest, ReceivedBody, RequestBody, build_request, exchange};
 use balancer::api::Outcome;
 use bytes::Bytes;
@@ -20,7 +20,7 @@
         self: Rc<Self>,
         backend: Rc<PooledBackend>,
         with_load_report: bool,
-    ) -> AttemptEnd {
+    ) -> AttemptCompletion {
         let deadline = Instant::now() + self.connect_timeout.get() + HEALTH_CHECK_TIMEOUT;
         let mut connection = match self.take_or_connect(&backend, deadline).await {
             Ok(connection) => connection,
--- a/crates/http-proxy/src/backend_pool/response.rs
+++ b/crates/http-proxy/src/backend_pool/response.rs
@@ -1,7 +1,7 @@
 //! Derives the outcome of an attempt from the backend's response, and releases or closes the connection.
 
 use super::connection::BackendConnection;
-use super::{AttemptEnd, BackendPool, PooledBackend};
+use super::{AttemptCompletion, BackendPool, PooledBackend};
 use crate::body::{OnComplete, ResponseBody, StreamedResponse};
 use crate::exchange::{BackendResponse, PartialBody, ReceivedBody, ReceivedResponse};
 use balancer::api::Outcome;
@@ -22,7 +22,7 @@
         response: ReceivedResponse,
         backend: Rc<PooledBackend>,
         connection: BackendConnection,
-    ) -> AttemptEnd {
+    ) -> AttemptCompletion {
         let outcome = outcome(response.status, &response.headers);
         let report = response.headers.get(LOAD_REPORT).and_then(|v| v.to_str().ok());
         let load_report = report.map(|text| self.parse_load_report(text)).unwrap_or_default();
@@ -42,7 +42,7 @@
         let content_type = response.headers.get(CONTENT_TYPE).cloned();
         let body = body.filter(|_| outcome == Outcome::Ok);
         let response = body.map(|body| BackendResponse { body, content_type });
-        AttemptEnd { outcome, response, load_report, client_wait: 0 }
+        AttemptCompletion { outcome, response, load_report, client_wait: 0 }
     }
 
     /// Parses a load report (`name=value,...`). The values are in the order of the settings; a missing or
--- a/crates/http-proxy/src/clients.rs
+++ b/crates/http-proxy/src/clients.rs
@@ -18,7 +18,7 @@
 use crate::log::FailureLog;
 use crate::name_index::NameIndex;
 use crate::stall_detector::StallDetector;
-use crate::transport::Handle;
+use crate::transport::EngineHandle;
 use hyper::header::HeaderValue;
 use request_engine::driver::clock::Clock;
 use request_engine::idempotency;
@@ -47,7 +47,7 @@
 /// The parameters of [`ClientConnections`].
 pub struct ClientConnectionsOptions<'a> {
     /// The engine that receives the requests.
-    pub handle: Handle,
+    pub handle: EngineHandle,
     /// The clock of the engine.
     pub clock: Clock,
     /// The request classes that clients may name.
@@ -71,7 +71,7 @@
 
 /// The state that all client connections share.
 pub struct ClientConnections {
-    handle: Handle,
+    handle: EngineHandle,
     clock: Clock,
     classes: RefCell<ClassRegistry>,
     /// Indices in the settings by name; empty if the tenant of a request is not checked.
--- a/crates/http-proxy/src/clients/admission.rs
+++ b/crates/http-proxy/src/clients/admission.rs
@@ -12,7 +12,7 @@
 use balancer::api::Micros;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Response, StatusCode};
-use request_engine::engine::{Dispatch, FinalOutcome, IncomingRequest, Overload};
+use request_engine::engine::{AdmissionError, Dispatch, FinalOutcome, IncomingRequest};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
@@ -55,7 +55,7 @@
         let request = match self.handle.admit(request, Responder::HttpClient(sender)) {
             Ok(request) => request,
             // Nothing of it was executed.
-            Err(Overload::Requests(_) | Overload::Leases(_)) => {
+            Err(AdmissionError::Requests(_) | AdmissionError::Leases(_)) => {
                 if let Some(claim) = claim {
                     claim.settle(Some(&FinalOutcome::Rejected { retry_after: OVERLOAD_RETRY_DELAY }));
                 }
--- a/crates/http-proxy/src/clients/guards.rs
+++ b/crates/http-proxy/src/clients/guards.rs
@@ -1,6 +1,6 @@
 //! Guards whose scope is an open request.
 
-use crate::transport::Handle;
+use crate::transport::EngineHandle;
 use balancer::api::RequestId;
 use hyper::header::HeaderValue;
 use rustc_hash::FxHashSet;
@@ -9,13 +9,13 @@
 /// Notifies the engine if a client disconnects while its request is open: the connection then drops the
 /// future of the response, and this guard with it.
 pub(super) struct DisconnectGuard<'a> {
-    handle: &'a Handle,
+    handle: &'a EngineHandle,
     request: RequestId,
     is_armed: bool,
 }
 
 impl<'a> DisconnectGuard<'a> {
-    pub(super) fn new(handle: &'a Handle, request: RequestId) -> Self {
+    pub(super) fn new(handle: &'a EngineHandle, request: RequestId) -> Self {
         Self { handle, request, is_armed: true }
     }
 
--- a/crates/http-proxy/src/discovery.rs
+++ b/crates/http-proxy/src/discovery.rs
@@ -16,7 +16,7 @@
 use crate::backend_list::{BackendList, NamedBackend};
 use crate::log::log;
 use crate::poll_schedule::PollSchedule;
-use crate::transport::{Handle, UpdateKind, update_backends};
+use crate::transport::{EngineHandle, UpdateKind, update_backends};
 use balancer::api::{Micros, Readiness};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -49,7 +49,7 @@
     /// The listed backends and the exclusions.
     pub backend_list: Rc<RefCell<BackendList>>,
     /// The engine that receives the membership updates.
-    pub handle: Handle,
+    pub handle: EngineHandle,
     /// Set to true once a backend list is available.
     pub has_backend_list: Rc<Cell<bool>>,
     /// Present if discovery is a shared service; `None` for an agent on this machine, which is watched
@@ -62,7 +62,7 @@
     addresses: watch::Receiver<SocketAddr>,
     translator: ListTranslator,
     backend_list: Rc<RefCell<BackendList>>,
-    handle: Handle,
+    handle: EngineHandle,
     has_backend_list: Rc<Cell<bool>>,
     on_request: Option<OnRequestDiscovery>,
     client: DiscoveryClient,
--- a/crates/http-proxy/src/idempotency_claim.rs
+++ b/crates/http-proxy/src/idempotency_claim.rs
@@ -6,7 +6,7 @@
 use request_engine::driver::clock::Clock;
 use request_engine::engine::FinalOutcome;
 use request_engine::idempotency::{
-    ClaimError, ClaimId, ClaimStatus, CompletedRequest, ExecutionEffect, FinalStatus, FrontEnd,
+    ClaimError, ClaimId, ClaimStatus, CompletedRequest, ExecutionStatus, FinalStatus, FrontEnd,
     SharedRegistry,
 };
 
@@ -98,7 +98,7 @@
                 Err(ClaimRejection::Conflict("another caller sent it: no answer is kept\n"))
             }
             Err(ClaimError::KeyMismatch) => Err(ClaimRejection::Conflict("this id came with another key\n")),
-            Err(ClaimError::InvalidName(_)) => {
+            Err(ClaimError::InvalidLength(_)) => {
                 Err(ClaimRejection::Invalid("the id or the key is too long\n"))
             }
         }
@@ -110,19 +110,19 @@
         let now = self.clock.now();
         match outcome {
             Some(FinalOutcome::Served(_)) => {
-                self.complete(now, FinalStatus::Served, ExecutionEffect::Possible);
+                self.complete(now, FinalStatus::Served, ExecutionStatus::MayHaveExecuted);
             }
             Some(&FinalOutcome::Rejected { retry_after }) => {
                 let until = now.saturating_add(retry_after);
-                self.complete(now, FinalStatus::Rejected(until), ExecutionEffect::None);
+                self.complete(now, FinalStatus::Rejected(until), ExecutionStatus::NotExecuted);
             }
             Some(FinalOutcome::Failed) | None => {
-                self.complete(now, FinalStatus::Failed, ExecutionEffect::Possible);
+                self.complete(now, FinalStatus::Failed, ExecutionStatus::MayHaveExecuted);
             }
         }
     }
 
-    fn complete(&self, now: Micros, status: FinalStatus, effect: ExecutionEffect) {
+    fn complete(&self, now: Micros, status: FinalStatus, effect: ExecutionStatus) {
         let completed = CompletedRequest { front_end: FrontEnd::Proxied, status };
         self.registry.borrow_mut().complete(now, self.id, completed, effect, self.retention);
     }
@@ -131,7 +131,7 @@
 impl Drop for IdempotencyClaim<'_> {
     fn drop(&mut self) {
         if !self.settled {
-            self.complete(self.clock.now(), FinalStatus::Unknown, ExecutionEffect::Possible);
+            self.complete(self.clock.now(), FinalStatus::Unknown, ExecutionStatus::MayHaveExecuted);
         }
     }
 }
--- a/crates/http-proxy/src/transport.rs
+++ b/crates/http-proxy/src/transport.rs
@@ -6,7 +6,7 @@
 use balancer::api::{Backend, BackendId, MembershipUpdate, Outcome};
 use request_engine::driver::cancellation::CancellationSignal;
 use request_engine::driver::{self, AttemptTimes, Transport};
-use request_engine::engine::{AttemptEnd, FinalOutcome, LeaseGrant, MessageTypes};
+use request_engine::engine::{AttemptCompletion, FinalOutcome, LeaseGrant, MessageTypes};
 use request_engine::lease::LeaseId;
 use request_engine::lease_events::{LeaseEvent, LeaseEventQueue, RequestHandle};
 use rustc_hash::FxHashSet;
@@ -44,7 +44,7 @@
 }
 
 /// The handle of an engine with this proxy's transport.
-pub type Handle = driver::Handle<ProxyTransport>;
+pub type EngineHandle = driver::EngineHandle<ProxyTransport>;
 
 /// Executes attempts and health checks over this proxy's own connections.
 pub struct ProxyTransport {
@@ -68,7 +68,7 @@
         request: Rc<ForwardedRequest>,
         times: AttemptTimes,
         cancellation: Rc<CancellationSignal>,
-    ) -> impl Future<Output = AttemptEnd<BackendResponse>> + 'static {
+    ) -> impl Future<Output = AttemptCompletion<BackendResponse>> + 'static {
         let (pool, backend) = (Rc::clone(&self.backend_pool), self.backend_pool.backend(backend));
         async move {
             match backend {
@@ -81,7 +81,7 @@
     fn check_health(
         &self,
         backend: BackendId,
-    ) -> impl Future<Output = AttemptEnd<BackendResponse>> + 'static {
+    ) -> impl Future<Output = AttemptCompletion<BackendResponse>> + 'static {
         let (pool, backend) = (Rc::clone(&self.backend_pool), self.backend_pool.backend(backend));
         let with_load_report = self.report_by_health_check;
         async move {
@@ -102,7 +102,7 @@
                     FinalOutcome::Rejected { retry_after } => FinalOutcome::Rejected { retry_after },
                     FinalOutcome::Failed => FinalOutcome::Failed,
                 };
-                self.lease_events.push(LeaseEvent::Completed(request, outcome));
+                self.lease_events.push(LeaseEvent::RequestCompleted(request, outcome));
             }
         }
     }
@@ -153,7 +153,7 @@
 
 /// Applies a list to the connection pool and then to the engine, so that an attempt that the list triggers
 /// finds its backend in the pool.
-pub fn update_backends(handle: &Handle, kind: UpdateKind, entries: &[ListedBackend]) {
+pub fn update_backends(handle: &EngineHandle, kind: UpdateKind, entries: &[ListedBackend]) {
     let backend_pool = &handle.transport().backend_pool;
     if matches!(kind, UpdateKind::Snapshot | UpdateKind::CachedSnapshot) {
         let listed: FxHashSet<_> = entries.iter().map(|e| e.backend.id).collect();
--- a/crates/proxy-server/src/admin_handler.rs
+++ b/crates/proxy-server/src/admin_handler.rs
@@ -12,7 +12,7 @@
 use http_proxy::backend_list::BackendList;
 use http_proxy::clients::ClientConnections;
 use http_proxy::log::{FailureLog, log};
-use http_proxy::transport::{Handle, UpdateKind, update_backends};
+use http_proxy::transport::{EngineHandle, UpdateKind, update_backends};
 use request_engine::driver::clock::Clock;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -39,7 +39,7 @@
     pub(crate) backend_list: Rc<RefCell<BackendList>>,
     /// Set to `true` once a backend list was received.
     pub(crate) has_backend_list: Rc<Cell<bool>>,
-    pub(crate) handle: Handle,
+    pub(crate) handle: EngineHandle,
     pub(crate) listener: Rc<TcpListener>,
     pub(crate) clients: Rc<ClientConnections>,
     pub(crate) limits: ConnectionLimits,
--- a/crates/proxy-server/src/admin_handler/peers.rs
+++ b/crates/proxy-server/src/admin_handler/peers.rs
@@ -69,7 +69,11 @@
     /// received, since the limits apply to its backends.
     fn restore_learned_limits(&self) {
         let context = &self.context;
-        match context.state.read_snapshot(self.clock.now()).map(|learned| context.handle.restore(&learned)) {
+        match context
+            .state
+            .read_snapshot(self.clock.now())
+            .map(|learned| context.handle.restore_learned_state(&learned))
+        {
             Ok(true) => log(format_args!("restored learned limits from the snapshot")),
             Ok(false) => log(format_args!("learned limits were not restored: classes or kinds differ")),
             Err(error) => log(format_args!("learned limits were not restored: {error}")),
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -8,7 +8,7 @@
 use http_proxy::config::{Config, ConfigError};
 use http_proxy::log::log;
 use http_proxy::name_index::NameIndex;
-use http_proxy::transport::Handle;
+use http_proxy::transport::EngineHandle;
 use serde_json::Value;
 use settings::reload::{ClassIndices, ReloadError, restart_only_keys};
 use socket_io::retry::retry;
@@ -38,7 +38,7 @@
     names: NameIndex,
     /// Identifies the request classes, machine kinds and zones by which limits are learned.
     fingerprint: Rc<Cell<u64>>,
-    handle: Handle,
+    handle: EngineHandle,
     /// The longest deadline of the request classes in force, in microseconds.
     longest_deadline: Rc<Cell<Micros>>,
 }
@@ -50,7 +50,7 @@
     /// If no indices can be assigned to the request classes.
     pub(crate) fn new(
         config: &Config,
-        handle: Handle,
+        handle: EngineHandle,
         configuration_fingerprint: Rc<Cell<u64>>,
     ) -> Result<Self, ReloadError> {
         let classes = ClassIndices::new(&config.names.classes)?;
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -26,7 +26,7 @@
 use http_proxy::config::Config;
 use http_proxy::discovery::DiscoveryWatcher;
 use http_proxy::log::log;
-use http_proxy::transport::Handle;
+use http_proxy::transport::EngineHandle;
 use listener::ClientListener;
 use request_engine::driver::clock::Clock;
 use request_engine::idempotency::{IdempotencyRegistry, SharedRegistry};
@@ -79,7 +79,7 @@
     front_ends: impl Into<FrontEnds>,
     stop: impl Future<Output = ()>,
     reload: Option<Signal>,
-    on_started: impl FnOnce(&Handle, BoundAddresses),
+    on_started: impl FnOnce(&EngineHandle, BoundAddresses),
 ) -> Result<(), ProxyServerError> {
     let clock = Clock::start();
     let front_ends = front_ends.into();
@@ -102,7 +102,7 @@
 
 /// The parts of a started proxy that are needed until it has drained.
 struct Server {
-    handle: Handle,
+    handle: EngineHandle,
     addresses: BoundAddresses,
     listener: ClientListener,
     client_front_end: ClientFrontEnd,
@@ -245,7 +245,7 @@
     settings: Option<&ExternalProcessorSettings>,
     registry: Option<&SharedRegistry>,
     config: &Config,
-    handle: &Handle,
+    handle: &EngineHandle,
 ) -> Result<Option<GrpcFrontEnd>, ServerError> {
     let (Some(settings), Some(registry)) = (settings, registry) else {
         return Ok(None);
--- a/crates/proxy-server/src/server/client_front_end.rs
+++ b/crates/proxy-server/src/server/client_front_end.rs
@@ -4,7 +4,7 @@
 use http_proxy::clients::{ClientConnections, ClientConnectionsOptions, ShutdownPhase};
 use http_proxy::config::Config;
 use http_proxy::stall_detector::StallDetector;
-use http_proxy::transport::Handle;
+use http_proxy::transport::EngineHandle;
 use request_engine::idempotency::SharedRegistry;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 /// The parameters of [`ClientFrontEnd::create`].
 pub(super) struct ClientFrontEndOptions<'a> {
     pub(super) config: &'a Config,
-    pub(super) handle: &'a Handle,
+    pub(super) handle: &'a EngineHandle,
     pub(super) classes: ClassRegistry,
     pub(super) has_backend_list: Rc<Cell<bool>>,
     /// The idempotency registry that is shared with the external processor; `None` if that is disabled.
--- a/crates/proxy-server/src/server/discovery.rs
+++ b/crates/proxy-server/src/server/discovery.rs
@@ -5,7 +5,7 @@
 use http_proxy::config::Config;
 use http_proxy::discovery::{DiscoveryWatcher, DiscoveryWatcherOptions, ListTranslator, OnRequestDiscovery};
 use http_proxy::poll_schedule::PollSchedule;
-use http_proxy::transport::Handle;
+use http_proxy::transport::EngineHandle;
 use std::cell::{Cell, RefCell};
 use std::mem;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
         config: &mut Config,
         exclusions: Exclusions,
         subscribe_requests: mpsc::UnboundedReceiver<()>,
-        handle: &Handle,
+        handle: &EngineHandle,
     ) -> Self {
         let settings = &config.settings;
         let has_backend_list = Rc::new(Cell::new(false));
--- a/crates/proxy-server/src/server/drain.rs
+++ b/crates/proxy-server/src/server/drain.rs
@@ -3,7 +3,7 @@
 
 use balancer::api::Micros;
 use http_proxy::clients::{BacklogDrain, ClientConnections, ShutdownPhase};
-use http_proxy::transport::Handle;
+use http_proxy::transport::EngineHandle;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -33,7 +33,7 @@
 /// Drains the HTTP front end.
 pub(super) struct Drain<'a> {
     pub(super) clients: &'a Rc<ClientConnections>,
-    pub(super) handle: &'a Handle,
+    pub(super) handle: &'a EngineHandle,
     pub(super) listener: &'a TcpListener,
     pub(super) phase: &'a watch::Sender<ShutdownPhase>,
     /// The earliest time at which the stop signal may have arrived.
--- a/crates/proxy-server/src/server/engine.rs
+++ b/crates/proxy-server/src/server/engine.rs
@@ -4,7 +4,7 @@
 use external_processor::settings::Settings as ExternalProcessorSettings;
 use http_proxy::backend_pool::BackendPool;
 use http_proxy::config::Config;
-use http_proxy::transport::{Handle, ProxyTransport};
+use http_proxy::transport::{EngineHandle, ProxyTransport};
 use request_engine::driver::clock::Clock;
 use request_engine::engine::{Engine, EngineLimits};
 use request_engine::lease_events::LeaseEventQueue;
@@ -17,7 +17,7 @@
 
 /// The engine's handle, and the channel of its requests to poll discovery.
 pub(super) struct EngineParts {
-    pub(super) handle: Handle,
+    pub(super) handle: EngineHandle,
     pub(super) poll_requests: mpsc::UnboundedReceiver<()>,
 }
 
@@ -49,6 +49,6 @@
             report_by_health_check: settings.load_report_by_health_check,
             lease_events: Rc::new(LeaseEventQueue::default()),
         };
-        Ok(Self { handle: Handle::new(engine, clock, transport), poll_requests })
+        Ok(Self { handle: EngineHandle::new(engine, clock, transport), poll_requests })
     }
 }
--- a/crates/proxy-server/src/server/grpc_front_end.rs
+++ b/crates/proxy-server/src/server/grpc_front_end.rs
@@ -9,7 +9,7 @@
 use external_processor::settings::Settings as ExternalProcessorSettings;
 use http_proxy::config::Config;
 use http_proxy::log::log;
-use http_proxy::transport::{Handle, ProxyTransport};
+use http_proxy::transport::{EngineHandle, ProxyTransport};
 use request_engine::idempotency::SharedRegistry;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
         settings: &ExternalProcessorSettings,
         config: &Config,
         registry: SharedRegistry,
-        handle: &Handle,
+        handle: &EngineHandle,
     ) -> Result<Self, ServerError> {
         let limits = DecisionLimits {
             per_caller: settings.bounds.per_caller,
--- a/crates/proxy-server/src/unserved_log.rs
+++ b/crates/proxy-server/src/unserved_log.rs
@@ -2,7 +2,7 @@
 
 use balancer::api::UnservedCounts;
 use http_proxy::log::log;
-use http_proxy::transport::Handle;
+use http_proxy::transport::EngineHandle;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -11,7 +11,7 @@
 
 /// Logs the counts of requests that ended without a backend's response since the last line, by cause, until
 /// the process ends.
-pub(crate) async fn log_unserved(handle: Handle) {
+pub(crate) async fn log_unserved(handle: EngineHandle) {
     let mut logged = UnservedCounts::default();
     loop {
         sleep(LOG_INTERVAL).await;
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! The asynchronous layer: front ends call the engine through a [`Handle`], a [`Transport`] executes its
+//! The asynchronous layer: front ends call the engine through a [`EngineHandle`], a [`Transport`] executes its
 //! commands, and one task sleeps until the next timer.
 //!
 //! Everything runs on one thread, in a `LocalSet`. A front end's call runs the engine synchronously, so that
@@ -8,8 +8,8 @@
 pub mod clock;
 
 use crate::engine::{
-    AttemptEnd, Command, Counts, Engine, FinalOutcome, IncomingRequest, LeaseGrant, MessageTypes, Overload,
-    Schedule,
+    AdmissionError, AttemptCompletion, AttemptSchedule, Command, Engine, FinalOutcome, IncomingRequest,
+    LeaseGrant, MessageTypes, RequestCounts,
 };
 use crate::lease::{LeaseError, LeaseId};
 use balancer::api::{BackendId, LearnedState, MembershipUpdate, Micros, RequestId, Settings, SettingsError};
@@ -43,13 +43,13 @@
         outbound_request: <Self::Messages as MessageTypes>::OutboundRequest,
         times: AttemptTimes,
         cancellation: Rc<CancellationSignal>,
-    ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
+    ) -> impl Future<Output = AttemptCompletion<<Self::Messages as MessageTypes>::Response>> + 'static;
 
     /// Makes a health check of a backend and returns its end.
     fn check_health(
         &self,
         backend: BackendId,
-    ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
+    ) -> impl Future<Output = AttemptCompletion<<Self::Messages as MessageTypes>::Response>> + 'static;
 
     /// Delivers a final outcome to the front end of its request.
     fn respond(
@@ -112,15 +112,15 @@
 }
 
 /// A reference-counted handle to the engine, its clock and its transport.
-pub struct Handle<T: Transport>(Rc<Inner<T>>);
+pub struct EngineHandle<T: Transport>(Rc<Inner<T>>);
 
-impl<T: Transport> Clone for Handle<T> {
+impl<T: Transport> Clone for EngineHandle<T> {
     fn clone(&self) -> Self {
         Self(Rc::clone(&self.0))
     }
 }
 
-impl<T: Transport> Handle<T> {
+impl<T: Transport> EngineHandle<T> {
     /// Takes ownership of an engine. The transport executes its commands.
     #[must_use]
     pub fn new(engine: Engine<T::Messages>, clock: Clock, transport: T) -> Self {
@@ -159,7 +159,7 @@
         &self,
         incoming: IncomingRequest<OutboundRequest<T>>,
         responder: Responder<T>,
-    ) -> Result<RequestId, Overload<Responder<T>>> {
+    ) -> Result<RequestId, AdmissionError<Responder<T>>> {
         self.with_engine(|engine, now| engine.admit(now, incoming, responder))
     }
 
@@ -172,7 +172,11 @@
     ///
     /// # Errors
     /// The lease is not active.
-    pub fn report_result(&self, lease: LeaseId, end: AttemptEnd<Response<T>>) -> Result<(), LeaseError> {
+    pub fn report_result(
+        &self,
+        lease: LeaseId,
+        end: AttemptCompletion<Response<T>>,
+    ) -> Result<(), LeaseError> {
         self.with_engine(|engine, now| engine.report_result(now, lease, end))
     }
 
@@ -224,8 +228,8 @@
 
     /// Restores the learned state of another process's balancer; see [`Engine::restore`].
     #[must_use]
-    pub fn restore(&self, state: &LearnedState) -> bool {
-        self.with_engine(|engine, now| engine.restore(now, state))
+    pub fn restore_learned_state(&self, state: &LearnedState) -> bool {
+        self.with_engine(|engine, now| engine.restore_learned_state(now, state))
     }
 
     /// The transport that executes the engine's commands.
@@ -242,7 +246,7 @@
 
     /// Totals over all requests since the start.
     #[must_use]
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> RequestCounts {
         self.0.engine.borrow().counts()
     }
 
@@ -309,7 +313,7 @@
         &self,
         attempt: AttemptId,
         backend: BackendId,
-        schedule: Schedule,
+        schedule: AttemptSchedule,
         outbound_request: OutboundRequest<T>,
     ) {
         let signal = Rc::<CancellationSignal>::default();
--- a/crates/request-engine/src/engine/attempts.rs
+++ b/crates/request-engine/src/engine/attempts.rs
@@ -2,7 +2,9 @@
 
 use super::{Engine, REPORT_GRACE, SEND_WINDOW};
 use crate::lease::{Lease, LeaseStage};
-use crate::messages::{AttemptEnd, Command, Dispatch, FinalOutcome, LeaseGrant, MessageTypes, Schedule};
+use crate::messages::{
+    AttemptCompletion, AttemptSchedule, Command, Dispatch, FinalOutcome, LeaseGrant, MessageTypes,
+};
 use crate::open_request::{Attempt, AttemptState, OpenRequest, PROXIED, UnsentAttempt};
 use crate::timers::TimerKind;
 use balancer::api::{Action, AttemptResult, BackendId, Event, Micros, Outcome, RequestId};
@@ -35,7 +37,7 @@
         now: Micros,
         request: RequestId,
         number: u16,
-        end: AttemptEnd<M::Response>,
+        end: AttemptCompletion<M::Response>,
     ) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         let Some(attempt) = open.attempts.get_mut(usize::from(number)) else { return };
@@ -94,7 +96,7 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, backend, start_by, timeout_at } => {
-                    self.start_attempt(now, request, backend, Schedule { start_by, timeout_at });
+                    self.start_attempt(now, request, backend, AttemptSchedule { start_by, timeout_at });
                 }
                 Action::Reject { request, retry_after } => {
                     self.respond(request, FinalOutcome::Rejected { retry_after });
@@ -130,7 +132,13 @@
         self.remove_if_finished(request);
     }
 
-    fn start_attempt(&mut self, now: Micros, request: RequestId, backend: BackendId, schedule: Schedule) {
+    fn start_attempt(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        backend: BackendId,
+        schedule: AttemptSchedule,
+    ) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         let attempt = open.attempts.len() as u16;
         let may_start =
@@ -167,9 +175,9 @@
         request: RequestId,
         attempt: u16,
         backend: BackendId,
-        schedule: Schedule,
+        schedule: AttemptSchedule,
     ) {
-        let Schedule { start_by, timeout_at } = schedule;
+        let AttemptSchedule { start_by, timeout_at } = schedule;
         let send_by = timeout_at.min(start_by).min(now.saturating_add(SEND_WINDOW));
         let expires_at = timeout_at.saturating_add(REPORT_GRACE);
         let stage = LeaseStage::Granted;
--- a/crates/request-engine/src/engine/events.rs
+++ b/crates/request-engine/src/engine/events.rs
@@ -2,7 +2,9 @@
 //! checks and time.
 
 use super::{DEADLINE_MARGIN, Engine, RESPONSE_MARGIN};
-use crate::messages::{AttemptEnd, Dispatch, FinalOutcome, IncomingRequest, MessageTypes, Overload};
+use crate::messages::{
+    AdmissionError, AttemptCompletion, Dispatch, FinalOutcome, IncomingRequest, MessageTypes,
+};
 use crate::open_request::OpenRequest;
 use crate::timers::TimerKind;
 use balancer::api::{
@@ -22,15 +24,15 @@
         now: Micros,
         incoming: IncomingRequest<M::OutboundRequest>,
         responder: M::Responder,
-    ) -> Result<RequestId, Overload<M::Responder>> {
+    ) -> Result<RequestId, AdmissionError<M::Responder>> {
         let now = self.monotonic(now);
         if self.open_requests.len() >= self.limits.requests {
             self.counts.overloaded += 1;
-            return Err(Overload::Requests(responder));
+            return Err(AdmissionError::Requests(responder));
         }
         if matches!(incoming.dispatch, Dispatch::Leased) && !self.leases.has_capacity() {
             self.counts.overloaded += 1;
-            return Err(Overload::Leases(responder));
+            return Err(AdmissionError::Leases(responder));
         }
         self.counts.admitted += 1;
         let id = self.allocate_request_id();
@@ -97,7 +99,7 @@
         now: Micros,
         request: RequestId,
         attempt: u16,
-        end: AttemptEnd<M::Response>,
+        end: AttemptCompletion<M::Response>,
     ) {
         let now = self.monotonic(now);
         if self.is_unfinished_proxied_attempt(request, attempt) {
@@ -151,7 +153,7 @@
 
     /// Restores the learned state of another process's balancer. Returns false, and changes nothing, if its
     /// classes or machine kinds differ from this one's.
-    pub fn restore(&mut self, now: Micros, state: &LearnedState) -> bool {
+    pub fn restore_learned_state(&mut self, now: Micros, state: &LearnedState) -> bool {
         let now = self.monotonic(now);
         self.balancer.restore(now, state)
     }
--- a/crates/request-engine/src/engine/lease_events.rs
+++ b/crates/request-engine/src/engine/lease_events.rs
@@ -2,7 +2,7 @@
 
 use super::{Engine, SESSION_LEASE_DURATION};
 use crate::lease::{Lease, LeaseError, LeaseId, LeaseStage};
-use crate::messages::{AttemptEnd, Command, MessageTypes};
+use crate::messages::{AttemptCompletion, Command, MessageTypes};
 use crate::timers::TimerKind;
 use balancer::api::{Backend, BackendId, MembershipUpdate, Micros, Outcome, Readiness};
 use rustc_hash::FxHashSet;
@@ -16,7 +16,7 @@
         &mut self,
         now: Micros,
         id: LeaseId,
-        end: AttemptEnd<M::Response>,
+        end: AttemptCompletion<M::Response>,
     ) -> Result<(), LeaseError> {
         let now = self.monotonic(now);
         self.leases.find(now, id)?;
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -15,8 +15,8 @@
 mod lease_events;
 
 pub use crate::messages::{
-    AttemptEnd, Command, Counts, Dispatch, EngineLimits, FinalOutcome, IncomingRequest, LeaseGrant,
-    MessageTypes, Overload, Schedule,
+    AdmissionError, AttemptCompletion, AttemptSchedule, Command, Dispatch, EngineLimits, FinalOutcome,
+    IncomingRequest, LeaseGrant, MessageTypes, RequestCounts,
 };
 
 use crate::lease::{LeaseCounts, Leases};
@@ -60,7 +60,7 @@
     /// Buffer reused by each call of the balancer.
     actions: Vec<Action>,
     commands: VecDeque<Command<M>>,
-    counts: Counts,
+    counts: RequestCounts,
 }
 
 impl<M: MessageTypes> Engine<M> {
@@ -90,7 +90,7 @@
             unsent_attempts: VecDeque::new(),
             actions: Vec::new(),
             commands: VecDeque::new(),
-            counts: Counts::default(),
+            counts: RequestCounts::default(),
         })
     }
 
@@ -114,19 +114,19 @@
 
     /// Number of requests that have no final outcome yet or an unfinished attempt.
     #[must_use]
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.open_requests.len()
     }
 
     /// Number of granted leases that are not settled.
     #[must_use]
-    pub fn active_leases(&self) -> usize {
+    pub fn active_lease_count(&self) -> usize {
         self.leases.len()
     }
 
     /// Number of stored timers, including those whose request or lease has ended.
     #[must_use]
-    pub fn pending_timers(&self) -> usize {
+    pub fn pending_timer_count(&self) -> usize {
         self.timers.len()
     }
 
@@ -144,8 +144,12 @@
 
     /// Totals over all requests since the start.
     #[must_use]
-    pub fn counts(&self) -> Counts {
-        Counts { ejections: self.balancer.ejections(), unserved: self.balancer.unserved(), ..self.counts }
+    pub fn counts(&self) -> RequestCounts {
+        RequestCounts {
+            ejections: self.balancer.ejections(),
+            unserved: self.balancer.unserved(),
+            ..self.counts
+        }
     }
 
     /// Totals over all leases since the start.
--- a/crates/request-engine/src/idempotency.rs
+++ b/crates/request-engine/src/idempotency.rs
@@ -16,7 +16,7 @@
 use thiserror::Error;
 
 /// Maximum length of an id or key, in bytes. Header values of the protocol are shorter.
-pub const MAX_NAME_BYTES: usize = 256;
+pub const MAX_ID_BYTES: usize = 256;
 
 /// Identifies a claim. Slots are reused, serial numbers are not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -51,8 +51,8 @@
     #[error("{0} requests are in flight or remembered, and no more can be")]
     Full(usize),
     /// An id or key is empty or too long; contains its length in bytes.
-    #[error("an id or key has 1 to {MAX_NAME_BYTES} bytes, not {0}")]
-    InvalidName(usize),
+    #[error("an id or key has 1 to {MAX_ID_BYTES} bytes, not {0}")]
+    InvalidLength(usize),
     /// The id was claimed with another key, or exactly one of the two claims has a key.
     #[error("this id was asked before with another key")]
     KeyMismatch,
@@ -60,11 +60,11 @@
 
 /// Whether a claim's request may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ExecutionEffect {
+pub enum ExecutionStatus {
     /// Nothing was executed: another request may use the key at once.
-    None,
+    NotExecuted,
     /// It was or may have been executed: the key retains this outcome.
-    Possible,
+    MayHaveExecuted,
 }
 
 /// The kind of front end that recorded a claim's final outcome.
@@ -158,8 +158,8 @@
     ) -> Result<ClaimStatus<O>, ClaimError> {
         self.remove_expired(now);
         for name in [Some(id), key].into_iter().flatten() {
-            if name.is_empty() || name.len() > MAX_NAME_BYTES {
-                return Err(ClaimError::InvalidName(name.len()));
+            if name.is_empty() || name.len() > MAX_ID_BYTES {
+                return Err(ClaimError::InvalidLength(name.len()));
             }
         }
         let key = key.map(|key| ClassKey { class, key: key.into() });
@@ -209,7 +209,7 @@
         now: Micros,
         claim: ClaimId,
         outcome: O,
-        effect: ExecutionEffect,
+        effect: ExecutionStatus,
         retention: Micros,
     ) -> bool {
         self.remove_expired(now);
@@ -221,7 +221,7 @@
         }
         entry.outcome = Some(outcome);
         self.expirations.push(Reverse((expires_at, claim)));
-        if effect == ExecutionEffect::None
+        if effect == ExecutionStatus::NotExecuted
             && let Some(key) = &entry.key
         {
             self.by_key.remove(key);
--- a/crates/request-engine/src/lease.rs
+++ b/crates/request-engine/src/lease.rs
@@ -62,13 +62,13 @@
 pub enum LeaseError {
     /// The lease was granted by another engine or by an earlier incarnation of this one.
     #[error("the lease is of another engine or of an earlier life")]
-    Foreign,
+    OtherIncarnation,
     /// This engine has not granted such a lease.
     #[error("no such lease was granted")]
     Unknown,
     /// The lease has expired.
     #[error("the lease had run out")]
-    Late,
+    Expired,
     /// The lease was settled by an earlier report.
     #[error("the lease's outcome was reported before")]
     AlreadyReported,
@@ -90,12 +90,12 @@
     /// Leases revoked because their backend was draining or removed, or because the balancer cancelled the
     /// attempt.
     pub revoked: u64,
-    /// Operations rejected with [`LeaseError::Late`].
+    /// Operations rejected with [`LeaseError::Expired`].
     pub late: u64,
     /// Operations rejected with [`LeaseError::AlreadyReported`].
     pub duplicate: u64,
-    /// Operations rejected with [`LeaseError::Foreign`].
-    pub foreign: u64,
+    /// Operations rejected with [`LeaseError::OtherIncarnation`].
+    pub other_incarnation: u64,
     /// Operations rejected with [`LeaseError::Unknown`].
     pub unknown: u64,
     /// Operations rejected with [`LeaseError::WrongState`].
@@ -204,9 +204,9 @@
     pub(crate) fn find(&mut self, now: Micros, id: LeaseId) -> Result<&mut Lease, LeaseError> {
         if let Some(error) = self.find_error(now, id) {
             match error {
-                LeaseError::Foreign => self.counts.foreign += 1,
+                LeaseError::OtherIncarnation => self.counts.other_incarnation += 1,
                 LeaseError::Unknown => self.counts.unknown += 1,
-                LeaseError::Late => self.counts.late += 1,
+                LeaseError::Expired => self.counts.late += 1,
                 LeaseError::AlreadyReported => self.counts.duplicate += 1,
                 LeaseError::WrongState => self.counts.wrong_state += 1,
             }
@@ -217,18 +217,18 @@
 
     fn find_error(&self, now: Micros, id: LeaseId) -> Option<LeaseError> {
         if id.incarnation != self.incarnation {
-            return Some(LeaseError::Foreign);
+            return Some(LeaseError::OtherIncarnation);
         }
         if id.serial == 0 || id.serial >= self.next_serial {
             return Some(LeaseError::Unknown);
         }
         if let Some(lease) = self.active.get(&id.serial) {
             // The time decides: the timer of an expired lease may not have been handled yet.
-            return (now >= lease.expires_at).then_some(LeaseError::Late);
+            return (now >= lease.expires_at).then_some(LeaseError::Expired);
         }
         let settled = self.settled[id.serial as usize % SETTLED_HISTORY_LENGTH];
         let is_duplicate = settled.serial == id.serial && settled.settlement == Settlement::Reported;
-        Some(if is_duplicate { LeaseError::AlreadyReported } else { LeaseError::Late })
+        Some(if is_duplicate { LeaseError::AlreadyReported } else { LeaseError::Expired })
     }
 
     /// Settles a lease by its holder's report; returns `None` if the lease is not active.
--- a/crates/request-engine/src/lease/tests.rs
+++ b/crates/request-engine/src/lease/tests.rs
@@ -25,17 +25,20 @@
     assert_eq!(leases.find(10, first).err(), Some(LeaseError::AlreadyReported));
     assert_eq!(
         leases.find(100, second).err(),
-        Some(LeaseError::Late),
+        Some(LeaseError::Expired),
         "expired by the clock before its timer"
     );
     assert!(matches!(leases.expire(100, second.serial), Ok(Some(_))));
-    assert_eq!(leases.find(100, second).err(), Some(LeaseError::Late));
-    assert_eq!(leases.find(10, LeaseId { incarnation: 8, ..first }).err(), Some(LeaseError::Foreign));
+    assert_eq!(leases.find(100, second).err(), Some(LeaseError::Expired));
+    assert_eq!(
+        leases.find(10, LeaseId { incarnation: 8, ..first }).err(),
+        Some(LeaseError::OtherIncarnation)
+    );
     assert_eq!(leases.find(10, LeaseId { serial: 3, ..first }).err(), Some(LeaseError::Unknown));
     assert_eq!(leases.find(10, LeaseId { serial: 0, ..first }).err(), Some(LeaseError::Unknown));
     let counts = leases.counts;
     assert_eq!((counts.granted, counts.reported, counts.expired), (2, 1, 1));
-    assert_eq!((counts.late, counts.duplicate, counts.foreign, counts.unknown), (2, 1, 1, 2));
+    assert_eq!((counts.late, counts.duplicate, counts.other_incarnation, counts.unknown), (2, 1, 1, 2));
 }
 
 #[test]
@@ -50,7 +53,7 @@
     assert_eq!((leases.len(), leases.settled.len()), (0, SETTLED_HISTORY_LENGTH));
     assert_eq!(
         leases.find(10, first).err(),
-        Some(LeaseError::Late),
+        Some(LeaseError::Expired),
         "no longer in the history, and still not active"
     );
 }
--- a/crates/request-engine/src/lease_events.rs
+++ b/crates/request-engine/src/lease_events.rs
@@ -23,7 +23,7 @@
     /// The client must not start an attempt under this lease any more.
     Revoked(RequestHandle, LeaseId),
     /// The request has its final outcome.
-    Completed(RequestHandle, FinalOutcome<()>),
+    RequestCompleted(RequestHandle, FinalOutcome<()>),
 }
 
 /// Events that the front end has not handled yet, oldest first.
--- a/crates/request-engine/src/messages.rs
+++ b/crates/request-engine/src/messages.rs
@@ -65,7 +65,7 @@
 
 /// The end of an attempt or a health check.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AttemptEnd<R> {
+pub struct AttemptCompletion<R> {
     /// The outcome that the balancer receives.
     pub outcome: Outcome,
     /// The response of a proxied attempt whose outcome is [`Outcome::Ok`].
@@ -77,7 +77,7 @@
     pub client_wait: Micros,
 }
 
-impl<R> From<Outcome> for AttemptEnd<R> {
+impl<R> From<Outcome> for AttemptCompletion<R> {
     fn from(outcome: Outcome) -> Self {
         Self { outcome, response: None, load_report: Vec::new(), client_wait: 0 }
     }
@@ -102,7 +102,7 @@
 
 /// The latest start and the time limit of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Schedule {
+pub struct AttemptSchedule {
     /// The attempt must not start at or after this time, microseconds; `Micros::MAX`: no limit.
     pub start_by: Micros,
     /// Time limit at which an unfinished attempt is aborted, microseconds.
@@ -122,7 +122,7 @@
         /// The backend to send the request to.
         backend: BackendId,
         /// The latest start and the time limit of the attempt.
-        schedule: Schedule,
+        schedule: AttemptSchedule,
         /// The request to send.
         outbound_request: M::OutboundRequest,
     },
@@ -184,7 +184,7 @@
 /// The engine's limit at which a request was not admitted, with the request's responder. No attempt was made,
 /// so the front end may reject the request.
 #[derive(Debug, Error)]
-pub enum Overload<R> {
+pub enum AdmissionError<R> {
     /// [`EngineLimits::requests`] is reached.
     #[error("too many requests are open")]
     Requests(R),
@@ -195,7 +195,7 @@
 
 /// Totals over all requests since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Requests admitted.
     pub admitted: u64,
     /// Requests not admitted because one of the [`EngineLimits`] was reached.
--- a/crates/request-engine/tests/edge_cases.rs
+++ b/crates/request-engine/tests/edge_cases.rs
@@ -31,7 +31,7 @@
     // fails without a retry.
     harness.advance_time(grant.timeout_at + REPORT_GRACE - harness.now);
     assert_eq!(harness.clients[&client].outcome, Some(FinalOutcome::Failed));
-    assert_eq!(harness.finish_attempt((client, 0), Outcome::Ok), Err(LeaseError::Late));
+    assert_eq!(harness.finish_attempt((client, 0), Outcome::Ok), Err(LeaseError::Expired));
     assert_eq!(harness.clients[&client].attempts.len(), 1);
     assert_eq!((harness.engine.lease_counts().late, harness.engine.lease_counts().expired), (1, 1));
     harness.finish();
@@ -42,7 +42,7 @@
     let mut harness = ten_backends();
     let (client, grant) = harness.submit_leased(0);
     harness.now = grant.expect("a lease").timeout_at + REPORT_GRACE;
-    assert_eq!(harness.finish_attempt((client, 0), Outcome::Ok), Err(LeaseError::Late));
+    assert_eq!(harness.finish_attempt((client, 0), Outcome::Ok), Err(LeaseError::Expired));
     harness.advance_time(0);
     assert_ne!(harness.clients[&client].outcome, Some(FinalOutcome::Served(None)));
     harness.finish();
@@ -72,7 +72,10 @@
     let (client, grant) = harness.submit_leased(1);
     let grant = grant.expect("a lease");
     assert_eq!(old.serial, grant.lease.serial, "only the incarnations differ");
-    assert_eq!(harness.engine.report_result(harness.now, old, Outcome::Ok.into()), Err(LeaseError::Foreign));
+    assert_eq!(
+        harness.engine.report_result(harness.now, old, Outcome::Ok.into()),
+        Err(LeaseError::OtherIncarnation)
+    );
     let unknown = LeaseId { serial: grant.lease.serial + 1, ..grant.lease };
     assert_eq!(
         harness.engine.report_result(harness.now, unknown, Outcome::Ok.into()),
@@ -80,7 +83,7 @@
     );
     assert_eq!(harness.active_lease(client), Some(grant));
     let counts = harness.engine.lease_counts();
-    assert_eq!((counts.foreign, counts.unknown), (1, 1));
+    assert_eq!((counts.other_incarnation, counts.unknown), (1, 1));
     harness.finish();
 }
 
@@ -89,9 +92,9 @@
     let mut harness = ten_backends();
     let (client, grant) = harness.submit_leased(2);
     harness.disconnect(client);
-    assert_eq!(harness.engine.active_leases(), 1, "its attempt may still run");
+    assert_eq!(harness.engine.active_lease_count(), 1, "its attempt may still run");
     harness.advance_time(grant.expect("a lease").timeout_at + REPORT_GRACE - harness.now);
-    assert_eq!((harness.engine.open_requests(), harness.engine.active_leases()), (0, 0));
+    assert_eq!((harness.engine.open_request_count(), harness.engine.active_lease_count()), (0, 0));
     assert_eq!(harness.clients[&client].outcome, None);
     harness.finish();
 }
@@ -137,15 +140,15 @@
             granted += usize::from(harness.active_lease(client).is_some());
         }
         assert!(
-            harness.engine.active_leases() <= limits.leases
-                && harness.engine.open_requests() <= limits.requests
+            harness.engine.active_lease_count() <= limits.leases
+                && harness.engine.open_request_count() <= limits.requests
         );
-        assert!(harness.engine.pending_timers() <= 2 * (limits.requests + limits.leases) + 2_048);
+        assert!(harness.engine.pending_timer_count() <= 2 * (limits.requests + limits.leases) + 2_048);
         harness.advance_time(5 * MS);
     }
     assert!(granted > 600, "{granted} leases");
     harness.advance_time(5 * SECOND);
-    assert_eq!((harness.engine.open_requests(), harness.engine.active_leases()), (0, 0));
+    assert_eq!((harness.engine.open_request_count(), harness.engine.active_lease_count()), (0, 0));
     // The backends were ejected because their leases expired, and are readmitted with their first successes.
     let mut served = 0;
     for _ in 0..2_000 {
@@ -231,7 +234,7 @@
     harness.establish((client, 0)).expect("a proxied attempt");
     assert_eq!(harness.clients[&client].outcome, Some(FinalOutcome::Served(Some(client))));
     harness.advance_time(3_600 * SECOND);
-    assert_eq!(harness.engine.open_requests(), 1, "the session is still open");
+    assert_eq!(harness.engine.open_request_count(), 1, "the session is still open");
     // The long session does not count as a failure of the backend and occupies one slot.
     let submitted = submit_until_queued(&mut harness);
     assert_eq!(
@@ -289,10 +292,10 @@
             Ok(harness.now + SESSION_LEASE_DURATION)
         );
     }
-    assert_eq!(harness.engine.active_leases(), 1);
+    assert_eq!(harness.engine.active_lease_count(), 1);
     harness.advance_time(SESSION_LEASE_DURATION);
-    assert_eq!((harness.engine.open_requests(), harness.engine.active_leases()), (0, 0));
-    assert_eq!(harness.engine.renew_session(harness.now, lease), Err(LeaseError::Late));
+    assert_eq!((harness.engine.open_request_count(), harness.engine.active_lease_count()), (0, 0));
+    assert_eq!(harness.engine.renew_session(harness.now, lease), Err(LeaseError::Expired));
     harness.finish();
 }
 
@@ -318,7 +321,7 @@
     let lease = grant.expect("a lease").lease;
     harness.engine.report_result(harness.now - 90 * MS, lease, Outcome::Ok.into()).expect("in time");
     harness.engine.advance(0);
-    assert_eq!(harness.engine.open_requests(), 0);
+    assert_eq!(harness.engine.open_request_count(), 0);
     assert!(harness.clients.contains_key(&client));
 }
 
--- a/crates/request-engine/tests/harness/mod.rs
+++ b/crates/request-engine/tests/harness/mod.rs
@@ -152,7 +152,7 @@
                 self.execute_commands();
                 Some(client)
             }
-            Err(Overload::Requests(responder) | Overload::Leases(responder)) => {
+            Err(AdmissionError::Requests(responder) | AdmissionError::Leases(responder)) => {
                 assert_eq!(responder, client, "the responder is returned");
                 self.clients.remove(&client);
                 self.execute_commands();
@@ -197,7 +197,7 @@
     pub fn finish_attempt(&mut self, key: AttemptKey, outcome: Outcome) -> Result<(), LeaseError> {
         let attempt = self.attempt(key).clone();
         let response = (outcome == Outcome::Ok && attempt.lease.is_none()).then_some(key.0);
-        let end = AttemptEnd { outcome, response, load_report: Vec::new(), client_wait: 0 };
+        let end = AttemptCompletion { outcome, response, load_report: Vec::new(), client_wait: 0 };
         // The engine receives the result first; the execution is updated before the commands are checked.
         let accepted = match attempt.lease {
             None => {
@@ -321,7 +321,7 @@
         self.advance_time(SESSION_LEASE_DURATION + 4 * SECOND);
         self.check_deadlines();
         assert_eq!(
-            (self.engine.open_requests(), self.engine.active_leases()),
+            (self.engine.open_request_count(), self.engine.active_lease_count()),
             (0, 0),
             "open requests and active leases"
         );
--- a/crates/request-engine/tests/idempotency.rs
+++ b/crates/request-engine/tests/idempotency.rs
@@ -3,7 +3,7 @@
 use balancer::api::Micros;
 use proptest::prelude::*;
 use request_engine::idempotency::{
-    ClaimError, ClaimId, ClaimStatus, ExecutionEffect, IdempotencyRegistry, MAX_NAME_BYTES,
+    ClaimError, ClaimId, ClaimStatus, ExecutionStatus, IdempotencyRegistry, MAX_ID_BYTES,
 };
 
 const RETENTION: Micros = 3_000_000;
@@ -22,8 +22,11 @@
     let in_flight = |by_key| Ok(ClaimStatus::InFlight { owner: first, since: 5, by_key });
     assert_eq!(claims.claim(6, b"a", 1, Some(b"key")), in_flight(false));
     assert_eq!(claims.claim(6, b"b", 1, Some(b"key")), in_flight(true), "another id, the same key");
-    assert!(claims.complete(10, first, 7, ExecutionEffect::Possible, RETENTION));
-    assert!(!claims.complete(11, first, 8, ExecutionEffect::Possible, RETENTION), "a second final outcome");
+    assert!(claims.complete(10, first, 7, ExecutionStatus::MayHaveExecuted, RETENTION));
+    assert!(
+        !claims.complete(11, first, 8, ExecutionStatus::MayHaveExecuted, RETENTION),
+        "a second final outcome"
+    );
     for id in [b"a", b"b"] {
         assert_eq!(claims.claim(RETENTION + 9, id, 1, Some(b"key")), Ok(ClaimStatus::Completed(7)));
     }
@@ -39,7 +42,7 @@
     let mut claims = IdempotencyRegistry::new(10);
     let first = expect_new(claims.claim(0, b"a", 1, Some(b"key")));
     expect_new(claims.claim(0, b"b", 2, Some(b"key")));
-    assert!(claims.complete(1, first, 503, ExecutionEffect::None, RETENTION));
+    assert!(claims.complete(1, first, 503, ExecutionStatus::NotExecuted, RETENTION));
     assert_eq!(
         claims.claim(2, b"a", 1, Some(b"key")),
         Ok(ClaimStatus::Completed(503)),
@@ -57,7 +60,7 @@
     let first = expect_new(claims.claim(0, b"a", 0, None));
     expect_new(claims.claim(0, b"b", 0, None));
     assert_eq!(claims.claim(0, b"c", 0, None), Err(ClaimError::Full(2)));
-    assert!(claims.complete(0, first, 1, ExecutionEffect::Possible, RETENTION));
+    assert!(claims.complete(0, first, 1, ExecutionStatus::MayHaveExecuted, RETENTION));
     assert_eq!(claims.claim(RETENTION - 1, b"c", 0, None), Err(ClaimError::Full(2)));
     assert_eq!(
         claims.claim(RETENTION - 1, b"a", 0, None),
@@ -70,8 +73,8 @@
 #[test]
 fn rejects_invalid_and_mismatched_names_without_a_claim() {
     let mut claims = IdempotencyRegistry::<u32>::new(2);
-    for (id, key) in [(&b""[..], None), (&[b'x'; MAX_NAME_BYTES + 1], None), (b"a", Some(&b""[..]))] {
-        assert!(matches!(claims.claim(0, id, 0, key), Err(ClaimError::InvalidName(_))));
+    for (id, key) in [(&b""[..], None), (&[b'x'; MAX_ID_BYTES + 1], None), (b"a", Some(&b""[..]))] {
+        assert!(matches!(claims.claim(0, id, 0, key), Err(ClaimError::InvalidLength(_))));
     }
     assert!(claims.is_empty());
     expect_new(claims.claim(0, b"a", 0, Some(b"k")));
@@ -151,7 +154,7 @@
     fn complete(&mut self, index: usize, has_run: bool, retention: Micros) -> Result<(), TestCaseError> {
         let Some(expected) = self.expected_claims.get_mut(index) else { return Ok(()) };
         self.outcome_count += 1;
-        let effect = if has_run { ExecutionEffect::Possible } else { ExecutionEffect::None };
+        let effect = if has_run { ExecutionStatus::MayHaveExecuted } else { ExecutionStatus::NotExecuted };
         prop_assert_eq!(
             self.registry.complete(self.now, expected.claim, self.outcome_count, effect, retention),
             expected.outcome.is_none()
--- a/crates/request-engine/tests/random_events.rs
+++ b/crates/request-engine/tests/random_events.rs
@@ -85,8 +85,8 @@
             let finished: Vec<_> = finished.map(|a| (a.request, a.number, a.lease)).collect();
             let Some((request, number, lease)) = pick(&finished, index) else { return };
             let before = (
-                harness.engine.open_requests(),
-                harness.engine.active_leases(),
+                harness.engine.open_request_count(),
+                harness.engine.active_lease_count(),
                 harness.engine.counts().served,
             );
             match lease {
@@ -102,8 +102,8 @@
             assert_eq!(
                 before,
                 (
-                    harness.engine.open_requests(),
-                    harness.engine.active_leases(),
+                    harness.engine.open_request_count(),
+                    harness.engine.active_lease_count(),
                     harness.engine.counts().served
                 )
             );
--- a/crates/testbed/src/callers/processor.rs
+++ b/crates/testbed/src/callers/processor.rs
@@ -5,7 +5,7 @@
 use crate::cost::{CostError, Intermediary, discovery, wait_until_up};
 use external_processor::settings::Settings;
 use http_proxy::config::Config;
-use http_proxy::transport::Handle;
+use http_proxy::transport::EngineHandle;
 use proxy_server::server::{self, BoundAddresses, FrontEnds};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -101,7 +101,7 @@
             let stop = async {
                 let _ = stopped.await;
             };
-            let started = move |_: &Handle, bound| {
+            let started = move |_: &EngineHandle, bound| {
                 let _ = address_sender.send(bound);
             };
             let served = LocalSet::new().block_on(&runtime, server::serve(front_ends, stop, None, started));
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -4,7 +4,7 @@
 use crate::script::Script;
 use http_proxy::config::Config;
 use proxy_server::server::{self, BoundAddresses};
-use request_engine::engine::Counts;
+use request_engine::engine::RequestCounts;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, mpsc};
@@ -24,7 +24,7 @@
 const MAX_SOCKETS: usize = 4_096;
 
 /// Concurrency limit and requests in flight for each ready backend, and the counters of the proxy.
-type SharedStatus = Arc<Mutex<(Vec<(f64, u32)>, Counts)>>;
+type SharedStatus = Arc<Mutex<(Vec<(f64, u32)>, RequestCounts)>>;
 
 /// A proxy that runs on its own thread.
 pub(super) struct Proxy {
@@ -57,7 +57,7 @@
         let config = Config::parse(config.to_string().as_bytes(), |_| None).map_err(|e| e.to_string())?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        let started = move |handle: &http_proxy::transport::Handle, bound: BoundAddresses| {
+        let started = move |handle: &http_proxy::transport::EngineHandle, bound: BoundAddresses| {
             let _ = address_sender.send(bound.clients);
             let handle = handle.clone();
             tokio::task::spawn_local(async move {
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -14,7 +14,7 @@
 use crate::spread::{self, Spread};
 use balancer::api::{Backend, MembershipUpdate, Micros, Outcome, RequestId, SettingsError};
 use processes::Process;
-use request_engine::engine::{Counts, Engine, EngineLimits, MessageTypes};
+use request_engine::engine::{Engine, EngineLimits, MessageTypes, RequestCounts};
 use request_engine::lease::{LeaseCounts, LeaseId};
 use rustc_hash::FxHashMap;
 use settings::parse_settings;
@@ -51,7 +51,7 @@
     /// Load of backends that were warming up; `None` where no backend started during the scenario.
     pub cold: Option<SlowStartLoad>,
     /// Request counters, summed over all engines, including those of ended processes.
-    pub counts: Counts,
+    pub counts: RequestCounts,
     /// Lease counters, summed in the same way.
     pub leases: LeaseCounts,
     /// Number of requests and leases still open at the end; 0 unless an engine failed to end some.
@@ -170,7 +170,7 @@
     let mut open_at_end = 0;
     for engine in &simulation.proxies {
         totals.add(engine.counts(), engine.lease_counts());
-        open_at_end += engine.open_requests() + engine.active_leases();
+        open_at_end += engine.open_request_count() + engine.active_lease_count();
     }
     let observations = simulation.log.in_order();
     Ok(Report {
@@ -199,12 +199,12 @@
 /// Counters summed over engines.
 #[derive(Default)]
 struct EngineTotals {
-    counts: Counts,
+    counts: RequestCounts,
     leases: LeaseCounts,
 }
 
 impl EngineTotals {
-    fn add(&mut self, counts: Counts, leases: LeaseCounts) {
+    fn add(&mut self, counts: RequestCounts, leases: LeaseCounts) {
         self.counts.admitted += counts.admitted;
         self.counts.overloaded += counts.overloaded;
         self.counts.served += counts.served;
@@ -221,7 +221,7 @@
         self.leases.revoked += leases.revoked;
         self.leases.late += leases.late;
         self.leases.duplicate += leases.duplicate;
-        self.leases.foreign += leases.foreign;
+        self.leases.other_incarnation += leases.other_incarnation;
         self.leases.unknown += leases.unknown;
         self.leases.wrong_state += leases.wrong_state;
     }
--- a/crates/testbed/src/virtual_time/proxies.rs
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -3,7 +3,7 @@
 use super::{Attempt, Event, MAX_SLOW_SEND_DELAY, SEND_DELAY, Simulation};
 use crate::invariant_checker::{Observation, ResponseKind};
 use balancer::api::{BackendId, Micros, Outcome, RequestId};
-use request_engine::engine::{AttemptEnd, Command, FinalOutcome, LeaseGrant};
+use request_engine::engine::{AttemptCompletion, Command, FinalOutcome, LeaseGrant};
 
 impl Simulation<'_> {
     pub(super) fn run_commands(&mut self, proxy: usize) {
@@ -93,7 +93,7 @@
         if attempt.incarnation != self.processes[proxy].incarnation || !self.processes[proxy].is_running() {
             return;
         }
-        let attempt_end = AttemptEnd {
+        let attempt_end = AttemptCompletion {
             outcome,
             response: (outcome == Outcome::Ok).then_some(()),
             load_report: Vec::new(),
--- a/crates/testbed/src/virtual_time/requests.rs
+++ b/crates/testbed/src/virtual_time/requests.rs
@@ -3,7 +3,7 @@
 use super::{Event, START, Simulation};
 use crate::invariant_checker::{Observation, ResponseKind};
 use balancer::api::Outcome;
-use request_engine::engine::{Dispatch, IncomingRequest, Overload};
+use request_engine::engine::{AdmissionError, Dispatch, IncomingRequest};
 
 impl Simulation<'_> {
     pub(super) fn schedule_request(&mut self, index: usize) {
@@ -42,7 +42,7 @@
             is_retry: false,
             dispatch: if is_leased { Dispatch::Leased } else { Dispatch::Proxied(client) },
         };
-        if let Err(Overload::Requests(client) | Overload::Leases(client)) =
+        if let Err(AdmissionError::Requests(client) | AdmissionError::Leases(client)) =
             self.proxies[proxy].admit(self.now, arrival, client)
         {
             self.log
