--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -18,7 +18,7 @@
 const CONFIGURATION_FINGERPRINT: u64 = 0x51ab_0000_0000_0007;
 
 fn golden() -> GoldenFiles {
-    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+    GoldenFiles::for_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
 fn directory(test: &str) -> PathBuf {
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -16,7 +16,7 @@
 const LENGTH_PREFIX_BYTES: usize = 4;
 
 fn golden() -> GoldenFiles {
-    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+    GoldenFiles::for_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
 fn version(revision: u64) -> Version {
--- a/crates/external-processor/tests/golden.rs
+++ b/crates/external-processor/tests/golden.rs
@@ -37,7 +37,7 @@
 "#;
 
 fn golden() -> GoldenFiles {
-    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+    GoldenFiles::for_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
 /// The descriptors contain the names and numbers of all packages, services, methods, messages and fields.
--- a/crates/golden-files/src/lib.rs
+++ b/crates/golden-files/src/lib.rs
@@ -20,7 +20,7 @@
 impl GoldenFiles {
     /// The golden files of the crate with this manifest directory (`env!("CARGO_MANIFEST_DIR")`).
     #[must_use]
-    pub fn of_crate(manifest_dir: &str) -> Self {
+    pub fn for_crate(manifest_dir: &str) -> Self {
         Self { directory: Path::new(manifest_dir).join("tests").join("golden") }
     }
 
--- a/crates/http-proxy/src/class_registry/tests.rs
+++ b/crates/http-proxy/src/class_registry/tests.rs
@@ -75,7 +75,7 @@
         let first = settings(&[previous]);
         let mut classes = ClassRegistry::default();
         classes.update(0, &first, indices.named());
-        let second = indices.renew(&first, &settings(&[current]), &names).expect("good settings");
+        let second = indices.reload(&first, &settings(&[current]), &names).expect("good settings");
         classes.update(100, &second, indices.named());
         let applied = |classes: &ClassRegistry, at| {
             let class = classes.find(at, "lift", &Method::POST, true).expect("a class");
@@ -85,7 +85,7 @@
         assert_eq!(applied(&classes, 100), keyed(DedupScope::Cell, 5), "{previous:?} {current:?}");
         assert_eq!(applied(&classes, grace_end), current, "{previous:?} {current:?}");
         // The same settings, which a second reload signal applies once more, change nothing.
-        let third = indices.renew(&second, &settings(&[current]), &names).expect("good settings");
+        let third = indices.reload(&second, &settings(&[current]), &names).expect("good settings");
         classes.update(200, &third, indices.named());
         assert_eq!(third.classes, second.classes);
         assert_eq!(applied(&classes, grace_end - 1), keyed(DedupScope::Cell, 5), "{previous:?} {current:?}");
--- a/crates/http-proxy/src/client_connection.rs
+++ b/crates/http-proxy/src/client_connection.rs
@@ -147,7 +147,7 @@
     /// The earliest moment at which the bytes that were just read may have arrived.
     fn earliest_arrival(&self, stream: &TcpStream) -> Instant {
         let now = Instant::now();
-        let earliest = self.stall_detector.earliest(now);
+        let earliest = self.stall_detector.earliest_event_time(now);
         if self.had_response.get() {
             return earliest;
         }
--- a/crates/http-proxy/src/clients.rs
+++ b/crates/http-proxy/src/clients.rs
@@ -10,7 +10,7 @@
 mod read_request;
 mod serve;
 
-pub use accept::BacklogDrain;
+pub use accept::AcceptQueueResult;
 
 use crate::body::MemoryBudget;
 use crate::class_registry::ClassRegistry;
@@ -62,7 +62,7 @@
     pub max_connections: usize,
     /// The maximum total size of buffered request bodies that exceed
     /// [`MAX_BUFFERED_BODY_BYTES`](crate::size_limits::MAX_BUFFERED_BODY_BYTES), in bytes.
-    pub large_body_bytes: usize,
+    pub large_body_budget_bytes: usize,
     /// The idempotency registry that is shared with the gRPC front end; `None` without such a front end.
     pub idempotency_registry: Option<idempotency::SharedRegistry>,
     /// Bounds how long ago the bytes that are read now may have arrived.
@@ -107,11 +107,11 @@
             open_connections: Cell::new(0),
             connection_closed: Notify::new(),
             connections: RefCell::default(),
-            large_body_budget: MemoryBudget::new(options.large_body_bytes),
-            max_large_body_bytes: options.large_body_bytes / LARGE_BODY_BUDGET_DIVISOR,
+            large_body_budget: MemoryBudget::new(options.large_body_budget_bytes),
+            max_large_body_bytes: options.large_body_budget_bytes / LARGE_BODY_BUDGET_DIVISOR,
             last_accept_at: Cell::new(Instant::now()),
             stall_detector: options.stall_detector,
-            accept_failures: FailureLog::of("accept"),
+            accept_failures: FailureLog::new("accept"),
             open_request_ids: RefCell::default(),
             idempotency_registry: options.idempotency_registry,
         })
@@ -119,7 +119,7 @@
 
     /// The number of open connections.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
--- a/crates/http-proxy/src/clients/accept.rs
+++ b/crates/http-proxy/src/clients/accept.rs
@@ -17,7 +17,7 @@
 
 /// The result of accepting everything in the listener's accept queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BacklogDrain {
+pub enum AcceptQueueResult {
     /// The queue was empty, or the limit of connections is reached.
     Empty,
     /// The queue contained connections, which are served now.
@@ -41,8 +41,8 @@
                 Ok((stream, _)) => self.spawn_connection(stream),
                 // Descriptors are exhausted, or the client has already disconnected.
                 Err(error) => {
-                    self.accept_failures.note(&error);
-                    if retry::is_exhausted(&error) {
+                    self.accept_failures.record(&error);
+                    if retry::is_resource_exhausted(&error) {
                         // A temporary lack of system resources is no reason to evict connections that were
                         // just accepted.
                         self.evict_one(EvictionClass::HeadOverdue);
@@ -61,19 +61,19 @@
 
     /// Accepts the connections in the kernel's accept queue, up to the limit of connections, whether or not
     /// the runtime has polled the listener.
-    pub fn drain_backlog(self: &Rc<Self>, listener: &TcpListener) -> BacklogDrain {
-        let mut drain = BacklogDrain::Empty;
+    pub fn accept_queued(self: &Rc<Self>, listener: &TcpListener) -> AcceptQueueResult {
+        let mut drain = AcceptQueueResult::Empty;
         while self.open_connections.get() < self.max_connections.get() {
             match accept_now(listener) {
                 Ok(stream) => {
-                    drain = BacklogDrain::Accepted;
+                    drain = AcceptQueueResult::Accepted;
                     self.spawn_connection(stream);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 // The queue may contain connections behind the failed one.
                 Err(error) => {
-                    self.accept_failures.note(&error);
-                    return BacklogDrain::Failed;
+                    self.accept_failures.record(&error);
+                    return AcceptQueueResult::Failed;
                 }
             }
         }
--- a/crates/http-proxy/src/config.rs
+++ b/crates/http-proxy/src/config.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use settings::parse_settings;
-use settings::reload::{ReloadError, has_all_keys};
+use settings::reload::{ReloadError, check_required_keys};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::{env, fs, io};
@@ -69,15 +69,15 @@
     /// The names that the settings define.
     pub names: NameIndex,
     /// The content of the file without its backend list, for comparison with a reloaded one.
-    pub shape: Value,
+    pub document_without_list: Value,
     /// The time limit for connecting to a backend, in microseconds.
     pub connect_timeout: Micros,
     /// The maximum number of open client connections.
-    pub client_sockets: usize,
+    pub max_client_connections: usize,
     /// The maximum number of open backend connections, including idle ones.
-    pub backend_sockets: usize,
+    pub max_backend_connections: usize,
     /// The maximum total size of buffered request bodies that exceed [`MAX_BUFFERED_BODY_BYTES`], in bytes.
-    pub large_body_bytes: usize,
+    pub large_body_budget_bytes: usize,
 }
 
 #[derive(Deserialize)]
@@ -155,14 +155,14 @@
     }
 
     /// Reads the file whose path is in `EDGE_CONFIG`, to replace a configuration with this
-    /// [`shape`](Config::shape).
+    /// [`document_without_list`](Config::document_without_list).
     ///
     /// # Errors
     /// The text names, in one line, what is missing or invalid, or a key that the replaced configuration has
     /// and this one lacks.
-    pub fn reload(shape: &Value) -> Result<Self, ConfigError> {
+    pub fn reload(document: &Value) -> Result<Self, ConfigError> {
         let config = Self::from_env()?;
-        has_all_keys(shape, &config.shape).map_err(ConfigError::Reload)?;
+        check_required_keys(document, &config.document_without_list).map_err(ConfigError::Reload)?;
         Ok(config)
     }
 
@@ -181,9 +181,10 @@
     /// # Errors
     /// What is missing or invalid, in one line.
     pub fn parse(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let mut shape: Value = serde_json::from_slice(text).map_err(ConfigError::Malformed)?;
+        let mut document_without_list: Value =
+            serde_json::from_slice(text).map_err(ConfigError::Malformed)?;
         let raw: RawConfig = serde_json::from_slice(text).map_err(ConfigError::Malformed)?;
-        if let Some(known_backends) = shape.get_mut("known") {
+        if let Some(known_backends) = document_without_list.get_mut("known") {
             *known_backends = Value::Null;
         }
         let address = |field: &'static str, given: Option<String>, name: &str| {
@@ -208,18 +209,18 @@
                 classes: named(raw_names.classes),
                 tenants: named(raw_names.tenants),
                 zones: raw_names.failure_domains,
-                kinds: raw_names.kinds,
-                report: raw_names.load_report.fields,
+                machine_kinds: raw_names.kinds,
+                report_fields: raw_names.load_report.fields,
             },
-            shape,
+            document_without_list,
             connect_timeout: raw_names
                 .permissions
                 .dial_timeout_us
                 .filter(|&t| t > 0)
                 .unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            client_sockets: capacity.client_sockets,
-            backend_sockets: capacity.backend_sockets,
-            large_body_bytes: capacity.large_body_bytes,
+            max_client_connections: capacity.max_client_connections,
+            max_backend_connections: capacity.max_backend_connections,
+            large_body_budget_bytes: capacity.large_body_budget_bytes,
         })
     }
 }
@@ -227,9 +228,9 @@
 /// The numbers of connections and the size of buffered bodies that fit into the limits of the process.
 #[derive(Clone, Copy, Debug)]
 struct Capacity {
-    client_sockets: usize,
-    backend_sockets: usize,
-    large_body_bytes: usize,
+    max_client_connections: usize,
+    max_backend_connections: usize,
+    large_body_budget_bytes: usize,
 }
 
 impl Capacity {
@@ -243,7 +244,11 @@
         // part.
         let clients = (free * 3 / 5).min(2 * fifth / (MAX_REQUEST_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES));
         let backends = (free - free * 3 / 5).min(fifth / (MAX_RESPONSE_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES));
-        Self { client_sockets: clients.max(1), backend_sockets: backends.max(1), large_body_bytes: fifth }
+        Self {
+            max_client_connections: clients.max(1),
+            max_backend_connections: backends.max(1),
+            large_body_budget_bytes: fifth,
+        }
     }
 }
 
--- a/crates/http-proxy/src/config/tests.rs
+++ b/crates/http-proxy/src/config/tests.rs
@@ -5,10 +5,10 @@
     for (sockets, memory_mb) in [(256, 32), (1_024, 32), (1_024, 192), (65_536, 64)] {
         let limits = RawLimits { sockets: Some(sockets), memory_mb: Some(memory_mb) };
         let capacity = Capacity::new(&limits, false);
-        let (clients, backends) = (capacity.client_sockets, capacity.backend_sockets);
+        let (clients, backends) = (capacity.max_client_connections, capacity.max_backend_connections);
         let bytes = clients * (MAX_REQUEST_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES)
             + backends * (MAX_RESPONSE_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES)
-            + capacity.large_body_bytes;
+            + capacity.large_body_budget_bytes;
         assert!(bytes <= (memory_mb << 20) / 5 * 4, "{bytes} bytes with {sockets} and {memory_mb}");
         assert!(clients + backends < sockets);
     }
--- a/crates/http-proxy/src/discovery.rs
+++ b/crates/http-proxy/src/discovery.rs
@@ -33,7 +33,7 @@
 const IMMEDIATE_RESPONSE_DELAY: Duration = Duration::from_millis(50);
 
 /// What a discovery service that the complete fleet shares requires.
-pub struct OnRequestDiscovery {
+pub struct SharedDiscovery {
     /// The balancer's requests to subscribe to changes.
     pub subscribe_requests: mpsc::UnboundedReceiver<()>,
     /// The times at which this proxy may call the service.
@@ -54,7 +54,7 @@
     pub has_backend_list: Rc<Cell<bool>>,
     /// Present if discovery is a shared service; `None` for an agent on this machine, which is watched
     /// without interruption.
-    pub on_request: Option<OnRequestDiscovery>,
+    pub shared_service: Option<SharedDiscovery>,
 }
 
 /// Watches discovery and passes its lists to the engine.
@@ -64,7 +64,7 @@
     backend_list: Rc<RefCell<BackendList>>,
     handle: EngineHandle,
     has_backend_list: Rc<Cell<bool>>,
-    on_request: Option<OnRequestDiscovery>,
+    shared_service: Option<SharedDiscovery>,
     client: DiscoveryClient,
     /// The revision since which changes are requested; `None` requests a snapshot.
     revision: Option<u64>,
@@ -96,7 +96,7 @@
             backend_list: options.backend_list,
             handle: options.handle,
             has_backend_list: options.has_backend_list,
-            on_request: options.on_request,
+            shared_service: options.shared_service,
             client: DiscoveryClient::default(),
             revision: None,
             address_changed: false,
@@ -122,22 +122,24 @@
     /// In a large fleet, if the last known list is complete (even if it is empty), the next call requests the
     /// changes since that list instead of a snapshot. That call starts the watch as well; a large fleet that
     /// restarts would otherwise make more calls than its service can answer in time.
-    pub fn start_from(&mut self, known_backends: Value) {
+    pub fn set_cached_list(&mut self, known_backends: Value) {
         let list = self.translator.list(known_backends).unwrap_or_else(|error| {
             log(format_args!("cannot read the backend list `known` of the configuration: {error}"));
             DiscoveryList { revision: 0, is_complete: false, backends: Vec::new(), invalid_names: Vec::new() }
         });
         let is_ready = |named: &NamedBackend| named.listed.backend.readiness == Readiness::Ready;
         self.cached_list_is_usable = list.backends.iter().any(is_ready);
-        let is_large_fleet =
-            self.on_request.as_ref().is_some_and(|on_request| on_request.schedule.is_large_fleet());
+        let is_large_fleet = self
+            .shared_service
+            .as_ref()
+            .is_some_and(|shared_service| shared_service.schedule.is_large_fleet());
         if is_large_fleet {
             self.revision = list.is_complete.then_some(list.revision);
             self.has_backend_list.set(self.cached_list_is_usable);
         }
         self.cached_list = Some(list.backends);
         // An empty list is published as well: in response the balancer requests a subscription.
-        if self.on_request.is_some() {
+        if self.shared_service.is_some() {
             self.publish_cached_list();
         }
     }
@@ -168,8 +170,8 @@
         self.client.disconnect();
         (self.revision, self.address_changed, self.starts_watch) = (None, true, true);
         (self.is_watching, self.consecutive_failures, self.consecutive_oversized_lists) = (false, 0, 0);
-        if let Some(on_request) = &mut self.on_request {
-            on_request.schedule.address_changed();
+        if let Some(shared_service) = &mut self.shared_service {
+            shared_service.schedule.address_changed();
         }
     }
 
@@ -195,26 +197,26 @@
     }
 
     async fn wait_for_subscribe_request(&mut self) {
-        if let Some(on_request) = &mut self.on_request {
+        if let Some(shared_service) = &mut self.shared_service {
             // The engine ends only with the process.
-            if on_request.subscribe_requests.recv().await.is_none() {
+            if shared_service.subscribe_requests.recv().await.is_none() {
                 std::future::pending::<()>().await;
             }
-            while on_request.subscribe_requests.try_recv().is_ok() {}
+            while shared_service.subscribe_requests.try_recv().is_ok() {}
         }
     }
 
     async fn wait_for_slot(&mut self) {
-        let Some(on_request) = &mut self.on_request else { return };
+        let Some(shared_service) = &mut self.shared_service else { return };
         let clock = self.handle.clock();
-        let at = on_request.schedule.next_call_at(clock.now(), self.has_backend_list.get());
+        let at = shared_service.schedule.next_call_at(clock.now(), self.has_backend_list.get());
         sleep_until(clock.instant(at)).await;
-        on_request.schedule.call_started(at);
+        shared_service.schedule.call_started(at);
     }
 
     async fn call(&mut self) -> Result<DiscoveryList, DiscoveryError> {
         let call = next_call(CallState {
-            schedule: self.on_request.as_ref().map(|on_request| &on_request.schedule),
+            schedule: self.shared_service.as_ref().map(|shared_service| &shared_service.schedule),
             revision: self.revision,
             is_watching: self.is_watching,
             consecutive_failures: self.consecutive_failures,
@@ -227,8 +229,8 @@
     /// Publishes a list, and pauses if the service did not wait for changes.
     async fn on_list(&mut self, list: DiscoveryList, started_at: Micros) {
         (self.is_watching, self.consecutive_failures, self.consecutive_oversized_lists) = (true, 0, 0);
-        if let Some(on_request) = &mut self.on_request {
-            on_request.schedule.call_succeeded();
+        if let Some(shared_service) = &mut self.shared_service {
+            shared_service.schedule.call_succeeded();
         }
         let has_no_changes = !list.is_complete && list.backends.is_empty();
         self.publish(list);
@@ -271,8 +273,8 @@
         self.consecutive_oversized_lists =
             self.consecutive_oversized_lists.saturating_add(u32::from(is_oversized));
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        if let Some(on_request) = &mut self.on_request {
-            on_request.schedule.call_failed(error.as_call_failure(self.is_watching, duration));
+        if let Some(shared_service) = &mut self.shared_service {
+            shared_service.schedule.call_failed(error.as_call_failure(self.is_watching, duration));
         }
         self.client.disconnect();
         (self.starts_watch, self.is_watching) = (true, false);
@@ -290,7 +292,7 @@
             self.has_backend_list.set(true);
         }
         self.call_ended.notify_one();
-        if self.on_request.is_some() {
+        if self.shared_service.is_some() {
             if let Some(delay) = oversized_delay {
                 sleep(delay).await;
             }
--- a/crates/http-proxy/src/discovery/client.rs
+++ b/crates/http-proxy/src/discovery/client.rs
@@ -130,5 +130,8 @@
 /// Connects, and retries while this machine lacks resources: such a failure does not show that discovery is
 /// unavailable.
 async fn connect_stream(address: SocketAddr) -> io::Result<TcpStream> {
-    retry::retry(None, CONNECT_RETRY_DELAY, retry::is_local, async || TcpStream::connect(address).await).await
+    retry::retry(None, CONNECT_RETRY_DELAY, retry::is_transient_local_error, async || {
+        TcpStream::connect(address).await
+    })
+    .await
 }
--- a/crates/http-proxy/src/discovery/translator.rs
+++ b/crates/http-proxy/src/discovery/translator.rs
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn new(clock: Clock, names: &NameIndex, safety: &SafetyLimits) -> Self {
         let zones = names.zones.iter().cloned().zip(0..).collect();
-        let kinds = names.kinds.iter().cloned().zip(0..=u8::MAX).collect();
+        let kinds = names.machine_kinds.iter().cloned().zip(0..=u8::MAX).collect();
         Self {
             clock,
             zones,
--- a/crates/http-proxy/src/log.rs
+++ b/crates/http-proxy/src/log.rs
@@ -119,7 +119,7 @@
 impl FailureLog {
     /// A log without recorded failures. `kind` is the prefix of each of its lines.
     #[must_use]
-    pub const fn of(kind: &'static str) -> Self {
+    pub const fn new(kind: &'static str) -> Self {
         Self { kind, logged_at: Cell::new(None), unlogged: Cell::new(0) }
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Records a failure, and logs it unless a line of this kind was logged within the last 10 s.
-    pub fn note(&self, error: &dyn Display) {
+    pub fn record(&self, error: &dyn Display) {
         match self.count(Instant::now()) {
             Some(1) => log(format_args!("{}: {error}", self.kind)),
             Some(failures) => log(format_args!("{}: {failures} failures, the last one: {error}", self.kind)),
--- a/crates/http-proxy/src/log/tests.rs
+++ b/crates/http-proxy/src/log/tests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn logs_the_first_failure_at_once_and_later_ones_as_a_sum() {
-    let (failures, began) = (FailureLog::of("accept"), Instant::now());
+    let (failures, began) = (FailureLog::new("accept"), Instant::now());
     assert_eq!(failures.count(began), Some(1));
     let logged = (0..300).filter_map(|_| failures.count(began + Duration::from_secs(1))).count();
     assert_eq!(logged, 0);
--- a/crates/http-proxy/src/name_index.rs
+++ b/crates/http-proxy/src/name_index.rs
@@ -11,7 +11,7 @@
     /// The names of the zones.
     pub zones: Vec<String>,
     /// The names of the machine kinds.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
     /// The names of the fields of a load report.
-    pub report: Vec<String>,
+    pub report_fields: Vec<String>,
 }
--- a/crates/http-proxy/src/stall_detector.rs
+++ b/crates/http-proxy/src/stall_detector.rs
@@ -56,7 +56,7 @@
 
     /// The earliest moment at which an event that is observed at `now` may have happened.
     #[must_use]
-    pub fn earliest(&self, now: Instant) -> Instant {
+    pub fn earliest_event_time(&self, now: Instant) -> Instant {
         let last_tick = self.last_tick.get();
         if now.saturating_duration_since(last_tick) > MIN_STALL_DURATION {
             return last_tick;
--- a/crates/http-proxy/tests/golden.rs
+++ b/crates/http-proxy/tests/golden.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 fn golden() -> GoldenFiles {
-    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+    GoldenFiles::for_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
 fn parse(text: &[u8]) -> Config {
@@ -33,12 +33,12 @@
         names.classes,
         names.tenants,
         names.zones,
-        names.kinds,
-        names.report,
+        names.machine_kinds,
+        names.report_fields,
         config.connect_timeout,
-        config.client_sockets,
-        config.backend_sockets,
-        config.large_body_bytes
+        config.max_client_connections,
+        config.max_backend_connections,
+        config.large_body_budget_bytes
     )
 }
 
--- a/crates/proxy-server/src/admin_handler.rs
+++ b/crates/proxy-server/src/admin_handler.rs
@@ -69,7 +69,7 @@
             clock: context.handle.clock(),
             context,
             status: RefCell::default(),
-            persist_failures: FailureLog::of("a change of exclusions is in force but not persisted"),
+            persist_failures: FailureLog::new("a change of exclusions is in force but not persisted"),
         };
         admin_handler.update_status();
         Rc::new(admin_handler)
--- a/crates/proxy-server/src/admin_handler/peers.rs
+++ b/crates/proxy-server/src/admin_handler/peers.rs
@@ -41,7 +41,7 @@
             if self.context.state.has_unpersisted_changes()
                 && let Err(error) = self.persist_changes().await
             {
-                self.persist_failures.note(&error);
+                self.persist_failures.record(&error);
             }
         }
     }
--- a/crates/proxy-server/src/config_reload.rs
+++ b/crates/proxy-server/src/config_reload.rs
@@ -57,8 +57,8 @@
         configuration_fingerprint.set(learning_fingerprint(&classes, &config.names));
         let longest_deadline = Rc::new(Cell::new(longest_deadline(&classes, &config.settings)));
         Ok(Self {
-            initial_document: config.shape.clone(),
-            document: config.shape.clone(),
+            initial_document: config.document_without_list.clone(),
+            document: config.document_without_list.clone(),
             settings: config.settings.clone(),
             classes,
             names: config.names.clone(),
@@ -114,7 +114,7 @@
     fn reload(&mut self, clients: &ClientConnections) -> Result<SocketAddr, ConfigError> {
         let config = Config::reload(&self.document)?;
         let mut classes = self.classes.clone();
-        let settings = classes.renew(&self.settings, &config.settings, &config.names.classes);
+        let settings = classes.reload(&self.settings, &config.settings, &config.names.classes);
         let settings = settings.map_err(ConfigError::Reload)?;
         self.handle.update_settings(&settings).map_err(ConfigError::Settings)?;
         self.handle
@@ -125,7 +125,7 @@
         self.longest_deadline.set(longest_deadline(&classes, &settings));
         self.fingerprint.set(learning_fingerprint(&classes, &self.names));
         self.log_changes(&config, &settings, &classes);
-        (self.classes, self.settings, self.document) = (classes, settings, config.shape);
+        (self.classes, self.settings, self.document) = (classes, settings, config.document_without_list);
         Ok(config.discovery)
     }
 
@@ -135,7 +135,7 @@
             let attempts = settings.permissions.max_attempts;
             log(format_args!("settings in force: classes {}; {attempts} attempts", names.join(" ")));
         }
-        let unapplied = restart_only_keys(&self.initial_document, &config.shape);
+        let unapplied = restart_only_keys(&self.initial_document, &config.document_without_list);
         if !unapplied.is_empty() {
             log(format_args!("settings that require a restart were not applied: {}", unapplied.join(" ")));
         }
@@ -154,7 +154,7 @@
 /// indices, machine kinds and zones.
 fn learning_fingerprint(classes: &ClassIndices, names: &NameIndex) -> u64 {
     let classes = classes.named().flat_map(|(index, name)| [index.to_string(), name.to_owned()]);
-    let kinds_and_zones = [&names.kinds, &names.zones]
+    let kinds_and_zones = [&names.machine_kinds, &names.zones]
         .into_iter()
         .flat_map(|list| std::iter::once(String::new()).chain(list.iter().cloned()));
     let texts: Vec<String> = classes.chain(kinds_and_zones).collect();
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -95,13 +95,13 @@
 }
 
 fn is_transient_config_error(error: &ConfigError) -> bool {
-    matches!(error, ConfigError::Unreadable(_, error) if retry::is_of_disk(error))
+    matches!(error, ConfigError::Unreadable(_, error) if retry::is_transient_file_error(error))
 }
 
 fn serve(external_processor: Option<&Path>) -> Result<(), ProgramError> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     builder.max_blocking_threads(DISK_THREADS).thread_stack_size(DISK_THREAD_STACK_BYTES);
-    let runtime = retry_at_startup(|| builder.enable_all().build(), retry::is_local)?;
+    let runtime = retry_at_startup(|| builder.enable_all().build(), retry::is_transient_local_error)?;
     let result = LocalSet::new().block_on(&runtime, async {
         let Signals { mut stop, reload } = Signals::install()?;
         let stop = async move {
@@ -133,7 +133,7 @@
     );
     println!(
         "  at most {} connections from clients and {} to backends, {} bytes of large bodies",
-        config.client_sockets, config.backend_sockets, config.large_body_bytes
+        config.max_client_connections, config.max_backend_connections, config.large_body_budget_bytes
     );
     if let Some((path, settings)) = external_processor {
         let bounds = &settings.bounds;
--- a/crates/proxy-server/src/persistence.rs
+++ b/crates/proxy-server/src/persistence.rs
@@ -89,7 +89,7 @@
             log(format_args!("excluded backends at start: {ids}"));
         }
         let acquire = || InstanceSlot::acquire(directory, name);
-        let instance_slot = retry::until(end, retry::is_of_disk, acquire).await?;
+        let instance_slot = retry::retry_until(end, retry::is_transient_file_error, acquire).await?;
         let state = Self {
             store,
             last_read: Cell::new(last_read),
@@ -99,8 +99,8 @@
             snapshot: Rc::new(SnapshotFile::new(directory, name)),
             configuration_fingerprint,
             is_writing_snapshot: Rc::default(),
-            snapshot_failures: Rc::new(FailureLog::of("learned limits were not persisted")),
-            read_failures: FailureLog::of("exclusions were not reloaded"),
+            snapshot_failures: Rc::new(FailureLog::new("learned limits were not persisted")),
+            read_failures: FailureLog::new("exclusions were not reloaded"),
         };
         Ok(OpenedState { state, exclusions })
     }
@@ -176,7 +176,7 @@
                 if matches!(error, StoreError::Damaged(..)) {
                     self.last_read.set(version);
                 }
-                self.read_failures.note(&error);
+                self.read_failures.record(&error);
                 None
             }
         }
@@ -195,7 +195,7 @@
         let failures = Rc::clone(&self.snapshot_failures);
         tokio::task::spawn_local(async move {
             if let Err(error) = snapshot.write(configuration_fingerprint, now, learned).await {
-                failures.note(&error);
+                failures.record(&error);
             }
             is_writing.set(false);
         });
@@ -214,7 +214,7 @@
 /// process starts without exclusions, and reads the file at a later poll.
 async fn load_with_retry(store: &ExclusionStore, end: Instant) -> InitialExclusions {
     let is_transient = |(error, _): &(StoreError, LastRead)| match error {
-        StoreError::Io(_, error) => retry::is_of_disk(error),
+        StoreError::Io(_, error) => retry::is_transient_file_error(error),
         _ => false,
     };
     let load = async || {
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -154,7 +154,10 @@
                 handle: handle.clone(),
                 listener: Rc::clone(&listener.socket),
                 clients: Rc::clone(&client_front_end.connections),
-                limits: ConnectionLimits { clients: config.client_sockets, backends: config.backend_sockets },
+                limits: ConnectionLimits {
+                    clients: config.max_client_connections,
+                    backends: config.max_backend_connections,
+                },
             })
         });
         let console = console::open(&config, admin_handler.as_ref()).await?;
@@ -212,7 +215,7 @@
             listener: &self.listener.socket,
             phase: &self.client_front_end.phase,
             // If this process was stalled, the signal may have arrived at any moment of the stall.
-            stop_requested_at: self.listener.stall_detector.earliest(Instant::now()),
+            stop_requested_at: self.listener.stall_detector.earliest_event_time(Instant::now()),
             longest_deadline,
         };
         match &self.grpc_front_end {
--- a/crates/proxy-server/src/server/client_front_end.rs
+++ b/crates/proxy-server/src/server/client_front_end.rs
@@ -39,8 +39,8 @@
             names: &config.names,
             has_backend_list,
             phase: phases,
-            max_connections: config.client_sockets,
-            large_body_bytes: config.large_body_bytes,
+            max_connections: config.max_client_connections,
+            large_body_budget_bytes: config.large_body_budget_bytes,
             idempotency_registry: registry,
             stall_detector,
         });
--- a/crates/proxy-server/src/server/discovery.rs
+++ b/crates/proxy-server/src/server/discovery.rs
@@ -3,7 +3,7 @@
 use admin::exclusions::Exclusions;
 use http_proxy::backend_list::BackendList;
 use http_proxy::config::Config;
-use http_proxy::discovery::{DiscoveryWatcher, DiscoveryWatcherOptions, ListTranslator, OnRequestDiscovery};
+use http_proxy::discovery::{DiscoveryWatcher, DiscoveryWatcherOptions, ListTranslator, SharedDiscovery};
 use http_proxy::poll_schedule::PollSchedule;
 use http_proxy::transport::EngineHandle;
 use std::cell::{Cell, RefCell};
@@ -36,7 +36,7 @@
         let has_backend_list = Rc::new(Cell::new(false));
         let translator = ListTranslator::new(handle.clock(), &config.names, &settings.safety);
         let (address_sender, addresses) = watch::channel(config.discovery);
-        let on_request = settings.discovery_on_request.then(|| OnRequestDiscovery {
+        let shared_service = settings.discovery_on_request.then(|| SharedDiscovery {
             subscribe_requests,
             schedule: PollSchedule::new(
                 settings.instance_index,
@@ -51,9 +51,9 @@
             backend_list: Rc::clone(&backend_list),
             handle: handle.clone(),
             has_backend_list: Rc::clone(&has_backend_list),
-            on_request,
+            shared_service,
         });
-        watcher.start_from(mem::take(&mut config.known_backends));
+        watcher.set_cached_list(mem::take(&mut config.known_backends));
         Self { watcher, backend_list, has_backend_list, address_sender }
     }
 }
--- a/crates/proxy-server/src/server/drain.rs
+++ b/crates/proxy-server/src/server/drain.rs
@@ -2,7 +2,7 @@
 //! completed within a bounded time.
 
 use balancer::api::Micros;
-use http_proxy::clients::{BacklogDrain, ClientConnections, ShutdownPhase};
+use http_proxy::clients::{AcceptQueueResult, ClientConnections, ShutdownPhase};
 use http_proxy::transport::EngineHandle;
 use std::rc::Rc;
 use std::time::Duration;
@@ -70,17 +70,17 @@
     /// Waits until all connections are closed and the listener's queue is empty, at most until `end`.
     async fn close_connections(&self, end: Instant) {
         loop {
-            while self.clients.open() > 0 {
+            while self.clients.open_connections() > 0 {
                 if timeout_at(end, self.clients.connection_closed()).await.is_err() {
                     return;
                 }
             }
             // The kernel resets connections in the listener's queue when the process exits. After this check,
             // only those are lost that the kernel completes between the check and the exit.
-            match self.clients.drain_backlog(self.listener) {
-                BacklogDrain::Accepted => {}
-                BacklogDrain::Failed if Instant::now() < end => sleep(ACCEPT_RETRY_DELAY).await,
-                BacklogDrain::Empty | BacklogDrain::Failed => return,
+            match self.clients.accept_queued(self.listener) {
+                AcceptQueueResult::Accepted => {}
+                AcceptQueueResult::Failed if Instant::now() < end => sleep(ACCEPT_RETRY_DELAY).await,
+                AcceptQueueResult::Empty | AcceptQueueResult::Failed => return,
             }
         }
     }
--- a/crates/proxy-server/src/server/engine.rs
+++ b/crates/proxy-server/src/server/engine.rs
@@ -33,17 +33,17 @@
     ) -> Result<Self, ProxyServerError> {
         let settings = &config.settings;
         let leases = external_processor.map_or(0, |settings| settings.bounds.leases);
-        let requests = config.client_sockets * REQUESTS_PER_CONNECTION + leases;
+        let requests = config.max_client_connections * REQUESTS_PER_CONNECTION + leases;
         let limits = EngineLimits { requests, leases };
         let incarnation = config.seed ^ clock.now();
         let engine = Engine::new(settings.clone(), limits, config.seed, incarnation, clock.now())?;
         let (subscribe, poll_requests) = mpsc::unbounded_channel();
         let transport = ProxyTransport {
             backend_pool: BackendPool::new(
-                config.backend_sockets,
+                config.max_backend_connections,
                 config.connect_timeout,
                 settings.permissions.idle_connection_timeout,
-                config.names.report.clone(),
+                config.names.report_fields.clone(),
             ),
             subscribe,
             report_by_health_check: settings.load_report_by_health_check,
--- a/crates/proxy-server/src/server/grpc_front_end.rs
+++ b/crates/proxy-server/src/server/grpc_front_end.rs
@@ -49,7 +49,7 @@
         let (decisions, receivers) = bridge::channels(settings.bounds.queue);
         let context = ServerContext {
             catalog: RequestCatalog::new(&config.settings, &config.names.classes, &config.names.tenants),
-            load_fields: config.names.report.clone(),
+            load_fields: config.names.report_fields.clone(),
             clock: handle.clock(),
             decisions,
         };
--- a/crates/proxy-server/src/server/listener.rs
+++ b/crates/proxy-server/src/server/listener.rs
@@ -59,7 +59,8 @@
 ) -> Result<(TcpListener, SocketAddr), ProxyServerError> {
     let listen_error = |error| ProxyServerError::Listen(address, error);
     let end = Instant::now() + LISTEN_TIMEOUT;
-    let listener = retry::until(end, retry::is_local, || listen(address, sharing)).await;
+    let listener =
+        retry::retry_until(end, retry::is_transient_local_error, || listen(address, sharing)).await;
     let listener = listener.map_err(listen_error)?;
     let bound = listener.local_addr().map_err(listen_error)?;
     Ok((listener, bound))
--- a/crates/proxy-server/tests/golden_process/main.rs
+++ b/crates/proxy-server/tests/golden_process/main.rs
@@ -14,7 +14,7 @@
 };
 
 fn golden_files() -> GoldenFiles {
-    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+    GoldenFiles::for_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
 /// Replaces each number of more than three digits by `N`, as times and ports differ from run to run.
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -63,7 +63,7 @@
     pub(crate) health_checks: bool,
     #[serde(rename = "connIdleUs", default)]
     pub(crate) idle_connection_timeout: Micros,
-    #[serde(rename = "multiplex", default = "one")]
+    #[serde(rename = "multiplex", default = "default_streams_per_connection")]
     pub(crate) streams_per_connection: u32,
     #[serde(rename = "retryAfter", default)]
     pub(crate) honours_retry_after: bool,
@@ -120,6 +120,6 @@
     pub(crate) safety: RawSafety,
 }
 
-fn one() -> u32 {
+fn default_streams_per_connection() -> u32 {
     1
 }
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -6,4 +6,4 @@
 
 pub use classes::{ClassIndices, MAX_CLASSES};
 pub use error::ReloadError;
-pub use keys::{has_all_keys, restart_only_keys};
+pub use keys::{check_required_keys, restart_only_keys};
--- a/crates/settings/src/reload/classes.rs
+++ b/crates/settings/src/reload/classes.rs
@@ -42,7 +42,7 @@
     /// # Errors
     /// [`ReloadError::DuplicateName`], [`ReloadError::MissingTtl`] or [`ReloadError::TooManyClasses`];
     /// nothing has changed then.
-    pub fn renew(
+    pub fn reload(
         &mut self,
         current: &Settings,
         new: &Settings,
--- a/crates/settings/src/reload/keys.rs
+++ b/crates/settings/src/reload/keys.rs
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// [`ReloadError::MissingKey`] or [`ReloadError::WrongType`] for the first key that does not comply.
-pub fn has_all_keys(current: &Value, new: &Value) -> Result<(), ReloadError> {
+pub fn check_required_keys(current: &Value, new: &Value) -> Result<(), ReloadError> {
     compare("", current, new)
 }
 
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 fn golden() -> GoldenFiles {
-    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+    GoldenFiles::for_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
 fn settings() -> Settings {
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use settings::parse_settings;
-use settings::reload::{ClassIndices, MAX_CLASSES, ReloadError, has_all_keys, restart_only_keys};
+use settings::reload::{ClassIndices, MAX_CLASSES, ReloadError, check_required_keys, restart_only_keys};
 
 fn class(name: &str, effect: &str, deadline: u64) -> Value {
     let mut class = json!({"name": name, "effect": effect, "aimUs": 100, "deadlineUs": deadline, "worth": 1.0,
@@ -41,7 +41,7 @@
     // "lift" is removed, "read" has another deadline, "view" is new, and the order differs.
     let (new, names) =
         parse(&settings_json(&[class("view", "fragile", 900), class("read", "retryable", 700)]));
-    let second = classes.renew(&old, &new, &names).expect("valid settings");
+    let second = classes.reload(&old, &new, &names).expect("valid settings");
     assert_eq!(named(&classes), [(2, "view"), (3, "read")]);
     assert_eq!(second.classes[..2], old.classes[..], "open requests find their classes at the same indices");
     assert_eq!(
@@ -53,7 +53,7 @@
     fewer["permissions"]["maxAttempts"] = json!(1);
     fewer["balancers"] = json!(7);
     let (new, names) = parse(&fewer);
-    let third = classes.renew(&second, &new, &names).expect("valid settings");
+    let third = classes.reload(&second, &new, &names).expect("valid settings");
     assert_eq!(named(&classes), [(2, "view"), (3, "read")]);
     assert_eq!((third.classes.len(), third.permissions.max_attempts, third.instance_count), (4, 1, 2));
 }
@@ -65,19 +65,19 @@
     let duplicate = settings_json(&[class("read", "retryable", 800), class("read", "fragile", 800)]);
     let (new, names) = parse(&duplicate);
     assert_eq!(
-        classes.renew(&old, &new, &names),
+        classes.reload(&old, &new, &names),
         Err(ReloadError::DuplicateName { index: 1, name: "read".into() })
     );
     let mut no_ttl = settings_json(&[class("read", "retryable", 900), class("lift", "dedup", 900)]);
     no_ttl["classes"][1].as_object_mut().expect("a class").remove("keyTtlUs");
     let (new, names) = parse(&no_ttl);
-    assert_eq!(classes.renew(&old, &new, &names), Err(ReloadError::MissingTtl { index: 1 }));
+    assert_eq!(classes.reload(&old, &new, &names), Err(ReloadError::MissingTtl { index: 1 }));
     assert_eq!(named(&classes), [(0, "read")]);
     // Each reload with a changed class uses one index, until all are used.
     let (mut settings, mut is_full) = (old, false);
     for reload in 0..MAX_CLASSES as u64 {
         let (new, names) = parse(&settings_json(&[class("read", "retryable", 1_000 + reload)]));
-        match classes.renew(&settings, &new, &names) {
+        match classes.reload(&settings, &new, &names) {
             Ok(merged) => settings = merged,
             Err(error) => {
                 assert_eq!((error, settings.classes.len()), (ReloadError::TooManyClasses, MAX_CLASSES));
@@ -92,7 +92,7 @@
 fn names_a_missing_key_or_a_wrong_type() {
     let current = json!({"listen": "x", "known": {"members": [{"id": 1}]}, "limits": {"cores": 1.0},
                          "settings": settings_json(&[class("read", "retryable", 900), class("lift", "dedup", 900)])});
-    assert_eq!(has_all_keys(&current, &current), Ok(()));
+    assert_eq!(check_required_keys(&current, &current), Ok(()));
     let without = |path: &[&str]| {
         let mut new = current.clone();
         let (last, parents) = path.split_last().expect("a path");
@@ -101,7 +101,7 @@
             Err(_) => &mut value[*key],
         });
         parent.as_object_mut().expect("an object").remove(*last);
-        has_all_keys(&current, &new)
+        check_required_keys(&current, &new)
     };
     let missing = |path: &str| Err(ReloadError::MissingKey { path: path.into() });
     assert_eq!(without(&["settings"]), missing("settings"));
@@ -117,11 +117,11 @@
         actual: "a string",
         expected: "a number",
     };
-    assert_eq!(has_all_keys(&current, &text), Err(wrong_type));
+    assert_eq!(check_required_keys(&current, &text), Err(wrong_type));
     let mut other = current.clone();
     other["known"] = json!({"members": []});
     other["settings"]["classes"] = json!([class("view", "fragile", 1)]);
-    assert_eq!(has_all_keys(&current, &other), Ok(()), "data and the number of classes may differ");
+    assert_eq!(check_required_keys(&current, &other), Ok(()), "data and the number of classes may differ");
 }
 
 /// Guards against a comparison of each new entry with all current ones: with twenty times the tenants it
@@ -134,7 +134,7 @@
         let current = json!({"settings": {"tenants": list}});
         let measure = |_| {
             let start = std::time::Instant::now();
-            assert_eq!(has_all_keys(&current, &current), Ok(()));
+            assert_eq!(check_required_keys(&current, &current), Ok(()));
             start.elapsed()
         };
         (0..5).map(measure).min().expect("five measurements")
@@ -190,7 +190,7 @@
         let mut classes = ClassIndices::new(&reloads[0].1).expect("names");
         let mut settings = reloads[0].0.clone();
         for (new, names) in &reloads[1..] {
-            let merged = classes.renew(&settings, new, names).expect("valid settings");
+            let merged = classes.reload(&settings, new, names).expect("valid settings");
             prop_assert_eq!(&merged.classes[..settings.classes.len()], &settings.classes[..]);
             prop_assert_eq!(classes.named().count(), names.len());
             for (index, name) in classes.named() {
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn recorded_input_gets_the_recorded_replies() {
-    let golden = GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"));
+    let golden = GoldenFiles::for_crate(env!("CARGO_MANIFEST_DIR"));
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
--- a/crates/socket-io/src/retry.rs
+++ b/crates/socket-io/src/retry.rs
@@ -15,23 +15,23 @@
 /// Whether a call failed because file descriptors or memory were exhausted (`ENFILE`, `EMFILE`, `ENOBUFS`,
 /// `ENOMEM`).
 #[must_use]
-pub fn is_exhausted(error: &io::Error) -> bool {
+pub fn is_resource_exhausted(error: &io::Error) -> bool {
     is_one_of(error, &[Errno::ENFILE, Errno::EMFILE, Errno::ENOBUFS, Errno::ENOMEM])
 }
 
 /// Whether a call failed with a transient error of this machine: a lack of descriptors, memory, ports or a
 /// route, or an interruption. Such an error does not indicate a fault of the peer.
 #[must_use]
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_transient_local_error(error: &io::Error) -> bool {
     let transient = [Errno::EADDRNOTAVAIL, Errno::ENETUNREACH, Errno::ENETDOWN, Errno::EAGAIN, Errno::EINTR];
-    is_exhausted(error) || is_one_of(error, &transient)
+    is_resource_exhausted(error) || is_one_of(error, &transient)
 }
 
 /// Whether a file operation failed with a transient error: an I/O error, a full disk, an exceeded disk quota,
-/// or an error of [`is_local`].
+/// or an error of [`is_transient_local_error`].
 #[must_use]
-pub fn is_of_disk(error: &io::Error) -> bool {
-    is_one_of(error, &[Errno::EIO, Errno::ENOSPC, Errno::EDQUOT]) || is_local(error)
+pub fn is_transient_file_error(error: &io::Error) -> bool {
+    is_one_of(error, &[Errno::EIO, Errno::ENOSPC, Errno::EDQUOT]) || is_transient_local_error(error)
 }
 
 /// Retries an asynchronous call until it succeeds or fails with an error that is not transient.
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 /// As [`retry`].
-pub async fn until<T, E>(
+pub async fn retry_until<T, E>(
     deadline: Instant,
     is_transient: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
--- a/crates/socket-io/tests/retry.rs
+++ b/crates/socket-io/tests/retry.rs
@@ -63,7 +63,7 @@
         calls.set(calls.get() + 1);
         Err::<(), _>(Failure::Transient)
     };
-    assert_eq!(retry::until(Instant::now(), is_transient, call).await, Err(Failure::Transient));
+    assert_eq!(retry::retry_until(Instant::now(), is_transient, call).await, Err(Failure::Transient));
     assert_eq!(calls.get(), 1);
 }
 
@@ -92,16 +92,25 @@
 fn classifies_local_and_disk_errors() {
     let error = |errno: Errno| io::Error::from_raw_os_error(errno as i32);
     for errno in [Errno::ENFILE, Errno::EMFILE, Errno::ENOBUFS, Errno::ENOMEM] {
-        assert!(retry::is_exhausted(&error(errno)) && retry::is_local(&error(errno)), "{errno}");
+        assert!(
+            retry::is_resource_exhausted(&error(errno)) && retry::is_transient_local_error(&error(errno)),
+            "{errno}"
+        );
     }
     for errno in [Errno::EADDRNOTAVAIL, Errno::ENETUNREACH, Errno::ENETDOWN, Errno::EAGAIN, Errno::EINTR] {
-        assert!(!retry::is_exhausted(&error(errno)) && retry::is_local(&error(errno)), "{errno}");
+        assert!(
+            !retry::is_resource_exhausted(&error(errno)) && retry::is_transient_local_error(&error(errno)),
+            "{errno}"
+        );
     }
     for errno in [Errno::EIO, Errno::ENOSPC, Errno::EDQUOT] {
-        assert!(!retry::is_local(&error(errno)) && retry::is_of_disk(&error(errno)), "{errno}");
+        assert!(
+            !retry::is_transient_local_error(&error(errno)) && retry::is_transient_file_error(&error(errno)),
+            "{errno}"
+        );
     }
     for errno in [Errno::ECONNREFUSED, Errno::ECONNRESET, Errno::EACCES] {
-        assert!(!retry::is_of_disk(&error(errno)), "{errno}");
+        assert!(!retry::is_transient_file_error(&error(errno)), "{errno}");
     }
-    assert!(!retry::is_of_disk(&io::Error::other("no error number")));
+    assert!(!retry::is_transient_file_error(&io::Error::other("no error number")));
 }
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -32,6 +32,6 @@
         script: "a script".into(),
         bound: Some(4.0),
     };
-    let golden = GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"));
+    let golden = GoldenFiles::for_crate(env!("CARGO_MANIFEST_DIR"));
     golden.assert_lines("scale-run.txt", &[serde_json::to_string(&line).expect("JSON")]);
 }
