--- a/crates/control-plane/src/codec.rs
+++ b/crates/control-plane/src/codec.rs
@@ -235,14 +235,14 @@
     InvalidSize(f64),
 }
 
-/// Encodes the body of a record of [`Kind::Backend`](crate::record::Kind::Backend).
+/// Encodes the body of a record of [`RecordKind::Backend`](crate::record::RecordKind::Backend).
 #[must_use]
 pub fn encode_backend_body(backend: &Backend) -> Arc<[u8]> {
     // Encoding a plain structure to memory can't fail.
     postcard::to_stdvec(backend).unwrap_or_default().into()
 }
 
-/// Decodes the body of a record of [`Kind::Backend`](crate::record::Kind::Backend).
+/// Decodes the body of a record of [`RecordKind::Backend`](crate::record::RecordKind::Backend).
 ///
 /// # Errors
 /// See [`BodyError`].
@@ -253,9 +253,9 @@
     if !rest.is_empty() {
         return Err(malformed(EncodingError::TrailingBytes(rest.len())));
     }
-    if backend.size.is_finite() && backend.size > 0.0 {
+    if backend.capacity.is_finite() && backend.capacity > 0.0 {
         Ok(backend)
     } else {
-        Err(BodyError::InvalidSize(backend.size))
+        Err(BodyError::InvalidSize(backend.capacity))
     }
 }
--- a/crates/control-plane/src/message.rs
+++ b/crates/control-plane/src/message.rs
@@ -3,7 +3,9 @@
 //!
 //! Messages are encoded with postcard, so the order of variants and fields is part of the wire format.
 
-use crate::record::{Change, Cursor, Epoch, Kind, Record, Scope, ServiceId, SourceId, Version, varint_size};
+use crate::record::{
+    Change, Cursor, Epoch, Record, RecordKind, Scope, ServiceId, SourceId, Version, varint_size,
+};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -52,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyBound {
     /// Kind of the record at the bound.
-    pub kind: Kind,
+    pub kind: RecordKind,
     /// Name of the record at the bound.
     pub name: Arc<str>,
 }
--- a/crates/control-plane/src/record.rs
+++ b/crates/control-plane/src/record.rs
@@ -27,7 +27,7 @@
 
 /// The type of object that a record describes. Records of all kinds are distributed in the same way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RecordKind {
     /// A backend of the service: the body is a [`Backend`].
     Backend,
     /// A configuration of the service; the body is opaque here.
@@ -40,18 +40,18 @@
 
 /// The identity of a record, unique within one source.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct RecordKey {
     /// The service to which the object belongs.
     pub service: ServiceId,
     /// The type of the object.
-    pub kind: Kind,
+    pub kind: RecordKind,
     /// Name of the object, unique within service and kind.
     pub name: Arc<str>,
 }
 
 /// The state of the object that a record describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum RecordState {
     /// In service.
     Active,
     /// Finishes its requests in flight and accepts no new ones.
@@ -80,11 +80,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// Identity of the object.
-    pub key: Key,
+    pub key: RecordKey,
     /// The change at the source that wrote this state.
     pub version: Version,
     /// Whether the object is in service, draining or removed.
-    pub state: State,
+    pub state: RecordState,
     /// Content, in the encoding that its kind defines; empty in a tombstone.
     pub body: Arc<[u8]>,
 }
@@ -95,9 +95,9 @@
     #[must_use]
     pub fn urgency(&self) -> Urgency {
         match (self.state, self.key.kind) {
-            (State::Draining | State::Gone, _) => Urgency::Drain,
-            (State::Active, Kind::Backend) => Urgency::Addition,
-            (State::Active, _) => Urgency::Other,
+            (RecordState::Draining | RecordState::Gone, _) => Urgency::Drain,
+            (RecordState::Active, RecordKind::Backend) => Urgency::Addition,
+            (RecordState::Active, _) => Urgency::Other,
         }
     }
 
@@ -124,10 +124,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// Identity of the record to create, change or remove.
-    pub key: Key,
-    /// New state; [`State::Gone`] removes the record.
-    pub state: State,
-    /// New content; empty if the state is [`State::Gone`].
+    pub key: RecordKey,
+    /// New state; [`RecordState::Gone`] removes the record.
+    pub state: RecordState,
+    /// New content; empty if the state is [`RecordState::Gone`].
     pub body: Arc<[u8]>,
 }
 
@@ -160,19 +160,22 @@
     }
 }
 
-/// The body of a record of [`Kind::Backend`]; the fields correspond to those of the discovery protocol.
+/// The body of a record of [`RecordKind::Backend`]; the fields correspond to those of the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
     /// Address on which the backend listens.
     pub address: SocketAddrV4,
     /// Name of the zone.
-    pub locality: String,
+    #[serde(rename = "locality")]
+    pub zone: String,
     /// Machine kind.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub machine_kind: String,
     /// Number of the cell.
     pub cell: u16,
     /// Capacity relative to other backends; finite and greater than 0.
-    pub size: f64,
+    #[serde(rename = "size")]
+    pub capacity: f64,
     /// When the backend last started, Unix time in milliseconds; 0: long ago.
     pub up_since_ms: u64,
 }
--- a/crates/control-plane/src/replica/mod.rs
+++ b/crates/control-plane/src/replica/mod.rs
@@ -15,7 +15,9 @@
 use crate::message::{
     KeyBound, MAX_REQUESTED_SERVICES, Message, ReplicaPosition, ServiceDigest, ServiceRange,
 };
-use crate::record::{Cursor, Epoch, Key, Record, Scope, ServiceId, SourceId, State, Version, merge_cursors};
+use crate::record::{
+    Cursor, Epoch, Record, RecordKey, RecordState, Scope, ServiceId, SourceId, Version, merge_cursors,
+};
 use crate::store::VersionedStore;
 use repair::Repair;
 use request::{PendingRequest, Request};
@@ -42,7 +44,7 @@
 }
 
 impl SnapshotPart {
-    fn covers(&self, key: &Key) -> bool {
+    fn covers(&self, key: &RecordKey) -> bool {
         let bound = KeyBound { kind: key.kind, name: key.name.clone() };
         let is_after = self.after.as_ref().is_none_or(|after| bound > *after);
         key.service == self.service
@@ -224,7 +226,7 @@
             // at its own position, or else a subscriber that is sent all changes up to that position would
             // miss it.
             Some(stored) => {
-                self.is_publishing && is_beyond && [stored.state, record.state] == [State::Gone; 2]
+                self.is_publishing && is_beyond && [stored.state, record.state] == [RecordState::Gone; 2]
             }
             None => is_beyond,
         }
@@ -279,15 +281,16 @@
 
     /// Removes the records that a snapshot covers but does not list. Returns whether there were any.
     fn remove_unlisted(&mut self, part: &SnapshotPart, applied: &mut Vec<AppliedRecord>) -> bool {
-        let listed: BTreeSet<&Key> = part.records.iter().map(|record| &record.key).collect();
+        let listed: BTreeSet<&RecordKey> = part.records.iter().map(|record| &record.key).collect();
         let stored = self.store.range(part.service, part.after.as_ref(), part.through.as_ref());
         let removed = stored.filter(|record| {
-            record.state != State::Gone && record.version <= part.as_of && !listed.contains(&record.key)
+            record.state != RecordState::Gone && record.version <= part.as_of && !listed.contains(&record.key)
         });
-        let removed: Vec<Key> = removed.map(|record| record.key.clone()).collect();
+        let removed: Vec<RecordKey> = removed.map(|record| record.key.clone()).collect();
         let has_removed = !removed.is_empty();
         for key in removed {
-            let tombstone = Record { key, version: part.as_of, state: State::Gone, body: Arc::from([]) };
+            let tombstone =
+                Record { key, version: part.as_of, state: RecordState::Gone, body: Arc::from([]) };
             self.apply(tombstone, applied);
         }
         has_removed
@@ -320,8 +323,9 @@
 
     /// Stores a record, and reports it if the live records change.
     fn apply(&mut self, record: Record, applied: &mut Vec<AppliedRecord>) {
-        let previous = self.store.insert(record.clone()).filter(|previous| previous.state != State::Gone);
-        if previous.is_some() || record.state != State::Gone {
+        let previous =
+            self.store.insert(record.clone()).filter(|previous| previous.state != RecordState::Gone);
+        if previous.is_some() || record.state != RecordState::Gone {
             applied.push(AppliedRecord { record, previous });
         }
     }
--- a/crates/control-plane/src/runtime/agent.rs
+++ b/crates/control-plane/src/runtime/agent.rs
@@ -8,7 +8,7 @@
 use crate::Millis;
 use crate::config::{AgentConfig, RelayAddress};
 use crate::message::Message;
-use crate::record::{SourceId, State};
+use crate::record::{RecordState, SourceId};
 use crate::replica::AppliedRecord;
 use crate::session::SessionError;
 use crate::subscriber::Subscriber;
@@ -48,7 +48,7 @@
             Err(error) => {
                 let key = &applied.record.key;
                 warn!("ignoring the body of `{}` of service {}: {error}", key.name, key.service);
-                applied.record.state != State::Active
+                applied.record.state != RecordState::Active
             }
         }
     }
--- a/crates/control-plane/src/runtime/change_file.rs
+++ b/crates/control-plane/src/runtime/change_file.rs
@@ -1,7 +1,7 @@
 //! Parses the JSON files in which operators write changes (format: docs/operators/control.md).
 
 use crate::codec::encode_backend_body;
-use crate::record::{Backend, Change, Key, Kind, ServiceId, State};
+use crate::record::{Backend, Change, RecordKey, RecordKind, RecordState, ServiceId};
 use serde::Deserialize;
 use std::sync::Arc;
 
@@ -57,17 +57,17 @@
 struct Entry {
     service: ServiceId,
     #[serde(with = "KindName")]
-    kind: Kind,
+    kind: RecordKind,
     name: String,
     #[serde(with = "StateName")]
-    state: State,
+    state: RecordState,
     backend: Option<Backend>,
     body: Option<String>,
 }
 
-/// The names of [`Kind`] in the file.
+/// The names of [`RecordKind`] in the file.
 #[derive(Deserialize)]
-#[serde(remote = "Kind", rename_all = "lowercase")]
+#[serde(remote = "RecordKind", rename_all = "lowercase", expecting = "enum Kind")]
 enum KindName {
     Backend,
     Configuration,
@@ -75,9 +75,9 @@
     Tenant,
 }
 
-/// The names of [`State`] in the file.
+/// The names of [`RecordState`] in the file.
 #[derive(Deserialize)]
-#[serde(remote = "State", rename_all = "lowercase")]
+#[serde(remote = "RecordState", rename_all = "lowercase", expecting = "enum State")]
 enum StateName {
     Active,
     Draining,
@@ -109,18 +109,18 @@
     fn try_from(entry: Entry) -> Result<Self, EntryError> {
         let Entry { service, kind, name, state, backend, body } = entry;
         let body = match (state, kind, backend, body) {
-            (State::Gone, _, None, None) => Arc::from([]),
-            (State::Gone, ..) => return Err(EntryError::TombstoneWithContent(name)),
-            (_, Kind::Backend, Some(backend), None) => {
-                if !(backend.size.is_finite() && backend.size > 0.0) {
-                    return Err(EntryError::InvalidSize { name, size: backend.size });
+            (RecordState::Gone, _, None, None) => Arc::from([]),
+            (RecordState::Gone, ..) => return Err(EntryError::TombstoneWithContent(name)),
+            (_, RecordKind::Backend, Some(backend), None) => {
+                if !(backend.capacity.is_finite() && backend.capacity > 0.0) {
+                    return Err(EntryError::InvalidSize { name, size: backend.capacity });
                 }
                 encode_backend_body(&backend)
             }
-            (_, Kind::Backend, ..) => return Err(EntryError::BackendExpected(name)),
+            (_, RecordKind::Backend, ..) => return Err(EntryError::BackendExpected(name)),
             (_, _, None, Some(body)) => body.into_bytes().into(),
             _ => return Err(EntryError::BodyExpected(name)),
         };
-        Ok(Self { key: Key { service, kind, name: name.into() }, state, body })
+        Ok(Self { key: RecordKey { service, kind, name: name.into() }, state, body })
     }
 }
--- a/crates/control-plane/src/runtime/discovery_list.rs
+++ b/crates/control-plane/src/runtime/discovery_list.rs
@@ -2,7 +2,7 @@
 //! limited in size.
 
 use crate::codec::{BodyError, decode_backend_body};
-use crate::record::{Backend, Key, Kind, Record, State};
+use crate::record::{Backend, Record, RecordKey, RecordKind, RecordState};
 use crate::replica::AppliedRecord;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -32,23 +32,26 @@
     #[serde(rename = "host_port")]
     pub address: String,
     /// Name of the zone.
-    pub locality: String,
+    #[serde(rename = "locality")]
+    pub zone: String,
     /// Machine kind.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub machine_kind: String,
     /// Number of the cell.
     pub cell: u16,
     /// Whether the backend is in service, draining or removed.
     pub phase: Phase,
     /// Capacity relative to other backends.
-    pub size: f64,
+    #[serde(rename = "size")]
+    pub capacity: f64,
     /// When the backend last started, Unix time in milliseconds; 0: long ago.
     pub up_since_ms: u64,
 }
 
 impl Member {
     fn new(id: String, backend: Backend, phase: Phase) -> Self {
-        let Backend { address, locality, flavor, cell, size, up_since_ms } = backend;
-        Self { id, address: address.to_string(), locality, flavor, cell, phase, size, up_since_ms }
+        let Backend { address, zone, machine_kind, cell, capacity, up_since_ms } = backend;
+        Self { id, address: address.to_string(), zone, machine_kind, cell, phase, capacity, up_since_ms }
     }
 }
 
@@ -79,11 +82,11 @@
     revision: u64,
     /// Changes after this revision are in the log.
     log_floor: u64,
-    entries: BTreeMap<Key, Entry>,
+    entries: BTreeMap<RecordKey, Entry>,
     /// All entries by the revision of their last change.
-    log: BTreeMap<u64, Key>,
+    log: BTreeMap<u64, RecordKey>,
     /// The removed entries, also by the revision of their last change.
-    removed: BTreeMap<u64, Key>,
+    removed: BTreeMap<u64, RecordKey>,
 }
 
 impl DiscoveryList {
@@ -115,14 +118,14 @@
     /// draining.
     pub fn apply(&mut self, applied: &AppliedRecord) -> Result<bool, BodyError> {
         let Record { key, state, body, .. } = &applied.record;
-        if key.kind != Kind::Backend {
+        if key.kind != RecordKind::Backend {
             return Ok(false);
         }
         let current = self.entries.get(key).map(|entry| &entry.member);
         let phase = match state {
-            State::Active => Phase::Active,
-            State::Draining => Phase::Leaving,
-            State::Gone => Phase::Left,
+            RecordState::Active => Phase::Active,
+            RecordState::Draining => Phase::Leaving,
+            RecordState::Gone => Phase::Left,
         };
         let (member, error) = match (phase, current) {
             (Phase::Left, None) => return Ok(false),
@@ -142,11 +145,11 @@
         error.map_or(Ok(changed), Err)
     }
 
-    fn id(&self, key: &Key) -> String {
+    fn id(&self, key: &RecordKey) -> String {
         if self.has_single_service { key.name.to_string() } else { format!("{}/{}", key.service, key.name) }
     }
 
-    fn insert(&mut self, key: Key, member: Member) {
+    fn insert(&mut self, key: RecordKey, member: Member) {
         self.revision += 1;
         let is_removed = member.phase == Phase::Left;
         let entry = Entry { revision: self.revision, member };
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -8,7 +8,8 @@
 
 use crate::message::{KeyBound, ServiceDigest};
 use crate::record::{
-    Change, Cursor, Epoch, Key, Kind, Record, Scope, ServiceId, SourceId, State, Urgency, Version,
+    Change, Cursor, Epoch, Record, RecordKey, RecordKind, RecordState, Scope, ServiceId, SourceId, Urgency,
+    Version,
 };
 use service_records::ServiceRecords;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LogEntry {
     version: Version,
-    key: Key,
+    key: RecordKey,
 }
 
 impl LogEntry {
@@ -59,7 +60,7 @@
     /// Input of the hash function; reused to avoid an allocation for each record.
     hash_buffer: Vec<u8>,
     /// The lowest possible key, for the lower bound of a range of versions.
-    first_key: Key,
+    first_key: RecordKey,
     /// The body of lookup keys, shared to avoid an allocation for each.
     empty_body: Arc<[u8]>,
 }
@@ -114,7 +115,7 @@
             total_digest: 0,
             live_count: 0,
             hash_buffer: Vec::new(),
-            first_key: Key { service: 0, kind: Kind::Backend, name: Arc::from("") },
+            first_key: RecordKey { service: 0, kind: RecordKind::Backend, name: Arc::from("") },
             empty_body: Arc::from([]),
         }
     }
@@ -209,19 +210,19 @@
 
     /// The record of a key, which may be a tombstone.
     #[must_use]
-    pub fn get(&self, key: &Key) -> Option<&Record> {
+    pub fn get(&self, key: &RecordKey) -> Option<&Record> {
         self.services.get(&key.service)?.get(key, &self.empty_body)
     }
 
     /// The live records of a service (all except tombstones), ordered by key.
     pub fn service(&self, service: ServiceId) -> impl Iterator<Item = &Record> {
-        self.range(service, None, None).filter(|record| record.state != State::Gone)
+        self.range(service, None, None).filter(|record| record.state != RecordState::Gone)
     }
 
     /// The live records of all services (all except tombstones), ordered by key.
     pub fn live_records(&self) -> impl Iterator<Item = &Record> {
         let records = self.services.values().flat_map(ServiceRecords::iter);
-        records.filter(|record| record.state != State::Gone)
+        records.filter(|record| record.state != RecordState::Gone)
     }
 
     /// The digest of a service: the wrapping sum of the hashes of its live records, independent of their
@@ -284,7 +285,7 @@
         urgency: Urgency,
         after: Version,
         through: Version,
-    ) -> impl Iterator<Item = (Version, &Key)> {
+    ) -> impl Iterator<Item = (Version, &RecordKey)> {
         let version = Version { revision: after.revision.saturating_add(1), ..after };
         let first = LogEntry { version, key: self.first_key.clone() };
         // A range whose end is before its start would panic, so the end is checked for each entry.
@@ -303,7 +304,7 @@
         }
         let hash = self.hash(&record);
         let service = self.services.entry(record.key.service).or_default();
-        if record.state == State::Gone {
+        if record.state == RecordState::Gone {
             self.tombstones.insert(entry);
         } else {
             self.live_count += 1;
@@ -315,18 +316,18 @@
     }
 
     /// Removes the record of a key without leaving a tombstone. Returns the record.
-    fn remove(&mut self, key: &Key) -> Option<Record> {
+    fn remove(&mut self, key: &RecordKey) -> Option<Record> {
         let record = self.services.get_mut(&key.service)?.remove(key, &self.empty_body)?;
         let entry = LogEntry::of(&record);
         self.logs[record.urgency() as usize].remove(&entry);
-        if record.state == State::Gone {
+        if record.state == RecordState::Gone {
             self.tombstones.remove(&entry);
         } else {
             self.live_count -= 1;
         }
         let hash = self.hash(&record);
         let service = self.services.get_mut(&key.service)?;
-        if record.state != State::Gone {
+        if record.state != RecordState::Gone {
             service.digest = service.digest.wrapping_sub(hash);
             self.total_digest = self.total_digest.wrapping_sub(hash);
         }
@@ -382,7 +383,7 @@
 
     /// The hash of a record; 0 for a tombstone.
     fn hash(&mut self, record: &Record) -> u64 {
-        if record.state == State::Gone {
+        if record.state == RecordState::Gone {
             return 0;
         }
         let input = &mut self.hash_buffer;
--- a/crates/control-plane/src/store/service_records.rs
+++ b/crates/control-plane/src/store/service_records.rs
@@ -1,7 +1,7 @@
 //! The records of one service, ordered by kind and name.
 
 use crate::message::KeyBound;
-use crate::record::{Key, Kind, Record, State, Version};
+use crate::record::{Record, RecordKey, RecordKind, RecordState, Version};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -21,14 +21,19 @@
 struct KeyOrdered(Record);
 
 impl KeyOrdered {
-    fn key(&self) -> (Kind, &str) {
+    fn key(&self) -> (RecordKind, &str) {
         (self.0.key.kind, &self.0.key.name)
     }
 
     /// Creates a record that serves only to look up a key.
-    fn lookup_key(kind: Kind, name: &Arc<str>, empty_body: &Arc<[u8]>) -> Self {
-        let key = Key { service: 0, kind, name: Arc::clone(name) };
-        Self(Record { key, version: Version::default(), state: State::Gone, body: Arc::clone(empty_body) })
+    fn lookup_key(kind: RecordKind, name: &Arc<str>, empty_body: &Arc<[u8]>) -> Self {
+        let key = RecordKey { service: 0, kind, name: Arc::clone(name) };
+        Self(Record {
+            key,
+            version: Version::default(),
+            state: RecordState::Gone,
+            body: Arc::clone(empty_body),
+        })
     }
 }
 
@@ -58,7 +63,7 @@
     }
 
     /// The record of a key. `empty_body` is shared by all lookups to avoid an allocation for each.
-    pub(super) fn get(&self, key: &Key, empty_body: &Arc<[u8]>) -> Option<&Record> {
+    pub(super) fn get(&self, key: &RecordKey, empty_body: &Arc<[u8]>) -> Option<&Record> {
         self.records.get(&KeyOrdered::lookup_key(key.kind, &key.name, empty_body)).map(|stored| &stored.0)
     }
 
@@ -66,7 +71,7 @@
         self.records.insert(KeyOrdered(record));
     }
 
-    pub(super) fn remove(&mut self, key: &Key, empty_body: &Arc<[u8]>) -> Option<Record> {
+    pub(super) fn remove(&mut self, key: &RecordKey, empty_body: &Arc<[u8]>) -> Option<Record> {
         self.records.take(&KeyOrdered::lookup_key(key.kind, &key.name, empty_body)).map(|stored| stored.0)
     }
 
--- a/crates/control-plane/src/store/validation.rs
+++ b/crates/control-plane/src/store/validation.rs
@@ -1,7 +1,7 @@
 //! Limits for names and bodies of records, checked before a change is applied.
 
 use crate::message::MAX_MESSAGE_BYTES;
-use crate::record::{Change, State};
+use crate::record::{Change, RecordState};
 
 /// Maximum length of a record's name, bytes: longer than any DNS name or address with a port.
 pub const MAX_NAME_BYTES: usize = 255;
@@ -45,7 +45,7 @@
             return Err(WriteError::TooLong { field, name: name(), bytes, max });
         }
     }
-    if change.state == State::Gone && !change.body.is_empty() {
+    if change.state == RecordState::Gone && !change.body.is_empty() {
         return Err(WriteError::TombstoneWithBody(name()));
     }
     Ok(())
--- a/crates/control-plane/src/subscription_cursor/mod.rs
+++ b/crates/control-plane/src/subscription_cursor/mod.rs
@@ -9,7 +9,7 @@
     KeyBound, MAX_MESSAGE_BYTES, MESSAGE_OVERHEAD_BYTES, Message, ReplicaPosition, ServiceRange,
 };
 use crate::rate_limit::TokenBucket;
-use crate::record::{Cursor, Epoch, Record, Scope, ServiceId, State, Urgency, Version, merge_cursors};
+use crate::record::{Cursor, Epoch, Record, RecordState, Scope, ServiceId, Urgency, Version, merge_cursors};
 use crate::store::VersionedStore;
 
 /// Interval between scope digests to a subscriber that has all records, milliseconds.
@@ -373,7 +373,7 @@
         let (mut size, mut through) = (0, None);
         // Tombstones newer than `as_of` are included: without them, removed records would remain downstream.
         let stored = store.range(service, self.snapshot_position.as_ref(), None);
-        for record in stored.filter(|record| record.state != State::Gone || record.version > as_of) {
+        for record in stored.filter(|record| record.state != RecordState::Gone || record.version > as_of) {
             if size + record.encoded_size_bound() > part_size
                 && let Some(last) = records.last()
             {
--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -118,7 +118,7 @@
         up_since_ms in any::<u64>(),
         garbage in vec(any::<u8>(), 0..60),
     ) {
-        let backend = Backend { address, locality, flavor, cell, size, up_since_ms };
+        let backend = Backend { address, zone: locality, machine_kind: flavor, cell, capacity: size, up_since_ms };
         let body = encode_backend_body(&backend);
         prop_assert_eq!(decode_backend_body(&body), Ok(backend));
         let mut longer = body.to_vec();
@@ -219,10 +219,10 @@
     for size in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let backend = Backend {
             address: "127.0.0.1:1".parse().expect("an address"),
-            locality: "a".into(),
-            flavor: String::new(),
+            zone: "a".into(),
+            machine_kind: String::new(),
             cell: 0,
-            size,
+            capacity: size,
             up_since_ms: 0,
         };
         assert!(
--- a/crates/control-plane/tests/discovery_list.rs
+++ b/crates/control-plane/tests/discovery_list.rs
@@ -1,7 +1,7 @@
 //! The discovery list: revisions, changes after a revision, and the bounded log.
 
 use control_plane::codec::encode_backend_body;
-use control_plane::record::{Backend, Key, Kind, Record, State, Version};
+use control_plane::record::{Backend, Record, RecordKey, RecordKind, RecordState, Version};
 use control_plane::replica::AppliedRecord;
 use control_plane::runtime::discovery_list::{DiscoveryList, MAX_REMOVED_ENTRIES, Phase};
 use proptest::collection::vec;
@@ -15,24 +15,24 @@
 fn backend(port: u16) -> Backend {
     Backend {
         address: std::net::SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, port),
-        locality: "a".into(),
-        flavor: "m".into(),
+        zone: "a".into(),
+        machine_kind: "m".into(),
         cell: 3,
-        size: 1.0,
+        capacity: 1.0,
         up_since_ms: 5,
     }
 }
 
 /// A record of a backend as a replica reports it.
-fn applied_record(service: u32, name: &str, state: State, body: Arc<[u8]>) -> AppliedRecord {
-    let key = Key { service, kind: Kind::Backend, name: name.into() };
+fn applied_record(service: u32, name: &str, state: RecordState, body: Arc<[u8]>) -> AppliedRecord {
+    let key = RecordKey { service, kind: RecordKind::Backend, name: name.into() };
     let version = Version { epoch: 1, revision: 1 };
     AppliedRecord { record: Record { key, version, state, body }, previous: None }
 }
 
 /// A record of a backend of service 1 on a port.
-fn backend_record(name: &str, state: State, port: u16) -> AppliedRecord {
-    let body = if state == State::Gone { Arc::from([]) } else { encode_backend_body(&backend(port)) };
+fn backend_record(name: &str, state: RecordState, port: u16) -> AppliedRecord {
+    let body = if state == RecordState::Gone { Arc::from([]) } else { encode_backend_body(&backend(port)) };
     applied_record(1, name, state, body)
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn serializes_an_entry_in_the_discovery_protocol() {
     let mut list = DiscoveryList::new(true, INITIAL_REVISION);
-    assert_eq!(list.apply(&backend_record("s-1", State::Draining, 3000)), Ok(true));
+    assert_eq!(list.apply(&backend_record("s-1", RecordState::Draining, 3000)), Ok(true));
     let json = serde_json::to_value(list.snapshot()).expect("json");
     let expected = serde_json::json!({
         "revision": INITIAL_REVISION + 1,
@@ -62,7 +62,7 @@
 fn sends_the_complete_list_for_an_unknown_revision() {
     let mut list = DiscoveryList::new(true, INITIAL_REVISION);
     for name in ["a", "b"] {
-        list.apply(&backend_record(name, State::Active, 1)).expect("a backend");
+        list.apply(&backend_record(name, RecordState::Active, 1)).expect("a backend");
     }
     let complete_list = vec![("a".to_owned(), Phase::Active), ("b".to_owned(), Phase::Active)];
     for after in [0, 41, INITIAL_REVISION - 1, INITIAL_REVISION + 3, u64::MAX] {
@@ -76,11 +76,11 @@
 #[test]
 fn lists_removed_entries_among_changes_only_and_drops_the_oldest() {
     let mut list = DiscoveryList::new(true, INITIAL_REVISION);
-    list.apply(&backend_record("stays", State::Active, 1)).expect("a backend");
+    list.apply(&backend_record("stays", RecordState::Active, 1)).expect("a backend");
     for round in 0..MAX_REMOVED_ENTRIES + 10 {
         let name = format!("s-{round}");
-        list.apply(&backend_record(&name, State::Active, 1)).expect("a backend");
-        list.apply(&backend_record(&name, State::Gone, 1)).expect("a tombstone");
+        list.apply(&backend_record(&name, RecordState::Active, 1)).expect("a backend");
+        list.apply(&backend_record(&name, RecordState::Gone, 1)).expect("a tombstone");
     }
     let remaining = ("stays".to_owned(), Phase::Active);
     assert_eq!(changed_ids(&list, 0), (true, vec![remaining.clone()]));
@@ -94,11 +94,11 @@
 #[test]
 fn ignores_records_without_effect() {
     let mut list = DiscoveryList::new(true, INITIAL_REVISION);
-    assert_eq!(list.apply(&backend_record("a", State::Active, 1)), Ok(true));
-    assert_eq!(list.apply(&backend_record("a", State::Active, 1)), Ok(false));
-    assert_eq!(list.apply(&backend_record("never", State::Gone, 1)), Ok(false));
-    let mut route = backend_record("a", State::Gone, 1);
-    route.record.key.kind = Kind::Route;
+    assert_eq!(list.apply(&backend_record("a", RecordState::Active, 1)), Ok(true));
+    assert_eq!(list.apply(&backend_record("a", RecordState::Active, 1)), Ok(false));
+    assert_eq!(list.apply(&backend_record("never", RecordState::Gone, 1)), Ok(false));
+    let mut route = backend_record("a", RecordState::Gone, 1);
+    route.record.key.kind = RecordKind::Route;
     assert_eq!(list.apply(&route), Ok(false));
     assert_eq!(list.revision(), INITIAL_REVISION + 1);
 }
@@ -106,13 +106,13 @@
 #[test]
 fn malformed_body_does_not_replace_an_entry_but_its_drain_is_applied() {
     let mut list = DiscoveryList::new(true, INITIAL_REVISION);
-    list.apply(&backend_record("a", State::Active, 7)).expect("a backend");
+    list.apply(&backend_record("a", RecordState::Active, 7)).expect("a backend");
     let malformed = |state| applied_record(1, "a", state, Arc::from(&b"\xff"[..]));
-    assert!(list.apply(&malformed(State::Active)).is_err());
+    assert!(list.apply(&malformed(RecordState::Active)).is_err());
     assert_eq!(list.revision(), INITIAL_REVISION + 1);
-    assert!(list.apply(&malformed(State::Draining)).is_err());
+    assert!(list.apply(&malformed(RecordState::Draining)).is_err());
     assert_eq!(changed_ids(&list, INITIAL_REVISION + 1), (false, vec![("a".to_owned(), Phase::Leaving)]));
-    assert!(list.apply(&applied_record(1, "b", State::Active, Arc::from(&b"\xff"[..]))).is_err());
+    assert!(list.apply(&applied_record(1, "b", RecordState::Active, Arc::from(&b"\xff"[..]))).is_err());
     assert_eq!(list.snapshot().members.len(), 1);
 }
 
@@ -123,7 +123,7 @@
         list.apply(&applied_record(
             service,
             "a",
-            State::Active,
+            RecordState::Active,
             encode_backend_body(&backend(service as u16)),
         ))
         .expect("a backend");
@@ -157,7 +157,7 @@
             (known.clone(), complete_list.collect::<BTreeMap<_, _>>())
         };
         for (name, state, port, requests_changes) in steps {
-            let state = [State::Active, State::Draining, State::Gone][usize::from(state)];
+            let state = [RecordState::Active, RecordState::Draining, RecordState::Gone][usize::from(state)];
             list.apply(&backend_record(&format!("s-{name}"), state, port)).expect("a backend");
             if requests_changes {
                 let (known, complete_list) = watch(&list);
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -5,7 +5,9 @@
 use control_plane::message::{
     KeyBound, Message, PROTOCOL_VERSION, ReplicaPosition, ServiceDigest, ServiceRange,
 };
-use control_plane::record::{Backend, Change, Cursor, Key, Kind, Record, Scope, State, Version};
+use control_plane::record::{
+    Backend, Change, Cursor, Record, RecordKey, RecordKind, RecordState, Scope, Version,
+};
 use control_plane::runtime::snapshot::{Snapshot, lock, read};
 use golden_files::{GoldenFiles, hex};
 use std::collections::BTreeSet;
@@ -27,17 +29,17 @@
     [version(revision), version(revision + 1), version(revision + 2)]
 }
 
-fn key(kind: Kind, name: &str) -> Key {
-    Key { service: 7_399, kind, name: name.into() }
+fn key(kind: RecordKind, name: &str) -> RecordKey {
+    RecordKey { service: 7_399, kind, name: name.into() }
 }
 
 fn backend() -> Backend {
     Backend {
         address: "10.1.0.18:3000".parse().expect("an address"),
-        locality: "a".into(),
-        flavor: "m2".into(),
+        zone: "a".into(),
+        machine_kind: "m2".into(),
         cell: 3,
-        size: 1.5,
+        capacity: 1.5,
         up_since_ms: 1_796_148_000_123,
     }
 }
@@ -51,10 +53,10 @@
         body: body.into(),
     };
     vec![
-        record(Kind::Backend, "s-5be2a07c", 41, State::Active, &encode_backend_body(&backend())),
-        record(Kind::Configuration, "timeouts", 42, State::Active, b"{\"a\":1}"),
-        record(Kind::Route, "/checkout", 300, State::Draining, b"r"),
-        record(Kind::Tenant, "acme", 70_000, State::Gone, b""),
+        record(RecordKind::Backend, "s-5be2a07c", 41, RecordState::Active, &encode_backend_body(&backend())),
+        record(RecordKind::Configuration, "timeouts", 42, RecordState::Active, b"{\"a\":1}"),
+        record(RecordKind::Route, "/checkout", 300, RecordState::Draining, b"r"),
+        record(RecordKind::Tenant, "acme", 70_000, RecordState::Gone, b""),
     ]
 }
 
@@ -65,7 +67,8 @@
 fn messages() -> Vec<(&'static str, Message)> {
     let (source, epoch) = (513, 1_796_148_000_000);
     let services = Scope::Services(BTreeSet::from([1, 128, 7_399]));
-    let change = Change { key: key(Kind::Tenant, "acme"), state: State::Active, body: (*b"x").into() };
+    let change =
+        Change { key: key(RecordKind::Tenant, "acme"), state: RecordState::Active, body: (*b"x").into() };
     vec![
         (
             "hello, scope by services",
@@ -118,7 +121,7 @@
                 epoch,
                 as_of: version(300),
                 service: 7_399,
-                after: Some(KeyBound { kind: Kind::Backend, name: "s-1".into() }),
+                after: Some(KeyBound { kind: RecordKind::Backend, name: "s-1".into() }),
                 through: None,
                 records: records(),
             },
--- a/crates/control-plane/tests/processes/commands.rs
+++ b/crates/control-plane/tests/processes/commands.rs
@@ -1,7 +1,7 @@
 //! Start and end of the processes, and the commands of operators.
 
 use super::support::*;
-use control_plane::record::State::Active;
+use control_plane::record::RecordState::Active;
 use control_plane::runtime::snapshot::read;
 use std::fs;
 use std::path::Path;
--- a/crates/control-plane/tests/processes/faults.rs
+++ b/crates/control-plane/tests/processes/faults.rs
@@ -1,7 +1,7 @@
 //! Failures of relays and sources: killed, suspended, and restarted without their last changes.
 
 use super::support::*;
-use control_plane::record::State::{Active, Draining, Gone};
+use control_plane::record::RecordState::{Active, Draining, Gone};
 
 #[test]
 fn agent_fails_over_from_a_killed_relay_without_loss() {
--- a/crates/control-plane/tests/processes/main.rs
+++ b/crates/control-plane/tests/processes/main.rs
@@ -8,7 +8,7 @@
 #[path = "../test_directory/mod.rs"]
 mod test_directory;
 
-use control_plane::record::State::{Active, Draining, Gone};
+use control_plane::record::RecordState::{Active, Draining, Gone};
 use support::*;
 
 #[test]
--- a/crates/control-plane/tests/processes/malformed_input.rs
+++ b/crates/control-plane/tests/processes/malformed_input.rs
@@ -3,8 +3,8 @@
 use super::support::*;
 use control_plane::codec::encode;
 use control_plane::message::{MAX_MESSAGE_BYTES, Message, PROTOCOL_VERSION};
+use control_plane::record::RecordState::{Active, Draining};
 use control_plane::record::Scope;
-use control_plane::record::State::{Active, Draining};
 use std::io::{Read, Write};
 use std::sync::mpsc::channel;
 
--- a/crates/control-plane/tests/processes/stalled_subscribers.rs
+++ b/crates/control-plane/tests/processes/stalled_subscribers.rs
@@ -3,8 +3,8 @@
 
 use super::support::*;
 use control_plane::message::Message;
+use control_plane::record::RecordState::Active;
 use control_plane::record::Scope;
-use control_plane::record::State::Active;
 use control_plane::subscriber::Subscriber;
 
 /// Number of records written in each round.
--- a/crates/control-plane/tests/processes/support/change_writer.rs
+++ b/crates/control-plane/tests/processes/support/change_writer.rs
@@ -1,28 +1,28 @@
 //! A client that writes changes to a source.
 
 use control_plane::codec::encode_backend_body;
-use control_plane::record::{Backend, Change, Key, Kind, State, Version};
+use control_plane::record::{Backend, Change, RecordKey, RecordKind, RecordState, Version};
 use control_plane::runtime::writer::{Writer, WriterError};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 
-fn backend_change(service: u32, name: &str, state: State) -> Change {
+fn backend_change(service: u32, name: &str, state: RecordState) -> Change {
     let backend = Backend {
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 3000),
-        locality: "a".into(),
-        flavor: "m".into(),
+        zone: "a".into(),
+        machine_kind: "m".into(),
         cell: 1,
-        size: 1.0,
+        capacity: 1.0,
         up_since_ms: 0,
     };
-    let body = if state == State::Gone { Arc::from([]) } else { encode_backend_body(&backend) };
-    Change { key: Key { service, kind: Kind::Backend, name: name.into() }, state, body }
+    let body = if state == RecordState::Gone { Arc::from([]) } else { encode_backend_body(&backend) };
+    Change { key: RecordKey { service, kind: RecordKind::Backend, name: name.into() }, state, body }
 }
 
 /// A change of a configuration whose body is `bytes` times the byte `fill`.
 pub fn configuration_change(service: u32, name: &str, bytes: usize, fill: u8) -> Change {
-    let key = Key { service, kind: Kind::Configuration, name: name.into() };
-    Change { key, state: State::Active, body: vec![fill; bytes].into() }
+    let key = RecordKey { service, kind: RecordKind::Configuration, name: name.into() };
+    Change { key, state: RecordState::Active, body: vec![fill; bytes].into() }
 }
 
 /// A blocking client. After an error it reconnects for the next write.
@@ -54,7 +54,7 @@
     }
 
     /// Writes the states of backends of one service. Returns the version of the last change.
-    pub fn set(&mut self, service: u32, backends: &[(&str, State)]) -> Version {
+    pub fn set(&mut self, service: u32, backends: &[(&str, RecordState)]) -> Version {
         let changes = backends.iter().map(|(name, state)| backend_change(service, name, *state)).collect();
         self.write(changes).expect("written").expect("a version")
     }
--- a/crates/control-plane/tests/publisher/limits.rs
+++ b/crates/control-plane/tests/publisher/limits.rs
@@ -22,7 +22,7 @@
         for (wait_ms, writes, size) in steps {
             now += wait_ms;
             for index in 0..writes {
-                write(&mut source, change(index as u32 % 12, Kind::Backend, &format!("b{}", written % 50), State::Active, size));
+                write(&mut source, change(index as u32 % 12, RecordKind::Backend, &format!("b{}", written % 50), RecordState::Active, size));
                 written += 1;
             }
             while let PublisherAction::Send(message) = source.next_action(SUBSCRIBER, now) {
@@ -50,10 +50,10 @@
         count in 0..300_usize,
     ) {
         let version = Version { epoch, revision };
-        let key = Key { service, kind: Kind::Tenant, name: name.as_str().into() };
-        let record = Record { key, version, state: State::Draining, body: vec![1; size].into() };
+        let key = RecordKey { service, kind: RecordKind::Tenant, name: name.as_str().into() };
+        let record = Record { key, version, state: RecordState::Draining, body: vec![1; size].into() };
         let records = vec![record; count.min(3)];
-        let bound = Some(KeyBound { kind: Kind::Route, name: name.as_str().into() });
+        let bound = Some(KeyBound { kind: RecordKind::Route, name: name.as_str().into() });
         let messages = [
             Message::Heartbeat,
             Message::Welcome { protocol: PROTOCOL_VERSION, name: name.clone() },
@@ -83,11 +83,17 @@
     let mut source = source(RateLimit::default());
     let mut subscriber = Subscriber::new("agent", scope.clone());
     for name in 0..3_000 {
-        backend(&mut source, 1, &format!("backend-{name:05}"), State::Active);
+        backend(&mut source, 1, &format!("backend-{name:05}"), RecordState::Active);
     }
     write(
         &mut source,
-        change(2, Kind::Configuration, &"c".repeat(MAX_NAME_BYTES), State::Active, MAX_BODY_BYTES),
+        change(
+            2,
+            RecordKind::Configuration,
+            &"c".repeat(MAX_NAME_BYTES),
+            RecordState::Active,
+            MAX_BODY_BYTES,
+        ),
     );
     let mut sent = connect(&mut source, &mut subscriber, 0);
     // The largest record exceeds the burst. It is sent when the token bucket is full.
@@ -112,7 +118,7 @@
     let (mut source, mut subscriber) =
         (source(RateLimit { bytes_per_s: 100, burst_bytes: 2_000 }), Subscriber::new("agent", scope));
     for service in 0..20 {
-        backend(&mut source, service, "b", State::Active);
+        backend(&mut source, service, "b", RecordState::Active);
     }
     connect(&mut source, &mut subscriber, 0);
     for round in 0..1_000 {
--- a/crates/control-plane/tests/publisher/main.rs
+++ b/crates/control-plane/tests/publisher/main.rs
@@ -11,7 +11,7 @@
 };
 use control_plane::publisher::PublisherAction;
 use control_plane::rate_limit::RateLimit;
-use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
+use control_plane::record::{Change, Record, RecordKey, RecordKind, RecordState, Scope, ServiceId, Version};
 use control_plane::relay::Relay;
 use control_plane::session::MAX_SCOPE_SERVICES;
 use control_plane::session::SessionError;
@@ -29,9 +29,9 @@
 const SUBSCRIBER: u64 = 1;
 
 /// A change whose body has `size` bytes, or none if the record is removed.
-fn change(service: ServiceId, kind: Kind, name: &str, state: State, size: usize) -> Change {
-    let body = if state == State::Gone { Arc::from([]) } else { vec![7; size].into() };
-    Change { key: Key { service, kind, name: name.into() }, state, body }
+fn change(service: ServiceId, kind: RecordKind, name: &str, state: RecordState, size: usize) -> Change {
+    let body = if state == RecordState::Gone { Arc::from([]) } else { vec![7; size].into() };
+    Change { key: RecordKey { service, kind, name: name.into() }, state, body }
 }
 
 /// Writes a change to the source on the connection of a writer.
@@ -44,8 +44,8 @@
     }
 }
 
-fn backend(source: &mut Source, service: ServiceId, name: &str, state: State) -> Version {
-    write(source, change(service, Kind::Backend, name, state, 60))
+fn backend(source: &mut Source, service: ServiceId, name: &str, state: RecordState) -> Version {
+    write(source, change(service, RecordKind::Backend, name, state, 60))
 }
 
 fn source(rate_limit: RateLimit) -> Source {
--- a/crates/control-plane/tests/publisher/rejections.rs
+++ b/crates/control-plane/tests/publisher/rejections.rs
@@ -6,19 +6,19 @@
 fn rejects_all_changes_of_a_write_if_one_is_invalid() {
     let mut source = source(HIGH_RATE);
     let cases = [
-        change(1, Kind::Backend, &"n".repeat(MAX_NAME_BYTES + 1), State::Active, 1),
-        change(1, Kind::Backend, "b", State::Active, MAX_BODY_BYTES + 1),
-        Change { body: Arc::from([1]), ..change(1, Kind::Backend, "b", State::Gone, 0) },
+        change(1, RecordKind::Backend, &"n".repeat(MAX_NAME_BYTES + 1), RecordState::Active, 1),
+        change(1, RecordKind::Backend, "b", RecordState::Active, MAX_BODY_BYTES + 1),
+        Change { body: Arc::from([1]), ..change(1, RecordKind::Backend, "b", RecordState::Gone, 0) },
     ];
     for invalid in cases {
         let reason = validate_change(&invalid).expect_err("over a limit").to_string();
-        let changes = vec![change(1, Kind::Backend, "good", State::Active, 1), invalid];
+        let changes = vec![change(1, RecordKind::Backend, "good", RecordState::Active, 1), invalid];
         let responses = source.on_message(9, Message::Write { id: 4, changes }, 0);
         assert_eq!(responses, Ok(vec![Message::Written { id: 4, result: Err(reason) }]));
         assert_eq!(source.store().live_records().count(), 0, "no change is applied");
         assert_eq!(source.store().head().revision, 0);
     }
-    let too_long_body = change(1, Kind::Backend, "b", State::Active, MAX_BODY_BYTES + 1);
+    let too_long_body = change(1, RecordKind::Backend, "b", RecordState::Active, MAX_BODY_BYTES + 1);
     let error = WriteError::TooLong {
         field: "the body",
         name: "b".into(),
--- a/crates/control-plane/tests/publisher/repair.rs
+++ b/crates/control-plane/tests/publisher/repair.rs
@@ -7,7 +7,7 @@
 fn sends_many_services_in_parts_and_recovers_a_lost_one() {
     let mut source = source(HIGH_RATE);
     for service in 0..10_000 {
-        backend(&mut source, service * 3, "b", State::Active);
+        backend(&mut source, service * 3, "b", RecordState::Active);
     }
     let mut subscriber = Subscriber::new("agent", Scope::All);
     source.on_message(SUBSCRIBER, subscriber.hello(), 0).expect("hello is accepted");
@@ -40,7 +40,7 @@
     let mut subscriber = Subscriber::new("agent", scope.clone());
     for service in 0..50 {
         for name in 0..20 {
-            backend(&mut source, service, &format!("b{name}"), State::Active);
+            backend(&mut source, service, &format!("b{name}"), RecordState::Active);
         }
     }
     connect(&mut source, &mut subscriber, 0);
@@ -50,10 +50,10 @@
     source.disconnect(SUBSCRIBER);
     for service in [3, 17, 41] {
         (0..6).for_each(|name| {
-            backend(&mut source, service, &format!("b{name}"), State::Gone);
+            backend(&mut source, service, &format!("b{name}"), RecordState::Gone);
         });
     }
-    backend(&mut source, 70, "b", State::Active);
+    backend(&mut source, 70, "b", RecordState::Active);
     assert_eq!(source.store().tombstone_count(), 10);
     let sent = connect(&mut source, &mut subscriber, 1_000);
     assert_eq!(sent.iter().filter(|message| matches!(message, Message::DigestSummary { .. })).count(), 1);
@@ -62,7 +62,7 @@
     // While no tombstone is missing, the changes are sent from the log.
     source.disconnect(SUBSCRIBER);
     (0..10).for_each(|name| {
-        backend(&mut source, 5, &format!("b{name}"), State::Gone);
+        backend(&mut source, 5, &format!("b{name}"), RecordState::Gone);
     });
     let sent = connect(&mut source, &mut subscriber, 2_000);
     assert!(
@@ -80,7 +80,7 @@
     let mut source = source(HIGH_RATE);
     let mut subscriber = Subscriber::new("agent", scope.clone());
     for service in 0..50 {
-        backend(&mut source, service, "b", State::Active);
+        backend(&mut source, service, "b", RecordState::Active);
     }
     connect(&mut source, &mut subscriber, 0);
     let records = source.store().live_records().cloned().collect();
@@ -88,7 +88,7 @@
         Source::new("source", VersionedStore::restore(0, 2, source.store().head(), records), HIGH_RATE);
     let sent = connect(&mut source, &mut subscriber, 1_000);
     assert!(snapshots(&sent).is_empty());
-    let version = backend(&mut source, 3, "b", State::Draining);
+    let version = backend(&mut source, 3, "b", RecordState::Draining);
     assert_eq!(version, Version { epoch: 2, revision: 51 });
     exchange(&mut source, &mut subscriber, 1_100);
     assert_equal_records(&source, &subscriber, &scope);
--- a/crates/control-plane/tests/publisher/send_order.rs
+++ b/crates/control-plane/tests/publisher/send_order.rs
@@ -10,7 +10,7 @@
     let before = source.retained_items(SUBSCRIBER);
     for round in 0..2_000 {
         for name in ["a", "b"] {
-            let state = if round % 2 == 0 { State::Draining } else { State::Active };
+            let state = if round % 2 == 0 { RecordState::Draining } else { RecordState::Active };
             backend(&mut source, round % 8, name, state);
         }
         assert_eq!(source.retained_items(SUBSCRIBER), before, "the send state has grown");
@@ -48,19 +48,19 @@
     };
     for (id, source) in sources.iter_mut().enumerate() {
         source.on_message(5, relay.hello(id as u16), 0).expect("hello is accepted");
-        backend(source, id as u32, "old", State::Active);
+        backend(source, id as u32, "old", RecordState::Active);
     }
     let hello = Subscriber::new("agent", services(0..3)).hello();
     relay.on_message(SUBSCRIBER, hello, 0).expect("hello is accepted");
     publish(&mut sources, &mut relay, 0);
     // The changes are written in reverse order of urgency.
     for (id, source) in sources.iter_mut().enumerate() {
-        write(source, change(id as u32, Kind::Route, "route", State::Active, 10));
+        write(source, change(id as u32, RecordKind::Route, "route", RecordState::Active, 10));
         for name in ["new", "newer"] {
-            backend(source, id as u32, name, State::Active);
+            backend(source, id as u32, name, RecordState::Active);
         }
-        backend(source, id as u32, "old", State::Draining);
-        backend(source, id as u32, "older", State::Draining);
+        backend(source, id as u32, "old", RecordState::Draining);
+        backend(source, id as u32, "older", RecordState::Draining);
     }
     let sent = publish(&mut sources, &mut relay, 100);
     let urgencies: Vec<_> = records(&sent).iter().map(|record| record.urgency()).collect();
@@ -85,7 +85,7 @@
             // Once all sources are connected, far more is written than the rate limit allows.
             if now > 1_000 {
                 (0..20).for_each(|index| {
-                    backend(source, id as u32, &format!("b{}", (now + index) % 997), State::Active);
+                    backend(source, id as u32, &format!("b{}", (now + index) % 997), RecordState::Active);
                 });
             }
             while let PublisherAction::Send(message) = source.next_action(5, now) {
@@ -111,7 +111,7 @@
 fn idle_upstream_sends_heartbeats_and_periodic_digests() {
     let scope = services([1]);
     let (mut source, mut subscriber) = (source(HIGH_RATE), Subscriber::new("agent", scope));
-    backend(&mut source, 1, "b", State::Active);
+    backend(&mut source, 1, "b", RecordState::Active);
     connect(&mut source, &mut subscriber, 0);
     let (mut messages, mut digests) = (0, 0);
     let mut now = 0;
@@ -138,11 +138,11 @@
 fn changes_out_of_scope_cost_one_progress_message_per_second() {
     let scope = services([1]);
     let (mut source, mut subscriber) = (source(HIGH_RATE), Subscriber::new("agent", scope.clone()));
-    backend(&mut source, 1, "b", State::Active);
+    backend(&mut source, 1, "b", RecordState::Active);
     connect(&mut source, &mut subscriber, 0);
     let mut sent = Vec::new();
     for now in 0..5_000 {
-        backend(&mut source, 2, &format!("b{}", now % 7), State::Active);
+        backend(&mut source, 2, &format!("b{}", now % 7), RecordState::Active);
         sent.extend(exchange(&mut source, &mut subscriber, now));
     }
     assert!(records(&sent).is_empty());
--- a/crates/control-plane/tests/replica/main.rs
+++ b/crates/control-plane/tests/replica/main.rs
@@ -9,7 +9,9 @@
 };
 use control_plane::publisher::PublisherAction;
 use control_plane::rate_limit::RateLimit;
-use control_plane::record::{Cursor, Epoch, Key, Kind, Record, Scope, ServiceId, State, Urgency, Version};
+use control_plane::record::{
+    Cursor, Epoch, Record, RecordKey, RecordKind, RecordState, Scope, ServiceId, Urgency, Version,
+};
 use control_plane::relay::Relay;
 use control_plane::store::VersionedStore;
 use control_plane::subscriber::{MessageOutcome, Subscriber};
@@ -36,9 +38,9 @@
 }
 
 /// A backend record of epoch 1.
-fn record(service: ServiceId, name: &str, revision: u64, state: State) -> Record {
-    let key = Key { service, kind: Kind::Backend, name: name.into() };
-    let body: &[u8] = if state == State::Gone { &[] } else { &[1, 2, 3] };
+fn record(service: ServiceId, name: &str, revision: u64, state: RecordState) -> Record {
+    let key = RecordKey { service, kind: RecordKind::Backend, name: name.into() };
+    let body: &[u8] = if state == RecordState::Gone { &[] } else { &[1, 2, 3] };
     Record { key, version: version(1, revision), state, body: body.into() }
 }
 
--- a/crates/control-plane/tests/replica/relay.rs
+++ b/crates/control-plane/tests/replica/relay.rs
@@ -44,7 +44,7 @@
 /// position could restore removed records at the subscriber.
 #[test]
 fn relay_snapshot_includes_tombstones_beyond_its_position() {
-    let (old, removed) = (record(1, "a", 3, State::Active), record(1, "a", 9, State::Gone));
+    let (old, removed) = (record(1, "a", 3, RecordState::Active), record(1, "a", 9, RecordState::Gone));
     let mut relay = relay_at(5, std::slice::from_ref(&old));
     relay.on_source_message(0, batch([5; 3], [9, 5, 5], vec![removed.clone()]), 0).expect("accepted");
     subscribe(&mut relay, vec![]);
@@ -64,14 +64,15 @@
 
 #[test]
 fn relay_publishes_nothing_during_a_repair_to_a_new_epoch() {
-    let old = record(1, "a", 3, State::Active);
+    let old = record(1, "a", 3, RecordState::Active);
     let mut relay = relay_at(5, std::slice::from_ref(&old));
     relay
-        .on_source_message(0, batch([5; 3], [8; 3], vec![record(1, "c", 7, State::Active)]), 0)
+        .on_source_message(0, batch([5; 3], [8; 3], vec![record(1, "c", 7, RecordState::Active)]), 0)
         .expect("accepted");
     // `c` has not been sent to the subscriber yet.
     subscribe(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
-    let source_store = VersionedStore::restore(0, 2, version(1, 4), vec![record(2, "b", 4, State::Active)]);
+    let source_store =
+        VersionedStore::restore(0, 2, version(1, 4), vec![record(2, "b", 4, RecordState::Active)]);
     let digests = digests(&source_store);
     let (to, range) = ([source_store.head(); 3], ALL_SERVICES);
     let new_epoch = Message::DigestSummary { source: 0, epoch: 2, range, to, digests };
@@ -95,17 +96,17 @@
 
 #[test]
 fn inconsistent_relay_publishes_changes_but_no_digests() {
-    let records = [record(1, "a", 3, State::Active), record(2, "b", 4, State::Active)];
+    let records = [record(1, "a", 3, RecordState::Active), record(2, "b", 4, RecordState::Active)];
     let mut relay = relay_at(5, &records);
     subscribe(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
     sent_messages(&mut relay);
     // The source's digests differ: the relay requests service 2.
-    let repaired = record(2, "b", 5, State::Active);
+    let repaired = record(2, "b", 5, RecordState::Active);
     let responses =
         relay.on_source_message(0, summary(5, &[records[0].clone(), repaired.clone()]), 0).expect("accepted");
     assert_eq!(responses, [Message::SnapshotRequest { source: 0, services: vec![2] }]);
     // Changes during the repair are sent immediately.
-    let drained = record(1, "a", 6, State::Draining);
+    let drained = record(1, "a", 6, RecordState::Draining);
     relay.on_source_message(0, batch([5; 3], [6; 3], vec![drained.clone()]), 0).expect("accepted");
     let sent = sent_messages(&mut relay);
     let has_digest =
@@ -128,10 +129,10 @@
 /// the change itself. A subscriber that received everything up to that change would have missed the removal.
 #[test]
 fn relay_publishes_a_removal_at_its_log_position() {
-    let old = record(1, "a", 1, State::Active);
+    let old = record(1, "a", 1, RecordState::Active);
     let mut relay = relay_at(1, std::slice::from_ref(&old));
     relay.on_source_message(0, snapshot(4, 1, vec![]), 0).expect("accepted");
-    let removed = record(1, "a", 2, State::Gone);
+    let removed = record(1, "a", 2, RecordState::Gone);
     relay.on_source_message(0, batch([1; 3], [3, 1, 3], vec![removed.clone()]), 0).expect("accepted");
     subscribe(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([1; 3]) }]);
     let sent = sent_messages(&mut relay);
@@ -142,17 +143,17 @@
 /// digests to them.
 #[test]
 fn repair_at_a_relay_reaches_its_subscribers() {
-    let mut relay = relay_at(5, &[record(1, "a", 3, State::Active)]);
+    let mut relay = relay_at(5, &[record(1, "a", 3, RecordState::Active)]);
     subscribe(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }]);
     sent_messages(&mut relay);
-    let repaired = record(2, "b", 4, State::Active);
+    let repaired = record(2, "b", 4, RecordState::Active);
     relay
-        .on_source_message(0, summary(5, &[record(1, "a", 3, State::Active), repaired.clone()]), 0)
+        .on_source_message(0, summary(5, &[record(1, "a", 3, RecordState::Active), repaired.clone()]), 0)
         .expect("accepted");
     relay.on_source_message(0, snapshot(5, 2, vec![repaired.clone()]), 0).expect("accepted");
     assert!(matches!(sent_messages(&mut relay)[..], [Message::DigestSummary { .. }]));
     // The same applies to a snapshot that was not requested.
-    let other = record(3, "c", 4, State::Active);
+    let other = record(3, "c", 4, RecordState::Active);
     relay.on_source_message(0, snapshot(5, 3, vec![other]), 0).expect("accepted");
     assert!(matches!(sent_messages(&mut relay)[..], [Message::DigestSummary { .. }]));
     // A subscriber at a position before the repair may miss tombstones that the relay never received.
@@ -165,11 +166,11 @@
 /// until it has caught up.
 #[test]
 fn subscriber_ahead_of_its_relay_receives_nothing() {
-    let mut relay = relay_at(5, &[record(1, "a", 3, State::Active)]);
+    let mut relay = relay_at(5, &[record(1, "a", 3, RecordState::Active)]);
     subscribe(&mut relay, vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([9; 3]) }]);
     assert_eq!(sent_messages(&mut relay), []);
     relay
-        .on_source_message(0, batch([5; 3], [10; 3], vec![record(1, "b", 10, State::Draining)]), 0)
+        .on_source_message(0, batch([5; 3], [10; 3], vec![record(1, "b", 10, RecordState::Draining)]), 0)
         .expect("accepted");
     let sent = sent_messages(&mut relay);
     assert!(
@@ -190,7 +191,7 @@
         let name = |index: usize| format!("backend-{index:06}");
         // Of two services only one is in scope.
         let records: Vec<Record> = (0..count)
-            .map(|index| record(1 + index as u32 % 2, &name(index), index as u64 + 1, State::Active))
+            .map(|index| record(1 + index as u32 % 2, &name(index), index as u64 + 1, RecordState::Active))
             .collect();
         let to = count as u64;
         let mut sorted = records.clone();
--- a/crates/control-plane/tests/replica/subscriber.rs
+++ b/crates/control-plane/tests/replica/subscriber.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn ignores_a_snapshot_from_before_the_summary() {
-    let old = record(1, "a", 3, State::Active);
-    let new = record(1, "b", 7, State::Active);
+    let old = record(1, "a", 3, RecordState::Active);
+    let new = record(1, "b", 7, RecordState::Active);
     let mut subscriber = Subscriber::new("agent", Scope::All);
     let outcome = deliver(&mut subscriber, summary(7, &[old.clone(), new.clone()]));
     assert_eq!(outcome.replies, [Message::SnapshotRequest { source: 0, services: vec![1] }]);
@@ -20,10 +20,11 @@
 /// according to the newer summary, and the end of the repair then reported a complete replica.
 #[test]
 fn ignores_late_messages_from_before_a_summary() {
-    let (removed, retained) = (record(1, "a", 3, State::Active), record(2, "b", 4, State::Active));
+    let (removed, retained) =
+        (record(1, "a", 3, RecordState::Active), record(2, "b", 4, RecordState::Active));
     let late = [
         snapshot(5, 1, vec![removed.clone()]),
-        batch([0; 3], [6; 3], vec![record(1, "c", 6, State::Active)]),
+        batch([0; 3], [6; 3], vec![record(1, "c", 6, RecordState::Active)]),
     ];
     for late in late {
         let mut subscriber = Subscriber::new("agent", Scope::All);
@@ -38,9 +39,9 @@
 
 #[test]
 fn old_snapshot_does_not_restore_a_removed_record() {
-    let old = record(1, "a", 3, State::Active);
+    let old = record(1, "a", 3, RecordState::Active);
     let mut subscriber = subscriber_at(5, std::slice::from_ref(&old));
-    deliver(&mut subscriber, batch([5; 3], [10; 3], vec![record(1, "a", 9, State::Gone)]));
+    deliver(&mut subscriber, batch([5; 3], [10; 3], vec![record(1, "a", 9, RecordState::Gone)]));
     assert_eq!(stored_records(&subscriber), []);
     // The tombstone has been dropped, as all cursors have passed it.
     assert!(subscriber.stores().all(|(_, store)| store.get(&old.key).is_none()));
@@ -51,10 +52,13 @@
 
 #[test]
 fn old_snapshot_does_not_change_newer_records() {
-    let newer = record(1, "a", 8, State::Draining);
-    let other = record(1, "b", 9, State::Active);
+    let newer = record(1, "a", 8, RecordState::Draining);
+    let other = record(1, "b", 9, RecordState::Active);
     let mut subscriber = subscriber_at(10, &[newer.clone(), other.clone()]);
-    assert_eq!(deliver(&mut subscriber, snapshot(5, 1, vec![record(1, "a", 3, State::Active)])).applied, []);
+    assert_eq!(
+        deliver(&mut subscriber, snapshot(5, 1, vec![record(1, "a", 3, RecordState::Active)])).applied,
+        []
+    );
     assert_eq!(stored_records(&subscriber), [newer, other]);
 }
 
@@ -62,25 +66,26 @@
 fn retains_a_tombstone_until_all_cursors_pass_it() {
     let mut subscriber = subscriber_at(5, &[]);
     // A removal that arrives before earlier changes.
-    let outcome = deliver(&mut subscriber, batch([8, 5, 5], [9, 5, 5], vec![record(1, "a", 9, State::Gone)]));
+    let outcome =
+        deliver(&mut subscriber, batch([8, 5, 5], [9, 5, 5], vec![record(1, "a", 9, RecordState::Gone)]));
     let positions = vec![ReplicaPosition { source: 0, epoch: 1, cursor: cursor([5; 3]) }];
     assert_eq!(outcome.replies, [Message::Resume { positions }], "a change before the removal is missing");
-    deliver(&mut subscriber, batch([5; 3], [5, 6, 5], vec![record(2, "b", 6, State::Active)]));
+    deliver(&mut subscriber, batch([5; 3], [5, 6, 5], vec![record(2, "b", 6, RecordState::Active)]));
     let outcome =
-        deliver(&mut subscriber, batch([5, 6, 5], [5, 7, 5], vec![record(1, "a", 7, State::Active)]));
+        deliver(&mut subscriber, batch([5, 6, 5], [5, 7, 5], vec![record(1, "a", 7, RecordState::Active)]));
     assert_eq!(outcome.applied, [], "the record was removed at a later revision");
-    deliver(&mut subscriber, batch([5, 7, 5], [9; 3], vec![record(1, "a", 9, State::Gone)]));
-    assert_eq!(stored_records(&subscriber), [record(2, "b", 6, State::Active)]);
+    deliver(&mut subscriber, batch([5, 7, 5], [9; 3], vec![record(1, "a", 9, RecordState::Gone)]));
+    assert_eq!(stored_records(&subscriber), [record(2, "b", 6, RecordState::Active)]);
     assert_eq!(position(&subscriber).map(|position| position.cursor), Some(cursor([9; 3])));
 }
 
 #[test]
 fn batches_during_a_repair_advance_up_to_the_first_gap() {
-    let mut subscriber = subscriber_at(5, &[record(1, "a", 3, State::Active)]);
-    let current = [record(1, "a", 6, State::Active)];
+    let mut subscriber = subscriber_at(5, &[record(1, "a", 3, RecordState::Active)]);
+    let current = [record(1, "a", 6, RecordState::Active)];
     deliver(&mut subscriber, summary(7, &current));
-    deliver(&mut subscriber, batch([7; 3], [9; 3], vec![record(2, "b", 8, State::Active)]));
-    deliver(&mut subscriber, batch([12; 3], [13; 3], vec![record(2, "c", 13, State::Active)]));
+    deliver(&mut subscriber, batch([7; 3], [9; 3], vec![record(2, "b", 8, RecordState::Active)]));
+    deliver(&mut subscriber, batch([12; 3], [13; 3], vec![record(2, "c", 13, RecordState::Active)]));
     assert_eq!(
         position(&subscriber).map(|position| position.cursor),
         Some(cursor([5; 3])),
@@ -92,8 +97,9 @@
 
 #[test]
 fn repair_needs_all_parts_of_a_snapshot() {
-    let records: Vec<Record> = ["a", "b", "c"].map(|name| record(1, name, 3, State::Active)).to_vec();
-    let bound = |index: usize| Some(KeyBound { kind: Kind::Backend, name: records[index].key.name.clone() });
+    let records: Vec<Record> = ["a", "b", "c"].map(|name| record(1, name, 3, RecordState::Active)).to_vec();
+    let bound =
+        |index: usize| Some(KeyBound { kind: RecordKind::Backend, name: records[index].key.name.clone() });
     let part = |after: Option<usize>, through: Option<usize>, included: std::ops::Range<usize>| {
         Message::ServiceSnapshot {
             source: 0,
@@ -105,7 +111,7 @@
             records: records[included].to_vec(),
         }
     };
-    let stale = record(1, "bb", 2, State::Active);
+    let stale = record(1, "bb", 2, RecordState::Active);
     let mut subscriber = subscriber_at(5, std::slice::from_ref(&stale));
     deliver(&mut subscriber, summary(7, &records));
     deliver(&mut subscriber, part(None, Some(0), 0..1));
@@ -127,10 +133,10 @@
 /// epoch.
 #[test]
 fn removes_changes_that_a_new_epoch_has_lost() {
-    let (retained, lost) = (record(1, "a", 3, State::Active), record(1, "b", 9, State::Active));
-    let drained = record(2, "c", 8, State::Draining);
+    let (retained, lost) = (record(1, "a", 3, RecordState::Active), record(1, "b", 9, RecordState::Active));
+    let drained = record(2, "c", 8, RecordState::Draining);
     let mut subscriber = subscriber_at(9, &[retained.clone(), lost, drained]);
-    let active = record(2, "c", 4, State::Active);
+    let active = record(2, "c", 4, RecordState::Active);
     let source_store = VersionedStore::restore(0, 2, version(1, 5), vec![retained.clone(), active.clone()]);
     let outcome = deliver(
         &mut subscriber,
@@ -182,7 +188,7 @@
     deliver(&mut subscriber, batch([5; 3], [9; 3], vec![]));
     assert_eq!(subscriber.tick(900_000), [], "the response has arrived");
     // On a new connection the pending request is sent immediately.
-    deliver(&mut subscriber, summary(9, &[record(1, "a", 3, State::Active)]));
+    deliver(&mut subscriber, summary(9, &[record(1, "a", 3, RecordState::Active)]));
     let outcome =
         deliver(&mut subscriber, Message::Welcome { protocol: PROTOCOL_VERSION, name: "relay".into() });
     assert_eq!(outcome.replies, [Message::SnapshotRequest { source: 0, services: vec![1] }]);
@@ -194,14 +200,14 @@
 #[test]
 fn requests_digests_of_a_newer_epoch_during_a_repair() {
     let mut subscriber = subscriber_at(5, &[]);
-    let outcome = deliver(&mut subscriber, summary(7, &[record(1, "a", 6, State::Active)]));
+    let outcome = deliver(&mut subscriber, summary(7, &[record(1, "a", 6, RecordState::Active)]));
     assert_eq!(outcome.replies, [Message::SnapshotRequest { source: 0, services: vec![1] }]);
     let newer = Message::Batch {
         source: 0,
         epoch: 2,
         from: [version(2, 7); 3],
         to: [version(2, 8); 3],
-        records: vec![record(2, "b", 4, State::Active)],
+        records: vec![record(2, "b", 4, RecordState::Active)],
         scope_digest: None,
     };
     let outcome = deliver(&mut subscriber, newer);
--- a/crates/control-plane/tests/simulation/applied_records.rs
+++ b/crates/control-plane/tests/simulation/applied_records.rs
@@ -2,7 +2,7 @@
 //! subscriber's own state.
 
 use control_plane::message::Message;
-use control_plane::record::{Epoch, Key, Record, Scope, State, Version};
+use control_plane::record::{Epoch, Record, RecordKey, RecordState, Scope, Version};
 use control_plane::replica::AppliedRecord;
 use std::collections::BTreeMap;
 
@@ -26,9 +26,9 @@
 /// Reconstructs a subscriber's records from the applied ones and checks their order.
 pub struct AppliedRecordChecker {
     scope: Scope,
-    live_records: BTreeMap<Key, Record>,
+    live_records: BTreeMap<RecordKey, Record>,
     /// By key, including removed records.
-    last_applied: BTreeMap<Key, LastApplied>,
+    last_applied: BTreeMap<RecordKey, LastApplied>,
     violations: Vec<String>,
 }
 
@@ -39,7 +39,7 @@
     }
 
     /// The applied records that were not removed later.
-    pub fn live_records(&self) -> &BTreeMap<Key, Record> {
+    pub fn live_records(&self) -> &BTreeMap<RecordKey, Record> {
         &self.live_records
     }
 
@@ -59,7 +59,7 @@
         if self.live_records.get(&key) == Some(&record) {
             self.violations.push(format!("{key:?}: {:?} was applied twice", record.version));
         }
-        let replaced = if record.state == State::Gone {
+        let replaced = if record.state == RecordState::Gone {
             self.live_records.remove(&key)
         } else {
             self.live_records.insert(key.clone(), record)
--- a/crates/control-plane/tests/simulation/convergence.rs
+++ b/crates/control-plane/tests/simulation/convergence.rs
@@ -5,7 +5,7 @@
 use crate::nodes::Settings;
 use crate::simulation::Simulation;
 use control_plane::rate_limit::RateLimit;
-use control_plane::record::{Kind, Scope, State};
+use control_plane::record::{RecordKind, RecordState, Scope};
 use proptest::prelude::*;
 
 /// Number of services.
@@ -14,12 +14,12 @@
 /// of digests (10 s).
 const MAX_CONVERGENCE_TICKS: usize = 800;
 
-fn states() -> impl Strategy<Value = State> {
-    prop_oneof![4 => Just(State::Active), 2 => Just(State::Draining), 2 => Just(State::Gone)]
+fn states() -> impl Strategy<Value = RecordState> {
+    prop_oneof![4 => Just(RecordState::Active), 2 => Just(RecordState::Draining), 2 => Just(RecordState::Gone)]
 }
 
-fn kinds() -> impl Strategy<Value = Kind> {
-    prop_oneof![5 => Just(Kind::Backend), 1 => Just(Kind::Configuration), 1 => Just(Kind::Route)]
+fn kinds() -> impl Strategy<Value = RecordKind> {
+    prop_oneof![5 => Just(RecordKind::Backend), 1 => Just(RecordKind::Configuration), 1 => Just(RecordKind::Route)]
 }
 
 fn events() -> impl Strategy<Value = Event> {
--- a/crates/control-plane/tests/simulation/events.rs
+++ b/crates/control-plane/tests/simulation/events.rs
@@ -1,13 +1,13 @@
 //! The events of a simulation.
 
-use control_plane::record::{Kind, ServiceId, State};
+use control_plane::record::{RecordKind, RecordState, ServiceId};
 
 /// An event of a simulation. Indexes of nodes are taken modulo the number of such nodes. Durations are in
 /// ticks.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A source applies a change.
-    Write { service: ServiceId, kind: Kind, name: u8, state: State, size: u16 },
+    Write { service: ServiceId, kind: RecordKind, name: u8, state: RecordState, size: u16 },
     /// Time passes without an event.
     Wait(u8),
     /// The connections of a subscriber are interrupted for a duration.
--- a/crates/control-plane/tests/simulation/faults.rs
+++ b/crates/control-plane/tests/simulation/faults.rs
@@ -6,7 +6,7 @@
 use crate::simulation::{Simulation, services};
 use control_plane::message::Message;
 use control_plane::rate_limit::RateLimit;
-use control_plane::record::{Kind, Scope, State};
+use control_plane::record::{RecordKind, RecordState, Scope};
 use control_plane::store::MAX_TOMBSTONES;
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     let mut simulation = Simulation::new(1, 1, &[scope], SETTINGS, 1);
     for service in 0..4 {
         for name in ["a", "b", "c"] {
-            simulation.write(service, Kind::Backend, name, State::Active, 50);
+            simulation.write(service, RecordKind::Backend, name, RecordState::Active, 50);
         }
     }
     assert!(simulation.run_until_converged(REPAIR_TICKS) < REPAIR_TICKS, "{:?}", simulation.differences());
@@ -59,7 +59,7 @@
             }
             true
         }));
-        simulation.write(1, Kind::Backend, "a", State::Draining, 50);
+        simulation.write(1, RecordKind::Backend, "a", RecordState::Draining, 50);
         simulation.run(REPAIR_TICKS);
         let differences = simulation.differences();
         assert_eq!(differences.is_empty(), with_digests, "{differences:?}");
@@ -72,8 +72,8 @@
     // The subscriber's scope differs from the one that the checker expects.
     let mut simulation = small_simulation(services([1, 2]));
     simulation.check_with_scope(0, services([1, 3]));
-    simulation.write(2, Kind::Backend, "a", State::Draining, 50);
-    simulation.write(3, Kind::Backend, "a", State::Draining, 50);
+    simulation.write(2, RecordKind::Backend, "a", RecordState::Draining, 50);
+    simulation.write(3, RecordKind::Backend, "a", RecordState::Draining, 50);
     simulation.run(REPAIR_TICKS);
     let differences = simulation.differences();
     assert!(differences.iter().any(|found| found.contains("service: 3") && found.contains("is None")));
@@ -100,7 +100,7 @@
         }
         true
     }));
-    simulation.write(1, Kind::Backend, "a", State::Draining, 50);
+    simulation.write(1, RecordKind::Backend, "a", RecordState::Draining, 50);
     simulation.run(REPAIR_TICKS);
     assert_eq!(simulation.differences(), Vec::<String>::new());
 }
@@ -111,8 +111,8 @@
 fn detects_an_ignored_epoch() {
     for ignored in [true, false] {
         let mut simulation = small_simulation(services(0..4));
-        simulation.write(2, Kind::Backend, "d", State::Active, 50);
-        simulation.write(2, Kind::Backend, "a", State::Gone, 0);
+        simulation.write(2, RecordKind::Backend, "d", RecordState::Active, 50);
+        simulation.write(2, RecordKind::Backend, "a", RecordState::Gone, 0);
         assert!(simulation.run_until_converged(REPAIR_TICKS) < REPAIR_TICKS);
         if ignored {
             simulation.interceptor = Some(Box::new(|message| {
@@ -160,7 +160,7 @@
         recorded.lock().expect("no panic in an interceptor").push(message.clone());
         true
     }));
-    simulation.write(2, Kind::Backend, "d", State::Active, 50);
+    simulation.write(2, RecordKind::Backend, "d", RecordState::Active, 50);
     simulation.run(REPAIR_TICKS);
     simulation.send_to_relay(0, Message::DigestRequest { source: 0 });
     simulation.send_to_relay(0, Message::SnapshotRequest { source: 0, services: vec![0, 1, 2] });
@@ -199,7 +199,7 @@
             }
             true
         }));
-        simulation.write(1, Kind::Backend, "a", State::Draining, 50);
+        simulation.write(1, RecordKind::Backend, "a", RecordState::Draining, 50);
         simulation.run(REPAIR_TICKS);
         let differences = simulation.differences();
         assert_eq!(differences.is_empty(), with_digests, "{differences:?}");
@@ -221,7 +221,7 @@
         }
         true
     }));
-    simulation.write(1, Kind::Backend, "a", State::Draining, 50);
+    simulation.write(1, RecordKind::Backend, "a", RecordState::Draining, 50);
     simulation.run(20);
     simulation.send_to_relay(0, Message::SnapshotRequest { source: 0, services: vec![1] });
     simulation.run(20);
@@ -238,13 +238,13 @@
     let mut simulation = small_simulation(services(0..4));
     simulation.unreliability = Unreliability { loss_percent: 30, duplication_percent: 30, max_delay: 800 };
     for round in 0..40 {
-        let state = [State::Active, State::Draining, State::Gone][round % 3];
+        let state = [RecordState::Active, RecordState::Draining, RecordState::Gone][round % 3];
         simulation.write(
             round as u32 % 4,
-            Kind::Backend,
+            RecordKind::Backend,
             "a",
             state,
-            round as u16 * u16::from(state != State::Gone),
+            round as u16 * u16::from(state != RecordState::Gone),
         );
         simulation.run(3);
         assert_eq!(simulation.violations(), Vec::<String>::new());
--- a/crates/control-plane/tests/simulation/nodes.rs
+++ b/crates/control-plane/tests/simulation/nodes.rs
@@ -4,7 +4,7 @@
 use crate::link::Link;
 use control_plane::Millis;
 use control_plane::rate_limit::RateLimit;
-use control_plane::record::{Key, Record, Scope, SourceId, Version};
+use control_plane::record::{Record, RecordKey, Scope, SourceId, Version};
 use control_plane::relay::Relay;
 use control_plane::source::Source;
 use control_plane::store::VersionedStore;
@@ -16,7 +16,7 @@
 pub struct HistoryEntry {
     /// The version of the change; revision 0 for the initial state.
     pub head: Version,
-    pub records: BTreeMap<Key, Record>,
+    pub records: BTreeMap<RecordKey, Record>,
 }
 
 /// A source with the records after each of its changes.
--- a/crates/control-plane/tests/simulation/simulation.rs
+++ b/crates/control-plane/tests/simulation/simulation.rs
@@ -7,7 +7,9 @@
 use control_plane::Millis;
 use control_plane::message::Message;
 use control_plane::publisher::PublisherAction;
-use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, SourceId, State, Version};
+use control_plane::record::{
+    Change, Record, RecordKey, RecordKind, RecordState, Scope, ServiceId, SourceId, Version,
+};
 use control_plane::store::VersionedStore;
 use control_plane::subscriber::Subscriber;
 use control_plane::upstream::Upstream;
@@ -43,8 +45,8 @@
 }
 
 /// The body of a record. Bodies of different sizes have different contents.
-fn body(state: State, size: u16) -> Arc<[u8]> {
-    let size = if state == State::Gone { 0 } else { size };
+fn body(state: RecordState, size: u16) -> Arc<[u8]> {
+    let size = if state == RecordState::Gone { 0 } else { size };
     (0..size).map(|index| (size ^ index) as u8).collect()
 }
 
@@ -89,9 +91,16 @@
     }
 
     /// Writes a change to the source of the service. Returns its version.
-    pub fn write(&mut self, service: ServiceId, kind: Kind, name: &str, state: State, size: u16) -> Version {
+    pub fn write(
+        &mut self,
+        service: ServiceId,
+        kind: RecordKind,
+        name: &str,
+        state: RecordState,
+        size: u16,
+    ) -> Version {
         let source = self.source_of(service);
-        let key = Key { service, kind, name: name.into() };
+        let key = RecordKey { service, kind, name: name.into() };
         let body = body(state, size);
         let changes = vec![Change { key: key.clone(), state, body: Arc::clone(&body) }];
         let node = &mut self.sources[source];
@@ -162,7 +171,7 @@
         node.history.truncate(remaining);
         let HistoryEntry { head, records } =
             node.history.last().cloned().expect("at least the initial state");
-        let records = records.into_values().filter(|record| record.state != State::Gone).collect();
+        let records = records.into_values().filter(|record| record.state != RecordState::Gone).collect();
         let epoch = node.source.store().epoch() + 1;
         let store = VersionedStore::restore(source as SourceId, epoch, head, records);
         node.source = self.settings.source(store);
--- a/crates/control-plane/tests/simulation/verification.rs
+++ b/crates/control-plane/tests/simulation/verification.rs
@@ -3,12 +3,12 @@
 use crate::nodes::SourceNode;
 use crate::simulation::Simulation;
 use control_plane::message::{Message, ReplicaPosition};
-use control_plane::record::{Key, Record, Scope, SourceId, State};
+use control_plane::record::{Record, RecordKey, RecordState, Scope, SourceId};
 use control_plane::store::VersionedStore;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Records by key.
-type Records = BTreeMap<Key, Record>;
+type Records = BTreeMap<RecordKey, Record>;
 
 impl Simulation {
     /// The differences of all nodes from the sources, and the violations.
@@ -80,8 +80,8 @@
             if record.version > cursor[record.urgency() as usize] {
                 continue;
             }
-            let stored = store.get(&record.key).filter(|stored| stored.state != State::Gone);
-            if stored != Some(record).filter(|record| record.state != State::Gone) {
+            let stored = store.get(&record.key).filter(|stored| stored.state != RecordState::Gone);
+            if stored != Some(record).filter(|record| record.state != RecordState::Gone) {
                 let stored = stored.map(|stored| (stored.version, stored.state));
                 let expected = (record.version, record.state);
                 let key = &record.key;
@@ -110,7 +110,7 @@
 
 /// Adds a description of each record that differs.
 fn compare(label: &str, expected: &Records, actual: &Records, differences: &mut Vec<String>) {
-    let keys: BTreeSet<&Key> = expected.keys().chain(actual.keys()).collect();
+    let keys: BTreeSet<&RecordKey> = expected.keys().chain(actual.keys()).collect();
     for key in keys {
         let (expected, actual) = (expected.get(key), actual.get(key));
         if expected != actual {
--- a/crates/control-plane/tests/snapshot.rs
+++ b/crates/control-plane/tests/snapshot.rs
@@ -3,7 +3,7 @@
 
 mod test_directory;
 
-use control_plane::record::{Key, Kind, Record, State, Version};
+use control_plane::record::{Record, RecordKey, RecordKind, RecordState, Version};
 use control_plane::runtime::snapshot::{Snapshot, SnapshotError, SnapshotWriter, lock, read};
 use std::fs;
 use std::process::Command;
@@ -16,9 +16,9 @@
 fn snapshot(records: u64) -> Snapshot {
     let version = |revision| Version { epoch: 9, revision };
     let record = |n: u64| Record {
-        key: Key { service: 1, kind: Kind::Tenant, name: format!("t-{n}").into() },
+        key: RecordKey { service: 1, kind: RecordKind::Tenant, name: format!("t-{n}").into() },
         version: version(n),
-        state: State::Active,
+        state: RecordState::Active,
         body: vec![7; 20].into(),
     };
     Snapshot { source: 3, epoch: 9, head: version(records), records: (0..records).map(record).collect() }
--- a/crates/control-plane/tests/strategies/mod.rs
+++ b/crates/control-plane/tests/strategies/mod.rs
@@ -3,7 +3,7 @@
 use control_plane::message::{
     KeyBound, Message, PROTOCOL_VERSION, ReplicaPosition, ServiceDigest, ServiceRange,
 };
-use control_plane::record::{Change, Key, Kind, Record, Scope, State, Version};
+use control_plane::record::{Change, Record, RecordKey, RecordKind, RecordState, Scope, Version};
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
 
@@ -23,16 +23,21 @@
     any::<(u32, u64)>().prop_map(|(service, digest)| ServiceDigest { service, digest })
 }
 
-fn kind() -> impl Strategy<Value = Kind> {
-    prop_oneof![Just(Kind::Backend), Just(Kind::Configuration), Just(Kind::Route), Just(Kind::Tenant)]
+fn kind() -> impl Strategy<Value = RecordKind> {
+    prop_oneof![
+        Just(RecordKind::Backend),
+        Just(RecordKind::Configuration),
+        Just(RecordKind::Route),
+        Just(RecordKind::Tenant)
+    ]
 }
 
-fn state() -> impl Strategy<Value = State> {
-    prop_oneof![Just(State::Active), Just(State::Draining), Just(State::Gone)]
+fn state() -> impl Strategy<Value = RecordState> {
+    prop_oneof![Just(RecordState::Active), Just(RecordState::Draining), Just(RecordState::Gone)]
 }
 
-fn key() -> impl Strategy<Value = Key> {
-    (any::<u32>(), kind(), ".{0,20}").prop_map(|(service, kind, name)| Key {
+fn key() -> impl Strategy<Value = RecordKey> {
+    (any::<u32>(), kind(), ".{0,20}").prop_map(|(service, kind, name)| RecordKey {
         service,
         kind,
         name: name.into(),
--- a/crates/control-plane/tests/upstream_link.rs
+++ b/crates/control-plane/tests/upstream_link.rs
@@ -8,7 +8,7 @@
 use control_plane::config::{RateLimitConfig, RelayConfig, SourceAddress, SourceConfig};
 use control_plane::failover::Failover;
 use control_plane::message::Message;
-use control_plane::record::{Change, Key, Kind, Scope, State};
+use control_plane::record::{Change, RecordKey, RecordKind, RecordState, Scope};
 use control_plane::runtime::Clock;
 use control_plane::runtime::upstream_link::{DownstreamNode, LinkError, UpstreamAddress, follow};
 use control_plane::runtime::writer::Writer;
@@ -164,8 +164,8 @@
 }
 
 fn change_of_size(name: String, bytes: usize) -> Change {
-    let key = Key { service: 1, kind: Kind::Route, name: name.into() };
-    Change { key, state: State::Active, body: vec![1; bytes].into() }
+    let key = RecordKey { service: 1, kind: RecordKind::Route, name: name.into() };
+    Change { key, state: RecordState::Active, body: vec![1; bytes].into() }
 }
 
 /// Nodes each of which is connected to one of several relays.
--- a/crates/external-processor/src/bridge.rs
+++ b/crates/external-processor/src/bridge.rs
@@ -107,7 +107,7 @@
     /// The engine's events about leased requests.
     pub lease_events: Rc<LeaseEventQueue>,
     /// Looks up the addresses of backends.
-    pub endpoints: EndpointLookup,
+    pub endpoint_lookup: EndpointLookup,
 }
 
 struct DriverLeaseEngine<'a, T: Transport>(&'a EngineHandle<T>);
@@ -275,7 +275,7 @@
         let mut engine = DriverLeaseEngine(&self.engine.handle);
         while let Some(event) = self.engine.lease_events.pop() {
             let endpoint = match &event {
-                LeaseEvent::Granted(_, grant) => (self.engine.endpoints)(grant.backend),
+                LeaseEvent::Granted(_, grant) => (self.engine.endpoint_lookup)(grant.backend),
                 LeaseEvent::Revoked(..) | LeaseEvent::RequestCompleted(..) => None,
             };
             let now = self.now();
--- a/crates/external-processor/src/decision_service/caller_messages.rs
+++ b/crates/external-processor/src/decision_service/caller_messages.rs
@@ -24,8 +24,9 @@
             return self.reject(message_ref, RejectReason::Draining);
         }
         let open = self.by_caller.get(&message_ref.caller);
-        if open.is_some_and(|open| open.len() >= self.limits.per_caller) {
-            return self.reject(message_ref, RejectReason::CallerLimit(self.limits.per_caller));
+        if open.is_some_and(|open| open.len() >= self.limits.open_decisions_per_caller) {
+            return self
+                .reject(message_ref, RejectReason::CallerLimit(self.limits.open_decisions_per_caller));
         }
         let key = request.idempotency_key.as_deref();
         let claim = self.registry.borrow_mut().claim(now, &request.id, request.class, key);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Renews a session. Any caller may renew it.
+    /// Renews a session. The identity of the caller is not checked.
     pub fn renew(&mut self, message_ref: MessageRef, lease: LeaseId, engine: &mut impl LeaseEngine) {
         match engine.renew_session(lease) {
             Ok(expires_in) => self.reply(message_ref, Reply::Renewed(expires_in)),
--- a/crates/external-processor/src/decision_service/mod.rs
+++ b/crates/external-processor/src/decision_service/mod.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DecisionLimits {
     /// Maximum number of open decisions of one caller.
-    pub per_caller: usize,
+    pub open_decisions_per_caller: usize,
     /// How long a final outcome is retained in idempotent classes, microseconds.
     pub idempotent_retention: Micros,
     /// How long a final outcome is retained in non-idempotent classes, microseconds; raised to the class's
--- a/crates/external-processor/src/server/decisions.rs
+++ b/crates/external-processor/src/server/decisions.rs
@@ -162,7 +162,7 @@
         request: tonic::Request<Streaming<pb::Question>>,
     ) -> Result<Response<AnswerStream>, Status> {
         let caller = self.0.allocate_caller();
-        let (reply_to, notifications) = mpsc::channel(self.0.settings.bounds.per_caller);
+        let (reply_to, notifications) = mpsc::channel(self.0.settings.limits.open_decisions_per_caller);
         tokio::spawn(self.clone().forward_messages(caller, reply_to, request.into_inner()));
         let guard = CallerGuard::new(&self.0.decisions, CallerEnd::Stream(caller));
         Ok(Response::new(AnswerStream { notifications, clock: self.0.clock, _guard: guard }))
--- a/crates/external-processor/src/server/mod.rs
+++ b/crates/external-processor/src/server/mod.rs
@@ -85,7 +85,7 @@
     /// Resolves names of classes and tenants.
     pub catalog: RequestCatalog,
     /// Names of the fields of a load report, in the order of the settings.
-    pub load_fields: Vec<String>,
+    pub load_report_fields: Vec<String>,
     /// The clock that the engine uses.
     pub clock: Clock,
     /// The channels to the decision service.
@@ -104,11 +104,11 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(ServerError::Thread)?;
     let (phase, phases) = watch::channel(ServicePhase::Serving);
-    let ServerContext { catalog, load_fields, clock, decisions } = context;
+    let ServerContext { catalog, load_report_fields, clock, decisions } = context;
     let shared = Arc::new(Shared {
         settings,
         catalog,
-        load_fields,
+        load_report_fields,
         field_names: grpc_codec::field_names(),
         clock,
         decisions,
@@ -143,9 +143,9 @@
 
 async fn serve(listener: StdListener, shared: Arc<Shared>, mut phases: watch::Receiver<ServicePhase>) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
-    let bounds = shared.settings.bounds.clone();
+    let limits = shared.settings.limits.clone();
     let (accepted, connections) = mpsc::channel(1);
-    tokio::spawn(listener::accept(listener, bounds.connections, accepted));
+    tokio::spawn(listener::accept(listener, limits.connections, accepted));
     let (health, health_service) = tonic_health::server::health_reporter();
     health.set_serving::<DecisionsServer<DecisionsHandler>>().await;
     health.set_serving::<ExternalProcessorServer<EnvoyHandler>>().await;
@@ -160,13 +160,13 @@
         health.set_not_serving::<ExternalProcessorServer<EnvoyHandler>>().await;
     };
     let serving = tonic::transport::Server::builder()
-        .max_concurrent_streams(Some(bounds.streams))
+        .max_concurrent_streams(Some(limits.streams))
         .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
         .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
         .add_service(health_service)
         .add_optional_service(reflection)
-        .add_service(decisions.max_decoding_message_size(bounds.message_bytes))
-        .add_service(envoy.max_decoding_message_size(bounds.message_bytes))
+        .add_service(decisions.max_decoding_message_size(limits.message_bytes))
+        .add_service(envoy.max_decoding_message_size(limits.message_bytes))
         .serve_with_incoming_shutdown(ReceiverStream::new(connections), shutdown);
     tokio::select! {
         _ = serving => {}
--- a/crates/external-processor/src/server/shared.rs
+++ b/crates/external-processor/src/server/shared.rs
@@ -16,7 +16,7 @@
     pub(super) settings: Settings,
     pub(super) catalog: RequestCatalog,
     /// Names of the fields of a load report, in the order of the settings.
-    pub(super) load_fields: Vec<String>,
+    pub(super) load_report_fields: Vec<String>,
     /// Field names of the `Decisions` service, which errors refer to.
     pub(super) field_names: Headers,
     pub(super) clock: Clock,
@@ -34,7 +34,7 @@
     pub(super) fn parse_load_report(&self, text: &str) -> Vec<f32> {
         let pairs = || text.split(',').take(MAX_LOAD_FIELDS).filter_map(|pair| pair.split_once('='));
         let value = |field: &String| pairs().find(|(name, _)| name.trim() == field)?.1.trim().parse().ok();
-        self.load_fields.iter().map(value).collect::<Option<Vec<f32>>>().unwrap_or_default()
+        self.load_report_fields.iter().map(value).collect::<Option<Vec<f32>>>().unwrap_or_default()
     }
 }
 
--- a/crates/external-processor/src/settings.rs
+++ b/crates/external-processor/src/settings.rs
@@ -42,8 +42,8 @@
     #[serde(default, rename = "memory")]
     pub retention: Retention,
     /// Limits on connections, messages and requests.
-    #[serde(default)]
-    pub bounds: Bounds,
+    #[serde(default, rename = "bounds")]
+    pub limits: Bounds,
     /// Header names and metadata of Envoy's `ext_proc` filter.
     #[serde(default)]
     pub envoy: Envoy,
@@ -70,7 +70,8 @@
     /// Maximum number of concurrent streams and unary calls on one connection.
     pub streams: u32,
     /// Maximum number of open decisions of one caller; any more are rejected.
-    pub per_caller: usize,
+    #[serde(rename = "per_caller")]
+    pub open_decisions_per_caller: usize,
     /// Maximum number of active leases; at the limit, requests are rejected.
     pub leases: usize,
     /// Maximum number of requests in flight and retained final outcomes; at the limit, requests are rejected,
@@ -129,7 +130,7 @@
         Self {
             connections: 64,
             streams: 4_096,
-            per_caller: 16_384,
+            open_decisions_per_caller: 16_384,
             leases: 32_768,
             retained: 262_144,
             queue: 4_096,
@@ -189,7 +190,7 @@
     fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         let error =
             |InvalidValue { key, problem }| SettingsError::InvalidValue { file: path.into(), key, problem };
-        self.bounds.validate().map_err(error)?;
+        self.limits.validate().map_err(error)?;
         self.retention.validate().map_err(error)?;
         self.envoy.validate().map_err(error)
     }
@@ -210,7 +211,7 @@
         let ranges = [
             ("bounds.connections", self.connections, 1..=65_536),
             ("bounds.streams", self.streams as usize, 1..=1 << 20),
-            ("bounds.per_caller", self.per_caller, 1..=1 << 24),
+            ("bounds.per_caller", self.open_decisions_per_caller, 1..=1 << 24),
             ("bounds.leases", self.leases, 1..=1 << 24),
             ("bounds.remembered", self.retained, 1..=1 << 26),
             ("bounds.queue", self.queue, 1..=1 << 20),
--- a/crates/external-processor/src/settings/tests.rs
+++ b/crates/external-processor/src/settings/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn the_listen_address_is_the_only_required_key() {
     let settings = parse("listen = \"127.0.0.1:9002\"").expect("valid settings");
-    assert_eq!((settings.bounds, settings.retention), (Bounds::default(), Retention::default()));
+    assert_eq!((settings.limits, settings.retention), (Bounds::default(), Retention::default()));
 }
 
 #[test]
--- a/crates/external-processor/tests/harness/mod.rs
+++ b/crates/external-processor/tests/harness/mod.rs
@@ -78,7 +78,7 @@
         engine.update_membership(SECOND, MembershipUpdate::Snapshot(&backends));
         let registry = Rc::new(RefCell::new(IdempotencyRegistry::new(10_000)));
         let limits = DecisionLimits {
-            per_caller: PER_CALLER,
+            open_decisions_per_caller: PER_CALLER,
             idempotent_retention: SECOND,
             non_idempotent_retention: RETENTION,
         };
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -136,10 +136,10 @@
         config.max_client_connections, config.max_backend_connections, config.large_body_budget_bytes
     );
     if let Some((path, settings)) = external_processor {
-        let bounds = &settings.bounds;
+        let limits = &settings.limits;
         println!("{}: good", path.display());
-        println!("  answers callers on {}, on {} connections", settings.listen, bounds.connections);
-        println!("  at most {} leases, {} requests in flight or retained", bounds.leases, bounds.retained);
+        println!("  answers callers on {}, on {} connections", settings.listen, limits.connections);
+        println!("  at most {} leases, {} requests in flight or retained", limits.leases, limits.retained);
     }
     Ok(())
 }
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -132,7 +132,7 @@
         let EngineParts { handle, poll_requests } =
             EngineParts::create(&config, external_processor.as_ref(), clock)?;
         // Both front ends use one registry, so that an idempotency key applies to the requests of both.
-        let registry = external_processor.as_ref().map(|settings| shared_registry(settings.bounds.retained));
+        let registry = external_processor.as_ref().map(|settings| shared_registry(settings.limits.retained));
         let grpc_front_end =
             start_grpc_front_end(external_processor.as_ref(), registry.as_ref(), &config, &handle)?;
         let DiscoveryParts { watcher, backend_list, has_backend_list, address_sender } =
--- a/crates/proxy-server/src/server/engine.rs
+++ b/crates/proxy-server/src/server/engine.rs
@@ -32,7 +32,7 @@
         clock: Clock,
     ) -> Result<Self, ProxyServerError> {
         let settings = &config.settings;
-        let leases = external_processor.map_or(0, |settings| settings.bounds.leases);
+        let leases = external_processor.map_or(0, |settings| settings.limits.leases);
         let requests = config.max_client_connections * REQUESTS_PER_CONNECTION + leases;
         let limits = EngineLimits { requests, leases };
         let incarnation = config.seed ^ clock.now();
--- a/crates/proxy-server/src/server/grpc_front_end.rs
+++ b/crates/proxy-server/src/server/grpc_front_end.rs
@@ -34,7 +34,7 @@
         handle: &EngineHandle,
     ) -> Result<Self, ServerError> {
         let limits = DecisionLimits {
-            per_caller: settings.bounds.per_caller,
+            open_decisions_per_caller: settings.limits.open_decisions_per_caller,
             idempotent_retention: settings.retention.idempotent(),
             non_idempotent_retention: settings.retention.non_idempotent(),
         };
@@ -43,13 +43,13 @@
         let engine = EngineContext {
             handle: handle.clone(),
             lease_events: Rc::clone(&transport.lease_events),
-            endpoints: Box::new(move |backend| backend_pool.address(backend)),
+            endpoint_lookup: Box::new(move |backend| backend_pool.address(backend)),
         };
         let bridge = Bridge::new(&config.settings, limits, registry, engine);
-        let (decisions, receivers) = bridge::channels(settings.bounds.queue);
+        let (decisions, receivers) = bridge::channels(settings.limits.queue);
         let context = ServerContext {
             catalog: RequestCatalog::new(&config.settings, &config.names.classes, &config.names.tenants),
-            load_fields: config.names.report_fields.clone(),
+            load_report_fields: config.names.report_fields.clone(),
             clock: handle.clock(),
             decisions,
         };
--- a/crates/testbed/src/scale/fleet/checker.rs
+++ b/crates/testbed/src/scale/fleet/checker.rs
@@ -3,7 +3,7 @@
 
 use super::messages::ReplicaRecord;
 use super::model::Model;
-use control_plane::record::{Kind, ServiceId, SourceId, State};
+use control_plane::record::{RecordKind, RecordState, ServiceId, SourceId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -21,7 +21,7 @@
     /// The record's version differs from the acknowledged one.
     Version,
     /// The versions are equal, the states differ.
-    State,
+    RecordState,
     /// Versions and states are equal, the bodies differ.
     Body,
 }
@@ -36,7 +36,7 @@
     /// The record's service.
     pub service: ServiceId,
     /// The record's kind.
-    pub kind: Kind,
+    pub kind: RecordKind,
     /// The record's name.
     pub name: String,
 }
@@ -80,8 +80,9 @@
         differences.extend(by_key[end..start].iter().map(|record| difference(Mismatch::OutOfScope, record)));
         end = start + by_key[start..].partition_point(|record| record.service == service);
         let records = model.get(&source).and_then(|model| model.services.get(&service));
-        let mut expected = records.into_iter().flatten().filter(|(_, s)| s.state != State::Gone).peekable();
-        let missing = |(kind, name): &(Kind, String)| Difference {
+        let mut expected =
+            records.into_iter().flatten().filter(|(_, s)| s.state != RecordState::Gone).peekable();
+        let missing = |(kind, name): &(RecordKind, String)| Difference {
             mismatch: Mismatch::Missing,
             source,
             service,
@@ -99,7 +100,7 @@
                 None => Mismatch::Unexpected,
                 Some(_) if record.source != source => Mismatch::Unexpected,
                 Some((_, current)) if current.version != record.version => Mismatch::Version,
-                Some((_, current)) if current.state != record.state => Mismatch::State,
+                Some((_, current)) if current.state != record.state => Mismatch::RecordState,
                 Some((_, current)) if current.body != record.body => Mismatch::Body,
                 Some(_) => continue,
             };
@@ -129,11 +130,11 @@
         let records = model.get(&source_of(service)).and_then(|model| model.services.get(&service));
         for ((kind, name), current) in records.into_iter().flatten() {
             let phase = match current.state {
-                State::Active => "active",
-                State::Draining => "leaving",
-                State::Gone => continue,
+                RecordState::Active => "active",
+                RecordState::Draining => "leaving",
+                RecordState::Gone => continue,
             };
-            if *kind == Kind::Backend {
+            if *kind == RecordKind::Backend {
                 let id = if scope.len() == 1 { name.clone() } else { format!("{service}/{name}") };
                 expected.insert(id, (address_of(name), phase.to_owned()));
             }
--- a/crates/testbed/src/scale/fleet/fault_injection.rs
+++ b/crates/testbed/src/scale/fleet/fault_injection.rs
@@ -2,7 +2,7 @@
 
 use super::messages::InjectedFault;
 use control_plane::message::Message;
-use control_plane::record::{Epoch, Key, Scope, SourceId, State};
+use control_plane::record::{Epoch, RecordKey, RecordState, Scope, SourceId};
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     injected_fault: InjectedFault,
     armed: bool,
     /// The affected record. Its later versions are affected as well, otherwise they would repair it.
-    target: Option<Key>,
+    target: Option<RecordKey>,
     first_epochs: FxHashMap<SourceId, Epoch>,
 }
 
@@ -74,7 +74,7 @@
         remove_digest(message);
         let Message::Batch { records, .. } = message else { return };
         if self.armed && self.target.is_none() {
-            let first = records.iter().find(|r| r.state == State::Active && !r.body.is_empty());
+            let first = records.iter().find(|r| r.state == RecordState::Active && !r.body.is_empty());
             self.target = first.map(|record| record.key.clone());
         }
         let Some(target) = &self.target else { return };
--- a/crates/testbed/src/scale/fleet/messages.rs
+++ b/crates/testbed/src/scale/fleet/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between the testbed and its processes of simulated proxies. A frame is a length (u32, big-endian)
 //! and one value encoded by postcard. The order of variants and fields is the format.
 
-use control_plane::record::{Kind, Record, ServiceId, SourceId, State, Version};
+use control_plane::record::{Record, RecordKind, RecordState, ServiceId, SourceId, Version};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -141,13 +141,13 @@
     /// The service to which it belongs.
     pub service: ServiceId,
     /// The kind, first part of its key within the service.
-    pub kind: Kind,
+    pub kind: RecordKind,
     /// The name, second part of its key within the service.
     pub name: String,
     /// The version of its last change.
     pub version: Version,
     /// The state after its last change.
-    pub state: State,
+    pub state: RecordState,
     /// The body's hash (XXH3, 64 bits).
     pub body: u64,
 }
@@ -170,7 +170,7 @@
 
 /// Hash of a record's key. Collisions within a run are improbable enough to be ignored.
 #[must_use]
-pub fn key_hash(service: ServiceId, kind: Kind, name: &str) -> u64 {
+pub fn key_hash(service: ServiceId, kind: RecordKind, name: &str) -> u64 {
     XxHash3_64::oneshot_with_seed(u64::from(service) << 8 | kind as u64, name.as_bytes())
 }
 
--- a/crates/testbed/src/scale/fleet/model.rs
+++ b/crates/testbed/src/scale/fleet/model.rs
@@ -2,7 +2,7 @@
 //! Independent of the control plane's own stores and digests. Does no I/O.
 
 use super::messages::{ReplicaRecord, key_hash};
-use control_plane::record::{Change, Kind, ServiceId, SourceId, State, Version};
+use control_plane::record::{Change, RecordKind, RecordState, ServiceId, SourceId, Version};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use twox_hash::XxHash3_64;
@@ -17,7 +17,7 @@
     /// The record's key ([`key_hash`]).
     pub key: u64,
     /// The record's state after the change.
-    pub state: State,
+    pub state: RecordState,
     /// The body's hash.
     pub body: u64,
     /// Time of the write, microseconds of Unix time.
@@ -34,13 +34,13 @@
     /// The version of its last change.
     pub version: Version,
     /// The state after its last change.
-    pub state: State,
+    pub state: RecordState,
     /// The body's hash.
     pub body: u64,
 }
 
 /// The records of a service, by kind and name.
-pub type Service = BTreeMap<(Kind, String), CurrentRecord>;
+pub type Service = BTreeMap<(RecordKind, String), CurrentRecord>;
 
 /// The acknowledged records and changes of one source.
 #[derive(Clone, Debug, Default)]
@@ -131,7 +131,7 @@
         {
             last_changes.insert(change.key, change);
         }
-        let live = last_changes.values().filter(|change| change.state != State::Gone).count();
+        let live = last_changes.values().filter(|change| change.state != RecordState::Gone).count();
         if live != replica.len() {
             return disagreement(format!("it has {} records, expected {live} at {head:?}", replica.len()));
         }
@@ -169,7 +169,7 @@
     #[must_use]
     pub fn live_records(&self, service: ServiceId) -> usize {
         let records = self.services.get(&service).into_iter().flat_map(BTreeMap::values);
-        records.filter(|record| record.state != State::Gone).count()
+        records.filter(|record| record.state != RecordState::Gone).count()
     }
 }
 
--- a/crates/testbed/src/scale/fleet/network.rs
+++ b/crates/testbed/src/scale/fleet/network.rs
@@ -9,7 +9,7 @@
 use super::script::ScaleScript;
 use control_plane::codec::{CodecError, FrameReader, FrameWriter};
 use control_plane::message::{Message, PROTOCOL_VERSION};
-use control_plane::record::{Change, Record, Scope, ServiceId, SourceId, State, Version};
+use control_plane::record::{Change, Record, RecordState, Scope, ServiceId, SourceId, Version};
 use control_plane::runtime::writer::Writer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -184,7 +184,7 @@
             .await
             .map_err(|_| failed(format!("incomplete after {} s", READ_TIMEOUT.as_secs())))?
             .map_err(|e| failed(e.to_string()))?;
-        let live = records.iter().filter(|record| record.state != State::Gone);
+        let live = records.iter().filter(|record| record.state != RecordState::Gone);
         Ok((live.map(|record| ReplicaRecord::from_record(number as SourceId, record)).collect(), head))
     }
 
--- a/crates/testbed/src/scale/fleet/plan.rs
+++ b/crates/testbed/src/scale/fleet/plan.rs
@@ -3,7 +3,7 @@
 
 use super::population::Population;
 use super::script::{ScaleScript, Step};
-use control_plane::record::{ServiceId, State};
+use control_plane::record::{RecordState, ServiceId};
 
 /// Seconds per day; a script's rates are per day.
 const DAY_S: f64 = 86_400.0;
@@ -20,7 +20,7 @@
         /// The backend's number.
         number: usize,
         /// The new state.
-        state: State,
+        state: RecordState,
     },
     /// A service's configuration changes.
     Configuration {
@@ -54,9 +54,12 @@
                 if busy_until[number] <= at {
                     let gone_at = at + uniform(&mut rng, DRAINING_S);
                     busy_until[number] = gone_at + uniform(&mut rng, REMOVED_S);
-                    plan.add(at, PlannedChange::Backend { number, state: State::Draining });
-                    plan.add(gone_at, PlannedChange::Backend { number, state: State::Gone });
-                    plan.add(busy_until[number], PlannedChange::Backend { number, state: State::Active });
+                    plan.add(at, PlannedChange::Backend { number, state: RecordState::Draining });
+                    plan.add(gone_at, PlannedChange::Backend { number, state: RecordState::Gone });
+                    plan.add(
+                        busy_until[number],
+                        PlannedChange::Backend { number, state: RecordState::Active },
+                    );
                 }
             }
             for (at, number) in
@@ -64,8 +67,11 @@
             {
                 if busy_until[number] <= at {
                     busy_until[number] = at + uniform(&mut rng, REMOVED_S);
-                    plan.add(at, PlannedChange::Backend { number, state: State::Gone });
-                    plan.add(busy_until[number], PlannedChange::Backend { number, state: State::Active });
+                    plan.add(at, PlannedChange::Backend { number, state: RecordState::Gone });
+                    plan.add(
+                        busy_until[number],
+                        PlannedChange::Backend { number, state: RecordState::Active },
+                    );
                 }
             }
             let services = vec![(); population.services()];
--- a/crates/testbed/src/scale/fleet/population.rs
+++ b/crates/testbed/src/scale/fleet/population.rs
@@ -3,7 +3,7 @@
 
 use super::messages::key_hash;
 use super::script::ScaleScript;
-use control_plane::record::{Backend, Kind, ServiceId};
+use control_plane::record::{Backend, RecordKind, ServiceId};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
@@ -87,7 +87,7 @@
     fn scope(&self, seed: u64, number: usize, zone: usize, local: usize, all: usize) -> Vec<ServiceId> {
         let region = zone % self.regions;
         let name = format!("{seed}/{number}");
-        let rank = |service: ServiceId| key_hash(service, Kind::Route, &name);
+        let rank = |service: ServiceId| key_hash(service, RecordKind::Route, &name);
         let (mut local_services, mut remote_services): (Vec<ServiceId>, Vec<ServiceId>) =
             (0..self.services as ServiceId).partition(|&service| self.region_of_service(service) == region);
         let first = |services: &mut Vec<ServiceId>, count: usize| {
@@ -159,10 +159,10 @@
     pub fn backend_body(&self, number: usize, port: u16, up_since_ms: u64) -> Arc<[u8]> {
         let backend = Backend {
             address: Self::backend_address(number, port),
-            locality: format!("z{}", self.backends[number].zone),
-            flavor: "box".into(),
+            zone: format!("z{}", self.backends[number].zone),
+            machine_kind: "box".into(),
             cell: (number % 1_000) as u16,
-            size: 1.0,
+            capacity: 1.0,
             up_since_ms,
         };
         postcard::to_stdvec(&backend).unwrap_or_default().into()
--- a/crates/testbed/src/scale/fleet/run.rs
+++ b/crates/testbed/src/scale/fleet/run.rs
@@ -19,7 +19,7 @@
 use super::simulated_proxies::SimulatedProxies;
 use super::stale_sends::find_stale_sends;
 use crate::fleet::{Folder, Machine, process_guard};
-use control_plane::record::{Change, Key, Kind, ServiceId, State};
+use control_plane::record::{Change, RecordKey, RecordKind, RecordState, ServiceId};
 use measurement::{slowest_fill_s, step_costs};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -153,12 +153,12 @@
         self.population.region_of_service(service)
     }
 
-    fn backend(&self, number: usize, state: State) -> Change {
+    fn backend(&self, number: usize, state: RecordState) -> Change {
         let service = self.population.backends[number].service;
-        let key = Key { service, kind: Kind::Backend, name: Population::backend_name(number) };
+        let key = RecordKey { service, kind: RecordKind::Backend, name: Population::backend_name(number) };
         let body = match state {
-            State::Gone => Arc::from([]),
-            State::Active | State::Draining => {
+            RecordState::Gone => Arc::from([]),
+            RecordState::Active | RecordState::Draining => {
                 self.population.backend_body(number, self.test_backends.port, unix_time_us() / 1_000)
             }
         };
@@ -169,8 +169,8 @@
         self.configurations += 1;
         let mut body = self.configurations.to_le_bytes().to_vec();
         body.resize(CONFIGURATION_BYTES, b'.');
-        let key = Key { service, kind: Kind::Configuration, name: "configuration".into() };
-        Change { key, state: State::Active, body: body.into() }
+        let key = RecordKey { service, kind: RecordKind::Configuration, name: "configuration".into() };
+        Change { key, state: RecordState::Active, body: body.into() }
     }
 
     /// Writes each change to the source of its service.
@@ -188,7 +188,8 @@
     /// Writes all backends, starts all simulated proxies at once, waits until they have converged, and then
     /// starts the real proxies.
     async fn start_fleet(&mut self) -> Result<(), ScaleError> {
-        let backends = (0..self.population.backends.len()).map(|number| self.backend(number, State::Active));
+        let backends =
+            (0..self.population.backends.len()).map(|number| self.backend(number, RecordState::Active));
         let backends = backends.collect();
         self.write(backends, None).await?;
         let started_us = unix_time_us();
--- a/crates/testbed/src/scale/fleet/run/faults.rs
+++ b/crates/testbed/src/scale/fleet/run/faults.rs
@@ -6,7 +6,7 @@
 use crate::scale::fleet::plan::PlannedChange;
 use crate::scale::fleet::reachability::{Outage, OutageTarget};
 use crate::scale::fleet::script::{Step, StepKind};
-use control_plane::record::{Change, ServiceId, State};
+use control_plane::record::{Change, RecordState, ServiceId};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
@@ -110,7 +110,7 @@
                 self.lost_zone = Some(target);
                 let numbers = self.simulated_proxies_of(target);
                 self.simulated_proxies.stop(numbers.into_iter()).await?;
-                self.set_zone_state(target, State::Gone, number).await?;
+                self.set_zone_state(target, RecordState::Gone, number).await?;
             }
             StepKind::ZoneRestarted => {
                 outcome.zone_outage_start_us = Some(unix_time_us());
@@ -143,7 +143,7 @@
             StepKind::SourceRestarted => self.restart_source(number, target, outcome).await?,
             StepKind::ZoneLost => {
                 self.lost_zone = None;
-                self.set_zone_state(target, State::Active, number).await?;
+                self.set_zone_state(target, RecordState::Active, number).await?;
                 outcome.restarted = self.simulated_proxies_of(target);
                 self.restart_proxies(&outcome.restarted).await?;
             }
@@ -195,7 +195,12 @@
     }
 
     /// Writes this state for all backends of a zone.
-    async fn set_zone_state(&mut self, zone: usize, state: State, step: usize) -> Result<(), ScaleError> {
+    async fn set_zone_state(
+        &mut self,
+        zone: usize,
+        state: RecordState,
+        step: usize,
+    ) -> Result<(), ScaleError> {
         let of_zone =
             (0..self.population.backends.len()).filter(|&n| self.population.backends[n].zone == zone);
         let changes = of_zone.map(|number| self.backend(number, state)).collect();
@@ -213,7 +218,8 @@
         let backends = (0..self.population.backends.len())
             .filter(|&number| services.contains(&self.population.backends[number].service))
             .take(MAX_UNSAVED_CHANGES);
-        let mut changes: Vec<Change> = backends.map(|number| self.backend(number, State::Draining)).collect();
+        let mut changes: Vec<Change> =
+            backends.map(|number| self.backend(number, RecordState::Draining)).collect();
         for service in services {
             changes.push(self.configuration(service));
         }
--- a/crates/testbed/src/scale/fleet/stale_sends.rs
+++ b/crates/testbed/src/scale/fleet/stale_sends.rs
@@ -5,7 +5,7 @@
 use super::model::Model;
 use super::population::Population;
 use super::reachability::Reachability;
-use control_plane::record::{Kind, SourceId, State};
+use control_plane::record::{RecordKind, RecordState, SourceId};
 
 /// Time allowed from the drain of a backend until no proxy sends to it, microseconds: 4 s of propagation to
 /// the agent, 6 s from there to the proxy, and 1 s of tolerance.
@@ -25,10 +25,10 @@
         let instance = population.backends.get(number as usize)?;
         let source = population.region_of_service(instance.service) as SourceId;
         let name = Population::backend_name(number as usize);
-        let key = key_hash(instance.service, Kind::Backend, &name);
+        let key = key_hash(instance.service, RecordKind::Backend, &name);
         let mut since: Option<u64> = None;
         for change in model.get(&source)?.history(key).filter(|change| change.written_at_us <= at) {
-            since = (change.state != State::Active).then(|| since.unwrap_or(change.written_at_us));
+            since = (change.state != RecordState::Active).then(|| since.unwrap_or(change.written_at_us));
         }
         let since = since?;
         let late_s = (at - since) as f64 / 1e6;
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -13,7 +13,7 @@
 use super::stale_sends::{DRAIN_TIMEOUT_US, find_stale_sends};
 use super::version_monitor::VersionMonitor;
 use control_plane::message::{Message, ServiceRange};
-use control_plane::record::{Change, Key, Kind, Record, Scope, ServiceId, State, Version};
+use control_plane::record::{Change, Record, RecordKey, RecordKind, RecordState, Scope, ServiceId, Version};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -128,8 +128,9 @@
     let plan = ScalePlan::draw(&script, &population);
     assert!(plan.changes.windows(2).all(|pair| pair[0].0 <= pair[1].0), "changes are not ascending by time");
     let half_us = 300_000_000;
-    let is_drain =
-        |change: &PlannedChange| matches!(change, PlannedChange::Backend { state: State::Draining, .. });
+    let is_drain = |change: &PlannedChange| {
+        matches!(change, PlannedChange::Backend { state: RecordState::Draining, .. })
+    };
     let count = |from: u64, to: u64, of: &dyn Fn(&PlannedChange) -> bool| {
         plan.changes.iter().filter(|(at, change)| (from..to).contains(at) && of(change)).count() as f64
     };
@@ -142,23 +143,23 @@
     );
     let is_configuration = |change: &PlannedChange| matches!(change, PlannedChange::Configuration { .. });
     assert!((count(half_us, 2 * half_us, &is_configuration) - 451.4).abs() < 85.0);
-    let mut states = BTreeMap::<usize, State>::new();
+    let mut states = BTreeMap::<usize, RecordState>::new();
     for (_, change) in &plan.changes {
         if let PlannedChange::Backend { number, state } = *change {
-            let before = states.insert(number, state).unwrap_or(State::Active);
+            let before = states.insert(number, state).unwrap_or(RecordState::Active);
             let is_valid = matches!(
                 (before, state),
-                (State::Active, State::Draining | State::Gone)
-                    | (State::Draining, State::Gone)
-                    | (State::Gone, State::Active)
+                (RecordState::Active, RecordState::Draining | RecordState::Gone)
+                    | (RecordState::Draining, RecordState::Gone)
+                    | (RecordState::Gone, RecordState::Active)
             );
             assert!(is_valid, "b{number} goes from {before:?} to {state:?}");
         }
     }
 }
 
-fn change(service: ServiceId, name: &str, state: State, body: &str) -> Change {
-    let key = Key { service, kind: Kind::Backend, name: name.into() };
+fn change(service: ServiceId, name: &str, state: RecordState, body: &str) -> Change {
+    let key = RecordKey { service, kind: RecordKind::Backend, name: name.into() };
     Change { key, state, body: body.as_bytes().into() }
 }
 
@@ -176,17 +177,17 @@
 }
 
 fn written_changes() -> [Vec<Change>; 2] {
-    let active = |service, name| change(service, name, State::Active, name);
+    let active = |service, name| change(service, name, RecordState::Active, name);
     [
         vec![
             active(0, "a"),
             active(0, "b"),
             active(2, "c"),
-            change(0, "b", State::Draining, "b"),
-            change(2, "c", State::Gone, ""),
+            change(0, "b", RecordState::Draining, "b"),
+            change(2, "c", RecordState::Gone, ""),
             active(2, "d"),
         ],
-        vec![active(1, "e"), active(3, "f"), change(1, "e", State::Active, "anew")],
+        vec![active(1, "e"), active(3, "f"), change(1, "e", RecordState::Active, "anew")],
     ]
 }
 
@@ -207,10 +208,10 @@
 /// The replica of a subscriber to the services 0, 1 and 2.
 fn expected_replica() -> Vec<ReplicaRecord> {
     vec![
-        replica_record(0, 1, change(0, "a", State::Active, "a")),
-        replica_record(0, 4, change(0, "b", State::Draining, "b")),
-        replica_record(0, 6, change(2, "d", State::Active, "d")),
-        replica_record(1, 3, change(1, "e", State::Active, "anew")),
+        replica_record(0, 1, change(0, "a", RecordState::Active, "a")),
+        replica_record(0, 4, change(0, "b", RecordState::Draining, "b")),
+        replica_record(0, 6, change(2, "d", RecordState::Active, "d")),
+        replica_record(1, 3, change(1, "e", RecordState::Active, "anew")),
     ]
 }
 
@@ -233,18 +234,18 @@
         fewer.remove(index);
         assert_eq!(mismatches(&fewer), [Mismatch::Missing], "{index}");
     }
-    let stale = replica_record(0, 3, change(2, "c", State::Active, "c"));
+    let stale = replica_record(0, 3, change(2, "c", RecordState::Active, "c"));
     assert_eq!(mismatches(&with(stale)), [Mismatch::Unexpected], "a removal that the replica lacks");
-    let stray = replica_record(1, 2, change(3, "f", State::Active, "f"));
+    let stray = replica_record(1, 2, change(3, "f", RecordState::Active, "f"));
     assert_eq!(mismatches(&with(stray)), [Mismatch::OutOfScope]);
     assert_eq!(mismatches(&with(expected_replica()[0].clone())), [Mismatch::Duplicate, Mismatch::Unexpected]);
-    let old = replica_record(0, 2, change(0, "b", State::Active, "b"));
+    let old = replica_record(0, 2, change(0, "b", RecordState::Active, "b"));
     assert_eq!(mismatches(&with_replaced(1, old)), [Mismatch::Version]);
-    let reverted = replica_record(0, 4, change(0, "b", State::Active, "b"));
-    assert_eq!(mismatches(&with_replaced(1, reverted)), [Mismatch::State]);
-    let corrupted = replica_record(0, 1, change(0, "a", State::Active, "A"));
+    let reverted = replica_record(0, 4, change(0, "b", RecordState::Active, "b"));
+    assert_eq!(mismatches(&with_replaced(1, reverted)), [Mismatch::RecordState]);
+    let corrupted = replica_record(0, 1, change(0, "a", RecordState::Active, "A"));
     assert_eq!(mismatches(&with_replaced(0, corrupted)), [Mismatch::Body]);
-    let foreign = replica_record(1, 1, change(0, "a", State::Active, "a"));
+    let foreign = replica_record(1, 1, change(0, "a", RecordState::Active, "a"));
     assert_eq!(mismatches(&with_replaced(0, foreign)), [Mismatch::Unexpected], "a record of another source");
     assert_eq!(mismatches(&[]), [Mismatch::Missing; 4]);
 }
@@ -283,7 +284,7 @@
             2 => all[index].version.epoch += 1,
             3 => all[index].body ^= 1,
             4 => all[index].name.push('x'),
-            _ => all[index].state = if all[index].state == State::Active { State::Draining } else { State::Active },
+            _ => all[index].state = if all[index].state == RecordState::Active { RecordState::Draining } else { RecordState::Active },
         }
         prop_assert!(!mismatches(&all).is_empty());
     }
@@ -294,7 +295,7 @@
     let replica = |revisions: &[(u64, Change)]| -> Vec<ReplicaRecord> {
         revisions.iter().map(|(revision, change)| replica_record(0, *revision, change.clone())).collect()
     };
-    let active = |service, name: &str| change(service, name, State::Active, name);
+    let active = |service, name: &str| change(service, name, RecordState::Active, name);
     let prefix = replica(&[(1, active(0, "a")), (2, active(0, "b")), (3, active(2, "c"))]);
     let restarted = |records: &[ReplicaRecord], head| {
         let mut source = model().remove(&0).expect("source 0");
@@ -307,7 +308,7 @@
     assert!(restarted(&prefix[..2], version(6, 3)).is_err(), "a record is missing");
     assert!(restarted(&prefix, version(6, 4)).is_err(), "the drain is in this prefix");
     let corrupted =
-        replica(&[(1, active(0, "a")), (2, change(0, "b", State::Active, "?")), (3, active(2, "c"))]);
+        replica(&[(1, active(0, "a")), (2, change(0, "b", RecordState::Active, "?")), (3, active(2, "c"))]);
     assert!(restarted(&corrupted, version(6, 3)).is_err(), "another body than the acknowledged one");
     let invented = replica(&[(1, active(0, "a")), (2, active(0, "b")), (3, active(2, "x"))]);
     assert!(restarted(&invented, version(6, 3)).is_err(), "a record that was never acknowledged");
@@ -316,14 +317,19 @@
 #[test]
 fn lost_changes_are_not_expected_after_a_source_restart() {
     let mut source = SourceModel::default();
-    let active = |name: &str| change(0, name, State::Active, name);
-    source.record_write(&[active("a"), change(0, "a", State::Draining, "a")], version(1, 2), 10, Some(0));
+    let active = |name: &str| change(0, name, RecordState::Active, name);
+    source.record_write(
+        &[active("a"), change(0, "a", RecordState::Draining, "a")],
+        version(1, 2),
+        10,
+        Some(0),
+    );
     let retained = [ReplicaRecord::from_record(0, &record(1, 1, active("a")))];
     assert_eq!(source.reset_to_restarted(&retained, version(2, 1)), Ok(1));
-    source.record_write(&[change(0, "a", State::Gone, "")], version(2, 2), 20, Some(0));
-    let key = key_hash(0, Kind::Backend, "a");
-    let states: Vec<State> = source.history(key).map(|change| change.state).collect();
-    assert_eq!(states, [State::Active, State::Gone]);
+    source.record_write(&[change(0, "a", RecordState::Gone, "")], version(2, 2), 20, Some(0));
+    let key = key_hash(0, RecordKind::Backend, "a");
+    let states: Vec<RecordState> = source.history(key).map(|change| change.state).collect();
+    assert_eq!(states, [RecordState::Active, RecordState::Gone]);
     let since = |from| source.changes(key, from, version(2, 2)).count();
     assert_eq!((since(Version::default()), since(version(1, 1)), since(version(2, 2))), (2, 1, 0));
 }
@@ -351,11 +357,11 @@
     let subscribers = FixedGroups(vec![(group(3), 2), (group(7), 1), (group(9), 5)]);
     let mut model = Model::new();
     let source = model.entry(0).or_default();
-    source.record_write(&[change(0, "a", State::Active, "1")], version(1, 1), 1_000, None);
-    source.record_write(&[change(0, "a", State::Draining, "1")], version(1, 2), 2_000, Some(0));
-    source.record_write(&[change(0, "a", State::Gone, "")], version(1, 3), 3_000, Some(1));
-    source.record_write(&[change(5, "b", State::Active, "1")], version(1, 4), 3_000, Some(1));
-    let key = key_hash(0, Kind::Backend, "a");
+    source.record_write(&[change(0, "a", RecordState::Active, "1")], version(1, 1), 1_000, None);
+    source.record_write(&[change(0, "a", RecordState::Draining, "1")], version(1, 2), 2_000, Some(0));
+    source.record_write(&[change(0, "a", RecordState::Gone, "")], version(1, 3), 3_000, Some(1));
+    source.record_write(&[change(5, "b", RecordState::Active, "1")], version(1, 4), 3_000, Some(1));
+    let key = key_hash(0, RecordKind::Backend, "a");
     let tally = |zone, from, to, count, last| Tally {
         source: 0,
         key,
@@ -437,10 +443,10 @@
     let changes = |state, body: &str| [change(service, "b7", state, body)];
     let mut model = Model::new();
     let source_model = model.entry(source).or_default();
-    source_model.record_write(&changes(State::Active, "1"), version(1, 1), 100, None);
-    source_model.record_write(&changes(State::Draining, "1"), version(1, 2), 1_000_000, Some(0));
-    source_model.record_write(&changes(State::Gone, ""), version(1, 3), 5_000_000, Some(0));
-    source_model.record_write(&changes(State::Active, "2"), version(1, 4), 30_000_000, Some(0));
+    source_model.record_write(&changes(RecordState::Active, "1"), version(1, 1), 100, None);
+    source_model.record_write(&changes(RecordState::Draining, "1"), version(1, 2), 1_000_000, Some(0));
+    source_model.record_write(&changes(RecordState::Gone, ""), version(1, 3), 5_000_000, Some(0));
+    source_model.record_write(&changes(RecordState::Active, "2"), version(1, 4), 30_000_000, Some(0));
     let end_us = 1_000_000 + DRAIN_TIMEOUT_US;
     let found = |reachability: &Reachability, at| {
         find_stale_sends(&[(at, 7), (at, 8)], &model, &population, reachability).len()
@@ -463,8 +469,8 @@
 
 #[test]
 fn version_monitor_finds_regressions_except_after_a_new_epoch() {
-    let active = |revision| record(1, revision, change(0, "a", State::Active, "a"));
-    let drained = record(1, 5, change(0, "a", State::Draining, "a"));
+    let active = |revision| record(1, revision, change(0, "a", RecordState::Active, "a"));
+    let drained = record(1, 5, change(0, "a", RecordState::Draining, "a"));
     let mut monitor = VersionMonitor::default();
     monitor.observe_epoch(&batch(1, Vec::new()));
     assert_eq!(monitor.on_applied(0, &active(3)), Version::default());
@@ -487,14 +493,14 @@
         &[] as &[String],
         "the source lost the drain, and its new epoch shows it"
     );
-    monitor.on_applied(0, &record(2, 6, change(0, "a", State::Gone, "")));
+    monitor.on_applied(0, &record(2, 6, change(0, "a", RecordState::Gone, "")));
     assert_eq!((monitor.live_records(), monitor.violations().len()), (0, 0));
 }
 
 #[test]
 fn each_injected_fault_changes_only_its_own_messages() {
-    let one = || record(1, 3, change(0, "a", State::Active, "a"));
-    let two = || record(1, 4, change(0, "b", State::Active, "b"));
+    let one = || record(1, 3, change(0, "a", RecordState::Active, "a"));
+    let two = || record(1, 4, change(0, "b", RecordState::Active, "b"));
     let both = batch(1, vec![one(), two()]);
     let mut none = FaultInjector::new(InjectedFault::None);
     none.arm();
--- a/crates/testbed/src/scale/fleet/version_monitor.rs
+++ b/crates/testbed/src/scale/fleet/version_monitor.rs
@@ -3,7 +3,7 @@
 
 use super::messages::{Tally, key_hash};
 use control_plane::message::Message;
-use control_plane::record::{Epoch, Record, SourceId, State, Version};
+use control_plane::record::{Epoch, Record, RecordState, SourceId, Version};
 use rustc_hash::FxHashMap;
 
 /// Upper bound of the tallies that a process stores between two requests.
@@ -14,7 +14,7 @@
 /// The monitor of one subscriber.
 #[derive(Debug, Default)]
 pub struct VersionMonitor {
-    applied: FxHashMap<(SourceId, u64), (Version, State)>,
+    applied: FxHashMap<(SourceId, u64), (Version, RecordState)>,
     epochs: FxHashMap<SourceId, Epoch>,
     live_records: u32,
     violations: Vec<String>,
@@ -39,9 +39,9 @@
         let applied = self
             .applied
             .entry((source, key_hash(key.service, key.kind, &key.name)))
-            .or_insert((Version::default(), State::Gone));
+            .or_insert((Version::default(), RecordState::Gone));
         let before = std::mem::replace(applied, (record.version, record.state));
-        match (before.1 == State::Gone, record.state == State::Gone) {
+        match (before.1 == RecordState::Gone, record.state == RecordState::Gone) {
             (true, false) => self.live_records += 1,
             (false, true) => self.live_records = self.live_records.saturating_sub(1),
             _ => {}
@@ -49,7 +49,7 @@
         let has_newer_epoch = self.epochs.get(&source).is_some_and(|&epoch| epoch > before.0.epoch);
         if record.version <= before.0 && !has_newer_epoch && self.violations.len() < MAX_DESCRIBED_VIOLATIONS
         {
-            let reverted = before.1 != State::Active && record.state == State::Active;
+            let reverted = before.1 != RecordState::Active && record.state == RecordState::Active;
             let what = if reverted { "drain reverted" } else { "version not newer" };
             self.violations.push(format!(
                 "{what}: {}/{} of source {source} went from {:?} to {:?}",
@@ -75,7 +75,7 @@
     #[must_use]
     pub fn memory_bytes(&self) -> u64 {
         // A table slot has a control byte; the table's load factor is 7/8.
-        let slot = size_of::<((SourceId, u64), (Version, State))>() + 1;
+        let slot = size_of::<((SourceId, u64), (Version, RecordState))>() + 1;
         (self.applied.capacity() * 8 / 7 * slot) as u64
     }
 }
