--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -111,14 +111,14 @@
     #[test]
     fn round_trips_backend_bodies_and_rejects_trailing_bytes(
         address in any::<std::net::SocketAddrV4>(),
-        locality in ".{0,12}",
-        flavor in ".{0,12}",
+        zone in ".{0,12}",
+        machine_kind in ".{0,12}",
         cell in any::<u16>(),
         size in 0.001_f64..1e6,
         up_since_ms in any::<u64>(),
         garbage in vec(any::<u8>(), 0..60),
     ) {
-        let backend = Backend { address, zone: locality, machine_kind: flavor, cell, capacity: size, up_since_ms };
+        let backend = Backend { address, zone, machine_kind, cell, capacity: size, up_since_ms };
         let body = encode_backend_body(&backend);
         prop_assert_eq!(decode_backend_body(&body), Ok(backend));
         let mut longer = body.to_vec();
--- a/crates/proxy-server/tests/bodies/main.rs
+++ b/crates/proxy-server/tests/bodies/main.rs
@@ -8,18 +8,18 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::{fs, thread};
 use support::{
-    Backend, BackendAction, Client, Discovery, HttpMessage, Proxy, TEST_TIMEOUT, config, entry, ok, request,
-    response_bytes,
+    Backend, BackendAction, Client, Discovery, HttpMessage, Proxy, TEST_TIMEOUT, backend_entry, ok_response,
+    proxy_config, request, response_bytes,
 };
 
 const MEBIBYTE: usize = 1 << 20;
 
 /// Starts a proxy with this memory limit and this backend.
 fn start_proxy(name: &str, memory_mb: u64, discovery: &Discovery, backend: SocketAddr) -> Proxy {
-    let mut config = config(name, discovery);
+    let mut config = proxy_config(name, discovery);
     config["limits"]["memory_mb"] = memory_mb.into();
     let proxy = Proxy::start_with_config(name, &config);
-    discovery.post(true, &[entry("s-1", backend, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend, "active", 0)]);
     proxy
 }
 
@@ -94,7 +94,7 @@
 #[test]
 fn rejects_malformed_chunks() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
+    let backend = Backend::start(|_| ok_response("fine"));
     let proxy = start_proxy("broken-chunks", 192, &discovery, backend.address);
     let bodies = [
         "zz\r\nabc\r\n0\r\n\r\n",
@@ -159,7 +159,7 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|request| {
         let sum = request.body.iter().map(|&byte| u64::from(byte)).sum::<u64>();
-        ok(&format!("{} {sum}", request.body.len()))
+        ok_response(&format!("{} {sum}", request.body.len()))
     });
     // A body of up to 8 % of the memory limit of 32 MB (two fifths of a fifth) is buffered; a larger one is
     // streamed.
--- a/crates/proxy-server/tests/external_processor/decisions.rs
+++ b/crates/proxy-server/tests/external_processor/decisions.rs
@@ -62,7 +62,7 @@
             }
             tag += 2;
         }
-        proxy.discovery.post(true, &backend_entries(2));
+        proxy.discovery.publish_and_wait(true, &backend_entries(2));
         let (answered_tag, answer) = conversation.receive().await;
         assert_eq!(
             (answered_tag, expect_send(answer).attempt),
@@ -115,10 +115,10 @@
     let (release, released) = channel();
     let mut released = Some(released);
     let backend = Backend::start(move |_| match released.take() {
-        Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
-        None => ok("later"),
+        Some(released) => BackendAction::WaitForSignalThen(released, Box::new(ok_response("first"))),
+        None => ok_response("later"),
     });
-    let proxy = start_proxy("ep-front-ends", "", &[entry("b0", backend.address, "active", 0)]);
+    let proxy = start_proxy("ep-front-ends", "", &[backend_entry("b0", backend.address, "active", 0)]);
     let mut http_client = proxy.process.client();
     http_client.send(&request("submit", "k1", "x"));
     backend.next_request();
@@ -169,7 +169,10 @@
         conversation.decide(1, decide("charge", "a")).await;
         let first = expect_send(conversation.receive().await.1);
         let index = u16::from(first.endpoint == backend_address(1).to_string());
-        proxy.discovery.post(false, &[entry(&format!("b{index}"), backend_address(index), "leaving", 0)]);
+        proxy.discovery.publish_and_wait(
+            false,
+            &[backend_entry(&format!("b{index}"), backend_address(index), "leaving", 0)],
+        );
         match conversation.receive().await {
             (0, Answer::Revoked(revoked)) => assert_eq!(revoked.lease, first.lease),
             other => panic!("{other:?}"),
--- a/crates/proxy-server/tests/external_processor/lifecycle.rs
+++ b/crates/proxy-server/tests/external_processor/lifecycle.rs
@@ -27,7 +27,7 @@
         leases
     });
     proxy.process.child.kill().expect("the process is killed");
-    proxy.process.wait();
+    proxy.process.wait_for_exit();
     let restarted = start_proxy("ep-restarted", "", &backend_entries(600));
     run(async {
         let mut client = connect_client(restarted.external_processor).await;
@@ -70,7 +70,7 @@
         conversation.report(1, report(&lease, pb::Outcome::Served)).await;
         assert_eq!(expect_final(&conversation.receive().await.1), (pb::End::Served, false));
     });
-    assert!(proxy.process.wait().success());
+    assert!(proxy.process.wait_for_exit().success());
 }
 
 #[test]
@@ -145,7 +145,7 @@
     let discovery = Discovery::start();
     let process = spawn_with_external_processor(
         "ep-invalid",
-        &config("ep-invalid", &discovery).to_string(),
+        &proxy_config("ep-invalid", &discovery).to_string(),
         "[bounds]\nqueue = 0\n",
     );
     let output = process.wait_with_output().expect("the process ends");
--- a/crates/proxy-server/tests/external_processor/main.rs
+++ b/crates/proxy-server/tests/external_processor/main.rs
@@ -35,7 +35,7 @@
 }
 
 fn backend_entries(count: u16) -> Vec<Value> {
-    (0..count).map(|i| entry(&format!("b{i}"), backend_address(i), "active", 0)).collect()
+    (0..count).map(|i| backend_entry(&format!("b{i}"), backend_address(i), "active", 0)).collect()
 }
 
 fn backend_address(i: u16) -> SocketAddr {
@@ -45,8 +45,8 @@
 fn start_proxy(name: &str, settings: &str, members: &[Value]) -> ProxyUnderTest {
     let discovery = Discovery::start();
     let (process, external_processor) =
-        Proxy::start_with_external_processor(name, &config(name, &discovery), settings);
-    discovery.post(true, members);
+        Proxy::start_with_external_processor(name, &proxy_config(name, &discovery), settings);
+    discovery.publish_and_wait(true, members);
     ProxyUnderTest { process, external_processor, discovery }
 }
 
--- a/crates/proxy-server/tests/faults/clocks.rs
+++ b/crates/proxy-server/tests/faults/clocks.rs
@@ -35,10 +35,11 @@
 fn deadline_counts_the_wait_during_a_stalled_process() {
     for stall_ms in [300, 800] {
         let discovery = Discovery::start();
-        let backend =
-            Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(50), Box::new(ok("late"))));
+        let backend = Backend::start(|_| {
+            BackendAction::DelayThen(Duration::from_millis(50), Box::new(ok_response("late")))
+        });
         let name = format!("stalled-{stall_ms}");
-        let proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
+        let proxy = Proxy::start(&name, &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
         let mut clients: Vec<_> = (0..2).map(|_| proxy.client()).collect();
         for client in &mut clients {
             assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200);
@@ -66,9 +67,10 @@
 #[test]
 fn deadline_of_a_pipelined_request_counts_from_its_last_byte() {
     let discovery = Discovery::start();
-    let backend =
-        Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(400), Box::new(ok("late"))));
-    let proxy = Proxy::start("behind", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| {
+        BackendAction::DelayThen(Duration::from_millis(400), Box::new(ok_response("late")))
+    });
+    let proxy = Proxy::start("behind", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     let ids = ["one", "two", "three"];
     // The first two are read together; the third is read while the first is in flight.
@@ -91,9 +93,9 @@
 #[test]
 fn deadline_of_a_request_before_the_first_list_counts_from_its_last_byte() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
-    let mut config = config("waits", &discovery);
-    config["known"]["members"] = json!([entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| ok_response("fine"));
+    let mut config = proxy_config("waits", &discovery);
+    config["known"]["members"] = json!([backend_entry("s-1", backend.address, "active", 0)]);
     let proxy = Proxy::start_with_config("waits", &config);
     let mut client = proxy.client();
     client.send(&timed_request("charge", "1"));
@@ -109,12 +111,12 @@
 fn deadline_counts_the_wait_behind_failing_accepts() {
     for (round, shuts_down) in [false, true].into_iter().enumerate() {
         let discovery = Discovery::start();
-        let backend = Backend::start(|_| ok("fine"));
+        let backend = Backend::start(|_| ok_response("fine"));
         let name = format!("accepts-{round}");
         let faults = Faults::new(&name);
-        let config = config(&name, &discovery).to_string();
-        let proxy = Launch::new(&name, &config).with_environment(faults.environment(1)).start();
-        discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+        let config = proxy_config(&name, &discovery).to_string();
+        let proxy = ProxyCommand::new(&name, &config).with_environment(faults.environment(1)).start();
+        discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         faults.set(Fault::Accept, 1_000);
         let mut client = proxy.client();
@@ -141,11 +143,11 @@
 fn requests_behind_failing_accepts_are_served_while_they_have_time() {
     const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_350);
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
+    let backend = Backend::start(|_| ok_response("fine"));
     let faults = Faults::new("one-in-twenty");
-    let config = config("one-in-twenty", &discovery).to_string();
-    let proxy = Launch::new("one-in-twenty", &config).with_environment(faults.environment(1)).start();
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    let config = proxy_config("one-in-twenty", &discovery).to_string();
+    let proxy = ProxyCommand::new("one-in-twenty", &config).with_environment(faults.environment(1)).start();
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     faults.set(Fault::Accept, 950);
     let mut violations = Vec::new();
     for number in 0..40 {
@@ -173,12 +175,13 @@
 #[test]
 fn deadline_counts_the_wait_beyond_the_connection_limit() {
     let discovery = Discovery::start();
-    let backend =
-        Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(400), Box::new(ok("late"))));
-    let mut config = config("beyond", &discovery);
+    let backend = Backend::start(|_| {
+        BackendAction::DelayThen(Duration::from_millis(400), Box::new(ok_response("late")))
+    });
+    let mut config = proxy_config("beyond", &discovery);
     config["limits"]["sockets"] = json!(48);
     let proxy = Proxy::start_with_config("beyond", &config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut sent_at = HashMap::new();
     let mut clients = Vec::new();
     for number in 0..60 {
@@ -200,13 +203,14 @@
         let pair = TwoBackends::new();
         let discovery = &pair.discovery;
         let name = format!("step{step}");
-        let (folder, faults) = (empty_folder(&name), Faults::new(&name));
-        let mut config = config("n7", discovery);
+        let (folder, faults) = (create_empty_folder(&name), Faults::new(&name));
+        let mut config = proxy_config("n7", discovery);
         config["console"] = json!("127.0.0.1:0");
         // Slow start takes 2 s and allows almost no requests at first.
         config["settings"]["safety"] =
             json!({"coldFrom": 0.001, "coldUs": 2_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000});
-        let (old, console) = Launch::new("old", &config.to_string()).in_folder(&folder).start_with_console();
+        let (old, console) =
+            ProxyCommand::new("old", &config.to_string()).with_folder(&folder).start_with_console();
         pair.post();
         assert!(
             pair.count_served_by_a(&old, "before", 20) > 0,
@@ -217,8 +221,8 @@
         let included_at = Instant::now();
         faults.set(Fault::WallSeconds, step);
         config["listen"] = json!(old.address.to_string());
-        let launch = Launch::new("new", &config.to_string())
-            .in_folder(&folder)
+        let launch = ProxyCommand::new("new", &config.to_string())
+            .with_folder(&folder)
             .with_environment(faults.environment(1));
         let (new, console) = launch.start_with_console();
         while !send_command(console, "readyz\n").starts_with("SUCCESS") {}
--- a/crates/proxy-server/tests/faults/discovery_lists.rs
+++ b/crates/proxy-server/tests/faults/discovery_lists.rs
@@ -49,7 +49,7 @@
     let pair = TwoBackends::new();
     let members = json!(pair.members());
     let list = Arc::new(Mutex::new(json!({"revision": 1, "complete": true, "members": members})));
-    let mut config = config("slow-list", &pair.discovery);
+    let mut config = proxy_config("slow-list", &pair.discovery);
     config["discovery"] =
         json!(start_slow_agent(Arc::clone(&list), Duration::from_millis(1_500)).to_string());
     let proxy = Proxy::start_with_config("slow-list", &config);
@@ -81,9 +81,9 @@
         let pair = TwoBackends::new();
         let proxy = Proxy::start(&format!("invalid-{round}"), &pair.discovery, &pair.members());
         assert!(pair.count_served_by_a(&proxy, "before", 20) > 0, "backend a receives nothing at first");
-        let mut invalid_entry = entry("s-a", pair.a.address, "leaving", 0);
+        let mut invalid_entry = backend_entry("s-a", pair.a.address, "leaving", 0);
         invalidate(&mut invalid_entry);
-        pair.discovery.post(false, &[invalid_entry]);
+        pair.discovery.publish_and_wait(false, &[invalid_entry]);
         assert_eq!(pair.count_served_by_a(&proxy, "invalid", 20), 0, "case {round}");
     }
 }
@@ -110,7 +110,7 @@
         }
     });
     let discovery = Discovery::start();
-    let mut config = config("at-once", &discovery);
+    let mut config = proxy_config("at-once", &discovery);
     config["discovery"] = json!(address.to_string());
     let _proxy = Proxy::start_with_config("at-once", &config);
     thread::sleep(Duration::from_secs(2));
@@ -124,10 +124,10 @@
 #[test]
 fn unread_log_does_not_block_serving() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
+    let backend = Backend::start(|_| ok_response("fine"));
     let invalid_entries: Vec<_> =
         (0..2_000).map(|n| json!({"id": format!("nonsense-{n}"), "phase": "active"})).collect();
-    let valid_entry = entry("s-1", backend.address, "active", 0);
+    let valid_entry = backend_entry("s-1", backend.address, "active", 0);
     let proxy = Proxy::start("unread-log", &discovery, std::slice::from_ref(&valid_entry));
     let all_served = Arc::new(AtomicBool::new(true));
     let (address, shared) = (proxy.address, Arc::clone(&all_served));
@@ -153,7 +153,7 @@
         while !requests.is_finished() {
             let mut list = invalid_entries.clone();
             list.push(valid_entry.clone());
-            discovery.post_without_waiting(true, &list);
+            discovery.publish(true, &list);
             thread::sleep(Duration::from_millis(200));
         }
     });
--- a/crates/proxy-server/tests/faults/disk.rs
+++ b/crates/proxy-server/tests/faults/disk.rs
@@ -16,8 +16,8 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
 
 fn start(folder: &Path, name: &str, config: &Value, faults: &Faults) -> (Proxy, SocketAddr) {
-    Launch::new(name, &config.to_string())
-        .in_folder(folder)
+    ProxyCommand::new(name, &config.to_string())
+        .with_folder(folder)
         .with_environment(faults.environment(SEED))
         .start_with_console()
 }
@@ -39,7 +39,7 @@
 fn exclude_during_fault(fault: Fault) -> Result<(), String> {
     let pair = TwoBackends::new();
     let name = format!("refuses-{fault:?}");
-    let (folder, faults) = (empty_folder(&name), Faults::new(&name));
+    let (folder, faults) = (create_empty_folder(&name), Faults::new(&name));
     let (old, console) = start(&folder, "old", &config_with_console(&pair.discovery, None), &faults);
     pair.post();
     assert!(
@@ -83,7 +83,7 @@
     for fault in [Fault::FileRead, Fault::FileOpen] {
         let pair = TwoBackends::new();
         let name = format!("unread-{fault:?}");
-        let (folder, faults) = (empty_folder(&name), Faults::new(&name));
+        let (folder, faults) = (create_empty_folder(&name), Faults::new(&name));
         let (old, console) = start(&folder, "old", &config_with_console(&pair.discovery, None), &faults);
         pair.post();
         assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
@@ -93,14 +93,14 @@
             startup_faults.set(fault, 1_000);
         }
         let began = Instant::now();
-        let launch = Launch::new("new", &config_with_console(&pair.discovery, None).to_string());
+        let launch = ProxyCommand::new("new", &config_with_console(&pair.discovery, None).to_string());
         let (new, console) = thread::scope(|scope| {
             let clears_fault = scope.spawn(|| {
                 sleep_until(began + Duration::from_millis(1_200));
                 startup_faults.set(fault, 0);
             });
             let started = launch
-                .in_folder(&folder)
+                .with_folder(&folder)
                 .with_environment(startup_faults.environment(SEED))
                 .start_with_console();
             clears_fault.join().expect("the fault is cleared");
@@ -120,7 +120,7 @@
     for fault in [Fault::FileWrite, Fault::FileRename] {
         let pair = TwoBackends::new();
         let name = format!("refuses-throughout-{fault:?}");
-        let (folder, faults) = (empty_folder(&name), Faults::new(&name));
+        let (folder, faults) = (create_empty_folder(&name), Faults::new(&name));
         let (mut old, console) = start(&folder, "old", &config_with_console(&pair.discovery, None), &faults);
         pair.post();
         assert!(
@@ -133,7 +133,7 @@
         let (new, console) = start(&folder, "new", &config, &faults);
         while !send_command(console, "readyz\n").starts_with("SUCCESS") {}
         old.terminate();
-        assert!(old.wait().success());
+        assert!(old.wait_for_exit().success());
         sleep_until(Instant::now() + DRAIN_GRACE);
         let received = pair.count_served_by_a(&new, "replaced", 40);
         assert_eq!(received, 0, "{fault:?}: the response was {response}");
--- a/crates/proxy-server/tests/faults/interrupted_messages.rs
+++ b/crates/proxy-server/tests/faults/interrupted_messages.rs
@@ -10,8 +10,8 @@
 #[test]
 fn connection_stalled_within_a_body_is_closed_within_three_seconds() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start("stops", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| ok_response("fine"));
+    let proxy = Proxy::start("stops", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     // Sent and announced bytes of the body: of usual size, larger, and too large to be buffered.
     let body_sizes = [(60_000, 64_000), (300_000, 600_000), (2_000_000, 40_000_000)];
     let stalled_clients: Vec<_> = body_sizes
@@ -48,9 +48,10 @@
 #[test]
 fn pipelined_requests_are_all_answered_during_shutdown() {
     let discovery = Discovery::start();
-    let backend =
-        Backend::start(|_| BackendAction::DelayThen(Duration::from_millis(30), Box::new(ok("fine"))));
-    let proxy = Proxy::start("together", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| {
+        BackendAction::DelayThen(Duration::from_millis(30), Box::new(ok_response("fine")))
+    });
+    let proxy = Proxy::start("together", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut open_client = proxy.client();
     assert_eq!(open_client.exchange(HEALTH_REQUEST).status(), 200);
     proxy.terminate();
@@ -77,7 +78,7 @@
         [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n".to_vec(), vec![b'y'; 0x20000]];
     let truncated = [complete_chunk.concat(), b"\r\n5\r\nno".to_vec()].concat();
     let backend = Backend::start(move |_| BackendAction::WriteAndClose(truncated.clone()));
-    let proxy = Proxy::start("http-1-0", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start("http-1-0", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x").replace("HTTP/1.1", "HTTP/1.0"));
     let mut response = Vec::new();
--- a/crates/proxy-server/tests/faults/main.rs
+++ b/crates/proxy-server/tests/faults/main.rs
@@ -20,7 +20,9 @@
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::{Backend, Client, Discovery, HttpMessage, Proxy, entry, ok, read_message, request};
+use support::{
+    Backend, Client, Discovery, HttpMessage, Proxy, backend_entry, ok_response, read_message, request,
+};
 
 /// How late an attempt may start, and by how much its deadline may exceed the client's remaining time.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
@@ -127,18 +129,18 @@
 
 impl TwoBackends {
     fn new() -> Self {
-        let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
+        let (a, b) = (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
         Self { discovery: Discovery::start(), a, b }
     }
 
     /// Their entries in discovery's list. Among equal backends, a single proxy gives the one with the higher
     /// number one more slot.
     fn members(&self) -> [Value; 2] {
-        [entry("s-a", self.a.address, "active", 0), entry("s-0", self.b.address, "active", 0)]
+        [backend_entry("s-a", self.a.address, "active", 0), backend_entry("s-0", self.b.address, "active", 0)]
     }
 
     fn post(&self) {
-        self.discovery.post(true, &self.members());
+        self.discovery.publish_and_wait(true, &self.members());
     }
 
     /// Sends successive requests and returns how many of them backend `a` received.
--- a/crates/proxy-server/tests/faults/retry_windows.rs
+++ b/crates/proxy-server/tests/faults/retry_windows.rs
@@ -13,16 +13,17 @@
     const WINDOW: Duration = Duration::from_millis(400);
     let discovery = Discovery::start();
     let failing = Backend::start(|_| BackendAction::WriteAndClose(Vec::new()));
-    let (late_listener, filler) = listener_with_full_queue();
+    let (late_listener, filler) = listener_with_full_accept_queue();
     let address = late_listener.local_addr().expect("the listener has an address");
-    let mut config = config("window", &discovery);
+    let mut config = proxy_config("window", &discovery);
     for class in config["settings"]["classes"].as_array_mut().expect("the classes are an array") {
         class["keyTtlUs"] = json!(WINDOW.as_micros() as u64);
         class["group"] = json!("all");
     }
     let proxy = Proxy::start_with_config("window", &config);
-    let members = [entry("s-a", failing.address, "active", 0), entry("s-0", address, "active", 0)];
-    discovery.post(true, &members);
+    let members =
+        [backend_entry("s-a", failing.address, "active", 0), backend_entry("s-0", address, "active", 0)];
+    discovery.publish_and_wait(true, &members);
     // The proxy prefers the failing backend; the other one gets the retry.
     let mut client = proxy.client();
     client.send(&request("submit", "1", "x"));
--- a/crates/proxy-server/tests/faults/shutdown.rs
+++ b/crates/proxy-server/tests/faults/shutdown.rs
@@ -14,7 +14,7 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::Hang);
     let mut proxy = Proxy::start_with_config("shorter", &config_with_deadline("shorter", &discovery, 2_500));
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     proxy.reload(&config_with_deadline("shorter", &discovery, 300).to_string());
     proxy.wait_for_log("reloaded the configuration");
     // Requests with the previous deadline have finished by then.
@@ -31,7 +31,7 @@
     assert!(answered.iter().all(|answered| *answered), "clients with a response: {answered:?}");
     // A client that remains connected without sending a request.
     let _idle = proxy.client();
-    assert_eq!(proxy.wait().code(), Some(0));
+    assert_eq!(proxy.wait_for_exit().code(), Some(0));
     let elapsed = began.elapsed();
     assert!(elapsed < Duration::from_millis(300) + KILL_DELAY, "the process ended after {elapsed:?}");
 }
@@ -47,9 +47,10 @@
         let faults = Faults::new(&name);
         let mut config = config_with_deadline(&name, &discovery, 500);
         config["limits"]["sockets"] = 48.into();
-        let mut proxy =
-            Launch::new(&name, &config.to_string()).with_environment(faults.environment(round + 1)).start();
-        discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+        let mut proxy = ProxyCommand::new(&name, &config.to_string())
+            .with_environment(faults.environment(round + 1))
+            .start();
+        discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
         faults.set(Fault::Accept, 500);
         let clients = (0..60).map(|id| {
             let mut client = proxy.client();
@@ -61,6 +62,6 @@
         let answered = clients.into_iter().map(|client| client.join().expect("the client thread finishes"));
         let unanswered = answered.filter(|answered| !answered).count();
         assert_eq!(unanswered, 0, "requests without a response in round {round}");
-        assert_eq!(proxy.wait().code(), Some(0));
+        assert_eq!(proxy.wait_for_exit().code(), Some(0));
     }
 }
--- a/crates/proxy-server/tests/faults/signals.rs
+++ b/crates/proxy-server/tests/faults/signals.rs
@@ -18,12 +18,15 @@
 /// Sends requests to a process while it receives signals, and then shuts it down.
 fn run_with_signals(name: &str, environment: Vec<(&'static str, String)>) {
     let discovery = Discovery::start();
-    let backends: Vec<_> = (0..2).map(|_| Backend::start(|_| ok("fine"))).collect();
-    let members: Vec<_> =
-        backends.iter().enumerate().map(|(n, b)| entry(&format!("s-{n}"), b.address, "active", 0)).collect();
-    let config = config(name, &discovery).to_string();
-    let mut proxy = Launch::new(name, &config).with_environment(environment).start();
-    discovery.post(true, &members);
+    let backends: Vec<_> = (0..2).map(|_| Backend::start(|_| ok_response("fine"))).collect();
+    let members: Vec<_> = backends
+        .iter()
+        .enumerate()
+        .map(|(n, b)| backend_entry(&format!("s-{n}"), b.address, "active", 0))
+        .collect();
+    let config = proxy_config(name, &discovery).to_string();
+    let mut proxy = ProxyCommand::new(name, &config).with_environment(environment).start();
+    discovery.publish_and_wait(true, &members);
     let process = Pid::from_raw(proxy.child.id().cast_signed());
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
@@ -43,7 +46,7 @@
         stop.store(true, Ordering::Release);
     });
     proxy.terminate();
-    assert_eq!(proxy.wait_within(EXIT_TIMEOUT).code(), Some(0));
+    assert_eq!(proxy.wait_for_exit_within(EXIT_TIMEOUT).code(), Some(0));
 }
 
 fn run_in_parallel(environment: impl Fn(usize) -> Vec<(&'static str, String)>) {
--- a/crates/proxy-server/tests/faults/soak.rs
+++ b/crates/proxy-server/tests/faults/soak.rs
@@ -95,7 +95,7 @@
 
 /// A configuration with this deadline in all classes, and with a low or the usual limit on descriptors.
 fn soak_config(name: &str, discovery: &Discovery, deadline: Duration, has_few_descriptors: bool) -> Value {
-    let mut config = config(name, discovery);
+    let mut config = proxy_config(name, discovery);
     for class in config["settings"]["classes"].as_array_mut().expect("the classes are an array") {
         class["aimUs"] = json!(deadline.as_micros() as u64 / 2);
         class["deadlineUs"] = json!(deadline.as_micros() as u64);
@@ -125,7 +125,7 @@
                 BackendAction::Write(response_bytes("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""))
             }
             2 => return BackendAction::Hang,
-            _ => ok("served"),
+            _ => ok_response("served"),
         };
         BackendAction::DelayThen(delay, Box::new(action))
     })
@@ -171,14 +171,17 @@
     let hangs_from = began + Duration::from_millis(rng.u64(500..2_600));
     let unprocessed = UnprocessedIds::default();
     let backends = start_backends(&mut rng, hangs_from, &unprocessed);
-    let members: Vec<_> =
-        backends.iter().enumerate().map(|(n, b)| entry(&format!("s-{n}"), b.address, "active", 0)).collect();
+    let members: Vec<_> = backends
+        .iter()
+        .enumerate()
+        .map(|(n, b)| backend_entry(&format!("s-{n}"), b.address, "active", 0))
+        .collect();
     let name = format!("soak-{seed}");
     let faults = Faults::new(&name);
     let config = soak_config(&name, &discovery, deadline, rng.bool());
-    let launch = Launch::new(&name, &config.to_string()).with_environment(faults.environment(seed));
+    let launch = ProxyCommand::new(&name, &config.to_string()).with_environment(faults.environment(seed));
     let mut proxy = launch.start();
-    discovery.post(true, &members);
+    discovery.publish_and_wait(true, &members);
     let soak = Soak {
         rng: rng.fork(),
         deadline,
@@ -241,7 +244,7 @@
         let at = |milliseconds: u64| soak.began + Duration::from_millis(milliseconds);
         sleep_until(at(rng.u64(100..500)));
         self.members[self.drained_index]["phase"] = json!("leaving");
-        self.discovery.post_without_waiting(true, &self.members);
+        self.discovery.publish(true, &self.members);
         let drained = DrainedBackend { index: self.drained_index, drained_at: Instant::now() };
         sleep_until(at(rng.u64(600..1_300)));
         soak.stall(proxy, rng.u64(20..140));
@@ -260,7 +263,7 @@
 
     /// Reloads three files in succession: with discovery at another address, malformed, and the first one.
     fn reload_repeatedly(&mut self, proxy: &Proxy) {
-        self.next_discovery.post_without_waiting(true, &self.members);
+        self.next_discovery.publish(true, &self.members);
         self.config["discovery"] = json!(self.next_discovery.address.to_string());
         proxy.reload(&self.config.to_string());
         proxy.reload("{ broken");
@@ -291,7 +294,7 @@
         }
         thread::sleep(Duration::from_millis(2));
     }
-    println!("the process had not ended when SIGKILL was due:\n{}", process_state(proxy.child.id()));
+    println!("the process had not ended when SIGKILL was due:\n{}", describe_threads(proxy.child.id()));
     let _ = proxy.child.kill();
     Shutdown { signalled_at, ended_at: Instant::now(), is_clean: false }
 }
--- a/crates/proxy-server/tests/faults/system_calls.rs
+++ b/crates/proxy-server/tests/faults/system_calls.rs
@@ -11,8 +11,9 @@
 
 /// Starts backends; returns them with their entries in discovery's list.
 fn start_backends(count: usize) -> (Vec<Backend>, Vec<Value>) {
-    let backends: Vec<_> = (0..count).map(|_| Backend::start(|_| ok("fine"))).collect();
-    let members = backends.iter().enumerate().map(|(i, b)| entry(&format!("s-{i}"), b.address, "active", 0));
+    let backends: Vec<_> = (0..count).map(|_| Backend::start(|_| ok_response("fine"))).collect();
+    let members =
+        backends.iter().enumerate().map(|(i, b)| backend_entry(&format!("s-{i}"), b.address, "active", 0));
     let members = members.collect();
     (backends, members)
 }
@@ -23,9 +24,9 @@
     let discovery = Discovery::start();
     let (backends, members) = start_backends(4);
     let injected = Faults::new(name);
-    let config = config(name, &discovery).to_string();
-    let proxy = Launch::new(name, &config).with_environment(injected.environment(SEED)).start();
-    discovery.post(true, &members);
+    let config = proxy_config(name, &discovery).to_string();
+    let proxy = ProxyCommand::new(name, &config).with_environment(injected.environment(SEED)).start();
+    discovery.publish_and_wait(true, &members);
     for &(fault, per_mille) in faults {
         injected.set(fault, per_mille);
     }
@@ -88,9 +89,9 @@
     let discovery = Discovery::start();
     let (backends, members) = start_backends(4);
     let injected = Faults::new("local");
-    let config = config("local", &discovery).to_string();
-    let mut proxy = Launch::new("local", &config).with_environment(injected.environment(SEED)).start();
-    discovery.post(true, &members);
+    let config = proxy_config("local", &discovery).to_string();
+    let mut proxy = ProxyCommand::new("local", &config).with_environment(injected.environment(SEED)).start();
+    discovery.publish_and_wait(true, &members);
     injected.set(Fault::ConnectLocal, 1_000);
     let outcome = run_traffic(proxy.address, &backends, 4, 20);
     injected.set(Fault::ConnectLocal, 0);
@@ -107,9 +108,9 @@
     let discovery = Discovery::start();
     let (backends, members) = start_backends(1);
     let injected = Faults::new("log");
-    let config = config("log", &discovery).to_string();
-    let mut proxy = Launch::new("log", &config).with_environment(injected.environment(SEED)).start();
-    discovery.post(true, &members);
+    let config = proxy_config("log", &discovery).to_string();
+    let mut proxy = ProxyCommand::new("log", &config).with_environment(injected.environment(SEED)).start();
+    discovery.publish_and_wait(true, &members);
     let began = Instant::now();
     injected.set(Fault::Accept, 900);
     while began.elapsed() < Duration::from_secs(2) {
@@ -128,14 +129,14 @@
     let discovery = Discovery::start();
     let (_backends, members) = start_backends(2);
     let injected = Faults::new("console");
-    let mut config = config("console", &discovery);
+    let mut config = proxy_config("console", &discovery);
     config["console"] = json!("127.0.0.1:0");
-    let folder = empty_folder("console-short");
-    let launch = Launch::new("console", &config.to_string())
-        .in_folder(&folder)
+    let folder = create_empty_folder("console-short");
+    let launch = ProxyCommand::new("console", &config.to_string())
+        .with_folder(&folder)
         .with_environment(injected.environment(SEED));
     let (_proxy, console) = launch.start_with_console();
-    discovery.post(true, &members);
+    discovery.publish_and_wait(true, &members);
     for per_mille in [300, 900] {
         injected.set(Fault::ShortRead, per_mille);
         injected.set(Fault::InterruptedRead, per_mille / 3);
@@ -155,16 +156,16 @@
     let discovery = Discovery::start();
     let (backends, mut members) = start_backends(2);
     let injected = Faults::new("drain");
-    let config = config("drain", &discovery).to_string();
-    let proxy = Launch::new("drain", &config).with_environment(injected.environment(SEED)).start();
-    discovery.post(true, &members);
+    let config = proxy_config("drain", &discovery).to_string();
+    let proxy = ProxyCommand::new("drain", &config).with_environment(injected.environment(SEED)).start();
+    discovery.publish_and_wait(true, &members);
     run_traffic(proxy.address, &[], 2, 10).assert_answered_without_duplicates();
     injected.set(Fault::ShortRead, 500);
     injected.set(Fault::InterruptedRead, 300);
     injected.set(Fault::ConnectLocal, 300);
     members[0]["phase"] = json!("leaving");
     let drained_at = Instant::now();
-    discovery.post_without_waiting(false, &members[..1]);
+    discovery.publish(false, &members[..1]);
     sleep_until(drained_at + Duration::from_millis(7_050));
     assert!(backends[0].take_request_count() > 0, "the backend received nothing before its drain");
     backends[1].take_request_count();
@@ -181,15 +182,15 @@
         let name = format!("start-{round}");
         let injected = Faults::new(&name);
         injected.set(fault, 1_000);
-        let mut config = config(&name, &discovery);
+        let mut config = proxy_config(&name, &discovery);
         config["console"] = json!("127.0.0.1:0");
-        let (text, folder) = (config.to_string(), empty_folder(&name));
+        let (text, folder) = (config.to_string(), create_empty_folder(&name));
         let environment = injected.environment(SEED);
         let launch = thread::spawn({
             let name = name.clone();
             move || {
-                Launch::new(&name, &text)
-                    .in_folder(&folder)
+                ProxyCommand::new(&name, &text)
+                    .with_folder(&folder)
                     .with_environment(environment)
                     .start_with_console()
             }
@@ -198,7 +199,7 @@
         injected.set(fault, 0);
         let (proxy, _console) =
             launch.join().unwrap_or_else(|_| panic!("{fault:?}: the process did not start"));
-        discovery.post(true, &members);
+        discovery.publish_and_wait(true, &members);
         assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
     }
 }
@@ -209,17 +210,17 @@
     let (discovery, next) = (Discovery::start(), Discovery::start());
     let (_backends, members) = start_backends(1);
     let injected = Faults::new("reload");
-    let mut config = config("reload", &discovery);
+    let mut config = proxy_config("reload", &discovery);
     let proxy =
-        Launch::new("reload", &config.to_string()).with_environment(injected.environment(SEED)).start();
-    discovery.post(true, &members);
+        ProxyCommand::new("reload", &config.to_string()).with_environment(injected.environment(SEED)).start();
+    discovery.publish_and_wait(true, &members);
     injected.set(Fault::FileOpen, 1_000);
     config["discovery"] = json!(next.address.to_string());
     let began = Instant::now();
     proxy.reload(&config.to_string());
     sleep_until(began + Duration::from_millis(800));
     injected.set(Fault::FileOpen, 0);
-    next.next_call();
+    next.next_call_revision();
     assert!(
         began.elapsed() < Duration::from_secs(4) + DEADLINE_TOLERANCE,
         "in force after {:?}",
--- a/crates/proxy-server/tests/golden_process/main.rs
+++ b/crates/proxy-server/tests/golden_process/main.rs
@@ -10,7 +10,8 @@
 use std::path::Path;
 use std::process::Command;
 use support::{
-    Backend, Client, Discovery, Proxy, config_with_console, empty_folder, entry, ok, request, send_command,
+    Backend, Client, Discovery, Proxy, backend_entry, config_with_console, create_empty_folder, ok_response,
+    request, send_command,
 };
 
 fn golden_files() -> GoldenFiles {
@@ -46,8 +47,8 @@
 #[test]
 fn console_responses_and_stored_files_are_stable() {
     let discovery = Discovery::start();
-    let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
-    let directory = empty_folder("golden-console");
+    let (a, b) = (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
+    let directory = create_empty_folder("golden-console");
     let (mut proxy, console) =
         Proxy::start_with_console(&directory, "golden-console", &config_with_console(&discovery, None));
     let mut lines = Vec::new();
@@ -55,7 +56,10 @@
         lines.push(format!("{line}: {}", send_command(console, &format!("{line}\n")).trim_end()));
     };
     send("readyz");
-    discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
+    discovery.publish_and_wait(
+        true,
+        &[backend_entry("s-a", a.address, "active", 0), backend_entry("s-b", b.address, "active", 0)],
+    );
     for line in [
         "readyz",
         "exclude s-none",
@@ -76,7 +80,7 @@
     let stored = fs::read_to_string(directory.join("haventrack-n7.bans.json")).expect("the file is readable");
     golden_files().assert_lines("stored-exclusions.txt", &[mask_long_numbers(&stored)]);
     proxy.terminate();
-    assert!(proxy.wait().success());
+    assert!(proxy.wait_for_exit().success());
     let names = file_names(&directory);
     for name in ["haventrack-n7.bans.json", "haventrack-n7.bans.lock", "haventrack-n7.process-0.lock"] {
         assert!(names.iter().any(|n| n == name), "{name} is missing in {names:?}");
@@ -88,14 +92,17 @@
 #[test]
 fn exclusions_of_an_older_version_apply_to_a_new_process() {
     let discovery = Discovery::start();
-    let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
-    let directory = empty_folder("golden-older");
+    let (a, b) = (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
+    let directory = create_empty_folder("golden-older");
     let stored_by_older_version = r#"{"version":1,"bans":{"out":{"s-a":7},"back":{}}}"#;
     fs::write(directory.join("haventrack-n7.bans.json"), stored_by_older_version)
         .expect("the file is written");
     let (proxy, console) =
         Proxy::start_with_console(&directory, "golden-older", &config_with_console(&discovery, None));
-    discovery.post(true, &[entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]);
+    discovery.publish_and_wait(
+        true,
+        &[backend_entry("s-a", a.address, "active", 0), backend_entry("s-b", b.address, "active", 0)],
+    );
     let mut client = proxy.client();
     for n in 0..20 {
         assert_eq!(client.exchange(&request("read", &format!("golden-{n}"), "")).body, b"b");
@@ -119,11 +126,11 @@
 fn http_bytes_are_stable() {
     let discovery = Discovery::start();
     let mut texts = Vec::new();
-    let proxy = Proxy::start_without_list("golden-bytes", &discovery);
+    let proxy = Proxy::start_without_discovery_list("golden-bytes", &discovery);
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     texts.push(text_without_date(&Client::connect(proxy.address).exchange(&get("/up"))));
-    let backend = Backend::start(|_| ok("served"));
-    discovery.post(true, &[entry("s-a", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| ok_response("served"));
+    discovery.publish_and_wait(true, &[backend_entry("s-a", backend.address, "active", 0)]);
     texts.push(text_without_date(&Client::connect(proxy.address).exchange(&get("/up"))));
     texts.push(text_without_date(
         &Client::connect(proxy.address).exchange(&request("submit", "golden", "body")),
@@ -141,7 +148,7 @@
     ] {
         texts.push(text_without_date(&Client::connect(proxy.address).exchange(invalid)));
     }
-    discovery.post(true, &[]);
+    discovery.publish_and_wait(true, &[]);
     texts.push(text_without_date(&Client::connect(proxy.address).exchange(&request("charge", "late", ""))));
     golden_files().assert_lines("http.txt", &texts);
 }
--- a/crates/proxy-server/tests/operations/console.rs
+++ b/crates/proxy-server/tests/operations/console.rs
@@ -11,19 +11,22 @@
 fn readyz_reports_readiness_until_shutdown() {
     let discovery = Discovery::start();
     let (a, b) = start_backends();
-    let (mut proxy, console) =
-        Proxy::start_with_console(&empty_folder("ready"), "ready", &config_with_console(&discovery, None));
+    let (mut proxy, console) = Proxy::start_with_console(
+        &create_empty_folder("ready"),
+        "ready",
+        &config_with_console(&discovery, None),
+    );
     assert!(send_command(console, "readyz\n").starts_with("FAILURE no list"));
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     assert!(send_command(console, "readyz\n").starts_with("SUCCESS"));
     // A request in flight keeps the process running after the stop signal.
     let (release, released) = std::sync::mpsc::channel();
     let mut released = Some(released);
     let slow = Backend::start(move |_| match released.take() {
-        Some(released) => BackendAction::WaitThen(released, Box::new(ok("slow"))),
-        None => ok("quick"),
+        Some(released) => BackendAction::WaitForSignalThen(released, Box::new(ok_response("slow"))),
+        None => ok_response("quick"),
     });
-    discovery.post(true, &[entry("s-c", slow.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-c", slow.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("read", "open", ""));
     slow.next_request();
@@ -32,7 +35,7 @@
     release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"slow");
     drop(client);
-    assert!(proxy.wait().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 /// Guards against rejections whose cause is not visible to operators: console and log report the causes.
@@ -41,8 +44,8 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::Hang);
     let config = config_with_console(&discovery, None);
-    let (mut proxy, console) = Proxy::start_with_console(&empty_folder("causes"), "causes", &config);
-    discovery.post(true, &[entry("s-a", backend.address, "active", 0)]);
+    let (mut proxy, console) = Proxy::start_with_console(&create_empty_folder("causes"), "causes", &config);
+    discovery.publish_and_wait(true, &[backend_entry("s-a", backend.address, "active", 0)]);
     assert_eq!(send_command(console, "readyz\n"), "SUCCESS serving\n");
     let _occupying = [0, 1].map(|n| {
         let mut client = proxy.client();
@@ -63,21 +66,21 @@
     let discovery = Discovery::start();
     let (a, b) = start_backends();
     let (proxy, console) = Proxy::start_with_console(
-        &empty_folder("exclusion"),
+        &create_empty_folder("exclusion"),
         "exclusion",
         &config_with_console(&discovery, None),
     );
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     let mut client = proxy.client();
     assert!(send_command(console, "exclude s-none\n").starts_with("FAILURE no backend is called s-none"));
     assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
     assert!(send_command(console, "exclude s-a\n").starts_with("SUCCESS"));
     assert_eq!(serving_backends(&mut client, "excluded", 40), "b".repeat(40));
     // The exclusion lasts whatever the list reports: the backend as active, as removed, as restarted.
-    discovery.post(false, &[entry("s-a", a.address, "active", 0)]);
+    discovery.publish_and_wait(false, &[backend_entry("s-a", a.address, "active", 0)]);
     assert_eq!(serving_backends(&mut client, "active", 20), "b".repeat(20));
-    discovery.post(false, &[entry("s-a", a.address, "left", 0)]);
-    discovery.post(false, &[entry("s-a", a.address, "active", 77_000)]);
+    discovery.publish_and_wait(false, &[backend_entry("s-a", a.address, "left", 0)]);
+    discovery.publish_and_wait(false, &[backend_entry("s-a", a.address, "active", 77_000)]);
     assert_eq!(serving_backends(&mut client, "restarted", 20), "b".repeat(20));
     // One inclusion ends the exclusion, although the command to exclude was sent twice.
     assert!(send_command(console, "include s-a\n").starts_with("SUCCESS s-a may serve"));
@@ -95,12 +98,12 @@
 fn damaged_exclusions_file_is_set_aside_at_start() {
     let discovery = Discovery::start();
     let (a, b) = start_backends();
-    let folder = empty_folder("damaged");
+    let folder = create_empty_folder("damaged");
     fs::write(folder.join("haventrack-n7.bans.json"), "{\"version\":1,\"bans\":{\"out\":{\"s-a\":1")
         .expect("the file is written");
     let (mut proxy, console) =
         Proxy::start_with_console(&folder, "damaged", &config_with_console(&discovery, None));
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     assert!(send_command(console, "exclude s-b\n").starts_with("SUCCESS"));
     assert!(folder.join("haventrack-n7.bans.damaged").exists());
     let mut client = proxy.client();
@@ -115,9 +118,12 @@
 fn console_answers_in_time_under_full_load() {
     let discovery = Discovery::start();
     let (a, b) = start_backends();
-    let (proxy, console) =
-        Proxy::start_with_console(&empty_folder("load"), "load", &config_with_console(&discovery, None));
-    discovery.post(true, &list_entries(&a, &b));
+    let (proxy, console) = Proxy::start_with_console(
+        &create_empty_folder("load"),
+        "load",
+        &config_with_console(&discovery, None),
+    );
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..8)
--- a/crates/proxy-server/tests/operations/main.rs
+++ b/crates/proxy-server/tests/operations/main.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::thread;
-use support::{Backend, Client, entry, ok, request, send_command};
+use support::{Backend, Client, backend_entry, ok_response, request, send_command};
 
 /// Sends a command until its response has this prefix; the process may not have received its list yet.
 fn wait_for_response(console: SocketAddr, line: &str, prefix: &str) {
@@ -22,12 +22,12 @@
 
 /// Starts two backends that respond with their names.
 fn start_backends() -> (Backend, Backend) {
-    (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")))
+    (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")))
 }
 
 /// The entries of two backends in discovery's list.
 fn list_entries(a: &Backend, b: &Backend) -> [Value; 2] {
-    [entry("s-a", a.address, "active", 0), entry("s-b", b.address, "active", 0)]
+    [backend_entry("s-a", a.address, "active", 0), backend_entry("s-b", b.address, "active", 0)]
 }
 
 /// Sends requests on one connection; returns the names of the backends that served them, one letter each.
--- a/crates/proxy-server/tests/operations/reload.rs
+++ b/crates/proxy-server/tests/operations/reload.rs
@@ -8,7 +8,7 @@
 
 /// A configuration with these classes, given as name and effect, and this maximum number of attempts.
 fn config_with_settings(discovery: &Discovery, classes: &[(&str, &str)], max_attempts: u16) -> Value {
-    let mut config = config("n8", discovery);
+    let mut config = proxy_config("n8", discovery);
     let template = config["settings"]["classes"][1].clone();
     let class = |(name, effect): &(&str, &str)| {
         let mut class = template.clone();
@@ -40,15 +40,15 @@
         let released = Arc::clone(&released);
         Backend::start(move |_| match released.lock().expect("the receiver is not poisoned").take() {
             Some(released) => {
-                BackendAction::WaitThen(released, Box::new(BackendAction::WriteAndClose(Vec::new())))
+                BackendAction::WaitForSignalThen(released, Box::new(BackendAction::WriteAndClose(Vec::new())))
             }
-            None => ok("later"),
+            None => ok_response("later"),
         })
     };
     let (a, b) = (start(), start());
     let first = config_with_settings(&discovery, &[("read", "retryable"), ("lift", "dedup")], 4);
     let mut proxy = Proxy::start_with_config("reload-classes", &first);
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     let mut in_flight = proxy.client();
     in_flight.send(&request_without_class("read", "open", "GET", false));
     while released.lock().expect("the receiver is not poisoned").is_some() {
@@ -77,10 +77,10 @@
 #[test]
 fn invalid_configuration_is_logged_and_changes_nothing() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
+    let backend = Backend::start(|_| ok_response("fine"));
     let valid = config_with_settings(&discovery, &[("read", "retryable"), ("lift", "dedup")], 4);
     let mut proxy = Proxy::start_with_config("broken-file", &valid.clone());
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     // Each of these files, if it were applied, would remove "read".
     let next = config_with_settings(&discovery, &[("view", "retryable"), ("lift", "dedup")], 4);
     let changed = |change: &dyn Fn(&mut Value)| {
--- a/crates/proxy-server/tests/operations/replacement.rs
+++ b/crates/proxy-server/tests/operations/replacement.rs
@@ -10,10 +10,10 @@
 fn exclusion_lasts_over_a_replacement_and_applies_to_both_processes() {
     let discovery = Discovery::start();
     let (a, b) = start_backends();
-    let folder = empty_folder("outlives");
+    let folder = create_empty_folder("outlives");
     let (mut old, old_console) =
         Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     assert!(send_command(old_console, "exclude s-a\n").starts_with("SUCCESS"));
     let mut reused_client = old.client();
     assert_eq!(serving_backends(&mut reused_client, "reused", 3), "bbb");
@@ -36,7 +36,7 @@
     assert!(response.body != b"b", "the old process used an excluded backend: {}", response.head);
     old.terminate();
     drop(reused_client);
-    assert!(old.wait().success());
+    assert!(old.wait_for_exit().success());
     assert_eq!(b.take_request_count(), 0);
 }
 
@@ -44,9 +44,9 @@
 fn new_process_that_ends_before_readiness_does_not_affect_the_old_one() {
     let discovery = Discovery::start();
     let (a, b) = start_backends();
-    let folder = empty_folder("never-ready");
+    let folder = create_empty_folder("never-ready");
     let (old, console) = Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let unresponsive_discovery = Discovery::start();
     for n in 0..3 {
@@ -72,9 +72,9 @@
 fn replacement_rejects_and_resets_nothing() {
     let discovery = Discovery::start();
     let (a, b) = start_backends();
-    let folder = empty_folder("replaced");
+    let folder = create_empty_folder("replaced");
     let (mut old, console) = Proxy::start_with_console(&folder, "p0", &config_with_console(&discovery, None));
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let (address, stop, exchanged) =
         (old.address, Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
@@ -113,7 +113,7 @@
         wait_for_response(console, "readyz\n", "SUCCESS");
         old.terminate();
         wait_for_exchanges(200);
-        assert!(old.wait().success());
+        assert!(old.wait_for_exit().success());
         old = new;
     }
     wait_for_exchanges(200);
@@ -128,9 +128,9 @@
 fn new_process_restores_learned_limits() {
     let discovery = Discovery::start();
     let (a, b) = start_backends();
-    let folder = empty_folder("learnt");
+    let folder = create_empty_folder("learnt");
     let (old, console) = Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let file = folder.join("haventrack-n7.learnt.json");
     while !file.exists() {
@@ -156,13 +156,13 @@
     let (release, released) = std::sync::mpsc::channel::<()>();
     let mut released = Some(released);
     let backend = Backend::start(move |_| match released.take() {
-        Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
-        None => ok("later"),
+        Some(released) => BackendAction::WaitForSignalThen(released, Box::new(ok_response("first"))),
+        None => ok_response("later"),
     });
-    let folder = empty_folder("open");
+    let folder = create_empty_folder("open");
     let (mut old, console) =
         Proxy::start_with_console(&folder, "old", &config_with_console(&discovery, None));
-    discovery.post(true, &[entry("s-a", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-a", backend.address, "active", 0)]);
     wait_for_response(console, "readyz\n", "SUCCESS");
     let mut client = old.client();
     client.send(&request("submit", "keyed", "x"));
@@ -176,7 +176,7 @@
     assert_eq!(new.client().exchange(&request("read", "other", "")).body, b"later");
     release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"first");
-    assert!(old.wait().success());
+    assert!(old.wait_for_exit().success());
     assert_eq!(backend.next_request().header("x-correlation-id"), Some("other"));
     assert_eq!(backend.take_request_count(), 0, "nothing was retried");
 }
@@ -188,11 +188,11 @@
     let discovery = Discovery::start();
     let (a, b) = start_backends();
     let (mut proxy, console) = Proxy::start_with_console(
-        &empty_folder("partial-head"),
+        &create_empty_folder("partial-head"),
         "partial-head",
         &config_with_console(&discovery, None),
     );
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let (mut idle, mut partial) = (proxy.client(), proxy.client());
     for (client, id) in [(&mut idle, "1"), (&mut partial, "2")] {
@@ -210,5 +210,5 @@
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")), "{}", response.head);
     assert!(partial.is_closed_cleanly());
     drop((idle, partial));
-    assert!(proxy.wait().success());
+    assert!(proxy.wait_for_exit().success());
 }
--- a/crates/proxy-server/tests/operations/resources.rs
+++ b/crates/proxy-server/tests/operations/resources.rs
@@ -12,9 +12,10 @@
 #[test]
 fn exhausted_descriptors_do_not_block_other_clients() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
-    let mut proxy = Proxy::start_with_descriptor_limit("few-descriptors", &config("n9", &discovery), 40);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| ok_response("fine"));
+    let mut proxy =
+        Proxy::start_with_descriptor_limit("few-descriptors", &proxy_config("n9", &discovery), 40);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     assert_eq!(client.exchange(&request("read", "before", "")).status(), 200);
     let complete = request("read", "half", "");
@@ -39,7 +40,7 @@
         proxy.remaining_log().contains("accept: "),
         "no accept failed, so the descriptors were not exhausted"
     );
-    assert!(proxy.wait().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 /// Makes writes to a file block, as on a disk that does not respond: opening a FIFO for writing waits for a
@@ -64,14 +65,14 @@
 
 #[test]
 fn blocked_disk_delays_neither_requests_nor_shutdown() {
-    let folder = empty_folder("disk");
+    let folder = create_empty_folder("disk");
     let discovery = Discovery::start();
     let (a, b) = start_backends();
     let (mut proxy, console) =
         Proxy::start_with_console(&folder, "disk", &config_with_console(&discovery, None));
     block_writes_to(&folder, &format!("haventrack-n7.learnt.new-{}", proxy.child.id()));
     block_writes_to(&folder, "haventrack-n7.bans.new");
-    discovery.post(true, &list_entries(&a, &b));
+    discovery.publish_and_wait(true, &list_entries(&a, &b));
     wait_for_response(console, "readyz\n", "SUCCESS");
     let mut client = proxy.client();
     // Learned limits are persisted each second.
@@ -99,5 +100,5 @@
     assert!(!folder.join("haventrack-n7.bans.json").exists(), "the exclusion was persisted");
     drop(client);
     proxy.terminate();
-    assert!(proxy.wait().success());
+    assert!(proxy.wait_for_exit().success());
 }
--- a/crates/proxy-server/tests/proxy/backend_failures.rs
+++ b/crates/proxy-server/tests/proxy/backend_failures.rs
@@ -12,21 +12,22 @@
 #[test]
 fn idle_limit_follows_the_settings() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("there"));
-    let mut proxy = Proxy::start("idle-limit", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| ok_response("there"));
+    let mut proxy =
+        Proxy::start("idle-limit", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let send_and_get_connection = |proxy: &Proxy, id: &str| {
         assert_eq!(proxy.client().exchange(&request("charge", id, "x")).status(), 200);
         backend.next_request().connection
     };
     let (first, second) = (send_and_get_connection(&proxy, "1"), send_and_get_connection(&proxy, "2"));
     assert_eq!(first, second, "an open connection must be reused");
-    let mut changed = config("idle-limit", &discovery);
+    let mut changed = proxy_config("idle-limit", &discovery);
     changed["settings"]["permissions"]["connIdleUs"] = 0.into();
     proxy.reload(&changed.to_string());
     proxy.wait_for_log("reloaded the configuration");
     let (third, fourth) = (send_and_get_connection(&proxy, "3"), send_and_get_connection(&proxy, "4"));
     assert!(third != second && fourth != third, "{second} {third} {fourth}");
-    proxy.reload(&config("idle-limit", &discovery).to_string());
+    proxy.reload(&proxy_config("idle-limit", &discovery).to_string());
     proxy.wait_for_log("reloaded the configuration");
     let (fifth, sixth) = (send_and_get_connection(&proxy, "5"), send_and_get_connection(&proxy, "6"));
     assert_eq!(fifth, sixth);
@@ -38,7 +39,7 @@
 fn logs_settings_that_require_a_restart() {
     let discovery = Discovery::start();
     let mut proxy = Proxy::start("stays", &discovery, &[]);
-    let mut changed = config("stays", &discovery);
+    let mut changed = proxy_config("stays", &discovery);
     changed["settings"]["failureDomains"] = serde_json::json!(["a", "b"]);
     changed["settings"]["kinds"] = serde_json::json!(["n"]);
     for _ in 0..2 {
@@ -48,7 +49,7 @@
         proxy.wait_for_log("reloaded the configuration");
     }
     // Settings that equal those in force again are not logged.
-    proxy.reload(&config("stays", &discovery).to_string());
+    proxy.reload(&proxy_config("stays", &discovery).to_string());
     proxy.wait_for_log("reloaded the configuration");
     proxy.terminate();
     let log = proxy.remaining_log();
@@ -159,7 +160,7 @@
             let (sender, complete_requests): (_, Receiver<String>) = channel();
             let members: Vec<_> = (0..2)
                 .map(|i| {
-                    entry(
+                    backend_entry(
                         &format!("s-{i}"),
                         start_failing_backend(break_point, connection_end, sender.clone()),
                         "active",
@@ -226,7 +227,7 @@
             std::mem::forget(stream);
         }
     });
-    let proxy = Proxy::start("second-answer", &discovery, &[entry("s-1", address, "active", 0)]);
+    let proxy = Proxy::start("second-answer", &discovery, &[backend_entry("s-1", address, "active", 0)]);
     for (round, id) in ["a", "b", "c"].into_iter().enumerate() {
         assert_eq!(proxy.client().exchange(&request("charge", id, "x")).body, id.as_bytes());
         let received = connections.recv_timeout(TEST_TIMEOUT).expect("a report of the request");
@@ -242,11 +243,11 @@
 fn does_not_reuse_connections_beyond_a_short_idle_limit() {
     const IDLE_LIMIT: Duration = Duration::from_millis(800);
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("there"));
-    let mut config = config("short-idle", &discovery);
+    let backend = Backend::start(|_| ok_response("there"));
+    let mut config = proxy_config("short-idle", &discovery);
     config["settings"]["permissions"]["connIdleUs"] = 800_000.into();
     let proxy = Proxy::start_with_config("short-idle", &config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     let send_and_get_connection = |id: &str| {
         assert_eq!(proxy.client().exchange(&request("charge", id, "x")).status(), 200);
         backend.next_request().connection
@@ -285,17 +286,20 @@
             let close = || Box::new(BackendAction::WriteAndClose(Vec::new()));
             match received.header("x-correlation-id") {
                 Some("before") => match released.lock().expect("lock the receiver").take() {
-                    Some(released) => BackendAction::WaitThen(released, close()),
-                    None => ok("again"),
+                    Some(released) => BackendAction::WaitForSignalThen(released, close()),
+                    None => ok_response("again"),
                 },
                 Some("after") => *close(),
-                _ => ok("there"),
+                _ => ok_response("there"),
             }
         })
     });
-    let proxy_config = config("turns-unsafe", &discovery);
+    let proxy_config = proxy_config("turns-unsafe", &discovery);
     let mut proxy = Proxy::start_with_config("turns-unsafe", &proxy_config.clone());
-    discovery.post(true, &[0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0)));
+    discovery.publish_and_wait(
+        true,
+        &[0, 1].map(|i| backend_entry(&format!("s-{i}"), backends[i].address, "active", 0)),
+    );
     let mut client_before_reload = proxy.client();
     client_before_reload.send(&request("submit", "before", "x"));
     while released.lock().expect("lock the receiver").is_some() {
@@ -337,15 +341,18 @@
         Backend::start(move |received| {
             let take_release = || released.lock().expect("lock the receiver").take();
             match (received.header("x-correlation-id") == Some("late")).then(take_release).flatten() {
-                Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
-                None => ok("there"),
+                Some(released) => BackendAction::WaitForSignalThen(released, Box::new(ok_response("first"))),
+                None => ok_response("there"),
             }
         })
     });
-    let mut config = config("stood-answer", &discovery);
+    let mut config = proxy_config("stood-answer", &discovery);
     config["settings"]["classes"][0]["aimUs"] = LATENCY_OBJECTIVE_US.into();
     let proxy = Proxy::start_with_config("stood-answer", &config);
-    discovery.post(true, &[0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0)));
+    discovery.publish_and_wait(
+        true,
+        &[0, 1].map(|i| backend_entry(&format!("s-{i}"), backends[i].address, "active", 0)),
+    );
     for n in 0..8 {
         assert_eq!(proxy.client().exchange(&request("read", &format!("usual-{n}"), "")).status(), 200);
     }
--- a/crates/proxy-server/tests/proxy/client_disconnects.rs
+++ b/crates/proxy-server/tests/proxy/client_disconnects.rs
@@ -25,7 +25,7 @@
 impl SlowConnectBackend {
     /// Starts the backend with its accept queue filled.
     pub fn start() -> Self {
-        let (listener, filler) = listener_with_full_queue();
+        let (listener, filler) = listener_with_full_accept_queue();
         // Fails a test in which no connection arrives.
         SockRef::from(&listener).set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         let address = listener.local_addr().expect("local address");
@@ -94,8 +94,11 @@
     {
         let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
         let name = format!("left-dialling-{class}-{closes_with_reset}");
-        let proxy =
-            Proxy::start(&name, &discovery, &[entry("s-1", slow_connect_backend.address, "active", 0)]);
+        let proxy = Proxy::start(
+            &name,
+            &discovery,
+            &[backend_entry("s-1", slow_connect_backend.address, "active", 0)],
+        );
         let mut disconnecting_client = proxy.client();
         disconnecting_client.send(&request(class, "leaver", if class == "read" { "" } else { "x" }));
         synchronize(&proxy);
@@ -116,8 +119,11 @@
     for pipelined in ["G", "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"] {
         let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
         let name = format!("left-pipelining-{}", pipelined.len());
-        let proxy =
-            Proxy::start(&name, &discovery, &[entry("s-1", slow_connect_backend.address, "active", 0)]);
+        let proxy = Proxy::start(
+            &name,
+            &discovery,
+            &[backend_entry("s-1", slow_connect_backend.address, "active", 0)],
+        );
         let mut disconnecting_client = proxy.client();
         disconnecting_client.send(&format!("{}{pipelined}", request("charge", "leaver", "x")));
         synchronize(&proxy);
@@ -135,10 +141,10 @@
         ("left-in-a-body", request("charge", "leaver", &"y".repeat(2_000_000))[..120_000].to_owned()),
     ] {
         let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
-        let mut config = config(name, &discovery);
+        let mut config = proxy_config(name, &discovery);
         config["limits"]["memory_mb"] = 8.into();
         let proxy = Proxy::start_with_config(name, &config);
-        discovery.post(true, &[entry("s-1", slow_connect_backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[backend_entry("s-1", slow_connect_backend.address, "active", 0)]);
         let mut disconnecting_client = proxy.client();
         // Few enough bytes for the kernel's buffers: otherwise the close would not reach the proxy.
         disconnecting_client.send(&text);
@@ -155,9 +161,9 @@
 fn request_is_dropped_after_disconnect_before_it_is_read() {
     for (class, closes_with_reset) in CLASSES.into_iter().flat_map(|class| [(class, false), (class, true)]) {
         let discovery = Discovery::start();
-        let backend = Backend::start(|_| ok("there"));
+        let backend = Backend::start(|_| ok_response("there"));
         let name = format!("left-unheard-{class}-{closes_with_reset}");
-        let proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
+        let proxy = Proxy::start(&name, &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
         for (round, is_accepted) in [false, true].into_iter().enumerate() {
             let accepted_client = is_accepted.then(|| {
                 let mut client = proxy.client();
@@ -192,7 +198,8 @@
 fn half_closed_client_gets_a_response_without_a_new_attempt() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::Hang);
-    let proxy = Proxy::start("half-closed", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy =
+        Proxy::start("half-closed", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     // Closed before the proxy has read the request: nothing has run.
     proxy.signal("-STOP");
     let mut client_before_read = proxy.client();
@@ -219,10 +226,11 @@
     let (release, released) = std::sync::mpsc::channel();
     let mut released = Some(released);
     let backend = Backend::start(move |_| match released.take() {
-        Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
-        None => ok("again"),
+        Some(released) => BackendAction::WaitForSignalThen(released, Box::new(ok_response("first"))),
+        None => ok_response("again"),
     });
-    let proxy = Proxy::start("comes-again", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy =
+        Proxy::start("comes-again", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let text = request("submit", "first", "x");
     let mut disconnecting_client = proxy.client();
     disconnecting_client.send(&text);
@@ -243,8 +251,11 @@
     for (class, disconnects_first) in CLASSES.into_iter().flat_map(|class| [(class, false), (class, true)]) {
         let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
         let name = format!("left-dialled-{class}-{disconnects_first}");
-        let proxy =
-            Proxy::start(&name, &discovery, &[entry("s-1", slow_connect_backend.address, "active", 0)]);
+        let proxy = Proxy::start(
+            &name,
+            &discovery,
+            &[backend_entry("s-1", slow_connect_backend.address, "active", 0)],
+        );
         let mut disconnecting_client = proxy.client();
         disconnecting_client.send(&request(class, "leaver", if class == "read" { "" } else { "x" }));
         synchronize(&proxy);
@@ -290,13 +301,13 @@
         let (release, released) = channel();
         let mut released = Some(released);
         let backend = Backend::start(move |_| match released.take() {
-            Some(released) => BackendAction::WaitThen(
+            Some(released) => BackendAction::WaitForSignalThen(
                 released,
                 Box::new(BackendAction::Write(response_bytes("200 OK", "", &vec![b'z'; response_size]))),
             ),
-            None => ok("there"),
+            None => ok_response("there"),
         });
-        let proxy = Proxy::start(name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
+        let proxy = Proxy::start(name, &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
         let mut client = proxy.client();
         client.send(&request("charge", "open", "x"));
         backend.next_request();
@@ -323,10 +334,10 @@
 fn request_is_dropped_after_disconnect_in_the_accept_queue() {
     let discovery = Discovery::start();
     let (backend, release_senders) = start_blocking_backend();
-    let mut config = config("left-queued", &discovery);
+    let mut config = proxy_config("left-queued", &discovery);
     config["limits"]["sockets"] = 48.into();
     let proxy = Proxy::start_with_config("left-queued", &config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut blocked_clients = fill_concurrency_limit(&proxy, &backend);
     // These requests find no capacity in the backend and are queued, with their connections open.
     let queued_clients: Vec<_> = (0..48)
--- a/crates/proxy-server/tests/proxy/descriptor_exhaustion.rs
+++ b/crates/proxy-server/tests/proxy/descriptor_exhaustion.rs
@@ -138,18 +138,18 @@
 }
 
 fn start_limited(folder: &Path, name: &str, config: &Value) -> (Proxy, SocketAddr) {
-    Launch::new(name, &config.to_string())
-        .in_folder(folder)
+    ProxyCommand::new(name, &config.to_string())
+        .with_folder(folder)
         .with_descriptor_limit(DESCRIPTORS)
         .start_with_console()
 }
 
 fn run_case(mode: &str, first_bytes: &str, closes_connections: bool, is_replaced: bool) {
     let name = format!("crowd-{mode}-{}-{closes_connections}-{is_replaced}", first_bytes.len());
-    let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
+    let (old, new) = (Backend::start(|_| ok_response("old")), Backend::start(|_| ok_response("new")));
     let (old_entry, removed_entry) =
-        (entry("s-1", old.address, "active", 0), entry("s-1", old.address, "left", 0));
-    let new_entry = entry("s-2", new.address, "active", 0);
+        (backend_entry("s-1", old.address, "active", 0), backend_entry("s-1", old.address, "left", 0));
+    let new_entry = backend_entry("s-2", new.address, "active", 0);
     let discovery = DiscoveryOutage::start(
         json!({"revision": 9, "complete": true, "members": [removed_entry, new_entry]}),
         closes_connections,
@@ -157,7 +157,7 @@
     let config = |listen: Option<SocketAddr>| {
         let mut config = json!({"name": name, "listen": "127.0.0.1:0", "console": "127.0.0.1:0",
             "discovery": discovery.address.to_string(), "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": DESCRIPTORS}, "settings": settings(),
+            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": DESCRIPTORS}, "settings": balancer_settings(),
             "known": {"revision": 1, "complete": true, "members": [old_entry]}});
         config["settings"]["membershipMode"] = mode.into();
         if let Some(listen) = listen {
@@ -165,7 +165,7 @@
         }
         config
     };
-    let folder = empty_folder(&name);
+    let folder = create_empty_folder(&name);
     let (mut proxy, console) = start_limited(&folder, "first", &config(None));
     let address = proxy.address;
     wait_until_ready(console, &name);
@@ -182,7 +182,7 @@
         wait_until_ready(console, &name);
         let third_idle = open_idle_connections(address, first_bytes);
         proxy.terminate();
-        assert!(proxy.wait().success(), "{name}: the replaced process must exit with success");
+        assert!(proxy.wait_for_exit().success(), "{name}: the replaced process must exit with success");
         let responses = responses_to_new_clients(address, "next");
         if responses != repeat_for_new_clients("200 old") {
             replacement.terminate();
--- a/crates/proxy-server/tests/proxy/discovery.rs
+++ b/crates/proxy-server/tests/proxy/discovery.rs
@@ -13,15 +13,15 @@
 fn sends_nothing_new_to_a_draining_or_removed_backend() {
     for phase in ["leaving", "left"] {
         let discovery = Discovery::start();
-        let backend = Backend::start(|_| ok("there"));
-        let proxy = Proxy::start(phase, &discovery, &[entry("s-1", backend.address, "active", 0)]);
+        let backend = Backend::start(|_| ok_response("there"));
+        let proxy = Proxy::start(phase, &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
         assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
         backend.next_request();
-        discovery.post(false, &[entry("s-1", backend.address, phase, 0)]);
+        discovery.publish_and_wait(false, &[backend_entry("s-1", backend.address, phase, 0)]);
         let short_request = request("read", "2", "").replace("15000", "300");
         assert_eq!(proxy.client().exchange(&short_request).status(), 503, "{phase}");
         assert_eq!(backend.take_request_count(), 0, "{phase}");
-        discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
         assert_eq!(proxy.client().exchange(&request("read", "3", "")).status(), 200);
     }
 }
@@ -29,18 +29,18 @@
 #[test]
 fn opens_a_new_connection_to_a_restarted_backend() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("there"));
+    let backend = Backend::start(|_| ok_response("there"));
     // Slow start begins when the restart is reported, so it is disabled here.
-    let mut config = config("restarted", &discovery);
+    let mut config = proxy_config("restarted", &discovery);
     config["settings"]["safety"]["coldUs"] = 1.into();
     let proxy = Proxy::start_with_config("restarted", &config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 1_000)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 1_000)]);
     let mut client = proxy.client();
     assert_eq!(client.exchange(&request("charge", "1", "x")).status(), 200);
     assert_eq!(client.exchange(&request("charge", "2", "x")).status(), 200);
     let (first, second) = (backend.next_request().connection, backend.next_request().connection);
     assert_eq!(first, second, "the connection must be reused");
-    discovery.post(false, &[entry("s-1", backend.address, "active", 2_000)]);
+    discovery.publish_and_wait(false, &[backend_entry("s-1", backend.address, "active", 2_000)]);
     assert_eq!(client.exchange(&request("charge", "3", "x")).status(), 200);
     assert_ne!(backend.next_request().connection, second);
 }
@@ -54,24 +54,27 @@
         let (release, released) = channel();
         let mut released = Some(released);
         let backend = Backend::start(move |_| match released.take() {
-            Some(released) => BackendAction::WaitThen(released, Box::new(ok("of the old one"))),
-            None => ok("of the new one"),
+            Some(released) => {
+                BackendAction::WaitForSignalThen(released, Box::new(ok_response("of the old one")))
+            }
+            None => ok_response("of the new one"),
         });
-        let active_entry = |id: &str| entry(id, backend.address, "active", 0);
+        let active_entry = |id: &str| backend_entry(id, backend.address, "active", 0);
         let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[active_entry("s-1")]);
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         assert_eq!(backend.next_request().connection, 0);
-        let removed_entry = entry("s-1", backend.address, "left", 0);
-        discovery.post(complete, if complete { &[] } else { std::slice::from_ref(&removed_entry) });
-        discovery.post(false, &[active_entry("s-1")]);
+        let removed_entry = backend_entry("s-1", backend.address, "left", 0);
+        discovery
+            .publish_and_wait(complete, if complete { &[] } else { std::slice::from_ref(&removed_entry) });
+        discovery.publish_and_wait(false, &[active_entry("s-1")]);
         release.send(()).expect("signal the backend");
         assert_eq!(client.receive().body, b"of the old one");
         for id in ["2", "3"] {
             assert_eq!(client.exchange(&request("charge", id, "x")).body, b"of the new one");
             assert_eq!(backend.next_request().connection, 1);
         }
-        discovery.post(true, &[active_entry("s-2")]);
+        discovery.publish_and_wait(true, &[active_entry("s-2")]);
         assert_eq!(client.exchange(&request("charge", "4", "x")).status(), 200);
         assert_eq!(
             backend.next_request().connection,
@@ -84,10 +87,10 @@
 #[test]
 fn skips_invalid_list_entries() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("there"));
-    let valid_entry = entry("s-1", backend.address, "active", 0);
+    let backend = Backend::start(|_| ok_response("there"));
+    let valid_entry = backend_entry("s-1", backend.address, "active", 0);
     let entry_with = |name: &str, value: serde_json::Value| {
-        let mut entry = entry("s-odd", backend.address, "active", 0);
+        let mut entry = backend_entry("s-odd", backend.address, "active", 0);
         entry[name] = value;
         entry
     };
@@ -107,10 +110,10 @@
 #[test]
 fn health_check_fails_until_the_first_list() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("there"));
-    let proxy = Proxy::start_without_list("up", &discovery);
+    let backend = Backend::start(|_| ok_response("there"));
+    let proxy = Proxy::start_without_discovery_list("up", &discovery);
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 503);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
 }
 
@@ -118,12 +121,12 @@
 fn polled_discovery_is_watched_without_a_valid_configured_list() {
     for known in [serde_json::Value::Null, "nonsense".into()] {
         let discovery = Discovery::start();
-        let backend = Backend::start(|_| ok("there"));
-        let mut config = config("asked", &discovery);
+        let backend = Backend::start(|_| ok_response("there"));
+        let mut config = proxy_config("asked", &discovery);
         config["known"] = known;
         config["settings"]["membershipMode"] = "on_request".into();
         let proxy = Proxy::start_with_config("asked", &config);
-        discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
         assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
     }
 }
@@ -134,20 +137,26 @@
 #[test]
 fn large_fleet_proxy_uses_the_configured_list_and_polls_for_changes() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("there"));
-    let mut config = config("turns", &discovery);
+    let backend = Backend::start(|_| ok_response("there"));
+    let mut config = proxy_config("turns", &discovery);
     config["settings"]["membershipMode"] = "on_request".into();
     config["settings"]["balancers"] = 30.into();
     let proxy = Proxy::start_with_config("turns-new", &config.clone());
-    assert_eq!((discovery.next_call(), proxy.client().exchange(HEALTH_REQUEST).status()), (Some(0), 503));
+    assert_eq!(
+        (discovery.next_call_revision(), proxy.client().exchange(HEALTH_REQUEST).status()),
+        (Some(0), 503)
+    );
     config["known"]["complete"] = false.into();
     let proxy = Proxy::start_with_config("turns-unknown", &config);
-    assert_eq!((discovery.next_call(), proxy.client().exchange(HEALTH_REQUEST).status()), (None, 503));
-    let known = [entry("s-1", backend.address, "active", 0)];
+    assert_eq!(
+        (discovery.next_call_revision(), proxy.client().exchange(HEALTH_REQUEST).status()),
+        (None, 503)
+    );
+    let known = [backend_entry("s-1", backend.address, "active", 0)];
     config["known"] = serde_json::json!({"revision": 7, "complete": true, "members": known});
     let proxy = Proxy::start_with_config("turns-back", &config);
     assert_eq!(proxy.client().exchange(&request("read", "1", "")).status(), 200);
-    assert_eq!(discovery.next_call(), Some(7));
+    assert_eq!(discovery.next_call_revision(), Some(7));
     // The call stays open while discovery has no newer list; the configured list remains in force.
     assert_eq!(proxy.client().exchange(&request("read", "2", "")).status(), 200);
 }
@@ -156,19 +165,19 @@
 /// without lists they would load the discovery service twice.
 #[test]
 fn large_fleet_proxy_without_a_list_requests_it_and_starts_its_watch_in_one_call() {
-    let backend = Backend::start(|_| ok("there"));
-    let members = [entry("s-1", backend.address, "active", 0)];
+    let backend = Backend::start(|_| ok_response("there"));
+    let members = [backend_entry("s-1", backend.address, "active", 0)];
     let list = serde_json::json!({"revision": 3, "complete": false, "members": members}).to_string();
     let mut calls = 0;
     let service = Backend::start(move |_| {
         calls += 1;
         match calls {
             1 => BackendAction::Write(response_bytes("503 Service Unavailable", "", b"")),
-            2 => ok(&list),
+            2 => ok_response(&list),
             _ => BackendAction::Hang,
         }
     });
-    let mut config = config("overloaded", &Discovery::start());
+    let mut config = proxy_config("overloaded", &Discovery::start());
     config["discovery"] = service.address.to_string().into();
     config["settings"]["membershipMode"] = "on_request".into();
     config["settings"]["balancers"] = 30.into();
@@ -188,14 +197,14 @@
 #[test]
 fn backend_that_drains_during_connect_receives_nothing() {
     let discovery = Discovery::start();
-    let (listener, filler) = listener_with_full_queue();
+    let (listener, filler) = listener_with_full_accept_queue();
     let address = listener.local_addr().expect("local address");
-    let proxy = Proxy::start("slow-connect", &discovery, &[entry("s-1", address, "active", 0)]);
+    let proxy = Proxy::start("slow-connect", &discovery, &[backend_entry("s-1", address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     // The response on another connection shows that the proxy has read the request.
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
-    discovery.post(false, &[entry("s-1", address, "leaving", 0)]);
+    discovery.publish_and_wait(false, &[backend_entry("s-1", address, "leaving", 0)]);
     drop(listener.accept().expect("accept the filler connection"));
     let (mut stream, _) = listener.accept().expect("accept the connection of the proxy");
     let response = client.receive();
@@ -213,11 +222,12 @@
     let (release, released) = channel();
     let mut released = Some(released);
     let old_backend = Backend::start(move |_| match released.take() {
-        Some(released) => BackendAction::WaitThen(released, Box::new(ok("taken before"))),
-        None => ok("before"),
+        Some(released) => BackendAction::WaitForSignalThen(released, Box::new(ok_response("taken before"))),
+        None => ok_response("before"),
     });
-    let new_backend = Backend::start(|_| ok("after"));
-    let mut proxy = Proxy::start("sighup", &old_discovery, &[entry("s-1", old_backend.address, "active", 0)]);
+    let new_backend = Backend::start(|_| ok_response("after"));
+    let mut proxy =
+        Proxy::start("sighup", &old_discovery, &[backend_entry("s-1", old_backend.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     old_backend.next_request();
@@ -233,11 +243,11 @@
         };
         from.take_call_count();
         to.take_call_count();
-        proxy.reload(&config("sighup", to).to_string());
-        assert_eq!(to.next_call(), None, "the revision of the previous service must not be used");
+        proxy.reload(&proxy_config("sighup", to).to_string());
+        assert_eq!(to.next_call_revision(), None, "the revision of the previous service must not be used");
         // The old list remains in force until the new service has sent its list.
         assert_eq!(proxy.client().exchange(&request("read", "3", "")).status(), 200);
-        to.post(true, &[entry(name, new_backend.address, "active", 0)]);
+        to.publish_and_wait(true, &[backend_entry(name, new_backend.address, "active", 0)]);
         assert_eq!(proxy.client().exchange(&request("read", "4", "")).body, b"after");
     }
     release.send(()).expect("signal the backend");
@@ -248,15 +258,15 @@
 /// address.
 #[test]
 fn follows_discovery_to_an_unreachable_address_and_back() {
-    let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok("there")));
-    let members = [entry("s-1", backend.address, "active", 0)];
+    let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok_response("there")));
+    let members = [backend_entry("s-1", backend.address, "active", 0)];
     let mut proxy = Proxy::start("moves", &discovery, &members);
     let unreachable_address = {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
         listener.local_addr().expect("local address")
     };
     for round in 0..3 {
-        let mut moved_config = config("moves", &discovery);
+        let mut moved_config = proxy_config("moves", &discovery);
         moved_config["discovery"] = unreachable_address.to_string().into();
         proxy.reload(&moved_config.to_string());
         proxy.wait_for_log("discovery is at");
@@ -267,11 +277,11 @@
             "the old list must remain in force"
         );
         discovery.take_call_count();
-        proxy.reload(&config("moves", &discovery).to_string());
-        assert_eq!(discovery.next_call(), None);
-        discovery.post(true, &members);
+        proxy.reload(&proxy_config("moves", &discovery).to_string());
+        assert_eq!(discovery.next_call_revision(), None);
+        discovery.publish_and_wait(true, &members);
     }
-    discovery.post(false, &[entry("s-1", backend.address, "leaving", 0)]);
+    discovery.publish_and_wait(false, &[backend_entry("s-1", backend.address, "leaving", 0)]);
     let short_request = request("read", "drained", "").replace("15000", "300");
     assert_eq!(proxy.client().exchange(&short_request).status(), 503);
     assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
@@ -298,17 +308,18 @@
     let old = Backend::start(move |_| {
         response(if has_moved_in_script.load(Ordering::Acquire) { "stranger" } else { "old" })
     });
-    let new = Backend::start(|_| ok("new"));
-    let other_backends = [Backend::start(|_| ok("neighbour")), Backend::start(|_| ok("neighbour"))];
-    let mut config = config("moved", &discovery);
+    let new = Backend::start(|_| ok_response("new"));
+    let other_backends =
+        [Backend::start(|_| ok_response("neighbour")), Backend::start(|_| ok_response("neighbour"))];
+    let mut config = proxy_config("moved", &discovery);
     config["settings"]["safety"]["coldUs"] = 1.into();
     let mut proxy = Proxy::start_with_config("moved", &config);
-    discovery.post(
+    discovery.publish_and_wait(
         true,
         &[
-            entry("s-0", old.address, "active", 1_000),
-            entry("s-1", other_backends[0].address, "active", 1_000),
-            entry("s-2", other_backends[1].address, "active", 1_000),
+            backend_entry("s-0", old.address, "active", 1_000),
+            backend_entry("s-1", other_backends[0].address, "active", 1_000),
+            backend_entry("s-2", other_backends[1].address, "active", 1_000),
         ],
     );
 
@@ -332,7 +343,7 @@
         thread::sleep(Duration::from_millis(500));
         has_moved.store(true, Ordering::Release);
         let moved_at = Instant::now();
-        discovery.post_without_waiting(false, &[entry("s-0", new.address, "active", 2_000)]);
+        discovery.publish(false, &[backend_entry("s-0", new.address, "active", 2_000)]);
         thread::sleep(AFTER_MOVE);
         stop.store(true, Ordering::Release);
         moved_at
--- a/crates/proxy-server/tests/proxy/discovery_agent.rs
+++ b/crates/proxy-server/tests/proxy/discovery_agent.rs
@@ -59,7 +59,7 @@
         Self { address, calls, open_connections }
     }
 
-    fn next_call(&self) -> (Option<u64>, Instant) {
+    fn next_call_revision(&self) -> (Option<u64>, Instant) {
         self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to the agent")
     }
 
@@ -73,7 +73,7 @@
 
 fn config_with_known(name: &str, discovery: SocketAddr, known: &[serde_json::Value]) -> serde_json::Value {
     let unused_discovery = Discovery::start();
-    let mut config = config(name, &unused_discovery);
+    let mut config = proxy_config(name, &unused_discovery);
     config["discovery"] = discovery.to_string().into();
     config["known"] = serde_json::json!({"revision": 1, "complete": true, "members": known});
     config
@@ -87,10 +87,13 @@
 /// later.
 #[test]
 fn unanswered_watches_are_replaced_in_time() {
-    let (old_backend, new_backend) = (Backend::start(|_| ok("one")), Backend::start(|_| ok("two")));
-    let (active_entry, draining_entry) =
-        (entry("s-1", old_backend.address, "active", 0), entry("s-1", old_backend.address, "leaving", 0));
-    let new_entry = entry("s-2", new_backend.address, "active", 0);
+    let (old_backend, new_backend) =
+        (Backend::start(|_| ok_response("one")), Backend::start(|_| ok_response("two")));
+    let (active_entry, draining_entry) = (
+        backend_entry("s-1", old_backend.address, "active", 0),
+        backend_entry("s-1", old_backend.address, "leaving", 0),
+    );
+    let new_entry = backend_entry("s-2", new_backend.address, "active", 0);
     let initial_list = list(4, std::slice::from_ref(&active_entry));
     let changed_list = list(5, &[draining_entry, new_entry]);
     let mut complete_lists = 0;
@@ -105,10 +108,10 @@
     });
     let proxy =
         Proxy::start_with_config("silent-watch", &config_with_known("silent-watch", agent.address, &[]));
-    assert_eq!(agent.next_call().0, None);
-    let (known, first_watch_at) = agent.next_call();
+    assert_eq!(agent.next_call_revision().0, None);
+    let (known, first_watch_at) = agent.next_call_revision();
     assert_eq!(known, Some(4));
-    let (known, next_poll_at) = agent.next_call();
+    let (known, next_poll_at) = agent.next_call_revision();
     let delay = next_poll_at - first_watch_at;
     assert_eq!(
         known, None,
@@ -118,9 +121,9 @@
         delay < Duration::from_secs(4),
         "polled after {delay:?}, which leaves too little of the limit of 6 s"
     );
-    let (known, second_watch_at) = agent.next_call();
+    let (known, second_watch_at) = agent.next_call_revision();
     assert_eq!(known, Some(5));
-    let (known, next_poll_at) = agent.next_call();
+    let (known, next_poll_at) = agent.next_call_revision();
     assert!(known.is_none() && next_poll_at - second_watch_at < Duration::from_secs(4));
     assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"two");
     assert_eq!(old_backend.take_request_count(), 0);
@@ -130,8 +133,8 @@
 /// be in force within the drain grace of one second, so the proxy may not wait long for any call.
 #[test]
 fn unresponsive_agent_is_polled_within_the_drain_grace() {
-    let backend = Backend::start(|_| ok("there"));
-    let members = [entry("s-1", backend.address, "active", 0)];
+    let backend = Backend::start(|_| ok_response("there"));
+    let members = [backend_entry("s-1", backend.address, "active", 0)];
     let (has_recovered, recovered_list) = (Arc::new(AtomicBool::new(false)), list(9, &members));
     let has_recovered_in_script = Arc::clone(&has_recovered);
     let agent = Agent::start(move |known| {
@@ -141,9 +144,9 @@
             .flatten()
     });
     let proxy = Proxy::start_with_config("outage", &config_with_known("outage", agent.address, &members));
-    let mut previous_at = agent.next_call().1;
+    let mut previous_at = agent.next_call_revision().1;
     for call in 0..6 {
-        let (_, at) = agent.next_call();
+        let (_, at) = agent.next_call_revision();
         let gap = at - previous_at;
         assert!(gap < Duration::from_millis(1_400), "call {call} came {gap:?} after the previous one");
         previous_at = at;
@@ -154,7 +157,7 @@
         "the configured list must be in force"
     );
     has_recovered.store(true, Ordering::SeqCst);
-    while agent.next_call().0 != Some(9) {}
+    while agent.next_call_revision().0 != Some(9) {}
     assert_eq!(proxy.client().exchange(&request("read", "2", "")).status(), 200);
 }
 
@@ -162,18 +165,18 @@
 /// not answer a watch from an old revision.
 #[test]
 fn restarted_agent_is_polled_for_a_complete_list() {
-    let backend = Backend::start(|_| ok("there"));
-    let members = [entry("s-1", backend.address, "active", 0)];
+    let backend = Backend::start(|_| ok_response("there"));
+    let members = [backend_entry("s-1", backend.address, "active", 0)];
     let mut revisions = vec![3, 41];
     let agent = Agent::start(move |known| match known {
         Some(_) => None,
         None => revisions.pop().map(|revision| list(revision, &members)),
     });
     let proxy = Proxy::start_with_config("anew", &config_with_known("anew", agent.address, &[]));
-    assert_eq!((agent.next_call().0, agent.next_call().0), (None, Some(41)));
+    assert_eq!((agent.next_call_revision().0, agent.next_call_revision().0), (None, Some(41)));
     agent.restart();
     assert_eq!(
-        (agent.next_call().0, agent.next_call().0),
+        (agent.next_call_revision().0, agent.next_call_revision().0),
         (None, Some(3)),
         "the proxy must accept a lower revision"
     );
@@ -186,19 +189,20 @@
     let mut was_answered_in_time = false;
     for round in 0..10 {
         let discovery = Discovery::start();
-        let (old_backend, new_backend) = (Backend::start(|_| ok("left")), Backend::start(|_| ok("stays")));
-        let known = [entry("s-1", old_backend.address, "active", 0)];
+        let (old_backend, new_backend) =
+            (Backend::start(|_| ok_response("left")), Backend::start(|_| ok_response("stays")));
+        let known = [backend_entry("s-1", old_backend.address, "active", 0)];
         let name = format!("first-moment-{round}");
         let mut proxy = Proxy::start_with_config(&name, &config_with_known(&name, discovery.address, &known));
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         // The agent responds only after the call and a client's request have arrived.
-        assert_eq!(discovery.next_call(), None);
-        discovery.post(
+        assert_eq!(discovery.next_call_revision(), None);
+        discovery.publish_and_wait(
             true,
             &[
-                entry("s-1", old_backend.address, "leaving", 0),
-                entry("s-2", new_backend.address, "active", 0),
+                backend_entry("s-1", old_backend.address, "leaving", 0),
+                backend_entry("s-2", new_backend.address, "active", 0),
             ],
         );
         let response = client.receive();
--- a/crates/proxy-server/tests/proxy/discovery_outage.rs
+++ b/crates/proxy-server/tests/proxy/discovery_outage.rs
@@ -22,7 +22,7 @@
 const OUTAGE: Duration = Duration::from_secs(8);
 
 fn config_for(name: &str, discovery: SocketAddr, instance: u32, fleet_size: u32, known: &[Value]) -> Value {
-    let mut config = config(name, &Discovery::start());
+    let mut config = proxy_config(name, &Discovery::start());
     config["discovery"] = discovery.to_string().into();
     config["known"] = json!({"revision": 1, "complete": true, "members": known});
     config["settings"]["membershipMode"] = "on_request".into();
@@ -54,8 +54,8 @@
 
 /// Measures how long after the recovery of the service one proxy of a fleet has applied the new list.
 fn measure_recovery(instance: u32, fleet_size: u32, outage: State) -> Duration {
-    let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-    let members = [entry("s-1", old.address, "active", 0)];
+    let (old, new) = (Backend::start(|_| ok_response("old")), Backend::start(|_| ok_response("new")));
+    let members = [backend_entry("s-1", old.address, "active", 0)];
     let service = Service::start(&members);
     let name = format!("outage-{instance}-{fleet_size}-{outage:?}");
     let proxy =
@@ -63,14 +63,14 @@
     service.wait_for_watch();
     service.set_state(outage);
     let down_since = Instant::now();
-    service.post(&[entry("s-2", new.address, "active", 0)]);
+    service.post(&[backend_entry("s-2", new.address, "active", 0)]);
     // A recovery right after a call is the worst case. If calls cannot be observed, the moment is arbitrary.
     if matches!(outage, State::NotListening | State::QueueFull) {
         // The outage begins after a scheduled call. The offset varies the moment of the recovery within the
         // schedule.
         thread::sleep(OUTAGE + Duration::from_millis(20) * instance);
     } else {
-        while service.next_call().at - down_since < OUTAGE {}
+        while service.next_call_revision().at - down_since < OUTAGE {}
         if outage == State::Rejecting {
             while !matches!(service.next_event(), Event::Failed) {}
         }
@@ -80,7 +80,7 @@
     // A watch from the new revision shows that the list has been applied. Responses alone do not show it,
     // since they may have gone to abandoned connections.
     let delay = loop {
-        if let Call { at, after: Some(8), wait: Some(_) } = service.next_call() {
+        if let Call { at, after: Some(8), wait: Some(_) } = service.next_call_revision() {
             break at - recovered_at;
         }
     };
@@ -124,8 +124,8 @@
 #[test]
 fn changes_missed_by_an_unanswered_watch_are_polled_in_time() {
     run_in_parallel(vec![(0, 1), (4, 5), (99, 100), (60, 100)], |(instance, fleet_size)| {
-        let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let members = [entry("s-1", old.address, "active", 0)];
+        let (old, new) = (Backend::start(|_| ok_response("old")), Backend::start(|_| ok_response("new")));
+        let members = [backend_entry("s-1", old.address, "active", 0)];
         let service = Service::start(&members);
         service.set_state(State::SilentWatches);
         let name = format!("silent-{instance}-{fleet_size}");
@@ -136,10 +136,10 @@
         let Watch { at: watch_started_at, wait } = service.wait_for_watch();
         // The watch above is never answered; later calls are.
         service.set_state(State::Up);
-        service.post(&[entry("s-2", new.address, "active", 0)]);
+        service.post(&[backend_entry("s-2", new.address, "active", 0)]);
         let delay = service.next_response_time() - watch_started_at;
         println!("{instance} of {fleet_size}, wait {wait:?}: {delay:?}");
-        service.next_call();
+        service.next_call_revision();
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"new");
         let max_delay = RECOVERY_LIMIT.max(wait + SILENT_WATCH_LIMIT);
         if delay < max_delay {
@@ -154,10 +154,10 @@
 #[test]
 fn each_proxy_of_a_hundred_follows_a_moved_service_within_four_seconds() {
     run_in_parallel(vec![3, 50, 80, 95], |instance| {
-        let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let members = [entry("s-1", old.address, "active", 0)];
+        let (old, new) = (Backend::start(|_| ok_response("old")), Backend::start(|_| ok_response("new")));
+        let members = [backend_entry("s-1", old.address, "active", 0)];
         let (old_service, new_service) =
-            (Service::start(&members), Service::start(&[entry("s-2", new.address, "active", 0)]));
+            (Service::start(&members), Service::start(&[backend_entry("s-2", new.address, "active", 0)]));
         let name = format!("moved-{instance}");
         let proxy =
             Proxy::start_with_config(&name, &config_for(&name, old_service.address, instance, 100, &members));
@@ -166,7 +166,7 @@
         proxy.reload(&config_for(&name, new_service.address, instance, 100, &members).to_string());
         let delay = new_service.next_response_time() - reloaded_at;
         println!("{instance} of 100: {delay:?}");
-        new_service.next_call();
+        new_service.next_call_revision();
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"new");
         if delay < MOVE_LIMIT { Ok(()) } else { Err(format!("{instance}: {delay:?}")) }
     });
--- a/crates/proxy-server/tests/proxy/discovery_outage/service.rs
+++ b/crates/proxy-server/tests/proxy/discovery_outage/service.rs
@@ -254,7 +254,7 @@
     }
 
     /// Waits for the next call and skips other events.
-    pub fn next_call(&self) -> Call {
+    pub fn next_call_revision(&self) -> Call {
         loop {
             if let Event::Call(call) = self.next_event() {
                 return call;
@@ -274,7 +274,7 @@
     /// Waits for the next watch.
     pub fn wait_for_watch(&self) -> Watch {
         loop {
-            if let Call { at, wait: Some(wait), .. } = self.next_call()
+            if let Call { at, wait: Some(wait), .. } = self.next_call_revision()
                 && wait >= MIN_WATCH_WAIT
             {
                 return Watch { at, wait };
--- a/crates/proxy-server/tests/proxy/limits.rs
+++ b/crates/proxy-server/tests/proxy/limits.rs
@@ -7,7 +7,7 @@
 fn rejection_for_lack_of_capacity_has_retry_after() {
     let discovery = Discovery::start();
     let (backend, release_senders) = start_blocking_backend();
-    let proxy = Proxy::start("refused", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start("refused", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut blocked_clients = fill_concurrency_limit(&proxy, &backend);
     let rejected = proxy.client().exchange(&request("charge", "2", "x").replace("15000", "500"));
     assert_eq!(rejected.status(), 503);
@@ -25,7 +25,7 @@
 fn drops_queued_request_after_client_disconnect() {
     let discovery = Discovery::start();
     let (backend, release_senders) = start_blocking_backend();
-    let proxy = Proxy::start("left", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start("left", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut blocked_clients = fill_concurrency_limit(&proxy, &backend);
     let mut disconnecting_client = proxy.client();
     disconnecting_client.send(&request("charge", "2", "x"));
@@ -50,12 +50,15 @@
 fn descriptor_shortage_ejects_no_backend() {
     let discovery = Discovery::start();
     let backends: Vec<_> = (0..14).map(|_| Backend::start(|_| BackendAction::Hang)).collect();
-    let members: Vec<_> =
-        backends.iter().enumerate().map(|(i, b)| entry(&format!("s-{i}"), b.address, "active", 0)).collect();
-    let mut config = config("shortage", &discovery);
+    let members: Vec<_> = backends
+        .iter()
+        .enumerate()
+        .map(|(i, b)| backend_entry(&format!("s-{i}"), b.address, "active", 0))
+        .collect();
+    let mut config = proxy_config("shortage", &discovery);
     config["limits"]["sockets"] = 48.into();
     let mut proxy = Proxy::start_with_config("shortage", &config);
-    discovery.post(true, &members);
+    discovery.publish_and_wait(true, &members);
     let clients: Vec<_> = (0..14)
         .map(|i| {
             let mut client = proxy.client();
@@ -73,7 +76,7 @@
 #[test]
 fn idle_clients_do_not_block_others() {
     let discovery = Discovery::start();
-    let mut config = config("idle", &discovery);
+    let mut config = proxy_config("idle", &discovery);
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_with_config("idle", &config);
     // More connections than the proxy may open, none of which sends anything.
--- a/crates/proxy-server/tests/proxy/main.rs
+++ b/crates/proxy-server/tests/proxy/main.rs
@@ -32,8 +32,8 @@
         senders.push(sender);
     }
     let backend = Backend::start(move |_| match receivers.pop() {
-        Some(receiver) => BackendAction::WaitThen(receiver, Box::new(ok("first"))),
-        None => ok("later"),
+        Some(receiver) => BackendAction::WaitForSignalThen(receiver, Box::new(ok_response("first"))),
+        None => ok_response("later"),
     });
     (backend, senders)
 }
--- a/crates/proxy-server/tests/proxy/oversized_lists.rs
+++ b/crates/proxy-server/tests/proxy/oversized_lists.rs
@@ -128,13 +128,13 @@
         *self.list.lock().expect("lock the list") = list;
     }
 
-    fn next_call(&self) -> (Instant, Option<u64>) {
+    fn next_call_revision(&self) -> (Instant, Option<u64>) {
         self.calls.recv_timeout(CALL_TIMEOUT).expect("a call to discovery")
     }
 }
 
 fn config_for(name: &str, discovery: SocketAddr, is_polled: bool, known: &[Value]) -> Value {
-    let mut config = config(name, &Discovery::start());
+    let mut config = proxy_config(name, &Discovery::start());
     config["discovery"] = discovery.to_string().into();
     config["known"] = json!({"revision": 1, "complete": true, "members": known});
     if is_polled {
@@ -147,7 +147,7 @@
 /// Asserts that the proxy delays its next call after an oversized list, and that little of the list is
 /// transferred.
 fn assert_polled_rarely(discovery: &OversizedDiscovery, first_call_at: Instant) {
-    let (second_call_at, _) = discovery.next_call();
+    let (second_call_at, _) = discovery.next_call_revision();
     assert!(
         second_call_at - first_call_at >= MIN_RETRY_DELAY,
         "polled after {:?}",
@@ -195,20 +195,20 @@
 #[test]
 fn oversized_list_is_logged_once_and_polled_rarely_until_it_is_short_enough() {
     run_in_parallel(|form, is_polled| {
-        let backend = Backend::start(|_| ok("there"));
+        let backend = Backend::start(|_| ok_response("there"));
         let discovery = OversizedDiscovery::start(form, List::Oversized);
         let name = format!("long-{form:?}-{is_polled}");
         let mut proxy =
             Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &[]));
-        let (first_call_at, _) = discovery.next_call();
+        let (first_call_at, _) = discovery.next_call_revision();
         assert_eq!(
             proxy.client().exchange(HEALTH_REQUEST).status(),
             503,
             "neither discovery nor the configuration provides a list"
         );
         assert_polled_rarely(&discovery, first_call_at);
-        discovery.set_list(List::Complete(9, vec![entry("s-1", backend.address, "active", 0)]));
-        while discovery.next_call().1 != Some(9) {}
+        discovery.set_list(List::Complete(9, vec![backend_entry("s-1", backend.address, "active", 0)]));
+        while discovery.next_call_revision().1 != Some(9) {}
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"there");
         assert_logged_once(&mut proxy, form);
@@ -218,13 +218,13 @@
 #[test]
 fn configured_list_is_used_while_discovery_is_oversized() {
     run_in_parallel(|form, is_polled| {
-        let backend = Backend::start(|_| ok("there"));
+        let backend = Backend::start(|_| ok_response("there"));
         let discovery = OversizedDiscovery::start(form, List::Oversized);
         let name = format!("known-{form:?}-{is_polled}");
-        let known = [entry("s-1", backend.address, "active", 0)];
+        let known = [backend_entry("s-1", backend.address, "active", 0)];
         let mut proxy =
             Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &known));
-        let (first_call_at, _) = discovery.next_call();
+        let (first_call_at, _) = discovery.next_call_revision();
         assert_polled_rarely(&discovery, first_call_at);
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"there");
@@ -235,20 +235,20 @@
 #[test]
 fn current_list_remains_in_force_when_discovery_becomes_oversized() {
     run_in_parallel(|form, is_polled| {
-        let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
-        let initial = List::Complete(5, vec![entry("s-1", old.address, "active", 0)]);
+        let (old, new) = (Backend::start(|_| ok_response("old")), Backend::start(|_| ok_response("new")));
+        let initial = List::Complete(5, vec![backend_entry("s-1", old.address, "active", 0)]);
         let discovery = OversizedDiscovery::start(form, initial);
         let name = format!("grown-{form:?}-{is_polled}");
         let mut proxy =
             Proxy::start_with_config(&name, &config_for(&name, discovery.address, is_polled, &[]));
-        while discovery.next_call().1 != Some(5) {}
+        while discovery.next_call_revision().1 != Some(5) {}
         discovery.set_list(List::Oversized);
-        let (first_call_at, _) = discovery.next_call();
+        let (first_call_at, _) = discovery.next_call_revision();
         assert_polled_rarely(&discovery, first_call_at);
         assert_eq!(proxy.client().exchange(HEALTH_REQUEST).status(), 200);
         assert_eq!(proxy.client().exchange(&request("charge", "1", "x")).body, b"old");
-        discovery.set_list(List::Complete(6, vec![entry("s-2", new.address, "active", 0)]));
-        while discovery.next_call().1 != Some(6) {}
+        discovery.set_list(List::Complete(6, vec![backend_entry("s-2", new.address, "active", 0)]));
+        while discovery.next_call_revision().1 != Some(6) {}
         assert_eq!(proxy.client().exchange(&request("charge", "2", "x")).body, b"new");
         assert_logged_once(&mut proxy, form);
     });
--- a/crates/proxy-server/tests/proxy/requests.rs
+++ b/crates/proxy-server/tests/proxy/requests.rs
@@ -9,7 +9,7 @@
     let discovery = Discovery::start();
     let backend =
         Backend::start(|_| BackendAction::Write(response_bytes("200 OK", "", b"\x00\xffbody\r\n\r\n")));
-    let proxy = Proxy::start("unchanged", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start("unchanged", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let response = proxy.client().exchange(&request("submit", "5c0f", "some body"));
     assert_eq!((response.status(), response.body.as_slice()), (200, b"\x00\xffbody\r\n\r\n".as_slice()));
     let received = backend.next_request();
@@ -28,9 +28,10 @@
 #[test]
 fn connection_serves_successive_requests() {
     let discovery = Discovery::start();
-    let backend =
-        Backend::start(|received| ok(received.header("x-correlation-id").expect("a correlation id")));
-    let proxy = Proxy::start("kept", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|received| {
+        ok_response(received.header("x-correlation-id").expect("a correlation id"))
+    });
+    let proxy = Proxy::start("kept", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     for id in ["a", "b", "c"] {
         let response = client.exchange(&request("read", id, ""));
@@ -41,8 +42,8 @@
 #[test]
 fn rejects_malformed_requests_with_4xx() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start("nonsense", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| ok_response("fine"));
+    let proxy = Proxy::start("nonsense", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let valid_request = request("submit", "7", "x");
     let cases = [
         ("\x01\x02 nonsense\r\n\r\n".to_owned(), 400),
@@ -97,8 +98,8 @@
 #[test]
 fn rejects_requests_with_both_length_and_transfer_encoding() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start("smuggled", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| ok_response("fine"));
+    let proxy = Proxy::start("smuggled", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let hidden_request = request("charge", "hidden", "x");
     let body = format!("0\r\n\r\n{hidden_request}");
     let length = format!("Content-Length: {}\r\n", body.len());
@@ -120,10 +121,10 @@
     let (release, released) = channel();
     let mut released = Some(released);
     let backend = Backend::start(move |_| match released.take() {
-        Some(released) => BackendAction::WaitThen(released, Box::new(ok("first"))),
-        None => ok("later"),
+        Some(released) => BackendAction::WaitForSignalThen(released, Box::new(ok_response("first"))),
+        None => ok_response("later"),
     });
-    let proxy = Proxy::start("same-id", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start("same-id", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut first = proxy.client();
     first.send(&request("charge", "1", "x"));
     backend.next_request();
@@ -172,8 +173,8 @@
     let discovery = Discovery::start();
     let body = "y".repeat(64 * 1024);
     let response_body = body.clone();
-    let backend = Backend::start(move |_| ok(&response_body));
-    let proxy = Proxy::start("cap", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(move |_| ok_response(&response_body));
+    let proxy = Proxy::start("cap", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let response = proxy.client().exchange(&request("submit", "1", &body));
     assert_eq!((response.status(), response.body.len()), (200, body.len()));
     assert_eq!(backend.next_request().body.len(), body.len());
--- a/crates/proxy-server/tests/proxy/responses.rs
+++ b/crates/proxy-server/tests/proxy/responses.rs
@@ -8,11 +8,11 @@
     let discovery = Discovery::start();
     let body = "z".repeat(400_000);
     let response_body = body.clone();
-    let backend = Backend::start(move |_| ok(&response_body));
-    let mut config = config("large", &discovery);
+    let backend = Backend::start(move |_| ok_response(&response_body));
+    let mut config = proxy_config("large", &discovery);
     config["limits"]["memory_mb"] = 8.into();
     let proxy = Proxy::start_with_config("large", &config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
     for id in 0..20 {
         let response = proxy.client().exchange(&request("charge", &id.to_string(), "x"));
         assert_eq!((response.status(), response.body.len()), (200, body.len()));
@@ -28,8 +28,8 @@
         let first_backend = Backend::start(move |_| BackendAction::WriteAndClose(bytes.to_vec()));
         let second_backend = Backend::start(move |_| BackendAction::WriteAndClose(bytes.to_vec()));
         let members = [
-            entry("s-1", first_backend.address, "active", 0),
-            entry("s-2", second_backend.address, "active", 0),
+            backend_entry("s-1", first_backend.address, "active", 0),
+            backend_entry("s-2", second_backend.address, "active", 0),
         ];
         let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &members);
         let response = proxy.client().exchange(&request("charge", "1", "x"));
@@ -70,14 +70,14 @@
                 if is_first.swap(false, std::sync::atomic::Ordering::SeqCst) {
                     BackendAction::Write(bytes.clone())
                 } else {
-                    ok("good")
+                    ok_response("good")
                 }
             })
         };
         let (first_backend, second_backend) = (start(bytes.to_vec()), start(bytes.to_vec()));
         let members = [
-            entry("s-1", first_backend.address, "active", 0),
-            entry("s-2", second_backend.address, "active", 0),
+            backend_entry("s-1", first_backend.address, "active", 0),
+            backend_entry("s-2", second_backend.address, "active", 0),
         ];
         let proxy = Proxy::start(&format!("spoilt-{i}"), &discovery, &members);
         let response = proxy.client().exchange(&request("read", "1", ""));
@@ -99,7 +99,7 @@
             let id = received.header("x-correlation-id").expect("a correlation id").as_bytes();
             BackendAction::Write([response_bytes("200 OK", "", id), trailing_bytes.to_vec()].concat())
         });
-        let members = [entry("s-1", backend.address, "active", 0)];
+        let members = [backend_entry("s-1", backend.address, "active", 0)];
         let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &members);
         let mut client = proxy.client();
         for id in ["one", "two", "three", "four"] {
@@ -122,7 +122,7 @@
             [interim_responses.to_vec(), response_bytes("200 OK", load_report, b"good")].concat(),
         )
     });
-    let proxy = Proxy::start("early", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start("early", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     for id in ["1", "2"] {
         let response = proxy.client().exchange(&request("charge", id, "x"));
         assert_eq!((response.status(), response.body.as_slice()), (200, b"good".as_slice()));
@@ -141,8 +141,8 @@
         let (first_backend, second_backend) =
             (Backend::start(reject_unprocessed), Backend::start(reject_unprocessed));
         let members = [
-            entry("s-1", first_backend.address, "active", 0),
-            entry("s-2", second_backend.address, "active", 0),
+            backend_entry("s-1", first_backend.address, "active", 0),
+            backend_entry("s-2", second_backend.address, "active", 0),
         ];
         let proxy = Proxy::start(&format!("mark-{status}-{}", headers.len()), &discovery, &members);
         let response = proxy.client().exchange(&request("charge", "1", "x"));
@@ -157,13 +157,15 @@
 #[test]
 fn unreachable_backend_allows_a_retry_of_a_non_idempotent_request() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("there"));
+    let backend = Backend::start(|_| ok_response("there"));
     let unreachable_address = std::net::TcpListener::bind("127.77.0.2:0")
         .expect("bind to a free port")
         .local_addr()
         .expect("local address");
-    let members =
-        [entry("s-1", unreachable_address, "active", 0), entry("s-2", backend.address, "active", 0)];
+    let members = [
+        backend_entry("s-1", unreachable_address, "active", 0),
+        backend_entry("s-2", backend.address, "active", 0),
+    ];
     let proxy = Proxy::start("unreachable", &discovery, &members);
     for id in ["1", "2", "3"] {
         assert_eq!(proxy.client().exchange(&request("charge", id, "x")).status(), 200);
@@ -174,7 +176,7 @@
 fn does_not_reuse_a_connection_closed_by_its_backend() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::WriteAndClose(response_bytes("200 OK", "", b"last")));
-    let proxy = Proxy::start("closed", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start("closed", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     for id in ["1", "2", "3", "4"] {
         assert_eq!(client.exchange(&request("charge", id, "x")).status(), 200);
@@ -186,7 +188,7 @@
 fn request_without_a_response_fails_by_its_deadline() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::Hang);
-    let proxy = Proxy::start("hang", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start("hang", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     let response = client.exchange(&request("charge", "1", "x").replace("15000", "300"));
     assert_eq!(response.status(), 502);
--- a/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
+++ b/crates/proxy-server/tests/proxy/retries_after_disconnect.rs
@@ -70,7 +70,7 @@
         let take_release = || released.lock().expect("lock the receiver").take();
         let is_leaver = received.header("x-correlation-id") == Some("leaver");
         let Some(released) = is_leaver.then(take_release).flatten() else {
-            return ok("there");
+            return ok_response("there");
         };
         let failure = match first_failure {
             FirstFailure::Error => BackendAction::Write(response_bytes("500 Internal Server Error", "", b"")),
@@ -81,7 +81,7 @@
             }
             FirstFailure::Late => return BackendAction::Hang,
         };
-        BackendAction::WaitThen(released, Box::new(failure))
+        BackendAction::WaitForSignalThen(released, Box::new(failure))
     })
 }
 
@@ -134,11 +134,11 @@
     let released = Arc::new(Mutex::new(Some(released)));
     let backends = [0, 1].map(|_| start_failing_once(first_failure, Arc::clone(&released)));
     let discovery = Discovery::start();
-    let mut config = config(name, &discovery);
+    let mut config = proxy_config(name, &discovery);
     config["settings"]["classes"][0]["aimUs"] = LATENCY_OBJECTIVE_US.into();
     let proxy = Proxy::start_with_config(name, &config);
-    let members = [0, 1].map(|i| entry(&format!("s-{i}"), backends[i].address, "active", 0));
-    discovery.post(true, &members);
+    let members = [0, 1].map(|i| backend_entry(&format!("s-{i}"), backends[i].address, "active", 0));
+    discovery.publish_and_wait(true, &members);
     // These requests give the proxy measured latencies and a reusable connection to each backend.
     for n in 0..8 {
         assert_eq!(proxy.client().exchange(&request("read", &format!("usual-{n}"), "")).status(), 200);
@@ -208,14 +208,14 @@
         ClientBehaviour::DisconnectsAfterFailureDuringStall,
     ] {
         let (discovery, slow_connect_backend) = (Discovery::start(), SlowConnectBackend::start());
-        let backend = Backend::start(|_| ok("there"));
+        let backend = Backend::start(|_| ok_response("there"));
         let name = format!("refused-{behaviour:?}");
-        let slow_entry = entry("s-1", slow_connect_backend.address, "active", 0);
+        let slow_entry = backend_entry("s-1", slow_connect_backend.address, "active", 0);
         let proxy = Proxy::start(&name, &discovery, std::slice::from_ref(&slow_entry));
         let mut client = proxy.client();
         client.send(&request("charge", "leaver", "x"));
         synchronize(&proxy);
-        discovery.post(true, &[slow_entry, entry("s-2", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[slow_entry, backend_entry("s-2", backend.address, "active", 0)]);
         let refuse_connect = |slow_connect_backend: SlowConnectBackend| {
             drop(slow_connect_backend);
             // The kernel retries the connect and finds no listener.
@@ -301,10 +301,10 @@
             let discovery = Discovery::start();
             let (address, heads, release) = start_head_reporting_backend();
             let name = format!("{name}-{round}");
-            let mut config = config(&name, &discovery);
+            let mut config = proxy_config(&name, &discovery);
             config["limits"]["memory_mb"] = 8.into();
             let proxy = Proxy::start_with_config(&name, &config);
-            discovery.post(true, &[entry("s-1", address, "active", 0)]);
+            discovery.publish_and_wait(true, &[backend_entry("s-1", address, "active", 0)]);
             let mut blocked_clients = [0, 1].map(|n| {
                 let mut client = proxy.client();
                 client.send(&request("charge", &format!("fill-{n}"), "x"));
@@ -338,7 +338,7 @@
         let discovery = Discovery::start();
         let (backend, release_senders) = start_blocking_backend();
         let name = format!("held-stood-{disconnects_first}");
-        let proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
+        let proxy = Proxy::start(&name, &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
         let mut blocked_clients = fill_concurrency_limit(&proxy, &backend);
         let mut disconnecting_client = proxy.client();
         disconnecting_client.send(&request("charge", "leaver", "x"));
--- a/crates/proxy-server/tests/proxy/shutdown.rs
+++ b/crates/proxy-server/tests/proxy/shutdown.rs
@@ -17,13 +17,13 @@
     let (release, released) = channel();
     let mut released = Some(released);
     let backend = Backend::start(move |received| match received.header("x-correlation-id") {
-        Some("1") => BackendAction::WaitThen(
+        Some("1") => BackendAction::WaitForSignalThen(
             released.take().expect("only one request with this id"),
-            Box::new(ok("taken before")),
+            Box::new(ok_response("taken before")),
         ),
-        _ => ok("still comes"),
+        _ => ok_response("still comes"),
     });
-    let members = [entry("s-1", backend.address, "active", 0)];
+    let members = [backend_entry("s-1", backend.address, "active", 0)];
     let mut proxy = Proxy::start("sigterm", &discovery, &members);
     let (mut idle_client, mut client_in_flight) = (proxy.client(), proxy.client());
     assert_eq!(idle_client.exchange(HEALTH_REQUEST).status(), 200);
@@ -41,14 +41,14 @@
     assert_eq!(response.header("connection"), Some("close"));
     assert!(client_in_flight.is_closed_cleanly());
     drop((idle_client, client_in_flight));
-    assert_eq!(proxy.wait().code(), Some(0));
+    assert_eq!(proxy.wait_for_exit().code(), Some(0));
 }
 
 #[test]
 fn restarted_proxy_reuses_its_address() {
     let discovery = Discovery::start();
     // An address that no other test uses, so that the port stays free between the two processes.
-    let mut first_config = config("first-life", &discovery);
+    let mut first_config = proxy_config("first-life", &discovery);
     first_config["listen"] = "127.77.0.1:0".into();
     let mut proxy = Proxy::start_with_config("first-life", &first_config);
     let address = proxy.address;
@@ -58,8 +58,8 @@
     // The proxy closes the connection first, so its side stays in TIME_WAIT.
     assert!(client.is_closed_cleanly());
     drop(client);
-    assert_eq!(proxy.wait().code(), Some(0));
-    let mut config = config("second-life", &discovery);
+    assert_eq!(proxy.wait_for_exit().code(), Some(0));
+    let mut config = proxy_config("second-life", &discovery);
     config["listen"] = address.to_string().into();
     let restarted = Proxy::start_with_config("second-life", &config);
     assert_eq!(restarted.address, address);
@@ -84,7 +84,7 @@
         let name = format!("late-{deadline_ms}");
         let mut proxy =
             Proxy::start_with_config(&name, &config_with_deadline(&name, &discovery, deadline_ms));
-        discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
         let mut clients: Vec<_> = (0..5).map(|_| proxy.client()).collect();
         for client in &mut clients {
             assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200);
@@ -113,7 +113,7 @@
         let statuses: Vec<_> = clients[reused_count..].iter_mut().map(final_status).collect();
         assert!(statuses.iter().all(Result::is_ok), "deadline {deadline_ms} ms: {statuses:?}");
         drop(clients);
-        assert_eq!(proxy.wait().code(), Some(0));
+        assert_eq!(proxy.wait_for_exit().code(), Some(0));
         let exit_time = signalled_at.elapsed();
         assert!(exit_time < kill_time, "deadline {deadline_ms} ms: the process exited after {exit_time:?}");
     }
@@ -124,7 +124,7 @@
 fn deadline_beyond_the_shutdown_limit_still_gets_a_response() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| BackendAction::Hang);
-    let mut proxy = Proxy::start("long", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let mut proxy = Proxy::start("long", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     backend.next_request();
@@ -132,7 +132,7 @@
     proxy.terminate();
     assert_eq!(final_status(&mut client), Ok(502));
     drop(client);
-    assert_eq!(proxy.wait().code(), Some(0));
+    assert_eq!(proxy.wait_for_exit().code(), Some(0));
     let exit_time = signalled_at.elapsed();
     assert!(exit_time < MAX_WAIT + KILL_DELAY, "the process exited after {exit_time:?}");
 }
@@ -145,10 +145,11 @@
     let (release, released) = channel();
     let mut released = Some(released);
     let backend = Backend::start(move |_| match released.take() {
-        Some(released) => BackendAction::WaitThen(released, Box::new(ok("held"))),
-        None => ok("late"),
+        Some(released) => BackendAction::WaitForSignalThen(released, Box::new(ok_response("held"))),
+        None => ok_response("late"),
     });
-    let mut proxy = Proxy::start("first-word", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let mut proxy =
+        Proxy::start("first-word", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let (mut idle_client, mut client_in_flight) = (proxy.client(), proxy.client());
     assert_eq!(idle_client.exchange(HEALTH_REQUEST).status(), 200);
     client_in_flight.send(&request("charge", "held", "x"));
@@ -164,7 +165,7 @@
     release.send(()).expect("signal the backend");
     assert_eq!(client_in_flight.receive().body, b"held");
     drop((idle_client, client_in_flight, late_client));
-    assert_eq!(proxy.wait().code(), Some(0));
+    assert_eq!(proxy.wait_for_exit().code(), Some(0));
 }
 
 /// More clients connect than the connection limit allows, and no request gets a response from the backend.
@@ -178,7 +179,7 @@
         let mut config = config_with_deadline(&name, &discovery, 500);
         config["limits"]["sockets"] = 48.into();
         let mut proxy = Proxy::start_with_config(&name, &config);
-        discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[backend_entry("s-1", backend.address, "active", 0)]);
         let clients = (0..90).map(|id| {
             let mut client = proxy.client();
             client.send(&request("read", &id.to_string(), ""));
@@ -191,7 +192,7 @@
             clients.into_iter().map(|client| client.join().expect("join the client thread")).collect();
         let clients_without_response = statuses.iter().filter(|status| status.is_err()).count();
         assert_eq!(clients_without_response, 0, "round {round}: {statuses:?}");
-        assert_eq!(proxy.wait().code(), Some(0));
+        assert_eq!(proxy.wait_for_exit().code(), Some(0));
     }
 }
 
@@ -206,10 +207,14 @@
             let (release, released) = channel();
             let mut released = Some(released);
             let backend = Backend::start(move |_| {
-                BackendAction::WaitThen(released.take().expect("only one request"), Box::new(ok("held")))
+                BackendAction::WaitForSignalThen(
+                    released.take().expect("only one request"),
+                    Box::new(ok_response("held")),
+                )
             });
             let name = format!("signals-{round}-{arrive_together}");
-            let mut proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
+            let mut proxy =
+                Proxy::start(&name, &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
             let mut client_in_flight = proxy.client();
             client_in_flight.send(&request("charge", "held", "x"));
             backend.next_request();
@@ -230,7 +235,7 @@
             release.send(()).expect("signal the backend");
             assert_eq!(client_in_flight.receive().body, b"held", "{signals:?}");
             drop(client_in_flight);
-            assert_eq!(proxy.wait().code(), Some(0), "{signals:?}");
+            assert_eq!(proxy.wait_for_exit().code(), Some(0), "{signals:?}");
         }
     }
 }
@@ -238,13 +243,13 @@
 #[test]
 fn shutdown_before_the_first_list_rejects_requests_and_exits() {
     let discovery = Discovery::start();
-    let mut proxy = Proxy::start_without_list("no-list", &discovery);
+    let mut proxy = Proxy::start_without_discovery_list("no-list", &discovery);
     let mut client = proxy.client();
     client.send(&request("read", "1", "").replace("15000", "2000"));
     proxy.terminate();
     assert_eq!(final_status(&mut client), Ok(503));
     drop(client);
-    assert_eq!(proxy.wait().code(), Some(0));
+    assert_eq!(proxy.wait_for_exit().code(), Some(0));
 }
 
 /// While the process is stopped, the idle limit of its connections passes and a request arrives on each of
@@ -252,8 +257,8 @@
 #[test]
 fn reads_requests_received_during_a_stall_before_closing_idle_connections() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| ok("read"));
-    let proxy = Proxy::start("stood", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let backend = Backend::start(|_| ok_response("read"));
+    let proxy = Proxy::start("stood", &discovery, &[backend_entry("s-1", backend.address, "active", 0)]);
     let mut clients: Vec<_> = (0..20).map(|_| proxy.client()).collect();
     for client in &mut clients {
         assert_eq!(client.exchange(HEALTH_REQUEST).status(), 200);
--- a/crates/proxy-server/tests/support/backend.rs
+++ b/crates/proxy-server/tests/support/backend.rs
@@ -17,7 +17,7 @@
     /// Writes these bytes and closes the connection.
     WriteAndClose(Vec<u8>),
     /// Waits for a message from the test, at most [`TEST_TIMEOUT`], then executes the action.
-    WaitThen(Receiver<()>, Box<BackendAction>),
+    WaitForSignalThen(Receiver<()>, Box<BackendAction>),
     /// Sleeps for this time, then executes the action.
     DelayThen(Duration, Box<BackendAction>),
     /// Never responds, and keeps the connection open.
@@ -33,7 +33,7 @@
                 let _ = stream.write_all(&bytes);
                 false
             }
-            Self::WaitThen(release, action) => {
+            Self::WaitForSignalThen(release, action) => {
                 let _ = release.recv_timeout(TEST_TIMEOUT);
                 action.execute(stream)
             }
@@ -47,13 +47,13 @@
 }
 
 /// A 200 response with this body.
-pub fn ok(body: &str) -> BackendAction {
+pub fn ok_response(body: &str) -> BackendAction {
     BackendAction::Write(response_bytes("200 OK", "", body.as_bytes()))
 }
 
 /// A listener whose accept queue is full, and the connection that fills it. Other connections are established
 /// only after the queue has been emptied.
-pub fn listener_with_full_queue() -> (TcpListener, TcpStream) {
+pub fn listener_with_full_accept_queue() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind to a free port");
     socket.listen(0).expect("listen on the socket");
--- a/crates/proxy-server/tests/support/discovery.rs
+++ b/crates/proxy-server/tests/support/discovery.rs
@@ -79,7 +79,7 @@
 
     /// Waits for the next call and returns the revision it was made for; `None` is a call for the complete
     /// list.
-    pub fn next_call(&self) -> Option<u64> {
+    pub fn next_call_revision(&self) -> Option<u64> {
         self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery")
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Posts a list without waiting for the proxy to apply it; returns its revision.
-    pub fn post_without_waiting(&self, complete: bool, members: &[Value]) -> u64 {
+    pub fn publish(&self, complete: bool, members: &[Value]) -> u64 {
         let (lock, changed) = &*self.posted;
         let mut posted = lock.lock().expect("lock the list");
         posted.revision += 1;
@@ -101,8 +101,8 @@
     }
 
     /// Posts a list and waits until the proxy has applied it, which its watch for later revisions shows.
-    pub fn post(&self, complete: bool, members: &[Value]) {
-        let revision = self.post_without_waiting(complete, members);
+    pub fn publish_and_wait(&self, complete: bool, members: &[Value]) {
+        let revision = self.publish(complete, members);
         while self.calls.recv_timeout(TEST_TIMEOUT).expect("a watch for later revisions") != Some(revision) {}
     }
 }
--- a/crates/proxy-server/tests/support/mod.rs
+++ b/crates/proxy-server/tests/support/mod.rs
@@ -10,13 +10,17 @@
 mod process_state;
 mod proxy;
 
-pub use backend::{Backend, BackendAction, listener_with_full_queue, ok};
+pub use backend::{Backend, BackendAction, listener_with_full_accept_queue, ok_response};
 pub use client::{Client, HEALTH_REQUEST, request};
-pub use configuration::{config, config_with_console, config_with_deadline, entry, settings};
+pub use configuration::{
+    backend_entry, balancer_settings, config_with_console, config_with_deadline, proxy_config,
+};
 pub use discovery::Discovery;
 pub use http_message::{HttpMessage, read_message, response_bytes, write_bytes};
-pub use process_state::process_state;
-pub use proxy::{Launch, Proxy, empty_folder, send_command, spawn_proxy, spawn_with_external_processor};
+pub use process_state::describe_threads;
+pub use proxy::{
+    Proxy, ProxyCommand, create_empty_folder, send_command, spawn_proxy, spawn_with_external_processor,
+};
 
 use std::time::Duration;
 
--- a/crates/proxy-server/tests/support/process_state.rs
+++ b/crates/proxy-server/tests/support/process_state.rs
@@ -10,7 +10,7 @@
     ["Name", "State", "TracerPid", "SigQ", "SigPnd", "ShdPnd", "SigBlk", "SigCgt"];
 
 /// The state of the process, one line for each thread.
-pub fn process_state(process: u32) -> String {
+pub fn describe_threads(process: u32) -> String {
     let Ok(threads) = fs::read_dir(format!("/proc/{process}/task")) else {
         return format!("no process {process}");
     };
--- a/crates/proxy-server/tests/support/proxy.rs
+++ b/crates/proxy-server/tests/support/proxy.rs
@@ -2,9 +2,9 @@
 
 use super::TEST_TIMEOUT;
 use super::client::Client;
-use super::configuration::config;
+use super::configuration::proxy_config;
 use super::discovery::Discovery;
-use super::process_state::process_state;
+use super::process_state::describe_threads;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -18,7 +18,7 @@
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Creates an empty folder for one test; deletes the contents that an earlier run left.
-pub fn empty_folder(name: &str) -> PathBuf {
+pub fn create_empty_folder(name: &str) -> PathBuf {
     let path = env::temp_dir().join(format!("haventrack-folder-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&path);
     fs::create_dir_all(&path).expect("create the folder");
@@ -41,7 +41,7 @@
 }
 
 /// Options for the start of the executable.
-pub struct Launch<'a> {
+pub struct ProxyCommand<'a> {
     name: &'a str,
     config: String,
     folder: Option<&'a Path>,
@@ -49,7 +49,7 @@
     environment: Vec<(&'static str, String)>,
 }
 
-impl<'a> Launch<'a> {
+impl<'a> ProxyCommand<'a> {
     /// Starts with this configuration and the environment of the tests. `name` names the configuration file.
     pub fn new(name: &'a str, config: &str) -> Self {
         Self {
@@ -62,7 +62,7 @@
     }
 
     /// Uses this folder for the configuration file and for persisted state.
-    pub fn in_folder(mut self, folder: &'a Path) -> Self {
+    pub fn with_folder(mut self, folder: &'a Path) -> Self {
         self.folder = Some(folder);
         self
     }
@@ -121,7 +121,7 @@
 
 /// Spawns the process with this configuration and a pipe as its standard error.
 pub fn spawn_proxy(name: &str, config: &str) -> Child {
-    Launch::new(name, config).spawn()
+    ProxyCommand::new(name, config).spawn()
 }
 
 /// Spawns the process with an external processor on a free port; `settings` are its other settings as TOML
@@ -129,7 +129,9 @@
 pub fn spawn_with_external_processor(name: &str, config: &str, settings: &str) -> Child {
     let path = env::temp_dir().join(format!("{name}-{}.toml", std::process::id()));
     fs::write(&path, format!("listen = \"127.0.0.1:0\"\n{settings}")).expect("write the settings");
-    Launch::new(name, config).with_environment(vec![("EDGE_EXTPROC", path.display().to_string())]).spawn()
+    ProxyCommand::new(name, config)
+        .with_environment(vec![("EDGE_EXTPROC", path.display().to_string())])
+        .spawn()
 }
 
 /// Reads the log up to a line with this text, and returns the address that follows the text.
@@ -169,29 +171,29 @@
     /// Starts a proxy with this kernel limit on open descriptors, independent of the limit in the
     /// configuration.
     pub fn start_with_descriptor_limit(name: &str, config: &Value, descriptors: usize) -> Self {
-        Launch::new(name, &config.to_string()).with_descriptor_limit(descriptors).start()
+        ProxyCommand::new(name, &config.to_string()).with_descriptor_limit(descriptors).start()
     }
 
     /// Starts a proxy with a console; returns the address of the console as well.
     pub fn start_with_console(folder: &Path, name: &str, config: &Value) -> (Self, SocketAddr) {
-        Launch::new(name, &config.to_string()).in_folder(folder).start_with_console()
+        ProxyCommand::new(name, &config.to_string()).with_folder(folder).start_with_console()
     }
 
     /// Starts a proxy and waits until it has applied this list of backends.
     pub fn start(name: &str, discovery: &Discovery, members: &[Value]) -> Self {
-        let proxy = Self::start_without_list(name, discovery);
-        discovery.post(true, members);
+        let proxy = Self::start_without_discovery_list(name, discovery);
+        discovery.publish_and_wait(true, members);
         proxy
     }
 
     /// Starts a proxy that has not received a list of backends from discovery yet.
-    pub fn start_without_list(name: &str, discovery: &Discovery) -> Self {
-        Self::start_with_config(name, &config(name, discovery))
+    pub fn start_without_discovery_list(name: &str, discovery: &Discovery) -> Self {
+        Self::start_with_config(name, &proxy_config(name, discovery))
     }
 
     /// Starts a proxy with this configuration.
     pub fn start_with_config(name: &str, config: &Value) -> Self {
-        Launch::new(name, &config.to_string()).start()
+        ProxyCommand::new(name, &config.to_string()).start()
     }
 
     /// Opens a client connection.
@@ -238,18 +240,18 @@
     }
 
     /// Waits for the exit of the process, at most [`EXIT_TIMEOUT`].
-    pub fn wait(&mut self) -> ExitStatus {
-        self.wait_within(EXIT_TIMEOUT)
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        self.wait_for_exit_within(EXIT_TIMEOUT)
     }
 
     /// Waits for the exit of the process. Fails the test with the state of its threads if the limit passes.
-    pub fn wait_within(&mut self, limit: Duration) -> ExitStatus {
+    pub fn wait_for_exit_within(&mut self, limit: Duration) -> ExitStatus {
         let end = Instant::now() + limit;
         loop {
             if let Some(status) = self.child.try_wait().expect("query the exit status") {
                 return status;
             }
-            assert!(Instant::now() < end, "no exit within {limit:?}:\n{}", process_state(self.child.id()));
+            assert!(Instant::now() < end, "no exit within {limit:?}:\n{}", describe_threads(self.child.id()));
             thread::sleep(EXIT_CHECK_INTERVAL);
         }
     }
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -8,8 +8,8 @@
 pub mod clock;
 
 use crate::engine::{
-    AdmissionError, AttemptCompletion, AttemptSchedule, Command, Engine, FinalOutcome, IncomingRequest,
-    LeaseGrant, MessageTypes, RequestCounts,
+    AdmissionError, AttemptCompletion, AttemptSchedule, Command, Counts, Engine, FinalOutcome,
+    IncomingRequest, LeaseGrant, MessageTypes,
 };
 use crate::lease::{LeaseError, LeaseId};
 use balancer::api::{BackendId, LearnedState, MembershipUpdate, Micros, RequestId, Settings, SettingsError};
@@ -246,7 +246,7 @@
 
     /// Totals over all requests since the start.
     #[must_use]
-    pub fn counts(&self) -> RequestCounts {
+    pub fn counts(&self) -> Counts {
         self.0.engine.borrow().counts()
     }
 
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -15,8 +15,8 @@
 mod lease_events;
 
 pub use crate::messages::{
-    AdmissionError, AttemptCompletion, AttemptSchedule, Command, Dispatch, EngineLimits, FinalOutcome,
-    IncomingRequest, LeaseGrant, MessageTypes, RequestCounts,
+    AdmissionError, AttemptCompletion, AttemptSchedule, Command, Counts, Dispatch, EngineLimits,
+    FinalOutcome, IncomingRequest, LeaseGrant, MessageTypes,
 };
 
 use crate::lease::{LeaseCounts, Leases};
@@ -60,7 +60,7 @@
     /// Buffer reused by each call of the balancer.
     actions: Vec<Action>,
     commands: VecDeque<Command<M>>,
-    counts: RequestCounts,
+    counts: Counts,
 }
 
 impl<M: MessageTypes> Engine<M> {
@@ -90,7 +90,7 @@
             unsent_attempts: VecDeque::new(),
             actions: Vec::new(),
             commands: VecDeque::new(),
-            counts: RequestCounts::default(),
+            counts: Counts::default(),
         })
     }
 
@@ -144,12 +144,8 @@
 
     /// Totals over all requests since the start.
     #[must_use]
-    pub fn counts(&self) -> RequestCounts {
-        RequestCounts {
-            ejections: self.balancer.ejections(),
-            unserved: self.balancer.unserved(),
-            ..self.counts
-        }
+    pub fn counts(&self) -> Counts {
+        Counts { ejections: self.balancer.ejections(), unserved: self.balancer.unserved(), ..self.counts }
     }
 
     /// Totals over all leases since the start.
--- a/crates/request-engine/src/lease.rs
+++ b/crates/request-engine/src/lease.rs
@@ -95,7 +95,7 @@
     /// Operations rejected with [`LeaseError::AlreadyReported`].
     pub duplicate: u64,
     /// Operations rejected with [`LeaseError::OtherIncarnation`].
-    pub other_incarnation: u64,
+    pub foreign: u64,
     /// Operations rejected with [`LeaseError::Unknown`].
     pub unknown: u64,
     /// Operations rejected with [`LeaseError::WrongState`].
@@ -204,7 +204,7 @@
     pub(crate) fn find(&mut self, now: Micros, id: LeaseId) -> Result<&mut Lease, LeaseError> {
         if let Some(error) = self.find_error(now, id) {
             match error {
-                LeaseError::OtherIncarnation => self.counts.other_incarnation += 1,
+                LeaseError::OtherIncarnation => self.counts.foreign += 1,
                 LeaseError::Unknown => self.counts.unknown += 1,
                 LeaseError::Expired => self.counts.late += 1,
                 LeaseError::AlreadyReported => self.counts.duplicate += 1,
--- a/crates/request-engine/src/lease/tests.rs
+++ b/crates/request-engine/src/lease/tests.rs
@@ -38,7 +38,7 @@
     assert_eq!(leases.find(10, LeaseId { serial: 0, ..first }).err(), Some(LeaseError::Unknown));
     let counts = leases.counts;
     assert_eq!((counts.granted, counts.reported, counts.expired), (2, 1, 1));
-    assert_eq!((counts.late, counts.duplicate, counts.other_incarnation, counts.unknown), (2, 1, 1, 2));
+    assert_eq!((counts.late, counts.duplicate, counts.foreign, counts.unknown), (2, 1, 1, 2));
 }
 
 #[test]
--- a/crates/request-engine/src/messages.rs
+++ b/crates/request-engine/src/messages.rs
@@ -195,7 +195,7 @@
 
 /// Totals over all requests since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RequestCounts {
+pub struct Counts {
     /// Requests admitted.
     pub admitted: u64,
     /// Requests not admitted because one of the [`EngineLimits`] was reached.
--- a/crates/request-engine/tests/edge_cases.rs
+++ b/crates/request-engine/tests/edge_cases.rs
@@ -83,7 +83,7 @@
     );
     assert_eq!(harness.active_lease(client), Some(grant));
     let counts = harness.engine.lease_counts();
-    assert_eq!((counts.other_incarnation, counts.unknown), (1, 1));
+    assert_eq!((counts.foreign, counts.unknown), (1, 1));
     harness.finish();
 }
 
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -4,7 +4,7 @@
 use crate::script::Script;
 use http_proxy::config::Config;
 use proxy_server::server::{self, BoundAddresses};
-use request_engine::engine::RequestCounts;
+use request_engine::engine::Counts;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, mpsc};
@@ -24,7 +24,7 @@
 const MAX_SOCKETS: usize = 4_096;
 
 /// Concurrency limit and requests in flight for each ready backend, and the counters of the proxy.
-type SharedStatus = Arc<Mutex<(Vec<(f64, u32)>, RequestCounts)>>;
+type SharedStatus = Arc<Mutex<(Vec<(f64, u32)>, Counts)>>;
 
 /// A proxy that runs on its own thread.
 pub(super) struct Proxy {
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -14,7 +14,7 @@
 use crate::spread::{self, Spread};
 use balancer::api::{Backend, MembershipUpdate, Micros, Outcome, RequestId, SettingsError};
 use processes::Process;
-use request_engine::engine::{Engine, EngineLimits, MessageTypes, RequestCounts};
+use request_engine::engine::{Counts, Engine, EngineLimits, MessageTypes};
 use request_engine::lease::{LeaseCounts, LeaseId};
 use rustc_hash::FxHashMap;
 use settings::parse_settings;
@@ -51,7 +51,7 @@
     /// Load of backends that were warming up; `None` where no backend started during the scenario.
     pub cold: Option<SlowStartLoad>,
     /// Request counters, summed over all engines, including those of ended processes.
-    pub counts: RequestCounts,
+    pub counts: Counts,
     /// Lease counters, summed in the same way.
     pub leases: LeaseCounts,
     /// Number of requests and leases still open at the end; 0 unless an engine failed to end some.
@@ -199,12 +199,12 @@
 /// Counters summed over engines.
 #[derive(Default)]
 struct EngineTotals {
-    counts: RequestCounts,
+    counts: Counts,
     leases: LeaseCounts,
 }
 
 impl EngineTotals {
-    fn add(&mut self, counts: RequestCounts, leases: LeaseCounts) {
+    fn add(&mut self, counts: Counts, leases: LeaseCounts) {
         self.counts.admitted += counts.admitted;
         self.counts.overloaded += counts.overloaded;
         self.counts.served += counts.served;
@@ -221,7 +221,7 @@
         self.leases.revoked += leases.revoked;
         self.leases.late += leases.late;
         self.leases.duplicate += leases.duplicate;
-        self.leases.other_incarnation += leases.other_incarnation;
+        self.leases.foreign += leases.foreign;
         self.leases.unknown += leases.unknown;
         self.leases.wrong_state += leases.wrong_state;
     }
