--- a/crates/testbed/src/address.rs
+++ b/crates/testbed/src/address.rs
@@ -34,7 +34,7 @@
 
 /// The number of the process with this address; `None` where it is not the address of a process.
 #[must_use]
-pub fn process_with(address: Ipv4Addr) -> Option<usize> {
+pub fn process_at_address(address: Ipv4Addr) -> Option<usize> {
     number_in_range(FIRST_PROCESS_OCTET, address)
 }
 
--- a/crates/testbed/src/address/tests.rs
+++ b/crates/testbed/src/address/tests.rs
@@ -26,14 +26,14 @@
 #[test]
 fn each_process_has_two_unique_addresses() {
     for process in [0, 1, 255, 256, 1_999, MAX_PROCESSES - 1] {
-        assert_eq!(process_with(process_address(process)), Some(process));
+        assert_eq!(process_at_address(process_address(process)), Some(process));
         assert_eq!(process_behind_relay(relay_address(process)), Some(process));
         assert_eq!(
-            (process_with(relay_address(process)), process_behind_relay(process_address(process))),
+            (process_at_address(relay_address(process)), process_behind_relay(process_address(process))),
             (None, None)
         );
         assert!(process_address(process).is_loopback() && relay_address(process).is_loopback());
     }
-    assert_eq!(process_with(Ipv4Addr::LOCALHOST), None);
-    assert_eq!(process_with(Ipv4Addr::new(10, 32, 0, 1)), None);
+    assert_eq!(process_at_address(Ipv4Addr::LOCALHOST), None);
+    assert_eq!(process_at_address(Ipv4Addr::new(10, 32, 0, 1)), None);
 }
--- a/crates/testbed/src/backend_model.rs
+++ b/crates/testbed/src/backend_model.rs
@@ -139,18 +139,18 @@
 
     /// Number of accepted requests without a response.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.jobs.len() + self.swallowed_requests
     }
 
     /// Sets the factor by which requests take longer; at least 1.
-    pub fn set_slow(&mut self, factor: f64) {
+    pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor.max(1.0);
     }
 
     /// Sets whether requests are accepted but never finish. Those accepted meanwhile are dropped when this
     /// ends.
-    pub fn set_hangs(&mut self, hanging: bool) {
+    pub fn set_hanging(&mut self, hanging: bool) {
         self.hanging = hanging;
         if !hanging {
             self.swallowed_requests = 0;
@@ -158,7 +158,7 @@
     }
 
     /// Sets whether the process makes no progress.
-    pub fn set_stands(&mut self, paused: bool) {
+    pub fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
     }
 
--- a/crates/testbed/src/backend_model/tests.rs
+++ b/crates/testbed/src/backend_model/tests.rs
@@ -29,13 +29,13 @@
 #[test]
 fn hanging_backend_swallows_requests_and_paused_backend_resumes() {
     let mut model = BackendModel::new(SPEC, 0, None);
-    model.set_hangs(true);
+    model.set_hanging(true);
     assert_eq!(model.arrive(0, 1, 10), Admission::Swallowed);
     assert!(model.advance(1_000_000).is_empty());
-    model.set_hangs(false);
+    model.set_hanging(false);
     model.arrive(1_000_000, 2, 10_000);
-    model.set_stands(true);
+    model.set_paused(true);
     assert_eq!((model.next(), model.advance(2_000_000)), (None, Vec::new()));
-    model.set_stands(false);
+    model.set_paused(false);
     assert_eq!(model.advance(2_010_001), [2]);
 }
--- a/crates/testbed/src/call_queue.rs
+++ b/crates/testbed/src/call_queue.rs
@@ -32,7 +32,7 @@
 
     /// Adds a call that arrives at `now`, in microseconds; returns its outcome. Calls must be added in order
     /// of time.
-    pub fn come(&mut self, now: Micros) -> CallOutcome {
+    pub fn add_call(&mut self, now: Micros) -> CallOutcome {
         let starts_at = self.free_at.max(now);
         if starts_at > now + self.fails_after {
             return CallOutcome::Failed(now + self.fails_after);
--- a/crates/testbed/src/callers/processor.rs
+++ b/crates/testbed/src/callers/processor.rs
@@ -2,7 +2,7 @@
 
 use super::CallersError;
 use super::ledger::{BACKENDS_PER_CELL, backend_address};
-use crate::cost::{CostError, Intermediary, discovery, wait_until_up};
+use crate::cost::{CostError, Intermediary, serve_backend_list, wait_until_up};
 use external_processor::settings::Settings;
 use http_proxy::config::Config;
 use http_proxy::transport::EngineHandle;
@@ -62,7 +62,7 @@
     /// Where it cannot be started, or is not ready in time.
     pub(super) async fn start(program: Option<&Path>, backends: usize) -> Result<Self, CallersError> {
         let addresses: Vec<SocketAddr> = (0..backends).map(backend_address).collect();
-        let config = config(backends, discovery(&addresses, BACKENDS_PER_CELL).await?);
+        let config = config(backends, serve_backend_list(&addresses, BACKENDS_PER_CELL).await?);
         let processor = match program {
             Some(program) => Self::start_process(program, &config)?,
             None => Self::start_thread(&config)?,
@@ -121,7 +121,7 @@
     /// Where the processor has reported none.
     pub(super) fn caller_address(&self) -> Result<SocketAddr, CallersError> {
         let address = match self {
-            Self::Process { intermediary, .. } => intermediary.second,
+            Self::Process { intermediary, .. } => intermediary.second_address,
             Self::Thread { bound, .. } => bound.external_processor,
         };
         address.ok_or_else(|| {
@@ -137,7 +137,7 @@
     /// Where the process has ended.
     pub(super) fn usage(&self) -> Result<(f64, f64), CallersError> {
         match self {
-            Self::Process { intermediary, .. } => Ok(intermediary.used()?),
+            Self::Process { intermediary, .. } => Ok(intermediary.resource_use()?),
             Self::Thread { .. } => Ok((0.0, 0.0)),
         }
     }
--- a/crates/testbed/src/connection_fault_matrix.rs
+++ b/crates/testbed/src/connection_fault_matrix.rs
@@ -71,12 +71,12 @@
         (script.seed, script.seconds, script.fleet.backends) = (self.seed, self.seconds, self.backends);
         script.traffic.per_s = (self.backends as f64 * REQUESTS_PER_S_PER_BACKEND).min(MAX_REQUESTS_PER_S);
         let fault = |at_s: f64, for_s: f64, degree: f64| BackendFault {
-            what: self.kind,
+            kind: self.kind,
             at_s,
             for_s,
-            part: 1.0,
+            fraction: 1.0,
             zone: None,
-            degree,
+            severity: degree,
         };
         script.backend_faults = match self.pattern {
             Pattern::NoFault => Vec::new(),
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -6,7 +6,7 @@
 
 pub use pass_through::pass_through;
 
-use crate::fleet::{cpu_s, memory};
+use crate::fleet::{cpu_s, resident_bytes};
 use crate::http1;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -50,20 +50,20 @@
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Backends, each of which responds at once.
-    pub boxes: usize,
+    pub backends: usize,
     /// Client connections, each with one request at a time.
     pub clients: usize,
     /// Measured requests per path and round.
     pub requests: usize,
     /// Rounds over all three paths.
-    pub turns: usize,
+    pub rounds: usize,
     /// Path of the proxy's program.
     pub proxy: PathBuf,
 }
 
 /// The results of one path in one round.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Figures {
+pub struct PathResult {
     /// CPU time of the intermediary per request, microseconds; 0 without one.
     pub cpu_us: f64,
     /// Requests per second.
@@ -105,7 +105,7 @@
 ///
 /// # Errors
 /// If the listener can't be opened.
-pub(crate) async fn discovery(backends: &[SocketAddr], cell_size: usize) -> io::Result<SocketAddr> {
+pub(crate) async fn serve_backend_list(backends: &[SocketAddr], cell_size: usize) -> io::Result<SocketAddr> {
     let members = backends.iter().enumerate().map(|(i, address)| {
         json!({"id": format!("b{i}"), "host_port": address.to_string(), "locality": "z0", "flavor": "box",
             "cell": i / cell_size, "phase": "active", "size": 1.0, "up_since_ms": 0})
@@ -142,7 +142,7 @@
     child: Child,
     pub(crate) address: SocketAddr,
     /// The second address it listens on, if one was requested at the start.
-    pub(crate) second: Option<SocketAddr>,
+    pub(crate) second_address: Option<SocketAddr>,
 }
 
 /// Reads the log until a line contains `prefix`, and returns the address that follows it.
@@ -183,19 +183,19 @@
         let address = read_address(&mut log, "listens on ")?;
         let second = second_prefix.map(|prefix| read_address(&mut log, prefix)).transpose()?;
         std::thread::spawn(move || io::copy(&mut log, &mut io::sink()));
-        Ok(Self { child, address, second })
+        Ok(Self { child, address, second_address: second })
     }
 
     /// CPU seconds so far, and resident memory in MiB.
     ///
     /// # Errors
     /// If the process has ended.
-    pub(crate) fn used(&self) -> Result<(f64, f64), CostError> {
+    pub(crate) fn resource_use(&self) -> Result<(f64, f64), CostError> {
         let id = self.child.id();
         let cpu_s = cpu_s(id).ok_or_else(|| {
             CostError::Intermediary("the CPU time of the intermediary can't be read".into())
         })?;
-        Ok((cpu_s, memory(id) as f64 / f64::from(1 << 20)))
+        Ok((cpu_s, resident_bytes(id) as f64 / f64::from(1 << 20)))
     }
 }
 
@@ -259,13 +259,13 @@
     to: &[SocketAddr],
     load: &Load,
     intermediary: Option<&Intermediary>,
-) -> Result<Figures, CostError> {
+) -> Result<PathResult, CostError> {
     send_load(to, load, WARM_UP_REQUESTS).await?;
-    let before = intermediary.map_or(Ok((0.0, 0.0)), Intermediary::used)?;
+    let before = intermediary.map_or(Ok((0.0, 0.0)), Intermediary::resource_use)?;
     let (times, duration) = send_load(to, load, load.requests).await?;
-    let after = intermediary.map_or(Ok((0.0, 0.0)), Intermediary::used)?;
+    let after = intermediary.map_or(Ok((0.0, 0.0)), Intermediary::resource_use)?;
     let quantile = |p: f64| times[((times.len() - 1) as f64 * p) as usize];
-    Ok(Figures {
+    Ok(PathResult {
         cpu_us: (after.0 - before.0) * 1e6 / load.requests as f64,
         per_s: load.requests as f64 / duration.as_secs_f64(),
         p50_us: quantile(0.5),
@@ -292,20 +292,20 @@
 ///
 /// # Errors
 /// If a socket or process fails, or a response is not a backend's.
-pub fn measure(load: &Load) -> Result<Vec<[Figures; 3]>, CostError> {
-    if load.boxes > MAX_BACKENDS
-        || load.requests * load.turns > MAX_REQUESTS
-        || load.boxes * load.clients == 0
+pub fn measure(load: &Load) -> Result<Vec<[PathResult; 3]>, CostError> {
+    if load.backends > MAX_BACKENDS
+        || load.requests * load.rounds > MAX_REQUESTS
+        || load.backends * load.clients == 0
     {
         return Err(CostError::OutOfRange);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let backends = start_backends(load.boxes).await?;
-        let discovery = discovery(&backends, backends.len()).await?;
+        let backends = start_backends(load.backends).await?;
+        let discovery = serve_backend_list(&backends, backends.len()).await?;
         let path = env::temp_dir().join(format!("testbed-cost-{}.json", std::process::id()));
         let mut rows = Vec::new();
-        for _ in 0..load.turns {
+        for _ in 0..load.rounds {
             let direct = measure_path(&backends, load, None).await?;
             let mut command = Command::new(env::current_exe()?);
             command.arg("pass").args(backends.iter().map(SocketAddr::to_string));
@@ -313,7 +313,7 @@
             let pass_through_figures =
                 measure_path(&[pass_through.address], load, Some(&pass_through)).await?;
             drop(pass_through);
-            fs::write(&path, config(load.boxes, discovery))?;
+            fs::write(&path, config(load.backends, discovery))?;
             let mut command = Command::new(&load.proxy);
             command.env("EDGE_CONFIG", &path);
             let proxy = Intermediary::start(command, None)?;
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -60,7 +60,7 @@
 pub fn fault_lines(script: &Script) -> String {
     let mut text = String::new();
     for (index, fault) in script.backend_faults.iter().enumerate() {
-        let effect = match fault.what {
+        let effect = match fault.kind {
             BackendFaultKind::Crash => "crash, and restart with a warm-up",
             BackendFaultKind::Hang => "accept requests and never respond",
             BackendFaultKind::Pause => "pause",
--- a/crates/testbed/src/fleet/link_relays.rs
+++ b/crates/testbed/src/fleet/link_relays.rs
@@ -60,10 +60,10 @@
 
 fn open(shared_state: &Arc<SharedState>, clock: &Clock) -> io::Result<Relays> {
     let (script, links) = (&shared_state.script, Rc::new(Links::new(&shared_state.script)));
-    if script.has_links(LinkEndpoints::Boxes) {
+    if script.has_links(LinkEndpoints::Backends) {
         let relay_port = |backend: usize| {
             let address = shared_state.backend_status(backend).address();
-            relay::streams(&links, clock, LinkEndpoints::Boxes, backend, Rc::new(move |_| address))
+            relay::streams(&links, clock, LinkEndpoints::Backends, backend, Rc::new(move |_| address))
         };
         shared_state
             .set_backend_relays((0..script.fleet.backends).map(relay_port).collect::<io::Result<Vec<_>>>()?);
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -10,6 +10,6 @@
 pub mod report;
 mod scenario;
 
-pub use processes::Machine;
-pub(crate) use processes::{Folder, Process, ProxyInstance, cpu_s, memory};
-pub use scenario::{FleetError, play};
+pub use processes::RunEnvironment;
+pub(crate) use processes::{Process, ProxyInstance, TempFolder, cpu_s, resident_bytes};
+pub use scenario::{FleetError, run};
--- a/crates/testbed/src/fleet/process_controller.rs
+++ b/crates/testbed/src/fleet/process_controller.rs
@@ -1,6 +1,6 @@
 //! The proxy processes of a scenario: starts, signals, replacements and exits.
 
-use super::processes::{END_TIMEOUT, Folder, Machine, Process, ProxyInstance};
+use super::processes::{END_TIMEOUT, Process, ProxyInstance, RunEnvironment, TempFolder};
 use super::scenario::FleetError;
 use crate::invariant_checker::{Observation, ObservationLog};
 use crate::plan::ProcessAction;
@@ -21,7 +21,7 @@
 /// Starts, signals, replaces and ends the proxy processes, and logs these events as observations.
 pub(super) struct ProcessController {
     shared_state: Arc<SharedState>,
-    machine: Machine,
+    machine: RunEnvironment,
     pub(super) instances: Vec<ProxyInstance>,
     /// The current process of each proxy.
     running: Vec<Option<Process>>,
@@ -34,13 +34,13 @@
     /// Processor time of the processes that no longer run, seconds.
     cpu_s: f64,
     // Declared last, so that it is dropped after the processes.
-    pub(super) folder: Folder,
+    pub(super) folder: TempFolder,
 }
 
 impl ProcessController {
     pub(super) fn new(
         shared_state: &Arc<SharedState>,
-        machine: &Machine,
+        machine: &RunEnvironment,
         lists: Vec<Value>,
     ) -> io::Result<Self> {
         Ok(Self {
@@ -53,7 +53,7 @@
             log: RefCell::default(),
             first_crash: None,
             cpu_s: 0.0,
-            folder: Folder::new()?,
+            folder: TempFolder::new()?,
         })
     }
 
@@ -63,14 +63,14 @@
 
     fn start(&mut self, proxy: usize, list: InitialList) -> io::Result<Process> {
         let empty_list = json!({"revision": 0, "complete": true, "members": []});
-        let initial_list = if list == InitialList::Old { &self.lists[proxy] } else { &empty_list };
+        let initial_list = if list == InitialList::Stale { &self.lists[proxy] } else { &empty_list };
         self.instances[proxy].start(&self.shared_state.script, &self.machine, initial_list)
     }
 
     /// Starts a process for each proxy, and opens each one to clients once it is ready, in order.
     pub(super) async fn start_all(&mut self) -> Result<(), FleetError> {
         for proxy in 0..self.instances.len() {
-            let process = self.start(proxy, InitialList::Old)?;
+            let process = self.start(proxy, InitialList::Stale)?;
             self.running.push(Some(process));
         }
         for proxy in 0..self.instances.len() {
@@ -98,7 +98,7 @@
 
     /// Records a crash if a process that should run has exited; only the first one is reported.
     fn check_crash(&mut self, proxy: usize, process: &mut Process) {
-        if let Some(status) = process.ended() {
+        if let Some(status) = process.exit_status() {
             let crash = FleetError::Crashed(proxy, status.to_string(), process.log_tail());
             self.first_crash.get_or_insert(crash);
         }
@@ -157,7 +157,7 @@
 /// Waits until all processes have exited, at most for [`END_TIMEOUT`].
 pub(super) async fn wait_for_exit(mut processes: Vec<(usize, Process)>) -> Vec<(usize, Process)> {
     let end = tokio::time::Instant::now() + END_TIMEOUT;
-    while processes.iter_mut().any(|(_, process)| process.ended().is_none())
+    while processes.iter_mut().any(|(_, process)| process.exit_status().is_none())
         && tokio::time::Instant::now() < end
     {
         sleep(Duration::from_millis(20)).await;
@@ -172,7 +172,7 @@
     shared_state: &Arc<SharedState>,
     scenario_start: Micros,
 ) {
-    for event in &shared_state.plan.processes {
+    for event in &shared_state.plan.process_events {
         shared_state.sleep_until(scenario_start + event.at).await;
         let proxy = event.proxy;
         match event.action {
@@ -251,7 +251,7 @@
 /// Starts a replacement, which becomes the current process once it is ready. The old process serves until
 /// then.
 async fn replace(controller: Rc<RefCell<ProcessController>>, proxy: usize) {
-    let started = controller.borrow_mut().start(proxy, InitialList::Old);
+    let started = controller.borrow_mut().start(proxy, InitialList::Stale);
     let Ok(process) = started else { return };
     let console = process.console();
     controller.borrow_mut().in_replacement.push((proxy, process));
--- a/crates/testbed/src/fleet/process_guard.rs
+++ b/crates/testbed/src/fleet/process_guard.rs
@@ -12,11 +12,11 @@
 use std::path::Path;
 use std::process::Command;
 
-/// The command that runs `program` through `keeper`, the testbed's binary, with this limit on file
+/// The command that runs `program` through `guard`, the testbed's binary, with this limit on file
 /// descriptors. The program is killed when the thread that spawns it ends.
 #[must_use]
-pub fn command(keeper: &Path, descriptors: u64, program: &Path) -> Command {
-    let mut command = Command::new(keeper);
+pub fn command(guard: &Path, descriptors: u64, program: &Path) -> Command {
+    let mut command = Command::new(guard);
     command.arg("keep").arg(std::process::id().to_string()).arg(descriptors.to_string()).arg(program);
     command
 }
@@ -25,7 +25,7 @@
 /// `command` is empty, the process `parent` has exited, a limit can't be set, or the program can't be
 /// executed.
 #[must_use]
-pub fn become_program(parent: i32, descriptors: u64, command: &[OsString]) -> io::Error {
+pub fn exec_program(parent: i32, descriptors: u64, command: &[OsString]) -> io::Error {
     let Some((program, arguments)) = command.split_first() else {
         return io::Error::new(io::ErrorKind::InvalidInput, "the program to execute is missing");
     };
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// The kernel rejects the change.
-pub fn all_descriptors() -> io::Result<u64> {
+pub fn raise_descriptor_limit() -> io::Result<u64> {
     let (_, hard_limit) = getrlimit(Resource::RLIMIT_NOFILE)?;
     setrlimit(Resource::RLIMIT_NOFILE, hard_limit, hard_limit)?;
     Ok(hard_limit)
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -4,7 +4,7 @@
 use super::{FleetError, process_guard};
 use crate::address::{self, ReservedPort};
 use crate::script::Script;
-use crate::sockets::up;
+use crate::sockets::fetch_up_status;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
@@ -38,11 +38,11 @@
 
 /// The binaries that the testbed runs, their limits, and the tolerances of the machine.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct RunEnvironment {
     /// The proxy's binary.
     pub proxy: PathBuf,
     /// The testbed's own binary, through which processes are started so that they end with it.
-    pub keeper: PathBuf,
+    pub testbed_binary: PathBuf,
     /// Memory limit in the configuration of a process, MB.
     pub memory_mb: usize,
     /// Limit on the file descriptors of a process.
@@ -50,14 +50,14 @@
     /// Number of threads for the emulators.
     pub threads: usize,
     /// Timing tolerance of the machine, microseconds.
-    pub slack: u64,
+    pub timing_tolerance_us: u64,
 }
 
 /// The temporary folder of a scenario, with a folder for each proxy's configuration, `TMPDIR` and logs.
 /// Removed on drop.
-pub(crate) struct Folder(PathBuf);
+pub(crate) struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     pub(crate) fn new() -> io::Result<Self> {
         let number = fastrand::u64(..);
         let path = env::temp_dir().join(format!("testbed-fleet-{}-{number:x}", std::process::id()));
@@ -80,7 +80,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -109,7 +109,7 @@
 }
 
 impl ProxyInstance {
-    pub(crate) fn new(folder: &Folder, proxy: usize, discovery: SocketAddr) -> io::Result<Self> {
+    pub(crate) fn new(folder: &TempFolder, proxy: usize, discovery: SocketAddr) -> io::Result<Self> {
         let folder = folder.0.join(format!("p{proxy}"));
         fs::create_dir_all(folder.join("tmp"))?;
         let listen = ReservedPort::new(address::process_address(proxy))?;
@@ -129,7 +129,7 @@
     pub(crate) fn start(
         &mut self,
         script: &Script,
-        machine: &Machine,
+        machine: &RunEnvironment,
         initial_list: &Value,
     ) -> io::Result<Process> {
         self.starts += 1;
@@ -143,7 +143,7 @@
         let file = self.folder.join(format!("config-{}.json", self.starts));
         let log = self.folder.join(format!("log-{}", self.starts));
         fs::write(&file, config.to_string())?;
-        let child = process_guard::command(&machine.keeper, machine.descriptors, &machine.proxy)
+        let child = process_guard::command(&machine.testbed_binary, machine.descriptors, &machine.proxy)
             .env("EDGE_CONFIG", &file)
             .env("TMPDIR", self.folder.join("tmp"))
             .stdin(Stdio::null())
@@ -166,7 +166,7 @@
                     self.ready = ready;
                     return ready;
                 }
-                () = sleep(POLL_INTERVAL) => if self.ended().is_some() { return false },
+                () = sleep(POLL_INTERVAL) => if self.exit_status().is_some() { return false },
             }
         }
     }
@@ -188,7 +188,7 @@
     pub(super) async fn wait_until_up(listen: SocketAddr) -> bool {
         let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
-            if let Ok(Ok(200)) = timeout(POLL_TIMEOUT, up(listen)).await {
+            if let Ok(Ok(200)) = timeout(POLL_TIMEOUT, fetch_up_status(listen)).await {
                 return true;
             }
             sleep(POLL_INTERVAL).await;
@@ -226,7 +226,7 @@
     /// as it may not have installed its signal handler yet.
     pub(super) fn has_failed(&mut self) -> bool {
         let may_lack_handler = self.terminated && !self.ready;
-        self.ended().is_some_and(|status| !status.success() && !may_lack_handler)
+        self.exit_status().is_some_and(|status| !status.success() && !may_lack_handler)
     }
 
     pub(super) fn was_terminated(&self) -> bool {
@@ -245,7 +245,7 @@
     }
 
     /// Its exit status, once it has exited.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
@@ -255,8 +255,8 @@
     }
 
     /// Its resident memory, bytes.
-    pub(crate) fn memory(&self) -> u64 {
-        memory(self.child.id())
+    pub(crate) fn resident_bytes(&self) -> u64 {
+        resident_bytes(self.child.id())
     }
 
     /// The last three lines of its log, on one line.
@@ -287,7 +287,7 @@
 }
 
 /// Resident memory of a process, bytes; 0 if it has exited.
-pub(crate) fn memory(id: u32) -> u64 {
+pub(crate) fn resident_bytes(id: u32) -> u64 {
     let text = fs::read_to_string(Path::new("/proc").join(id.to_string()).join("statm")).unwrap_or_default();
     text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE_BYTES
 }
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -258,7 +258,7 @@
     /// The process that sends from this address; `None` if there is none.
     fn sender_index(&self, sender: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(sender) = sender else { return None };
-        address::process_with(*sender.ip())
+        address::process_at_address(*sender.ip())
             .filter(|&process| self.process_addresses.get(process) == Some(&sender))
     }
 
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -130,7 +130,7 @@
 
 /// Runs each reference policy on the script's arrivals; one row per policy.
 #[must_use]
-pub fn references(script: &Script) -> Vec<Row> {
+pub fn run_references(script: &Script) -> Vec<Row> {
     let plan = Plan::draw(script);
     let row = |policy: Policy| {
         let observations = reference::simulate(script, &plan, policy).in_order();
@@ -146,14 +146,17 @@
 ///
 /// # Errors
 /// The script's values give invalid settings.
-pub fn in_virtual_time(script: &Script) -> Result<Row, SettingsError> {
-    let report = virtual_time::play(script)?;
-    Ok(Row { slow_start_load: report.cold, ..Row::new(script, "virtual", &report.judgement, report.spread) })
+pub fn run_in_virtual_time(script: &Script) -> Result<Row, SettingsError> {
+    let report = virtual_time::run(script)?;
+    Ok(Row {
+        slow_start_load: report.slow_start_load,
+        ..Row::new(script, "virtual", &report.check_report, report.spread)
+    })
 }
 
 /// The header of the text table, with the column names of [`line()`].
 #[must_use]
-pub fn head() -> String {
+pub fn header() -> String {
     format!(
         "{:<12} {:>5} {:>6} {:>6} {:>6} {:>7} {:>6} {:>6}  {:>7} {:>7}  {:>5} {:>5} {:>6} {:>6}  {:>6} {:>6}  {:>5} {:>5}  recovery s",
         "way",
@@ -179,7 +182,7 @@
 
 /// A line of the text table, without a line break.
 #[must_use]
-pub fn line(row: &Row) -> String {
+pub fn format_row(row: &Row) -> String {
     let spread = &row.spread;
     let mut text = format!(
         "{:<12} {:>5.2} {:>6} {:>6.3} {:>6.3} {:>7} {:>6} {:>6}  {:>7.1} {:>7.1}  {:>5.2} {:>5.2} {:>6.3} {:>6.3}  {:>6} {:>6.0}  {:>5.2} {:>5}  ",
@@ -265,7 +268,7 @@
 /// A table of medians with their range over seeds, for each script, load, mode and build, in the order of
 /// their first rows.
 #[must_use]
-pub fn compare(rows: &[Row]) -> String {
+pub fn format_medians(rows: &[Row]) -> String {
     let key =
         |row: &Row| (row.script.clone(), format!("{:.2}", row.load), row.mode.clone(), row.build.clone());
     let mut groups = Vec::new();
--- a/crates/testbed/src/fleet/report/tests.rs
+++ b/crates/testbed/src/fleet/report/tests.rs
@@ -33,6 +33,6 @@
         .enumerate()
         .map(|(seed, goodput)| row("a", seed as u64, goodput))
         .collect();
-    let text = compare(&[rows, vec![row("b", 1, 0.7)]].concat());
+    let text = format_medians(&[rows, vec![row("b", 1, 0.7)]].concat());
     assert!(text.contains("0.500 (0.100..0.900)") && text.contains("0.700 (0.700..0.700)"), "{text}");
 }
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -3,7 +3,7 @@
 use super::emulator_threads;
 use super::process_controller::{ProcessController, run_process_events, wait_for_exit};
 use super::process_guard;
-use super::processes::{Machine, ProxyInstance, cpu_s};
+use super::processes::{ProxyInstance, RunEnvironment, cpu_s};
 use super::relay::Clock;
 use super::report::{Cost, Row};
 use crate::invariant_checker::{Observation, check_ordered};
@@ -56,7 +56,7 @@
 /// # Errors
 /// The scenario can't be run or a process crashes. Rule violations are not errors; they are counted in the
 /// row.
-pub fn play(script: &Script, machine: &Machine) -> Result<Row, FleetError> {
+pub fn run(script: &Script, machine: &RunEnvironment) -> Result<Row, FleetError> {
     script.check()?;
     if script.fleet.proxies > MAX_PROCESSES {
         let problem = format!(
@@ -65,12 +65,12 @@
         );
         return Err(ScriptError::Value("fleet.proxies".into(), problem).into());
     }
-    process_guard::all_descriptors()?;
+    process_guard::raise_descriptor_limit()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, run(script, machine))
+    LocalSet::new().block_on(&runtime, run_async(script, machine))
 }
 
-async fn run(script: &Script, machine: &Machine) -> Result<Row, FleetError> {
+async fn run_async(script: &Script, machine: &RunEnvironment) -> Result<Row, FleetError> {
     let (shared_state, backend_changes) = SharedState::new(script.clone(), Plan::draw(script));
     let clock = Clock::default();
     let emulators = emulator_threads::start(&shared_state, backend_changes, machine.threads.max(1), &clock)?;
@@ -89,7 +89,7 @@
     controller.log.borrow_mut().add(scenario_start, Observation::ScenarioStarted);
     let controller = Rc::new(RefCell::new(controller));
     run_process_events(&controller, &shared_state, scenario_start).await;
-    let end = scenario_start + micros(script.seconds).max(shared_state.plan.quiet_after());
+    let end = scenario_start + micros(script.seconds).max(shared_state.plan.last_process_event_at());
     shared_state.sleep_until(end).await;
     while emulators.threads.iter().any(|thread| !thread.is_finished()) {
         sleep(Duration::from_millis(20)).await;
@@ -112,7 +112,7 @@
     let start_delay_p99_ms =
         start_delays_us.get(start_delays_us.len() * 99 / 100).map_or(0.0, |&us| f64::from(us) / 1e3);
     let observations = log.in_order();
-    let report = check_ordered(script, &observations, machine.slack);
+    let report = check_ordered(script, &observations, machine.timing_tolerance_us);
     report.messages.iter().for_each(|message| eprintln!("{message}"));
     let spread = spread::measure(script, &shared_state.plan, &observations, scenario_start);
     let mut row = Row::new(script, "processes", &report, spread);
--- a/crates/testbed/src/invariant_checker.rs
+++ b/crates/testbed/src/invariant_checker.rs
@@ -148,7 +148,7 @@
     fn observe(&mut self, at: Micros, observation: Observation) {
         match observation {
             Observation::ScenarioStarted => self.scenario_started_at = Some(at),
-            Observation::RequestSent { id, class, end, proxy } => {
+            Observation::RequestSent { id, class, deadline: end, proxy } => {
                 self.request_sent(at, id, class, end, proxy);
             }
             Observation::RequestNotAccepted { id } => self.request_not_accepted(at, id),
@@ -256,7 +256,7 @@
             let description = format!("request {id} received a response that no backend produced");
             self.report.add_violation(Rule::FinalResponse, at, &description);
         }
-        let safe = self.script.classes[class].idempotency == IdempotencySpec::Safe;
+        let safe = self.script.classes[class].idempotency == IdempotencySpec::Idempotent;
         if kind == ResponseKind::Rejected && attempted && !safe {
             let description = format!("request {id} was rejected after a backend had started it");
             self.report.add_violation(Rule::SingleEffect, at, &description);
@@ -281,7 +281,7 @@
         let discovery = Link { between: LinkEndpoints::Discovery, proxy, peer: 0 };
         let received_at =
             running_at + self.max_link_delay(discovery, &[Direction::Back], running_at, running_at);
-        let to_backend = Link { between: LinkEndpoints::Boxes, proxy, peer: backend };
+        let to_backend = Link { between: LinkEndpoints::Backends, proxy, peer: backend };
         let in_transit = self.max_link_delay(to_backend, &[Direction::Out], received_at, at);
         if at > received_at + DRAIN_GRACE + self.slack + in_transit {
             let late = (at - received_at) as f64 / 1e6;
@@ -295,8 +295,8 @@
     /// Whether an attempt at `backend` has the effect of the request's first attempt a second time.
     fn duplicates_effect(&self, class: &ClassSpec, first: &Attempt, at: Micros, backend: usize) -> bool {
         let same_group = match class.idempotency {
-            IdempotencySpec::Safe => return false,
-            IdempotencySpec::Unsafe => return true,
+            IdempotencySpec::Idempotent => return false,
+            IdempotencySpec::NonIdempotent => return true,
             IdempotencySpec::KeyedZone => self.script.zone(first.backend) == self.script.zone(backend),
             IdempotencySpec::KeyedCell => self.script.cell(first.backend) == self.script.cell(backend),
         };
@@ -308,8 +308,8 @@
         let class = &self.script.classes[request.class];
         let duplicated =
             request.attempts.first().is_some_and(|first| self.duplicates_effect(class, first, at, backend));
-        let rejected =
-            request.response == Some(ResponseKind::Rejected) && class.idempotency != IdempotencySpec::Safe;
+        let rejected = request.response == Some(ResponseKind::Rejected)
+            && class.idempotency != IdempotencySpec::Idempotent;
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts.push(Attempt { at, backend });
         }
--- a/crates/testbed/src/invariant_checker/observation.rs
+++ b/crates/testbed/src/invariant_checker/observation.rs
@@ -26,7 +26,7 @@
         /// Its class, as an index into the script's classes.
         class: usize,
         /// The client's deadline.
-        end: Micros,
+        deadline: Micros,
         /// The proxy.
         proxy: usize,
     },
--- a/crates/testbed/src/invariant_checker/tests.rs
+++ b/crates/testbed/src/invariant_checker/tests.rs
@@ -22,7 +22,7 @@
 fn report(class: usize, observations: &[(Micros, Observation)]) -> CheckReport {
     let script = Script::parse(SCRIPT, Path::new("scenario")).expect("a valid script");
     let mut log = ObservationLog::default();
-    log.add(0, Observation::RequestSent { id: 1, class, end: 500_000, proxy: 0 });
+    log.add(0, Observation::RequestSent { id: 1, class, deadline: 500_000, proxy: 0 });
     for &(at, observation) in observations {
         log.add(at, observation);
     }
@@ -106,7 +106,7 @@
         [1, 0, 0, 0],
         "another process was killed"
     );
-    let sent = Observation::RequestSent { id: 2, class: 0, end: 500_000, proxy: 0 };
+    let sent = Observation::RequestSent { id: 2, class: 0, deadline: 500_000, proxy: 0 };
     let (served, restarted) =
         (response(ResponseKind::Served), (25, Observation::ProxyRestarted { proxy: 0 }));
     assert_eq!(
@@ -128,7 +128,7 @@
         |at| violations(0, &[(10, attempt_started(0)), stalled, (at, response(ResponseKind::Failed))]);
     assert_eq!((response_at(900_000), response_at(900_001)), ([0; 4], [1, 0, 0, 0]));
     // A request that arrives during the stall has its full timeout from the end of the stall.
-    let sent_during_stall = (300, Observation::RequestSent { id: 2, class: 0, end: 500_300, proxy: 0 });
+    let sent_during_stall = (300, Observation::RequestSent { id: 2, class: 0, deadline: 500_300, proxy: 0 });
     let second = |at| {
         let end = (at, Observation::ResponseReceived { id: 2, kind: ResponseKind::Failed });
         violations(0, &[stalled, sent_during_stall, (400, response(ResponseKind::Failed)), end])[0]
@@ -173,7 +173,7 @@
         for n in 0..count {
             observations.push((
                 n * 1_000,
-                Observation::RequestSent { id: 10 + n, class: 0, end: 9_000_000, proxy: 0 },
+                Observation::RequestSent { id: 10 + n, class: 0, deadline: 9_000_000, proxy: 0 },
             ));
             observations
                 .push((n * 1_000, Observation::AttemptStarted { id: 10 + n, backend: 0, work: 10_000 }));
@@ -200,7 +200,7 @@
             0,
             if started { Observation::ScenarioStarted } else { Observation::DiscoveryCalled { proxy: 0 } },
         );
-        log.add(0, Observation::RequestSent { id: 1, class: 0, end: 500_000, proxy: 0 });
+        log.add(0, Observation::RequestSent { id: 1, class: 0, deadline: 500_000, proxy: 0 });
         log.add(10, attempt_started(0));
         log.add(1_190_000, response(ResponseKind::Served));
         check(&script, &log, 0).violations
@@ -211,7 +211,7 @@
 #[test]
 fn unaccepted_request_may_be_sent_again_and_is_not_lost() {
     let unaccepted = (20, Observation::RequestNotAccepted { id: 1 });
-    let resent = (30, Observation::RequestSent { id: 1, class: 0, end: 500_030, proxy: 0 });
+    let resent = (30, Observation::RequestSent { id: 1, class: 0, deadline: 500_030, proxy: 0 });
     let served = [(40, attempt_started(0)), (50, response(ResponseKind::Served))];
     let sent_again = report(0, &[unaccepted, resent, served[0], served[1]]);
     assert_eq!(
@@ -229,7 +229,7 @@
         "a backend had already started the request"
     );
     // A request written to a killed process is excused; one sent to its successor is not.
-    let sent = |at| (at, Observation::RequestSent { id: 2, class: 0, end: at + 500_000, proxy: 0 });
+    let sent = |at| (at, Observation::RequestSent { id: 2, class: 0, deadline: at + 500_000, proxy: 0 });
     let (killed, restarted) =
         ((60, Observation::ProxyKilled { proxy: 0 }), (70, Observation::ProxyRestarted { proxy: 0 }));
     assert_eq!(violations(0, &[served[0], served[1], killed, sent(65), restarted])[0], 0);
@@ -244,7 +244,7 @@
         let script = Script::parse(&text, Path::new("scenario")).expect("a valid script");
         let mut log = ObservationLog::default();
         log.add(0, Observation::BackendStarted { backend: 0 });
-        log.add(0, Observation::RequestSent { id: 1, class: 0, end: 500_000, proxy: 0 });
+        log.add(0, Observation::RequestSent { id: 1, class: 0, deadline: 500_000, proxy: 0 });
         let capacity = script.fleet.initial_capacity * script.fleet.cores * OVERLOAD_WINDOW as f64;
         // Twice the work that a warming backend at full speed can do in one window.
         let work = (capacity * 2.0 / 100.0) as Micros;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -105,7 +105,7 @@
             && fault.between == link.between
             && in_direction
             && in_zone
-            && (fault.part >= 1.0 || self.rng(index, link, LINK_SELECTION, 0).f64() < fault.part)
+            && (fault.fraction >= 1.0 || self.rng(index, link, LINK_SELECTION, 0).f64() < fault.fraction)
     }
 
     fn active_faults(
--- a/crates/testbed/src/links/tests.rs
+++ b/crates/testbed/src/links/tests.rs
@@ -11,7 +11,7 @@
 }
 
 const fn to_backend(proxy: usize, peer: usize) -> Link {
-    Link { between: LinkEndpoints::Boxes, proxy, peer }
+    Link { between: LinkEndpoints::Backends, proxy, peer }
 }
 
 #[test]
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -10,8 +10,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use testbed::callers::{self, Campaign};
-use testbed::cost::{self, Figures, Load};
-use testbed::fleet::{self, Machine, process_guard, report};
+use testbed::cost::{self, Load, PathResult};
+use testbed::fleet::{self, RunEnvironment, process_guard, report};
 use testbed::scale::fleet::RunOptions;
 use testbed::scale::fleet::script::ScaleScript;
 use testbed::scale::slopes;
@@ -180,19 +180,25 @@
         .as_ref()
         .map(|path| File::options().create(true).append(true).open(path))
         .transpose()?;
-    let mut script = ScaleScript::read(&arguments.script)?.part(arguments.part);
+    let mut script = ScaleScript::read(&arguments.script)?.scaled_by(arguments.part);
     script.seed = arguments.seed.unwrap_or(script.seed);
-    script.step.truncate(arguments.steps.unwrap_or(usize::MAX));
-    let keeper = std::env::current_exe()?;
-    let machine =
-        Machine { proxy: arguments.proxy, keeper, memory_mb: 32, descriptors: 256, threads: 1, slack: 0 };
-    let options = RunOptions { control: arguments.control, machine, lists: arguments.lists };
+    script.steps.truncate(arguments.steps.unwrap_or(usize::MAX));
+    let guard = std::env::current_exe()?;
+    let machine = RunEnvironment {
+        proxy: arguments.proxy,
+        testbed_binary: guard,
+        memory_mb: 32,
+        descriptors: 256,
+        threads: 1,
+        timing_tolerance_us: 0,
+    };
+    let options = RunOptions { control_plane: arguments.control, machine, list_sizes: arguments.lists };
     let report = scale::fleet::play(&script, &options)?;
     println!("{report}");
     let file = arguments.script.display();
     let steps = arguments.steps.map_or(String::new(), |steps| format!(" --steps {steps}"));
     let (part, seed) = (arguments.part, script.seed);
-    let lists: Vec<String> = options.lists.iter().map(ToString::to_string).collect();
+    let lists: Vec<String> = options.list_sizes.iter().map(ToString::to_string).collect();
     let lists = if lists.is_empty() { String::new() } else { format!(" --lists {}", lists.join(",")) };
     let command = format!("testbed scale fleet {file} --part {part} --seed {seed}{steps}{lists}");
     if let Some(out) = &mut out {
@@ -276,16 +282,16 @@
         .transpose()?;
     let base = read_script(&arguments.script, arguments.seed)?;
     let cores = std::thread::available_parallelism().map_or(2, usize::from);
-    let machine = Machine {
+    let machine = RunEnvironment {
         proxy: arguments.proxy.clone(),
-        keeper: std::env::current_exe()?,
+        testbed_binary: std::env::current_exe()?,
         memory_mb: arguments.memory_mb,
         descriptors: arguments.descriptors,
         threads: arguments.threads.unwrap_or(cores.div_ceil(3)),
-        slack: arguments.slack_ms * 1_000,
+        timing_tolerance_us: arguments.slack_ms * 1_000,
     };
     println!("{}, {} s, from seed {}", base.title, base.seconds, base.seed);
-    println!("{}", report::head());
+    println!("{}", report::header());
     let loads = if arguments.load.is_empty() {
         vec![base.traffic.per_s / base.capacity_per_s()]
     } else {
@@ -299,14 +305,14 @@
         script.seed = seed;
         script.traffic.per_s = load * script.capacity_per_s();
         script.check()?;
-        let mut rows = if arguments.no_references { Vec::new() } else { report::references(&script) };
+        let mut rows = if arguments.no_references { Vec::new() } else { report::run_references(&script) };
         rows.push(if arguments.in_virtual_time {
-            report::in_virtual_time(&script)?
+            report::run_in_virtual_time(&script)?
         } else {
-            fleet::play(&script, &machine)?
+            fleet::run(&script, &machine)?
         });
         for row in &rows {
-            println!("{}", report::line(row));
+            println!("{}", report::format_row(row));
             if let Some(out) = &mut out {
                 writeln!(out, "{}", serde_json::to_string(row)?)?;
             }
@@ -318,8 +324,8 @@
 
 fn measure_slopes(arguments: SlopesArguments) -> Result<bool, Box<dyn Error>> {
     let SlopesArguments { proxy, runs, seed, only, sizes, seconds } = arguments;
-    let keeper = std::env::current_exe()?;
-    let order = slopes::Order { proxy, keeper, runs, seed, only, sizes, seconds };
+    let guard = std::env::current_exe()?;
+    let order = slopes::Options { proxy, guard, runs, seed, only, sizes, seconds };
     for row in slopes::run(&order, |step| eprintln!("{step}"))? {
         println!("{}", serde_json::to_string(&row)?);
     }
@@ -332,7 +338,7 @@
         let text = fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
         rows.extend(report::parse(&text).map_err(|e| format!("{}: {e}", path.display()))?);
     }
-    print!("{}", report::compare(&rows));
+    print!("{}", report::format_medians(&rows));
     Ok(true)
 }
 
@@ -344,11 +350,11 @@
 
 fn run_in_virtual_time(script: &Script) -> Result<bool, Box<dyn Error>> {
     println!("{} (seed {})", script.title, script.seed);
-    let report = virtual_time::play(script)?;
-    println!("{}", report.judgement);
+    let report = virtual_time::run(script)?;
+    println!("{}", report.check_report);
     println!("{:?}\n{:?}", report.counts, report.leases);
     println!("{} events; requests and leases still open at the end: {}", report.events, report.open_at_end);
-    Ok(report.judgement.is_clean() && report.open_at_end == 0)
+    Ok(report.check_report.is_clean() && report.open_at_end == 0)
 }
 
 fn median(values: impl Iterator<Item = f64>) -> f64 {
@@ -358,7 +364,7 @@
 }
 
 fn measure_cost(load: &Load) -> Result<bool, Box<dyn Error>> {
-    println!("{} backends, {} connections, {} requests a round", load.boxes, load.clients, load.requests);
+    println!("{} backends, {} connections, {} requests a round", load.backends, load.clients, load.requests);
     println!("round path      cpu us   req/s   p50 us   p99 us    MB");
     let rows = cost::measure(load)?;
     for (round, row) in rows.iter().enumerate() {
@@ -369,8 +375,8 @@
             );
         }
     }
-    let ratio = |figure: fn(&Figures) -> f64| median(rows.iter().map(|r| figure(&r[2]) / figure(&r[1])));
-    let added = |figure: fn(&Figures) -> f64, path: usize| {
+    let ratio = |figure: fn(&PathResult) -> f64| median(rows.iter().map(|r| figure(&r[2]) / figure(&r[1])));
+    let added = |figure: fn(&PathResult) -> f64, path: usize| {
         median(rows.iter().map(|r| figure(&r[path]) - figure(&r[0])))
     };
     println!("proxy relative to pass-through, median of the ratios of all rounds:");
@@ -413,7 +419,7 @@
         Command::Compare { files } => compare(&files),
         Command::Matrix { seconds, seed, only } => run_connection_fault_matrix(seconds, seed, &only),
         Command::Cost { backends, clients, requests, rounds, proxy } => {
-            measure_cost(&Load { boxes: backends, clients, requests, turns: rounds, proxy })
+            measure_cost(&Load { backends, clients, requests, rounds, proxy })
         }
         Command::Callers { campaign, open_leases: Some(leases) } => {
             let (memory_before, memory_with_leases, granted) =
@@ -437,7 +443,7 @@
         }
         Command::Scale { scale: Scale::Slopes { arguments } } => measure_slopes(arguments),
         Command::RunGuarded { parent, descriptors, command } => {
-            Err(process_guard::become_program(parent, descriptors, &command).into())
+            Err(process_guard::exec_program(parent, descriptors, &command).into())
         }
         Command::PassThrough { backends } => {
             cost::pass_through(&backends)?;
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -68,7 +68,7 @@
     /// All requests, by time. The id of a request is its index here.
     pub arrivals: Vec<Arrival>,
     /// All process events, by time.
-    pub processes: Vec<ProcessEvent>,
+    pub process_events: Vec<ProcessEvent>,
 }
 
 impl Plan {
@@ -77,14 +77,14 @@
     pub fn draw(script: &Script) -> Self {
         let mut processes = process_events(script);
         processes.sort_by_key(|event| event.at);
-        Self { arrivals: arrivals(script), processes }
+        Self { arrivals: arrivals(script), process_events: processes }
     }
 
     /// Time of the last process event since the start of the scenario, microseconds; 0 without events. The
     /// scenario ends no sooner.
     #[must_use]
-    pub fn quiet_after(&self) -> Micros {
-        self.processes.last().map_or(0, |event| event.at)
+    pub fn last_process_event_at(&self) -> Micros {
+        self.process_events.last().map_or(0, |event| event.at)
     }
 }
 
@@ -217,12 +217,12 @@
     /// Adds the events of a fault of one proxy that starts at `from`.
     fn add_fault(&mut self, fault: &ProcessFault, proxy: usize, from: Micros, stagger: Stagger) {
         let to = from + micros(fault.for_s);
-        match fault.what {
+        match fault.kind {
             ProcessFaultKind::Kill => {
                 self.push(from, proxy, ProcessAction::Kill);
                 self.push(to, proxy, ProcessAction::Start(fault.list));
             }
-            ProcessFaultKind::End => {
+            ProcessFaultKind::Terminate => {
                 let reap_at = from + self.longest_deadline + TERMINATION_GRACE;
                 self.push(from, proxy, ProcessAction::Term);
                 self.push(reap_at, proxy, ProcessAction::Reap);
--- a/crates/testbed/src/plan/tests.rs
+++ b/crates/testbed/src/plan/tests.rs
@@ -43,9 +43,9 @@
         { what = \"end\", at_s = 9.0, part = 0.1 }, { what = \"stall\", at_s = 12.0, for_s = 2.0, part = 0.1 }]";
     let plan = Plan::draw(&script(faults));
     let events_of =
-        |wanted: ProcessAction| plan.processes.iter().filter(|e| e.action == wanted).collect::<Vec<_>>();
+        |wanted: ProcessAction| plan.process_events.iter().filter(|e| e.action == wanted).collect::<Vec<_>>();
     let (kills, starts) =
-        (events_of(ProcessAction::Kill), events_of(ProcessAction::Start(InitialList::Nothing)));
+        (events_of(ProcessAction::Kill), events_of(ProcessAction::Start(InitialList::Empty)));
     assert_eq!((kills.len(), starts.len()), (14, 14));
     assert_eq!(kills.iter().filter(|e| e.at == 2_000_000).count(), 5);
     for kill in &kills {
@@ -55,7 +55,7 @@
     let (ends, reaps, restarts) = (
         events_of(ProcessAction::Term),
         events_of(ProcessAction::Reap),
-        events_of(ProcessAction::Start(InitialList::Old)),
+        events_of(ProcessAction::Start(InitialList::Stale)),
     );
     assert_eq!((ends.len(), reaps.len(), restarts.len()), (2, 2, 2));
     assert_eq!(
--- a/crates/testbed/src/reference.rs
+++ b/crates/testbed/src/reference.rs
@@ -86,7 +86,7 @@
         let (backends, proxies) = (script.fleet.backends, script.fleet.proxies);
         let mut rng = fastrand::Rng::with_seed(script.seed ^ 0x7265_6665_7265_6e63);
         let last_used = (0..proxies).map(|_| rng.usize(0..backends)).collect();
-        let model = |backend| Some(BackendModel::new(script.box_spec(backend), START, None));
+        let model = |backend| Some(BackendModel::new(script.backend_spec(backend), START, None));
         let mut simulation = Self {
             script,
             plan,
@@ -123,7 +123,8 @@
         let arrival = self.plan.arrivals[index];
         let (class, proxy) = (usize::from(arrival.class), usize::from(arrival.proxy));
         let timeout = self.script.classes[class].deadline_ms * 1_000;
-        self.log.add(now, Observation::RequestSent { id: index as u64, class, end: now + timeout, proxy });
+        self.log
+            .add(now, Observation::RequestSent { id: index as u64, class, deadline: now + timeout, proxy });
         if self.policy == Policy::CentralQueue {
             self.queue.push_back(index);
             self.schedule(now + timeout / QUEUE_TIMEOUT_DIVISOR, Event::QueueTimeout(index));
@@ -168,7 +169,8 @@
             }
             let has_free_core = |b: &usize| {
                 let cores = self.script.fleet.cores.ceil() as usize;
-                self.is_ready(*b) && self.backends[*b].as_ref().is_some_and(|model| model.held() < cores)
+                self.is_ready(*b)
+                    && self.backends[*b].as_ref().is_some_and(|model| model.open_requests() < cores)
             };
             let free: Vec<usize> = (0..self.backends.len()).filter(has_free_core).collect();
             let max_speed = free.iter().map(|&b| self.script.speed(b)).fold(0.0, f64::max);
@@ -260,7 +262,7 @@
     }
 
     fn apply_fault_to(&mut self, now: Micros, backend: usize, fault: &BackendFault, starts: bool) {
-        match (fault.what, &mut self.backends[backend]) {
+        match (fault.kind, &mut self.backends[backend]) {
             (BackendFaultKind::Crash, model) if starts => {
                 *model = None;
                 for index in std::mem::take(&mut self.in_flight[backend]) {
@@ -269,18 +271,20 @@
                 }
             }
             (BackendFaultKind::Crash, model) => {
-                *model = Some(BackendModel::new(self.script.box_spec(backend), now, Some(now)));
+                *model = Some(BackendModel::new(self.script.backend_spec(backend), now, Some(now)));
                 self.log.add(now, Observation::BackendStarted { backend });
             }
             (BackendFaultKind::Drain, _) => self.draining[backend] = starts,
             (BackendFaultKind::Hang, Some(model)) => {
-                model.set_hangs(starts);
+                model.set_hanging(starts);
                 if !starts {
                     self.fail_unanswered(now, backend);
                 }
             }
-            (BackendFaultKind::Pause, Some(model)) => model.set_stands(starts),
-            (BackendFaultKind::Slow, Some(model)) => model.set_slow(if starts { fault.degree } else { 1.0 }),
+            (BackendFaultKind::Pause, Some(model)) => model.set_paused(starts),
+            (BackendFaultKind::Slow, Some(model)) => {
+                model.set_slowdown(if starts { fault.severity } else { 1.0 });
+            }
             // Connection faults are left out: they do not depend on the load distribution.
             _ => {}
         }
@@ -288,7 +292,7 @@
 
     /// Fails the requests that a hanging backend accepted and will never answer.
     fn fail_unanswered(&mut self, now: Micros, backend: usize) {
-        let retained = self.backends[backend].as_ref().map_or(0, BackendModel::held);
+        let retained = self.backends[backend].as_ref().map_or(0, BackendModel::open_requests);
         let unanswered = self.in_flight[backend].len().saturating_sub(retained);
         let remaining = self.in_flight[backend].len() - unanswered;
         for index in self.in_flight[backend].split_off(remaining) {
--- a/crates/testbed/src/scale/fleet/lists.rs
+++ b/crates/testbed/src/scale/fleet/lists.rs
@@ -4,7 +4,7 @@
 use super::ScaleError;
 use super::population::Population;
 use super::report::ListRow;
-use crate::fleet::{Folder, Machine, ProxyInstance};
+use crate::fleet::{ProxyInstance, RunEnvironment, TempFolder};
 use crate::http1;
 use crate::script::Script;
 use serde_json::{Value, json};
@@ -32,7 +32,11 @@
 ///
 /// # Errors
 /// If a process or socket can't be started, or the proxy does not become ready with the complete list.
-pub async fn measure(folder: &Folder, machine: &Machine, backends: usize) -> Result<ListRow, ScaleError> {
+pub async fn measure(
+    folder: &TempFolder,
+    machine: &RunEnvironment,
+    backends: usize,
+) -> Result<ListRow, ScaleError> {
     let members: Vec<Value> = (0..backends).map(|number| member(number, "active")).collect();
     let list = json!({"revision": 1, "complete": true, "members": members}).to_string();
     let change = json!({"revision": 2, "complete": false, "members": [member(0, "leaving")]}).to_string();
@@ -84,7 +88,7 @@
         bytes: list.len() as u64,
         ready_s,
         cpu_s: process.cpu_s(),
-        memory: process.memory(),
+        memory: process.resident_bytes(),
         change_bytes: change.len() as u64,
     })
 }
--- a/crates/testbed/src/scale/fleet/plan.rs
+++ b/crates/testbed/src/scale/fleet/plan.rs
@@ -46,7 +46,7 @@
         let mut busy_until = vec![0.0; population.backends.len()];
         let mut plan = Self::default();
         let mut start_s = 0.0;
-        for step in &script.step {
+        for step in &script.steps {
             let end_s = start_s + step.seconds;
             for (at, number) in
                 events(&mut rng, start_s, end_s, step, script.changes.restarts_per_day, &population.backends)
--- a/crates/testbed/src/scale/fleet/programs.rs
+++ b/crates/testbed/src/scale/fleet/programs.rs
@@ -3,7 +3,7 @@
 
 use super::ScaleError;
 use crate::address::ReservedPort;
-use crate::fleet::{Folder, cpu_s, memory, process_guard};
+use crate::fleet::{TempFolder, cpu_s, process_guard, resident_bytes};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::ffi::OsString;
@@ -41,7 +41,7 @@
         testbed: &Path,
         program: &Path,
         arguments: &[OsString],
-        folder: &Folder,
+        folder: &TempFolder,
         name: &str,
     ) -> Result<Self, ScaleError> {
         let log = folder.path().join(format!("{name}.log"));
@@ -121,7 +121,7 @@
     /// Resident memory, bytes.
     #[must_use]
     pub fn memory(&self) -> u64 {
-        memory(self.child.id())
+        resident_bytes(self.child.id())
     }
 }
 
@@ -153,7 +153,7 @@
     /// The control plane's executable.
     pub control_plane: &'a Path,
     /// The folder of the run's configurations, logs and snapshots.
-    pub folder: &'a Folder,
+    pub folder: &'a TempFolder,
 }
 
 impl ControlNode {
--- a/crates/testbed/src/scale/fleet/real_proxies.rs
+++ b/crates/testbed/src/scale/fleet/real_proxies.rs
@@ -8,7 +8,7 @@
 use super::network::Network;
 use super::population::Population;
 use super::programs::{ControlNode, ProcessStarter};
-use crate::fleet::{Machine, Process, ProxyInstance};
+use crate::fleet::{Process, ProxyInstance, RunEnvironment};
 use crate::http1;
 use crate::script::Script;
 use serde_json::{Value, json};
@@ -257,7 +257,7 @@
         population: &Population,
         network: &Network,
         starter: &ProcessStarter<'_>,
-        machine: &Machine,
+        machine: &RunEnvironment,
         seed: u64,
     ) -> Result<Self, ScaleError> {
         let count = population.proxies.len() - population.simulated;
@@ -341,7 +341,7 @@
     /// Memory of all proxies, bytes.
     #[must_use]
     pub fn proxies_memory(&self) -> u64 {
-        self.processes.iter().map(Process::memory).sum()
+        self.processes.iter().map(Process::resident_bytes).sum()
     }
 
     /// Processor time so far (seconds) and memory (bytes) of each agent.
@@ -360,7 +360,7 @@
             program.check_running()?;
         }
         for (number, process) in self.processes.iter_mut().enumerate() {
-            if let Some(status) = process.ended() {
+            if let Some(status) = process.exit_status() {
                 let (problem, last) = (format!("exited by itself ({status})"), process.log_tail());
                 return Err(ScaleError::ProgramFailed(format!("proxy {number}"), problem, last));
             }
--- a/crates/testbed/src/scale/fleet/run.rs
+++ b/crates/testbed/src/scale/fleet/run.rs
@@ -18,7 +18,7 @@
 use super::script::ScaleScript;
 use super::simulated_proxies::SimulatedProxies;
 use super::stale_sends::find_stale_sends;
-use crate::fleet::{Folder, Machine, process_guard};
+use crate::fleet::{RunEnvironment, TempFolder, process_guard};
 use control_plane::record::{Change, RecordKey, RecordKind, RecordState, ServiceId};
 use measurement::{slowest_fill_s, step_costs};
 use std::collections::BTreeMap;
@@ -34,11 +34,11 @@
 #[derive(Clone, Debug)]
 pub struct RunOptions {
     /// The control plane's executable.
-    pub control: PathBuf,
+    pub control_plane: PathBuf,
     /// The proxy's executable, the testbed's executable, and the proxies' resource limits.
-    pub machine: Machine,
+    pub machine: RunEnvironment,
     /// Numbers of backends for which the cost of a complete discovery list is measured at the end.
-    pub lists: Vec<usize>,
+    pub list_sizes: Vec<usize>,
 }
 
 /// Plays a script. All processes that it starts have exited when it returns, also after an error.
@@ -47,13 +47,13 @@
 /// If the script can't be played to its end. Violations of invariants are no errors: the report lists them.
 pub fn play(script: &ScaleScript, options: &RunOptions) -> Result<Report, ScaleError> {
     script.check()?;
-    process_guard::all_descriptors()?;
-    let folder = Folder::new()?;
+    process_guard::raise_descriptor_limit()?;
+    let folder = TempFolder::new()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let report = LocalSet::new().block_on(&runtime, async {
         let mut run = Run::start(script, options, &folder).await?;
         run.start_fleet().await?;
-        for step in 0..script.step.len() {
+        for step in 0..script.steps.len() {
             run.step(step).await?;
         }
         run.end().await
@@ -100,17 +100,20 @@
     async fn start(
         script: &'a ScaleScript,
         options: &'a RunOptions,
-        folder: &'a Folder,
+        folder: &'a TempFolder,
     ) -> Result<Self, ScaleError> {
         let population = Population::draw(script);
         let plan = ScalePlan::draw(script, &population);
         let reachability = Reachability::new(&population, script.size.processes);
-        let starter =
-            ProcessStarter { testbed: &options.machine.keeper, control_plane: &options.control, folder };
+        let starter = ProcessStarter {
+            testbed: &options.machine.testbed_binary,
+            control_plane: &options.control_plane,
+            folder,
+        };
         let test_backends = TestBackends::start()?;
         let network = Network::start(script, &starter).await?;
         let mut simulated_proxies =
-            SimulatedProxies::start(&options.machine.keeper, folder, script.size.processes).await?;
+            SimulatedProxies::start(&options.machine.testbed_binary, folder, script.size.processes).await?;
         let spec = |(number, proxy): (usize, &super::population::Proxy)| SimulatedProxySpec {
             number: number as u32,
             name: format!("proxy-{number}"),
@@ -227,7 +230,7 @@
     /// Plays a step, waits until the fleet has converged, compares all replicas and adds the step's row to
     /// the report.
     async fn step(&mut self, number: usize) -> Result<(), ScaleError> {
-        let step = self.script.step[number];
+        let step = self.script.steps[number];
         let name = format!("{number} {}", step.kind.name());
         self.simulated_proxies.take_costs().await?;
         let before = self.usage();
@@ -323,7 +326,7 @@
         );
         self.report.violations.extend(stale_sends);
         self.report.requests = self.test_backends.requests();
-        for &backends in &self.options.lists {
+        for &backends in &self.options.list_sizes {
             let row = lists::measure(self.starter.folder, &self.options.machine, backends).await?;
             self.report.lists.push(row);
         }
--- a/crates/testbed/src/scale/fleet/run/faults.rs
+++ b/crates/testbed/src/scale/fleet/run/faults.rs
@@ -19,7 +19,7 @@
 impl Run<'_> {
     /// Writes changes for the duration of the step, and injects its fault meanwhile.
     pub(super) async fn play_step(&mut self, number: usize, step: &Step) -> Result<StepOutcome, ScaleError> {
-        let step_start_s: f64 = self.script.step[..number].iter().map(|step| step.seconds).sum();
+        let step_start_s: f64 = self.script.steps[..number].iter().map(|step| step.seconds).sum();
         let phase_times_s = [Step::LEAD_S, Step::LEAD_S + step.fault_s / 2.0, Step::LEAD_S + step.fault_s];
         let (mut phase, mut outcome) = (0, StepOutcome::default());
         let started = Instant::now();
--- a/crates/testbed/src/scale/fleet/run/measurement.rs
+++ b/crates/testbed/src/scale/fleet/run/measurement.rs
@@ -50,7 +50,7 @@
         let sources: u64 = self.network.source_usage().iter().map(|usage| usage.1).sum();
         let agents: u64 = self.agent_usage().iter().map(|usage| usage.1).sum();
         let proxies = self.real_proxies.as_ref().map_or(0, RealProxies::proxies_memory);
-        let own = crate::fleet::memory(std::process::id());
+        let own = crate::fleet::resident_bytes(std::process::id());
         let total = self.simulated_proxies.usage().1 + relays + sources + agents + proxies + own;
         self.report.max_memory_bytes = self.report.max_memory_bytes.max(total);
         if total > MAX_MEMORY_BYTES {
--- a/crates/testbed/src/scale/fleet/script.rs
+++ b/crates/testbed/src/scale/fleet/script.rs
@@ -173,7 +173,8 @@
     /// Rates of changes on an ordinary day.
     pub changes: Rates,
     /// Steps, in the order in which they are played.
-    pub step: Vec<Step>,
+    #[serde(rename = "step")]
+    pub steps: Vec<Step>,
 }
 
 impl ScaleScript {
@@ -200,7 +201,7 @@
     /// Scales the script by the factor `part`: simulated proxies, services, backends, and the rates of
     /// changes. Relays, sources, zones and the size of scopes stay.
     #[must_use]
-    pub fn part(mut self, part: f64) -> Self {
+    pub fn scaled_by(mut self, part: f64) -> Self {
         let scaled = |full: usize| ((full as f64 * part).round() as usize).max(1);
         let (size, changes) = (&mut self.size, &mut self.changes);
         (size.subscribers, size.services, size.backends) =
@@ -218,11 +219,11 @@
     pub fn check(&self) -> Result<(), ScaleScriptError> {
         self.check_sizes()?;
         self.check_rates()?;
-        for (number, step) in self.step.iter().enumerate() {
+        for (number, step) in self.steps.iter().enumerate() {
             self.check_step(number, step)?;
         }
-        let seconds: f64 = self.step.iter().map(|step| step.seconds).sum();
-        if self.step.is_empty() || seconds > MAX_SECONDS {
+        let seconds: f64 = self.steps.iter().map(|step| step.seconds).sum();
+        if self.steps.is_empty() || seconds > MAX_SECONDS {
             return invalid("step", format!("{seconds} s in all steps, must be from 2 to {MAX_SECONDS}"));
         }
         Ok(())
--- a/crates/testbed/src/scale/fleet/simulated_proxies.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxies.rs
@@ -7,7 +7,7 @@
     SimulatedProxySpec, Tally,
 };
 use super::programs::Program;
-use crate::fleet::Folder;
+use crate::fleet::TempFolder;
 use control_plane::record::{SourceId, Version};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -68,7 +68,11 @@
     ///
     /// # Errors
     /// If a process does not start or does not connect to the testbed.
-    pub async fn start(testbed: &Path, folder: &Folder, process_count: usize) -> Result<Self, ScaleError> {
+    pub async fn start(
+        testbed: &Path,
+        folder: &TempFolder,
+        process_count: usize,
+    ) -> Result<Self, ScaleError> {
         let mut processes = Vec::new();
         for number in 0..process_count {
             let name = format!("hollow-{number}");
--- a/crates/testbed/src/scale/fleet/simulated_proxy.rs
+++ b/crates/testbed/src/scale/fleet/simulated_proxy.rs
@@ -311,7 +311,7 @@
 /// # Errors
 /// If the testbed can't be reached, the connection breaks, or a command is invalid.
 pub fn serve(testbed: SocketAddr) -> io::Result<()> {
-    crate::fleet::process_guard::all_descriptors()?;
+    crate::fleet::process_guard::raise_descriptor_limit()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let stream = TcpStream::connect(testbed).await?;
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -103,7 +103,7 @@
 fn full_scale_script_is_valid_at_every_part_size() {
     let full = script(FULL_SCALE);
     for (part, size) in [(1.0, (5_200, 7_400, 160_000)), (0.25, (1_300, 1_850, 40_000))] {
-        let script = full.clone().part(part);
+        let script = full.clone().scaled_by(part);
         script.check().expect("valid sizes");
         let s = &script.size;
         assert_eq!((s.subscribers, s.services, s.backends), size);
@@ -121,9 +121,9 @@
 #[test]
 fn plan_has_the_rates_of_its_script_and_valid_state_transitions() {
     let mut script = script(FULL_SCALE);
-    script.step.truncate(2);
+    script.steps.truncate(2);
     script.size.subscribers = 50;
-    (script.step[0].seconds, script.step[1].seconds) = (300.0, 300.0);
+    (script.steps[0].seconds, script.steps[1].seconds) = (300.0, 300.0);
     let population = Population::draw(&script);
     let plan = ScalePlan::draw(&script, &population);
     assert!(plan.changes.windows(2).all(|pair| pair[0].0 <= pair[1].0), "changes are not ascending by time");
--- a/crates/testbed/src/scale/slopes/mod.rs
+++ b/crates/testbed/src/scale/slopes/mod.rs
@@ -127,11 +127,11 @@
 
 /// Options of a measurement.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct Options {
     /// Path of the proxy's program.
     pub proxy: PathBuf,
     /// Path of this crate's program, which starts the proxy so that the proxy ends with the measurement.
-    pub keeper: PathBuf,
+    pub guard: PathBuf,
     /// Number of runs; results are their medians.
     pub runs: usize,
     /// Seed of the random numbers of the emulated clients and discovery.
@@ -182,7 +182,7 @@
     }
 }
 
-impl Order {
+impl Options {
     /// Validates the options; returns the selected families, each with its sizes in ascending order.
     ///
     /// # Errors
@@ -265,7 +265,7 @@
 ///
 /// # Errors
 /// If the options are invalid or a measurement fails.
-pub fn run(order: &Order, mut progress: impl FnMut(&str)) -> Result<Vec<Row>, ScaleError> {
+pub fn run(order: &Options, mut progress: impl FnMut(&str)) -> Result<Vec<Row>, ScaleError> {
     let families = order.check()?;
     let run_info = RunInfo {
         command: order.command(),
@@ -273,13 +273,13 @@
         machine: host(),
         program: version(&order.proxy)?,
     };
-    let descriptors = process_guard::all_descriptors()?;
+    let descriptors = process_guard::raise_descriptor_limit()?;
     if descriptors < DESCRIPTORS {
         return Err(ScaleError::Descriptors(descriptors));
     }
     let settings = MeasurementSettings {
         proxy: order.proxy.clone(),
-        guard: order.keeper.clone(),
+        guard: order.guard.clone(),
         descriptors,
         duration: Duration::from_secs_f64(order.seconds),
         seed: order.seed,
--- a/crates/testbed/src/scale/slopes/proxy_process.rs
+++ b/crates/testbed/src/scale/slopes/proxy_process.rs
@@ -3,7 +3,7 @@
 
 use super::ScaleError;
 use crate::address::ReservedPort;
-use crate::fleet::{Folder, process_guard};
+use crate::fleet::{TempFolder, process_guard};
 use crate::http1;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -102,7 +102,7 @@
     config_path: PathBuf,
     log_path: PathBuf,
     /// Removed after the process has ended.
-    _folder: Folder,
+    _folder: TempFolder,
 }
 
 impl Drop for ProxyProcess {
@@ -120,7 +120,7 @@
         discovery: SocketAddr,
         spec: SettingsSpec,
     ) -> Result<Self, ScaleError> {
-        let folder = Folder::new()?;
+        let folder = TempFolder::new()?;
         let listen = ReservedPort::new(Ipv4Addr::LOCALHOST)?;
         let (config_path, log_path) = (folder.path().join("config.json"), folder.path().join("log"));
         fs::write(&config_path, config(&spec, 0, listen.address(), discovery, descriptors))?;
--- a/crates/testbed/src/script/faults.rs
+++ b/crates/testbed/src/script/faults.rs
@@ -8,21 +8,22 @@
 #[serde(deny_unknown_fields)]
 pub struct BackendFault {
     /// The kind of fault.
-    pub what: BackendFaultKind,
+    #[serde(rename = "what")]
+    pub kind: BackendFaultKind,
     /// Start of the fault, seconds since the start of the scenario.
     pub at_s: f64,
     /// Duration of the fault, seconds.
     pub for_s: f64,
     /// Fraction of the backends that are affected, selected at random.
-    #[serde(default)]
-    pub part: f64,
+    #[serde(default, rename = "part")]
+    pub fraction: f64,
     /// Affects all backends of this zone instead of a fraction.
     #[serde(default)]
     pub zone: Option<u16>,
     /// Severity: for `slow` the factor of the service time, otherwise the fraction of the requests, responses
     /// or connections that are affected.
-    #[serde(default)]
-    pub degree: f64,
+    #[serde(default, rename = "degree")]
+    pub severity: f64,
 }
 
 /// Kinds of backend and discovery faults.
@@ -71,9 +72,9 @@
         Self::AcceptLate,
     ];
 
-    /// Whether [`BackendFault::degree`] applies to this kind.
+    /// Whether [`BackendFault::severity`] applies to this kind.
     #[must_use]
-    pub fn has_degree(self) -> bool {
+    pub fn has_severity(self) -> bool {
         matches!(self, Self::Slow | Self::Spoil) || Self::OF_CONNECTIONS.contains(&self)
     }
 }
@@ -83,15 +84,16 @@
 #[serde(deny_unknown_fields)]
 pub struct ProcessFault {
     /// Kind of fault.
-    pub what: ProcessFaultKind,
+    #[serde(rename = "what")]
+    pub kind: ProcessFaultKind,
     /// Start of the fault, seconds since the start of the scenario.
     pub at_s: f64,
     /// Time for which the process is down or stopped, seconds.
     #[serde(default)]
     pub for_s: f64,
     /// Fraction of the proxies that are affected, selected at random.
-    #[serde(default)]
-    pub part: f64,
+    #[serde(default, rename = "part")]
+    pub fraction: f64,
     /// Number of waves into which the affected proxies are divided.
     #[serde(default = "one_wave")]
     pub waves: u32,
@@ -118,7 +120,8 @@
     /// The process is killed (SIGKILL) and restarted later.
     Kill,
     /// The process is terminated (SIGTERM) and restarted later.
-    End,
+    #[serde(rename = "end")]
+    Terminate,
     /// The process is stopped (SIGSTOP) and continued later (SIGCONT).
     Stall,
     /// A successor process takes over while the old one serves; only in runs with processes.
@@ -131,9 +134,11 @@
 pub enum InitialList {
     /// The list as it was at the start of the scenario.
     #[default]
-    Old,
+    #[serde(rename = "old")]
+    Stale,
     /// No list.
-    Nothing,
+    #[serde(rename = "nothing")]
+    Empty,
 }
 
 /// A fault of the links between two kinds of endpoints.
@@ -147,8 +152,8 @@
     /// Duration of the fault, seconds.
     pub for_s: f64,
     /// Fraction of the links that are affected, selected by the seed.
-    #[serde(default = "all_links")]
-    pub part: f64,
+    #[serde(default = "all_links", rename = "part")]
+    pub fraction: f64,
     /// Affects only links of this zone's proxies; between proxies, only links that cross the zone's boundary.
     #[serde(default)]
     pub zone: Option<u16>,
@@ -189,7 +194,8 @@
     /// Clients and proxies.
     Clients,
     /// Proxies and backends.
-    Boxes,
+    #[serde(rename = "boxes")]
+    Backends,
     /// Proxies and the discovery service.
     Discovery,
     /// Two proxies (datagrams).
@@ -224,7 +230,7 @@
         let mut rng = fastrand::Rng::with_seed(self.seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9));
         let mut all: Vec<usize> = (0..self.fleet.backends).collect();
         rng.shuffle(&mut all);
-        all.truncate((self.fleet.backends as f64 * fault.part).round() as usize);
+        all.truncate((self.fleet.backends as f64 * fault.fraction).round() as usize);
         all
     }
 
@@ -238,7 +244,7 @@
             fastrand::Rng::with_seed(self.seed ^ (index as u64 + 1).wrapping_mul(0xd6e8_feb8_6659_fd93));
         let mut all: Vec<usize> = (0..self.fleet.proxies).collect();
         rng.shuffle(&mut all);
-        all.truncate((self.fleet.proxies as f64 * self.process_faults[index].part).round() as usize);
+        all.truncate((self.fleet.proxies as f64 * self.process_faults[index].fraction).round() as usize);
         all
     }
 
--- a/crates/testbed/src/script/fleet.rs
+++ b/crates/testbed/src/script/fleet.rs
@@ -92,7 +92,7 @@
 
     /// The parameters of a backend for its model.
     #[must_use]
-    pub fn box_spec(&self, backend: usize) -> BackendSpec {
+    pub fn backend_spec(&self, backend: usize) -> BackendSpec {
         BackendSpec {
             cores: self.fleet.cores,
             speed: self.speed(backend),
@@ -109,7 +109,7 @@
     }
 
     /// A random serving proxy of the same zone as an unavailable one; `None` if there is none.
-    pub(crate) fn in_place_of(
+    pub(crate) fn replacement_for(
         &self,
         unavailable: usize,
         is_serving: impl Fn(usize) -> bool,
--- a/crates/testbed/src/script/proxy_settings.rs
+++ b/crates/testbed/src/script/proxy_settings.rs
@@ -14,8 +14,8 @@
         };
         let class_settings = |class: &ClassSpec| {
             let (effect, group) = match class.idempotency {
-                IdempotencySpec::Safe => ("retryable", ""),
-                IdempotencySpec::Unsafe => ("fragile", ""),
+                IdempotencySpec::Idempotent => ("retryable", ""),
+                IdempotencySpec::NonIdempotent => ("fragile", ""),
                 IdempotencySpec::KeyedZone => ("dedup", "zone"),
                 IdempotencySpec::KeyedCell => ("dedup", "cell"),
             };
--- a/crates/testbed/src/script/traffic.rs
+++ b/crates/testbed/src/script/traffic.rs
@@ -11,14 +11,14 @@
     /// Requests per second over all proxies.
     pub per_s: f64,
     /// Fraction of the requests whose attempts external clients make under leases; only in virtual time.
-    #[serde(default)]
-    pub leased: f64,
+    #[serde(default, rename = "leased")]
+    pub leased_fraction: f64,
     /// Fraction of the lease reports that are lost.
-    #[serde(default)]
-    pub lost_reports: f64,
+    #[serde(default, rename = "lost_reports")]
+    pub lost_report_fraction: f64,
     /// Fraction of the leases under which the external client delays sending.
-    #[serde(default)]
-    pub slow_callers: f64,
+    #[serde(default, rename = "slow_callers")]
+    pub delayed_send_fraction: f64,
     /// Number of tenants, each with the same quota; 0: all requests belong to one tenant without a configured
     /// quota.
     #[serde(default)]
@@ -90,9 +90,11 @@
 #[serde(rename_all = "kebab-case")]
 pub enum IdempotencySpec {
     /// Idempotent: any number of attempts may run.
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// Non-idempotent: at most one attempt may run.
-    Unsafe,
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
     /// Keyed: retries are deduplicated within a zone.
     KeyedZone,
     /// Keyed: retries are deduplicated within a cell.
--- a/crates/testbed/src/script/validation.rs
+++ b/crates/testbed/src/script/validation.rs
@@ -95,9 +95,9 @@
         check_range("traffic.skew", traffic.skew, 0.0, 3.0)?;
         check_range("traffic.per_s", traffic.per_s, 0.1, MAX_REQUESTS / self.seconds)?;
         check_fractions(&[
-            ("traffic.leased", traffic.leased),
-            ("traffic.lost_reports", traffic.lost_reports),
-            ("traffic.slow_callers", traffic.slow_callers),
+            ("traffic.leased", traffic.leased_fraction),
+            ("traffic.lost_reports", traffic.lost_report_fraction),
+            ("traffic.slow_callers", traffic.delayed_send_fraction),
             ("traffic.first_tenant", traffic.first_tenant_share),
             ("traffic.busy_proxies", traffic.busy_proxy_fraction),
             ("traffic.busy_share", traffic.busy_share),
@@ -131,11 +131,11 @@
         let key = |name: &str| format!("trouble[{index}].{name}");
         check_range(&key("at_s"), fault.at_s, 0.0, self.seconds)?;
         check_range(&key("for_s"), fault.for_s, 0.0, MAX_SECONDS)?;
-        check_range(&key("part"), fault.part, 0.0, 1.0)?;
+        check_range(&key("part"), fault.fraction, 0.0, 1.0)?;
         let (min_degree, max_degree) =
-            if fault.what == BackendFaultKind::Slow { (1.0, 100.0) } else { (0.0, 1.0) };
-        if fault.what.has_degree() {
-            check_range(&key("degree"), fault.degree, min_degree, max_degree)?;
+            if fault.kind == BackendFaultKind::Slow { (1.0, 100.0) } else { (0.0, 1.0) };
+        if fault.kind.has_severity() {
+            check_range(&key("degree"), fault.severity, min_degree, max_degree)?;
         }
         self.check_zone(&key("zone"), fault.zone)
     }
@@ -144,17 +144,17 @@
         let key = |name: &str| format!("process[{index}].{name}");
         check_range(&key("at_s"), fault.at_s, 0.0, self.seconds)?;
         check_range(&key("for_s"), fault.for_s, 0.0, MAX_SECONDS)?;
-        check_range(&key("part"), fault.part, 0.0, 1.0)?;
+        check_range(&key("part"), fault.fraction, 0.0, 1.0)?;
         check_range(&key("waves"), f64::from(fault.waves), 1.0, MAX_WAVES)?;
         check_range(&key("wave_s"), fault.wave_s, 0.0, MAX_SECONDS)?;
         if fault.every_s == 0.0 {
             return Ok(());
         }
-        if fault.what != ProcessFaultKind::Stall {
+        if fault.kind != ProcessFaultKind::Stall {
             return invalid(key("every_s"), "must be 0, as only a `stall` can be periodic");
         }
         // The period must leave time to signal all processes, and a gap between two stalls of one process.
-        let signalling_s = self.fleet.proxies as f64 * fault.part / MAX_STALLS_PER_S;
+        let signalling_s = self.fleet.proxies as f64 * fault.fraction / MAX_STALLS_PER_S;
         check_range(
             &key("every_s"),
             fault.every_s,
@@ -167,7 +167,7 @@
         let key = |name: &str| format!("link[{index}].{name}");
         check_range(&key("at_s"), fault.at_s, 0.0, self.seconds)?;
         check_range(&key("for_s"), fault.for_s, 0.0, MAX_SECONDS)?;
-        check_range(&key("part"), fault.part, 0.0, 1.0)?;
+        check_range(&key("part"), fault.fraction, 0.0, 1.0)?;
         check_range(&key("drop"), fault.loss_fraction, 0.0, 1.0)?;
         check_range(&key("duplicate"), fault.duplication_fraction, 0.0, 1.0)?;
         check_range(&key("reorder"), fault.reorder_fraction, 0.0, 1.0)?;
--- a/crates/testbed/src/sockets.rs
+++ b/crates/testbed/src/sockets.rs
@@ -10,7 +10,7 @@
 mod threads;
 
 pub(crate) use backends::reset;
-pub(crate) use clients::up;
+pub(crate) use clients::fetch_up_status;
 pub(crate) use shard::Shard;
 pub(crate) use shared_state::SharedState;
 
@@ -177,7 +177,7 @@
         }
     }
     threads::stop_all(proxies).await?;
-    let check_report = check(script, &shard.record(), slack);
+    let check_report = check(script, &shard.observations(), slack);
     Ok(ScenarioResult { check_report, fault_hits: shard.fault_hits(), outcomes, ejections, unserved })
 }
 
@@ -189,7 +189,7 @@
     slack: Micros,
 ) -> ProgressReport {
     let limits = proxy.status.lock().map(|status| status.0.clone()).unwrap_or_default();
-    let so_far = check(&shared_state.script, &shard.record(), slack);
+    let so_far = check(&shared_state.script, &shard.observations(), slack);
     // The checker counts requests that are still in flight as violations of rule 1.
     let open_requests = so_far.total.requests
         - so_far.total.in_time
--- a/crates/testbed/src/sockets/backends.rs
+++ b/crates/testbed/src/sockets/backends.rs
@@ -65,7 +65,7 @@
         let (high, low) = (index / 200, index % 200);
         let address = ReservedPort::new(Ipv4Addr::new(127, 0, 10 + high as u8, 1 + low as u8))?;
         let listener = listen(address.address())?;
-        let model = BackendModel::new(context.state.script.box_spec(index), context.state.now(), None);
+        let model = BackendModel::new(context.state.script.backend_spec(index), context.state.now(), None);
         let backend = Rc::new(Self {
             context: Rc::clone(context),
             index,
@@ -262,17 +262,17 @@
 
     pub(crate) fn apply_fault(&self, fault: &BackendFault, starts: bool) {
         self.advance();
-        let probability = if starts { fault.degree } else { 0.0 };
-        match fault.what {
+        let probability = if starts { fault.severity } else { 0.0 };
+        match fault.kind {
             BackendFaultKind::Crash if starts => self.crash(),
             BackendFaultKind::Crash => self.restart(),
             BackendFaultKind::Drain => {
                 self.backend_status().set_draining(starts);
                 self.with_model(|model| model.set_draining(starts));
             }
-            BackendFaultKind::Hang => self.with_model(|model| model.set_hangs(starts)),
-            BackendFaultKind::Pause => self.with_model(|model| model.set_stands(starts)),
-            BackendFaultKind::Slow => self.with_model(|model| model.set_slow(probability)),
+            BackendFaultKind::Hang => self.with_model(|model| model.set_hanging(starts)),
+            BackendFaultKind::Pause => self.with_model(|model| model.set_paused(starts)),
+            BackendFaultKind::Slow => self.with_model(|model| model.set_slowdown(probability)),
             BackendFaultKind::DiscoveryDown => {}
             kind => _ = self.faults.borrow_mut().insert(kind, probability),
         }
@@ -298,7 +298,7 @@
         }
         let now = self.context.state.now();
         *self.model.borrow_mut() =
-            Some(BackendModel::new(self.context.state.script.box_spec(self.index), now, Some(now)));
+            Some(BackendModel::new(self.context.state.script.backend_spec(self.index), now, Some(now)));
         self.backend_status().mark_up(now);
         self.context.record(Observation::BackendStarted { backend: self.index });
         self.incarnation.send_modify(|incarnation| *incarnation += 1);
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -30,7 +30,7 @@
 /// Polls a proxy until `/up` returns 200.
 pub(crate) async fn wait_until_up(address: SocketAddr) {
     loop {
-        if let Ok(200) = up(address).await {
+        if let Ok(200) = fetch_up_status(address).await {
             return;
         }
         sleep(HEALTH_POLL_INTERVAL).await;
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Where the connection fails or the response is malformed.
-pub(crate) async fn up(address: SocketAddr) -> io::Result<u16> {
+pub(crate) async fn fetch_up_status(address: SocketAddr) -> io::Result<u16> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(b"GET /up HTTP/1.1\r\nHost: rig\r\n\r\n").await?;
     let response = http1::read(&mut stream, &mut Vec::new(), http1::MessageKind::Response).await?;
@@ -215,7 +215,7 @@
         }
         if std::mem::replace(stage, SendStage::Written) != SendStage::Written {
             let (id, class, proxy) = (planned.id, planned.class, planned.proxy);
-            self.context.record_at(at, Observation::RequestSent { id, class, end: deadline, proxy });
+            self.context.record_at(at, Observation::RequestSent { id, class, deadline, proxy });
         }
         let response =
             match http1::read(&mut connection.stream, &mut connection.buffer, http1::MessageKind::Response)
@@ -235,7 +235,7 @@
     fn render_request(&self, planned: &PlannedRequest, deadline: Micros) -> String {
         let class = &self.context.state.script.classes[planned.class];
         let remaining_ms = deadline.saturating_sub(self.context.state.now()) / 1_000;
-        let method = if class.idempotency == IdempotencySpec::Safe { "GET" } else { "POST" };
+        let method = if class.idempotency == IdempotencySpec::Idempotent { "GET" } else { "POST" };
         let has_key = matches!(class.idempotency, IdempotencySpec::KeyedZone | IdempotencySpec::KeyedCell);
         let key = if has_key { format!("Idempotency-Key: {:032x}\r\n", planned.id) } else { String::new() };
         let tenants = self.context.state.script.traffic.tenants;
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -201,7 +201,7 @@
         if self.context.state.discovery_is_down() || (after.is_some() && continues_watch) {
             return !self.context.state.discovery_is_down();
         }
-        let outcome = queue.borrow_mut().come(self.context.state.now());
+        let outcome = queue.borrow_mut().add_call(self.context.state.now());
         let (CallOutcome::Done(at) | CallOutcome::Failed(at)) = outcome;
         self.context.state.sleep_until(at).await;
         matches!(outcome, CallOutcome::Done(_)) && !self.context.state.discovery_is_down()
--- a/crates/testbed/src/sockets/shard.rs
+++ b/crates/testbed/src/sockets/shard.rs
@@ -131,7 +131,7 @@
         self.context.fault_hits.get()
     }
 
-    pub(crate) fn record(&self) -> Ref<'_, ObservationLog> {
+    pub(crate) fn observations(&self) -> Ref<'_, ObservationLog> {
         self.context.record.borrow()
     }
 
@@ -153,7 +153,7 @@
     let affected = script.faulty_backends(index);
     for (at_s, starts) in [(fault.at_s, true), (fault.at_s + fault.for_s, false)] {
         context.state.sleep_until(started_at + micros(at_s)).await;
-        if fault.what == BackendFaultKind::DiscoveryDown {
+        if fault.kind == BackendFaultKind::DiscoveryDown {
             if !agents.is_empty() {
                 context.state.set_discovery_down(starts);
             }
@@ -164,7 +164,7 @@
         }
         for backend in backends.iter().filter(|b| affected.contains(&b.index())) {
             backend.apply_fault(fault, starts);
-            if matches!(fault.what, BackendFaultKind::Crash | BackendFaultKind::Drain) {
+            if matches!(fault.kind, BackendFaultKind::Crash | BackendFaultKind::Drain) {
                 context.state.notify_backend_changed(backend.index());
             }
         }
--- a/crates/testbed/src/sockets/shared_state.rs
+++ b/crates/testbed/src/sockets/shared_state.rs
@@ -232,6 +232,6 @@
         if self.proxy_endpoint(planned).is_open() {
             return Some(planned);
         }
-        self.script.in_place_of(planned, |proxy| self.proxy_endpoint(proxy).is_open(), rng)
+        self.script.replacement_for(planned, |proxy| self.proxy_endpoint(proxy).is_open(), rng)
     }
 }
--- a/crates/testbed/src/spread.rs
+++ b/crates/testbed/src/spread.rs
@@ -243,7 +243,7 @@
     };
     script.backend_faults.iter().enumerate().all(|(index, fault)| {
         let delay_s = 2.0 * script.fleet.notification_delay_s + script.fleet.warm_up_s;
-        let overlaps = takes_out(fault.what) && fault.at_s < to && from < fault.at_s + fault.for_s + delay_s;
+        let overlaps = takes_out(fault.kind) && fault.at_s < to && from < fault.at_s + fault.for_s + delay_s;
         !overlaps || !script.faulty_backends(index).contains(&backend)
     })
 }
--- a/crates/testbed/src/spread/tests.rs
+++ b/crates/testbed/src/spread/tests.rs
@@ -14,10 +14,11 @@
 /// requests are served.
 fn measure_spread(script: &Script, to: impl Fn(u64) -> usize, served: impl Fn(u64) -> bool) -> Spread {
     let (mut observations, mut plan) = (Vec::new(), Plan::draw(script));
-    plan.processes.clear();
+    plan.process_events.clear();
     for id in 0..800 {
         let at = id * 25_000;
-        observations.push((at, Observation::RequestSent { id, class: 0, end: at + 1_500_000, proxy: 0 }));
+        observations
+            .push((at, Observation::RequestSent { id, class: 0, deadline: at + 1_500_000, proxy: 0 }));
         observations.push((at + 10, Observation::AttemptStarted { id, backend: to(id), work: 1_000 }));
         let kind = if served(at / 1_000_000) { ResponseKind::Served } else { ResponseKind::Rejected };
         observations.push((at + 20, Observation::ResponseReceived { id, kind }));
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -45,11 +45,11 @@
 #[derive(Debug, PartialEq)]
 pub struct Report {
     /// Rule violations and goodput.
-    pub judgement: CheckReport,
+    pub check_report: CheckReport,
     /// Load distribution over the backends.
     pub spread: Spread,
     /// Load of backends that were warming up; `None` where no backend started during the scenario.
-    pub cold: Option<SlowStartLoad>,
+    pub slow_start_load: Option<SlowStartLoad>,
     /// Request counters, summed over all engines, including those of ended processes.
     pub counts: Counts,
     /// Lease counters, summed in the same way.
@@ -153,7 +153,7 @@
 ///
 /// # Errors
 /// The script results in invalid proxy settings.
-pub fn play(script: &Script) -> Result<Report, SettingsError> {
+pub fn run(script: &Script) -> Result<Report, SettingsError> {
     let plan = Plan::draw(script);
     let mut simulation = Simulation::new(script, &plan)?;
     let mut events = 0;
@@ -174,9 +174,9 @@
     }
     let observations = simulation.log.in_order();
     Ok(Report {
-        judgement: check_ordered(script, &observations, 0),
+        check_report: check_ordered(script, &observations, 0),
         spread: spread::measure(script, &plan, &observations, START),
-        cold: slow_start_load::measure(script, &plan, &observations),
+        slow_start_load: slow_start_load::measure(script, &plan, &observations),
         counts: totals.counts,
         leases: totals.leases,
         open_at_end,
@@ -231,7 +231,7 @@
     fn new(script: &'a Script, plan: &'a Plan) -> Result<Self, SettingsError> {
         let rng = fastrand::Rng::with_seed(script.seed);
         let backends = (0..script.fleet.backends).map(|backend| SimulatedBackend {
-            model: Some(BackendModel::new(script.box_spec(backend), START, None)),
+            model: Some(BackendModel::new(script.backend_spec(backend), START, None)),
             due: Micros::MAX,
             draining: false,
             started_at: None,
@@ -273,7 +273,7 @@
             self.proxies[proxy].update_membership(START, MembershipUpdate::Snapshot(&self.initial_snapshot));
             self.run_commands(proxy);
         }
-        for (index, event) in plan.processes.iter().enumerate() {
+        for (index, event) in plan.process_events.iter().enumerate() {
             self.at(START + event.at, Event::ProcessAction(index));
         }
         for (index, fault) in script.backend_faults.iter().enumerate() {
--- a/crates/testbed/src/virtual_time/backends.rs
+++ b/crates/testbed/src/virtual_time/backends.rs
@@ -94,7 +94,7 @@
 
     pub(super) fn apply_fault(&mut self, index: usize, starts: bool) {
         let fault = &self.script.backend_faults[index];
-        if fault.what == BackendFaultKind::DiscoveryDown {
+        if fault.kind == BackendFaultKind::DiscoveryDown {
             self.discovery_down = self.discovery_down.saturating_add_signed(if starts { 1 } else { -1 });
             if self.discovery_down == 0 {
                 for event in std::mem::take(&mut self.deferred_notifications) {
@@ -112,7 +112,7 @@
 
     pub(super) fn apply_fault_to(&mut self, backend: usize, index: usize, starts: bool) {
         let fault = &self.script.backend_faults[index];
-        let (what, degree) = (fault.what, if starts { fault.degree } else { 0.0 });
+        let (what, degree) = (fault.kind, if starts { fault.severity } else { 0.0 });
         let simulated = &mut self.backends[backend];
         match what {
             BackendFaultKind::Reset => simulated.reset_fraction = degree,
@@ -129,9 +129,9 @@
             BackendFaultKind::Hang | BackendFaultKind::Pause | BackendFaultKind::Slow => {
                 let Some(model) = &mut simulated.model else { return };
                 match what {
-                    BackendFaultKind::Hang => model.set_hangs(starts),
-                    BackendFaultKind::Pause => model.set_stands(starts),
-                    _ => model.set_slow(degree),
+                    BackendFaultKind::Hang => model.set_hanging(starts),
+                    BackendFaultKind::Pause => model.set_paused(starts),
+                    _ => model.set_slowdown(degree),
                 }
             }
             // Virtual time emulates no connections: of these faults only resets during a request are
@@ -160,7 +160,7 @@
     }
 
     pub(super) fn start(&mut self, backend: usize) {
-        let (spec, now) = (self.script.box_spec(backend), self.now);
+        let (spec, now) = (self.script.backend_spec(backend), self.now);
         let simulated = &mut self.backends[backend];
         if simulated.model.is_some() {
             return;
--- a/crates/testbed/src/virtual_time/processes.rs
+++ b/crates/testbed/src/virtual_time/processes.rs
@@ -60,11 +60,11 @@
         }
         let is_serving =
             |proxy: usize| self.processes[proxy].is_running() && !self.processes[proxy].terminating;
-        self.script.in_place_of(intended, is_serving, &mut self.rng)
+        self.script.replacement_for(intended, is_serving, &mut self.rng)
     }
 
     pub(super) fn apply_process_event(&mut self, index: usize) {
-        let event = self.plan.processes[index];
+        let event = self.plan.process_events[index];
         let proxy = event.proxy;
         match event.action {
             ProcessAction::Kill => {
@@ -103,7 +103,7 @@
         self.processes[proxy] = Process { incarnation, ..Process::default() };
         self.proxy_due[proxy] = Micros::MAX;
         self.log.add(self.now, Observation::ProxyRestarted { proxy });
-        if list == InitialList::Old {
+        if list == InitialList::Stale {
             self.proxies[proxy]
                 .update_membership(self.now, MembershipUpdate::CachedSnapshot(&self.initial_snapshot));
             self.run_commands(proxy);
--- a/crates/testbed/src/virtual_time/proxies.rs
+++ b/crates/testbed/src/virtual_time/proxies.rs
@@ -53,7 +53,7 @@
         let index = self.record_attempt(proxy, client, (request, attempt), backend, timeout_at);
         (self.attempts[index].lease, self.attempts[index].send_by) = (Some(lease), send_by);
         self.by_lease.insert(lease, index);
-        let is_slow = self.rng.f64() < self.script.traffic.slow_callers;
+        let is_slow = self.rng.f64() < self.script.traffic.delayed_send_fraction;
         let delay = if is_slow { self.rng.u64(0..MAX_SLOW_SEND_DELAY) } else { SEND_DELAY };
         self.after(delay, Event::LeaseHolderSends(index));
     }
@@ -103,7 +103,7 @@
             None => self.proxies[proxy].attempt_finished(self.now, request, number, attempt_end),
             Some(lease) => {
                 self.by_lease.remove(&lease);
-                if self.rng.f64() < self.script.traffic.lost_reports {
+                if self.rng.f64() < self.script.traffic.lost_report_fraction {
                     return;
                 }
                 // Fails for a late report, which the engine counts and ignores.
--- a/crates/testbed/src/virtual_time/requests.rs
+++ b/crates/testbed/src/virtual_time/requests.rs
@@ -19,8 +19,10 @@
             return self.log.add(self.now, Observation::RequestUndelivered { class });
         };
         let timeout = self.script.classes[class].deadline_ms * 1_000;
-        self.log
-            .add(self.now, Observation::RequestSent { id: client, class, end: self.now + timeout, proxy });
+        self.log.add(
+            self.now,
+            Observation::RequestSent { id: client, class, deadline: self.now + timeout, proxy },
+        );
         self.proxy_receives(proxy, index);
     }
 
@@ -30,7 +32,7 @@
             return;
         }
         let arrival = self.plan.arrivals[index];
-        let is_leased = self.rng.f64() < self.script.traffic.leased;
+        let is_leased = self.rng.f64() < self.script.traffic.leased_fraction;
         let client = index as u64;
         let arrival = IncomingRequest {
             class: arrival.class,
--- a/crates/testbed/tests/laboratory.rs
+++ b/crates/testbed/tests/laboratory.rs
@@ -8,13 +8,13 @@
 mod shared;
 
 use machine::machine;
-use program::{KEEPER, program};
-use shared::{Ended, children, runs, wait_until};
+use program::{TESTBED_PROGRAM, proxy_program};
+use shared::{KillOnDrop, children, is_proxy_running, wait_until};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use testbed::fleet::report::Row;
-use testbed::fleet::{FleetError, Machine, play};
+use testbed::fleet::{self, FleetError, RunEnvironment};
 use testbed::script::{
     BackendFault, BackendFaultKind, Direction, InitialList, LinkEndpoints, LinkFault, ProcessFault,
     ProcessFaultKind, Script, ScriptError,
@@ -29,7 +29,16 @@
 }
 
 fn process_fault(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
-    ProcessFault { what, at_s: 1.0, for_s, part, waves: 1, wave_s: 0.0, every_s: 0.0, list: InitialList::Old }
+    ProcessFault {
+        kind: what,
+        at_s: 1.0,
+        for_s,
+        fraction: part,
+        waves: 1,
+        wave_s: 0.0,
+        every_s: 0.0,
+        list: InitialList::Stale,
+    }
 }
 
 fn link_fault(between: LinkEndpoints) -> LinkFault {
@@ -37,7 +46,7 @@
         between,
         at_s: 1.0,
         for_s: 1.0,
-        part: 1.0,
+        fraction: 1.0,
         zone: None,
         direction: Direction::Both,
         cut: false,
@@ -51,8 +60,8 @@
 }
 
 fn run(script: &Script) -> Row {
-    let row = play(script, &machine()).expect("the scenario runs");
-    println!("{}", testbed::fleet::report::line(&row));
+    let row = fleet::run(script, &machine()).expect("the scenario runs");
+    println!("{}", testbed::fleet::report::format_row(&row));
     assert_eq!(row.violations, [0; 4], "{row:?}");
     assert!(row.requests > 450, "{} of about 600 requests were sent", row.requests);
     row
@@ -73,12 +82,12 @@
     let mut script = script();
     script.process_faults = vec![process_fault(ProcessFaultKind::Kill, 0.7, 0.5)];
     let drain = BackendFault {
-        what: BackendFaultKind::Drain,
+        kind: BackendFaultKind::Drain,
         at_s: 0.7,
         for_s: 3.0,
-        part: 0.1,
+        fraction: 0.1,
         zone: None,
-        degree: 0.0,
+        severity: 0.0,
     };
     script.backend_faults = vec![drain];
     let row = run(&script);
@@ -103,7 +112,7 @@
 fn loses_no_request_on_sigterm_or_replacement() {
     let mut script = script();
     let terminated =
-        ProcessFault { waves: 3, wave_s: 0.3, ..process_fault(ProcessFaultKind::End, 0.25, 0.5) };
+        ProcessFault { waves: 3, wave_s: 0.3, ..process_fault(ProcessFaultKind::Terminate, 0.25, 0.5) };
     let replaced =
         ProcessFault { waves: 3, wave_s: 0.3, ..process_fault(ProcessFaultKind::Replace, 0.25, 0.0) };
     script.process_faults = vec![terminated, replaced];
@@ -115,14 +124,16 @@
 #[test]
 fn violates_no_rule_with_slow_lossy_and_cut_links() {
     let mut script = script();
-    let slow = LinkFault { part: 0.3, delay_ms: 200.0, jitter_ms: 50.0, ..link_fault(LinkEndpoints::Boxes) };
-    let lossy = LinkFault { at_s: 2.0, part: 0.3, loss_fraction: 0.2, ..link_fault(LinkEndpoints::Boxes) };
-    let cut = LinkFault { part: 0.5, cut: true, ..link_fault(LinkEndpoints::Discovery) };
+    let slow =
+        LinkFault { fraction: 0.3, delay_ms: 200.0, jitter_ms: 50.0, ..link_fault(LinkEndpoints::Backends) };
+    let lossy =
+        LinkFault { at_s: 2.0, fraction: 0.3, loss_fraction: 0.2, ..link_fault(LinkEndpoints::Backends) };
+    let cut = LinkFault { fraction: 0.5, cut: true, ..link_fault(LinkEndpoints::Discovery) };
     let clients =
-        LinkFault { part: 0.2, at_s: 2.0, for_s: 0.5, cut: true, ..link_fault(LinkEndpoints::Clients) };
+        LinkFault { fraction: 0.2, at_s: 2.0, for_s: 0.5, cut: true, ..link_fault(LinkEndpoints::Clients) };
     script.link_faults = vec![slow, lossy, cut, clients];
-    let without_faults =
-        play(&Script { link_faults: Vec::new(), ..script.clone() }, &machine()).expect("the scenario runs");
+    let without_faults = fleet::run(&Script { link_faults: Vec::new(), ..script.clone() }, &machine())
+        .expect("the scenario runs");
     let row = run(&script);
     assert!(
         row.p50_ms > without_faults.p50_ms || row.p99_ms > without_faults.p99_ms,
@@ -132,8 +143,8 @@
 
 #[test]
 fn reports_log_tail_of_a_process_that_never_becomes_ready() {
-    let machine = Machine { proxy: "/bin/false".into(), ..machine() };
-    match play(&script(), &machine) {
+    let machine = RunEnvironment { proxy: "/bin/false".into(), ..machine() };
+    match fleet::run(&script(), &machine) {
         Err(FleetError::NotReady(0, _)) => {}
         other => panic!("{other:?}"),
     }
@@ -143,7 +154,7 @@
 fn rejects_too_many_processes_by_key() {
     let mut script = script();
     script.fleet.proxies = 1_000;
-    match play(&script, &machine()) {
+    match fleet::run(&script, &machine()) {
         Err(FleetError::Script(ScriptError::Value(key, _))) => assert_eq!(key, "fleet.proxies"),
         other => panic!("{other:?}"),
     }
@@ -151,21 +162,21 @@
 
 #[test]
 fn ends_all_processes_when_the_testbed_is_killed() {
-    let mut command = Command::new(KEEPER);
+    let mut command = Command::new(TESTBED_PROGRAM);
     // The killed testbed leaves its temporary folder behind: it lies in this folder, which the test removes.
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("killed-laboratory");
     fs::create_dir_all(&folder).expect("the folder is created");
     command.env("TMPDIR", &folder);
-    command.arg("fleet").arg(script_path()).arg("--no-references").arg("--proxy").arg(program());
+    command.arg("fleet").arg(script_path()).arg("--no-references").arg("--proxy").arg(proxy_program());
     let mut testbed_process =
-        Ended(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the testbed starts"));
+        KillOnDrop(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the testbed starts"));
     let mut processes = Vec::new();
     wait_until("24 processes run", || {
-        processes = children(testbed_process.0.id()).into_iter().filter(|&id| runs(id)).collect();
+        processes = children(testbed_process.0.id()).into_iter().filter(|&id| is_proxy_running(id)).collect();
         processes.len() == 24
     });
     testbed_process.0.kill().expect("the testbed is killed");
     testbed_process.0.wait().expect("the testbed exits");
-    wait_until("all processes have exited", || !processes.iter().any(|&id| runs(id)));
+    wait_until("all processes have exited", || !processes.iter().any(|&id| is_proxy_running(id)));
     fs::remove_dir_all(&folder).expect("the folder is removed, as only this test uses it");
 }
--- a/crates/testbed/tests/relays.rs
+++ b/crates/testbed/tests/relays.rs
@@ -78,7 +78,7 @@
             { between = \"boxes\", at_s = 0.0, for_s = 0.5, cut = true, zone = 0 }";
         let (links, clock, server) = (links(faults), started_clock(), start_echo_server().await);
         let started_at = Instant::now();
-        let port = streams(&links, &clock, LinkEndpoints::Boxes, 2, Rc::new(move |_| Some(server)))
+        let port = streams(&links, &clock, LinkEndpoints::Backends, 2, Rc::new(move |_| Some(server)))
             .expect("a relay");
         // Proxy 1 is in zone 1, whose links have a delay of 60 ms in each direction.
         let mut slow = TcpStream::connect(relay_endpoint(1, port)).await.expect("the relay accepts");
@@ -96,14 +96,15 @@
         let (links, clock) = (links(""), started_clock());
         let closed_address =
             TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("its address");
-        let port = streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(closed_address)))
-            .expect("a relay");
+        let port =
+            streams(&links, &clock, LinkEndpoints::Backends, 0, Rc::new(move |_| Some(closed_address)))
+                .expect("a relay");
         let mut stream = TcpStream::connect(relay_endpoint(0, port)).await.expect("the relay listens");
         assert!(round_trip(&mut stream).await.is_err(), "no server listens at the target");
 
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let server = listener.local_addr().expect("its address");
-        let port = streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(server)))
+        let port = streams(&links, &clock, LinkEndpoints::Backends, 0, Rc::new(move |_| Some(server)))
             .expect("a relay");
         let client = TcpStream::connect(relay_endpoint(0, port)).await.expect("the relay listens");
         let (mut accepted, _) = listener.accept().await.expect("a relayed connection");
@@ -116,7 +117,7 @@
 fn accepts_connections_only_over_loopback() {
     run(async {
         let (links, clock, server) = (links(""), started_clock(), start_echo_server().await);
-        let port = streams(&links, &clock, LinkEndpoints::Boxes, 0, Rc::new(move |_| Some(server)))
+        let port = streams(&links, &clock, LinkEndpoints::Backends, 0, Rc::new(move |_| Some(server)))
             .expect("a relay");
         // A connection to an address that represents no proxy is closed without a byte.
         let mut stream = TcpStream::connect(("127.0.0.1", port)).await.expect("loopback");
--- a/crates/testbed/tests/restarts.rs
+++ b/crates/testbed/tests/restarts.rs
@@ -10,8 +10,8 @@
 use machine::machine;
 use std::path::Path;
 use testbed::call_queue::{CallOutcome, CallQueue};
-use testbed::fleet::play;
-use testbed::fleet::report::line;
+use testbed::fleet;
+use testbed::fleet::report::format_row;
 use testbed::invariant_checker::Observation;
 use testbed::plan::{Plan, ProcessAction};
 use testbed::restarts::{READY_TIMEOUT, Restarts, measure};
@@ -33,8 +33,8 @@
 /// depends on time, of which a busy machine leaves too little to processes with a tenth of a core: the
 /// scenarios of `laboratory.rs` check it.
 fn run(script: &Script) -> Restarts {
-    let row = play(script, &machine()).expect("the scenario runs");
-    println!("{}", line(&row));
+    let row = fleet::run(script, &machine()).expect("the scenario runs");
+    println!("{}", format_row(&row));
     assert_eq!(row.violations[1..], [0; 3], "{row:?}");
     row.restarts.expect("processes were restarted")
 }
@@ -44,7 +44,7 @@
 #[test]
 fn restarts_nine_in_ten_in_time_with_stale_or_empty_list() {
     let run_with = |list| move || (list, run(&starting_with(list)));
-    let scenarios = [InitialList::Old, InitialList::Nothing].map(|list| std::thread::spawn(run_with(list)));
+    let scenarios = [InitialList::Stale, InitialList::Empty].map(|list| std::thread::spawn(run_with(list)));
     for scenario in scenarios {
         let (list, restarts) = scenario.join().expect("the scenario runs");
         assert!(restarts.restarted == 21 && restarts.is_sufficient(), "{list:?}: {restarts:?}");
@@ -55,7 +55,7 @@
 /// discovery service's processing time.
 #[test]
 fn starts_nine_in_ten_of_a_hundred_in_time_without_a_list() {
-    let mut script = starting_with(InitialList::Nothing);
+    let mut script = starting_with(InitialList::Empty);
     (script.fleet.proxies, script.traffic.per_s, script.seconds) = (100, 100.0, 14.0);
     let restarts = run(&script);
     assert!(restarts.restarted == 70 && restarts.is_sufficient(), "{restarts:?}");
@@ -66,7 +66,7 @@
 #[test]
 fn restarts_nine_in_ten_of_a_settled_hundred_in_time_without_a_list() {
     const KILLED_AT_S: f64 = 14.0;
-    let mut script = starting_with(InitialList::Nothing);
+    let mut script = starting_with(InitialList::Empty);
     (script.fleet.proxies, script.traffic.per_s, script.seconds) = (100, 100.0, KILLED_AT_S + 13.0);
     script.process_faults[1].at_s = KILLED_AT_S;
     let restarts = run(&script);
@@ -77,7 +77,7 @@
 /// and the measurement must show this.
 #[test]
 fn detects_a_discovery_service_below_demand() {
-    let mut script = starting_with(InitialList::Nothing);
+    let mut script = starting_with(InitialList::Empty);
     (script.fleet.proxies, script.seconds) = (10, 3.0);
     script.discovery.call_ms = [2_000.0, 2_000.0];
     let restarts = run(&script);
@@ -112,7 +112,7 @@
 #[test]
 fn processes_calls_in_order_and_fails_overdue_calls() {
     let mut calls = CallQueue::new((60_000, 160_000), 2_000_000, 1);
-    let outcomes: Vec<_> = (0..60).map(|_| calls.come(1_000_000)).collect();
+    let outcomes: Vec<_> = (0..60).map(|_| calls.add_call(1_000_000)).collect();
     let done = outcomes.iter().filter_map(|outcome| match outcome {
         CallOutcome::Done(at) => Some(*at),
         CallOutcome::Failed(at) => {
@@ -125,14 +125,14 @@
     assert!(gaps.clone().all(|gap| (60_000..=160_000).contains(&gap)), "{outcomes:?}");
     assert!(done.len() < 60 && done.last().is_some_and(|&last| (3_000_000..=3_160_000).contains(&last)));
     // Failed calls took no processing time: a later call is processed immediately.
-    assert!(matches!(calls.come(4_000_000), CallOutcome::Done(at) if at <= 4_160_000));
+    assert!(matches!(calls.add_call(4_000_000), CallOutcome::Done(at) if at <= 4_160_000));
 }
 
 #[test]
 fn repeated_stalls_affect_their_fraction_of_processes() {
     let script = script();
     let plan = Plan::draw(&script);
-    let events_of = |proxy: usize| plan.processes.iter().filter(move |event| event.proxy == proxy);
+    let events_of = |proxy: usize| plan.process_events.iter().filter(move |event| event.proxy == proxy);
     for proxy in 0..30 {
         let stops: Vec<_> = events_of(proxy).filter(|e| matches!(e.action, ProcessAction::Stop(_))).collect();
         assert!(stops.len() >= 112, "{} stalls in 11.3 s", stops.len());
--- a/crates/testbed/tests/scale_fleet.rs
+++ b/crates/testbed/tests/scale_fleet.rs
@@ -5,10 +5,10 @@
 #[path = "shared/program.rs"]
 mod program;
 
-use program::{KEEPER, built, program};
+use program::{TESTBED_PROGRAM, build_program, proxy_program};
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
-use testbed::fleet::Machine;
+use testbed::fleet::RunEnvironment;
 use testbed::scale::fleet::messages::InjectedFault;
 use testbed::scale::fleet::report::Report;
 use testbed::scale::fleet::script::{ScaleScript, Step, StepKind};
@@ -17,14 +17,20 @@
 /// The control plane's executable, built once.
 fn control_plane_program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT.get_or_init(|| built("control-plane", "control-plane")).clone()
+    BUILT.get_or_init(|| build_program("control-plane", "control-plane")).clone()
 }
 
 fn run_options() -> RunOptions {
-    let (control, proxy) = (control_plane_program(), program());
-    let machine =
-        Machine { proxy, keeper: KEEPER.into(), memory_mb: 32, descriptors: 256, threads: 1, slack: 0 };
-    RunOptions { control, machine, lists: Vec::new() }
+    let (control, proxy) = (control_plane_program(), proxy_program());
+    let machine = RunEnvironment {
+        proxy,
+        testbed_binary: TESTBED_PROGRAM.into(),
+        memory_mb: 32,
+        descriptors: 256,
+        threads: 1,
+        timing_tolerance_us: 0,
+    };
+    RunOptions { control_plane: control, machine, list_sizes: Vec::new() }
 }
 
 fn small_script() -> ScaleScript {
@@ -69,7 +75,7 @@
     let size = &mut script.size;
     (size.subscribers, size.processes, size.relays, size.zones, size.real_proxies) = (60, 2, 2, 2, 0);
     (size.services, size.backends, size.services_per_proxy) = (40, 600, 12);
-    script.step = vec![Step { kind, seconds: 5.0, fault_s: 2.0, rate_factor: 20.0, target: 0 }];
+    script.steps = vec![Step { kind, seconds: 5.0, fault_s: 2.0, rate_factor: 20.0, target: 0 }];
     play_script(&script)
 }
 
@@ -117,7 +123,7 @@
 
 #[test]
 fn names_a_program_that_does_not_start() {
-    let options = RunOptions { control: "/bin/false".into(), ..run_options() };
+    let options = RunOptions { control_plane: "/bin/false".into(), ..run_options() };
     match play(&small_script(), &options) {
         Err(ScaleError::ProgramFailed(name, ..)) => assert_eq!(name, "source-0"),
         other => panic!("{other:?}"),
--- a/crates/testbed/tests/shared/mod.rs
+++ b/crates/testbed/tests/shared/mod.rs
@@ -16,7 +16,7 @@
 }
 
 /// Whether a process with this id runs the proxy.
-pub fn runs(id: u32) -> bool {
+pub fn is_proxy_running(id: u32) -> bool {
     let name = fs::read_to_string(format!("/proc/{id}/comm")).unwrap_or_default();
     name.starts_with("load-balancing-")
 }
@@ -31,9 +31,9 @@
 }
 
 /// A child process that is killed at the end of the test.
-pub struct Ended(pub Child);
+pub struct KillOnDrop(pub Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = (self.0.kill(), self.0.wait());
     }
--- a/crates/testbed/tests/shared/program.rs
+++ b/crates/testbed/tests/shared/program.rs
@@ -5,12 +5,12 @@
 use std::sync::OnceLock;
 
 /// The testbed's program; it starts other programs so that they end with the test.
-pub const KEEPER: &str = env!("CARGO_BIN_EXE_testbed");
+pub const TESTBED_PROGRAM: &str = env!("CARGO_BIN_EXE_testbed");
 
 /// Builds a program of a package with the profile of this test, so that the test never runs an older build;
 /// returns its path.
-pub fn built(package: &str, name: &str) -> PathBuf {
-    let folder = Path::new(KEEPER).parent().expect("the folder of the programs");
+pub fn build_program(package: &str, name: &str) -> PathBuf {
+    let folder = Path::new(TESTBED_PROGRAM).parent().expect("the folder of the programs");
     let mut cargo = Command::new(env!("CARGO"));
     cargo.args(["build", "--quiet", "--locked", "--package", package, "--bin", name]);
     cargo.arg("--target-dir").arg(folder.parent().expect("the target folder"));
@@ -22,7 +22,7 @@
 }
 
 /// The path of the proxy's program, which is built at the first call.
-pub fn program() -> PathBuf {
+pub fn proxy_program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT.get_or_init(|| built("proxy-server", "load-balancing-proxy")).clone()
+    BUILT.get_or_init(|| build_program("proxy-server", "load-balancing-proxy")).clone()
 }
--- a/crates/testbed/tests/slopes.rs
+++ b/crates/testbed/tests/slopes.rs
@@ -6,14 +6,14 @@
 mod program;
 mod shared;
 
-use program::{KEEPER, program};
+use program::{TESTBED_PROGRAM, proxy_program};
 use proptest::prelude::*;
-use shared::{Ended, children, runs, wait_until};
+use shared::{KillOnDrop, children, is_proxy_running, wait_until};
 use std::collections::HashSet;
 use std::path::Path;
 use std::process::{Command, Stdio};
 use testbed::scale::slopes::fit::{FitError, line, median, percentile};
-use testbed::scale::slopes::{Order, QUANTITIES, Row, run};
+use testbed::scale::slopes::{Options, QUANTITIES, Row, run};
 
 fn is_close(a: f64, b: f64) -> bool {
     (a - b).abs() <= 1e-9 * (1.0 + a.abs().max(b.abs()))
@@ -102,10 +102,10 @@
     }
 }
 
-fn order(only: &str, sizes: &[usize]) -> Order {
-    Order {
-        proxy: program(),
-        keeper: KEEPER.into(),
+fn order(only: &str, sizes: &[usize]) -> Options {
+    Options {
+        proxy: proxy_program(),
+        guard: TESTBED_PROGRAM.into(),
         runs: 1,
         seed: 7,
         only: only.into(),
@@ -118,15 +118,15 @@
 fn invalid_options_are_rejected_with_the_accepted_values() {
     let base = order("", &[]);
     assert_eq!(base.check().expect("valid options").len(), 10);
-    let assert_rejected = |order: Order, texts: &[&str]| {
+    let assert_rejected = |order: Options, texts: &[&str]| {
         let error = order.check().expect_err("invalid options").to_string();
         assert!(texts.iter().all(|text| error.contains(text)), "{error}");
     };
-    assert_rejected(Order { runs: 0, ..base.clone() }, &["--runs 0", "1 to 50"]);
-    assert_rejected(Order { seconds: f64::NAN, ..base.clone() }, &["--seconds NaN", "0.1 to 30"]);
-    assert_rejected(Order { only: "wine".into(), ..base.clone() }, &["--only wine", "backends, tenants"]);
+    assert_rejected(Options { runs: 0, ..base.clone() }, &["--runs 0", "1 to 50"]);
+    assert_rejected(Options { seconds: f64::NAN, ..base.clone() }, &["--seconds NaN", "0.1 to 30"]);
+    assert_rejected(Options { only: "wine".into(), ..base.clone() }, &["--only wine", "backends, tenants"]);
     assert_rejected(
-        Order { sizes: vec![10, 20, 30, 40], ..base.clone() },
+        Options { sizes: vec![10, 20, 30, 40], ..base.clone() },
         &["--sizes", "--only", "open_requests"],
     );
     assert_rejected(order("backends", &[10, 20, 30, 20]), &["3 different sizes", "4 to 12"]);
@@ -135,7 +135,7 @@
     assert_rejected(order("open_requests", &[10, 20, 30, 5_000]), &["10 to 4000", "5000", "descriptors"]);
     let sorted = order("classes", &[30, 10, 20, 40, 10]).check().expect("valid options");
     assert_eq!(sorted[0].1, [10, 20, 30, 40]);
-    let missing = Order { proxy: "no/such/program".into(), ..order("classes", &[1, 2, 3, 4]) };
+    let missing = Options { proxy: "no/such/program".into(), ..order("classes", &[1, 2, 3, 4]) };
     let error = run(&missing, |_| ()).expect_err("a missing program").to_string();
     assert!(error.contains("no/such/program") && error.contains("--proxy"), "{error}");
 }
@@ -226,17 +226,18 @@
 
 #[test]
 fn killed_measurement_leaves_no_process_behind() {
-    let mut command = Command::new(KEEPER);
+    let mut command = Command::new(TESTBED_PROGRAM);
     // A killed measurement leaves its temporary files behind; the test removes them.
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join("killed-measurement");
     std::fs::create_dir_all(&directory).expect("a directory");
     command.env("TMPDIR", &directory).args(["scale", "slopes", "--only", "rate", "--seconds", "30"]);
-    command.arg("--proxy").arg(program());
-    let mut measurement =
-        Ended(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the measurement starts"));
+    command.arg("--proxy").arg(proxy_program());
+    let mut measurement = KillOnDrop(
+        command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the measurement starts"),
+    );
     let mut proxies = Vec::new();
     wait_until("a proxy is measured", || {
-        proxies = children(measurement.0.id()).into_iter().filter(|&id| runs(id)).collect();
+        proxies = children(measurement.0.id()).into_iter().filter(|&id| is_proxy_running(id)).collect();
         // The first proxy process only prints its version.
         proxies.len() == 1
             && std::fs::read(format!("/proc/{}/cmdline", proxies[0]))
@@ -244,6 +245,6 @@
     });
     measurement.0.kill().expect("the measurement is killed");
     measurement.0.wait().expect("the measurement ends");
-    wait_until("the proxy is gone", || !proxies.iter().any(|&id| runs(id)));
+    wait_until("the proxy is gone", || !proxies.iter().any(|&id| is_proxy_running(id)));
     std::fs::remove_dir_all(&directory).expect("only this test uses it");
 }
--- a/crates/testbed/tests/slow_start_load.rs
+++ b/crates/testbed/tests/slow_start_load.rs
@@ -10,8 +10,8 @@
 use machine::machine;
 use proptest::prelude::*;
 use std::path::Path;
-use testbed::fleet::play;
-use testbed::fleet::report::{Row, in_virtual_time, line};
+use testbed::fleet;
+use testbed::fleet::report::{Row, format_row, run_in_virtual_time};
 use testbed::invariant_checker::{Observation, ResponseKind};
 use testbed::plan::Plan;
 use testbed::script::{BackendFault, BackendFaultKind, InitialList, ProcessFault, ProcessFaultKind, Script};
@@ -26,7 +26,7 @@
 /// The script with thirty backends, of which a third restarts, and this mean work.
 fn ten_of_thirty_backends(work_ms: f64) -> Script {
     let mut script = script();
-    (script.fleet.backends, script.backend_faults[0].part) = (30, 1.0 / 3.0);
+    (script.fleet.backends, script.backend_faults[0].fraction) = (30, 1.0 / 3.0);
     with_work(script, work_ms)
 }
 
@@ -45,12 +45,12 @@
 /// The script with four crashes of a tenth of the backends, one after another, each for 0.4 s.
 fn with_successive_restarts(mut script: Script) -> Script {
     let crash = |at_s| BackendFault {
-        what: BackendFaultKind::Crash,
+        kind: BackendFaultKind::Crash,
         at_s,
         for_s: 0.4,
-        part: 0.1,
+        fraction: 0.1,
         zone: None,
-        degree: 0.0,
+        severity: 0.0,
     };
     script.backend_faults = [0.2, 0.7, 1.2, 1.7].map(crash).to_vec();
     script
@@ -78,7 +78,7 @@
 /// responses were later than the tolerance of one second. In virtual time rule 1 is checked to the
 /// microsecond.
 fn assert_within_bound(row: &Row, starts: u64) -> SlowStartLoad {
-    println!("{}", line(row));
+    println!("{}", format_row(row));
     let first_rule = usize::from(row.mode == "processes");
     assert!(row.violations[first_rule..3].iter().all(|&violations| violations == 0), "{row:?}");
     let load = row.slow_start_load.expect("backends started");
@@ -88,7 +88,7 @@
 }
 
 fn run(script: &Script) -> Row {
-    play(script, &machine()).expect("the scenario runs")
+    fleet::run(script, &machine()).expect("the scenario runs")
 }
 
 #[test]
@@ -120,14 +120,14 @@
     let mut script = script();
     (script.backend_faults[0].at_s, script.backend_faults[0].for_s, script.seconds) = (1.5, 0.4, 5.5);
     script.process_faults = vec![ProcessFault {
-        what: ProcessFaultKind::Replace,
+        kind: ProcessFaultKind::Replace,
         at_s: 2.0,
         for_s: 0.0,
-        part: 1.0,
+        fraction: 1.0,
         waves: 3,
         wave_s: 0.6,
         every_s: 0.0,
-        list: InitialList::Old,
+        list: InitialList::Stale,
     }];
     let row = run(&script);
     assert!(row.restored_processes >= 10, "{} of 30 processes restored limits", row.restored_processes);
@@ -140,7 +140,7 @@
     let mut script = with_wrong_warm_up_time(script());
     script.fleet.initial_capacity = 0.01;
     let row = run(&script);
-    println!("{}", line(&row));
+    println!("{}", format_row(&row));
     assert!(row.slow_start_load.is_some_and(|load| load.max_load > 1.0), "{row:?}");
 }
 
@@ -168,7 +168,7 @@
         script.traffic.per_s = 0.8 * script.capacity_per_s();
         script.seconds = 8.0;
         script.check().expect("a valid script");
-        assert_within_bound(&in_virtual_time(&script).expect("the scenario runs"), 3);
+        assert_within_bound(&run_in_virtual_time(&script).expect("the scenario runs"), 3);
     }
 }
 
@@ -181,7 +181,7 @@
                     (script.seed, script.fleet.initial_capacity) = (seed, initial_capacity);
                     // Long enough that a warming backend receives a request even if the work is heavy.
                     script.seconds = script.seconds.max(work_ms / 40.0);
-                    in_virtual_time(&script).expect("the scenario runs")
+                    run_in_virtual_time(&script).expect("the scenario runs")
                 };
                 assert_within_bound(&run_with(with_work(script(), work_ms)), 3);
                 assert_within_bound(&run_with(ten_of_thirty_backends(work_ms)), 10);
@@ -202,11 +202,11 @@
 fn detects_wrong_warm_up_time_in_virtual_time() {
     for seed in 1..=3 {
         let script = Script { seed, ..script() };
-        let right = in_virtual_time(&script)
+        let right = run_in_virtual_time(&script)
             .expect("the scenario runs")
             .slow_start_load
             .expect("three backends started");
-        let wrong = in_virtual_time(&with_wrong_warm_up_time(script))
+        let wrong = run_in_virtual_time(&with_wrong_warm_up_time(script))
             .expect("the scenario runs")
             .slow_start_load
             .expect("three backends started");
@@ -298,7 +298,7 @@
 
 #[test]
 fn measures_mean_load_and_rejections_during_warm_up() {
-    let sent = |at, id| (at, Observation::RequestSent { id, class: 0, end: at + 1_500_000, proxy: 0 });
+    let sent = |at, id| (at, Observation::RequestSent { id, class: 0, deadline: at + 1_500_000, proxy: 0 });
     let rejected = |at, id| (at, Observation::ResponseReceived { id, kind: ResponseKind::Rejected });
     let first_bound = bound(allowed(&script(), 1, 0));
     let second_bound = bound(allowed(&script(), 1, WINDOW_US));
--- a/crates/testbed/tests/socket_days.rs
+++ b/crates/testbed/tests/socket_days.rs
@@ -15,7 +15,7 @@
     (script.fleet.backends, script.fleet.proxies, script.seconds) = (backends, 2, 5.0);
     script.traffic.per_s = per_s;
     for fault in &mut script.backend_faults {
-        (fault.at_s, fault.for_s, fault.part) = (fault.at_s / 5.0, 1.5, 0.3);
+        (fault.at_s, fault.for_s, fault.fraction) = (fault.at_s / 5.0, 1.5, 0.3);
     }
     script
 }
@@ -45,7 +45,7 @@
         BackendFaultKind::Spoil,
         BackendFaultKind::Pause,
     ]) {
-        (fault.what, fault.degree) = (kind, 0.5);
+        (fault.kind, fault.severity) = (kind, 0.5);
     }
     let check_report = sockets::run(&script, SLACK, |_| ()).expect("a completed run").check_report;
     assert!(check_report.is_clean(), "{check_report}");
--- a/crates/testbed/tests/spread.rs
+++ b/crates/testbed/tests/spread.rs
@@ -5,7 +5,7 @@
 //! random selection.
 
 use std::path::Path;
-use testbed::fleet::report::{Row, in_virtual_time, references};
+use testbed::fleet::report::{Row, run_in_virtual_time, run_references};
 use testbed::script::{BackendFault, BackendFaultKind, InitialList, ProcessFault, ProcessFaultKind, Script};
 
 fn script(load: f64) -> Script {
@@ -23,9 +23,11 @@
 
 /// The rows of the proxies and of random selection.
 fn run_with_reference(script: &Script) -> (Row, Row) {
-    let random =
-        references(script).into_iter().find(|row| row.mode == "random").expect("the row of random selection");
-    let row = in_virtual_time(script).expect("the scenario runs");
+    let random = run_references(script)
+        .into_iter()
+        .find(|row| row.mode == "random")
+        .expect("the row of random selection");
+    let row = run_in_virtual_time(script).expect("the scenario runs");
     assert_eq!(row.violations, [0; 4], "{row:?}");
     (row, random)
 }
@@ -54,11 +56,20 @@
 }
 
 fn process_fault(what: ProcessFaultKind, part: f64, for_s: f64) -> ProcessFault {
-    ProcessFault { what, at_s: 1.0, for_s, part, waves: 1, wave_s: 0.0, every_s: 0.0, list: InitialList::Old }
+    ProcessFault {
+        kind: what,
+        at_s: 1.0,
+        for_s,
+        fraction: part,
+        waves: 1,
+        wave_s: 0.0,
+        every_s: 0.0,
+        list: InitialList::Stale,
+    }
 }
 
 fn backend_fault(what: BackendFaultKind, at_s: f64, for_s: f64, part: f64) -> BackendFault {
-    BackendFault { what, at_s, for_s, part, zone: None, degree: 0.0 }
+    BackendFault { kind: what, at_s, for_s, fraction: part, zone: None, severity: 0.0 }
 }
 
 #[test]
@@ -110,7 +121,7 @@
             let mut script = Script { seed, seconds: 10.0, ..script(0.13) };
             (script.fleet.proxies, script.fleet.backends, script.traffic.per_s) = (proxies, backends, per_s);
             script.backend_faults = vec![backend_fault(BackendFaultKind::Drain, 2.0, 2.0, 0.2)];
-            let row = in_virtual_time(&script).expect("the scenario runs");
+            let row = run_in_virtual_time(&script).expect("the scenario runs");
             assert_eq!(row.violations, [0; 4], "{row:?}");
             let first_use_s = &row.spread.first_use_s;
             assert_eq!(first_use_s.len(), backends / 5, "all drained backends return: {first_use_s:?}");
@@ -140,7 +151,7 @@
     let crashes = [2.0, 4.0, 6.0, 8.0].map(|at_s| backend_fault(BackendFaultKind::Crash, at_s, 1.0, 0.15));
     script.backend_faults = crashes.to_vec();
     script.process_faults =
-        vec![ProcessFault { waves: 10, wave_s: 0.7, ..process_fault(ProcessFaultKind::End, 1.0, 0.5) }];
+        vec![ProcessFault { waves: 10, wave_s: 0.7, ..process_fault(ProcessFaultKind::Terminate, 1.0, 0.5) }];
     let (row, _) = run_with_reference(&script);
     // They were 0.87 and 0.19 when only proxies with a slot at a backend received a part of its slow-start
     // budget.
