--- a/crates/external-processor/src/decision_service/caller_messages.rs
+++ b/crates/external-processor/src/decision_service/caller_messages.rs
@@ -5,7 +5,7 @@
     OpenDecision, RejectReason, Reply, ReplyDelivery, Report,
 };
 use balancer::api::{Idempotency, Micros, Outcome};
-use request_engine::idempotency::{ClaimId, ClaimStatus, CompletedRequest, ExecutionEffect, FinalStatus};
+use request_engine::idempotency::{ClaimId, ClaimStatus, CompletedRequest, ExecutionStatus, FinalStatus};
 use request_engine::lease::LeaseId;
 use request_engine::lease_events::RequestHandle;
 use smallvec::SmallVec;
@@ -24,8 +24,9 @@
             return self.reject(message_ref, RejectReason::Draining);
         }
         let open = self.by_caller.get(&message_ref.caller);
-        if open.is_some_and(|open| open.len() >= self.limits.per_caller) {
-            return self.reject(message_ref, RejectReason::CallerLimit(self.limits.per_caller));
+        if open.is_some_and(|open| open.len() >= self.limits.open_decisions_per_caller) {
+            return self
+                .reject(message_ref, RejectReason::CallerLimit(self.limits.open_decisions_per_caller));
         }
         let key = request.idempotency_key.as_deref();
         let claim = self.registry.borrow_mut().claim(now, &request.id, request.class, key);
@@ -68,14 +69,14 @@
         let idempotency = self.idempotency[usize::from(request.class)];
         if request.prior_lease.is_some() && idempotency != Idempotency::Idempotent {
             let status = FinalStatus::Unknown;
-            self.complete_claim(now, claim, request.class, status, ExecutionEffect::Possible);
+            self.complete_claim(now, claim, request.class, status, ExecutionStatus::MayHaveExecuted);
             self.counts.unknown += 1;
             return self.reply(message_ref, Reply::Final { status, is_replayed: false });
         }
         let handle = RequestHandle(self.next_handle);
         self.next_handle += 1;
         let Some(request_id) = engine.admit(request, handle) else {
-            self.registry.borrow_mut().complete(now, claim, NOT_RETAINED, ExecutionEffect::None, 0);
+            self.registry.borrow_mut().complete(now, claim, NOT_RETAINED, ExecutionStatus::NotExecuted, 0);
             return self.reject(message_ref, RejectReason::Overload);
         };
         let open = OpenDecision {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Renews a session. Any caller may renew it.
+    /// Renews a session. The identity of the caller is not checked.
     pub fn renew(&mut self, message_ref: MessageRef, lease: LeaseId, engine: &mut impl LeaseEngine) {
         match engine.renew_session(lease) {
             Ok(expires_in) => self.reply(message_ref, Reply::Renewed(expires_in)),
--- a/crates/external-processor/tests/harness/mod.rs
+++ b/crates/external-processor/tests/harness/mod.rs
@@ -78,7 +78,7 @@
         engine.update_membership(SECOND, MembershipUpdate::Snapshot(&backends));
         let registry = Rc::new(RefCell::new(IdempotencyRegistry::new(10_000)));
         let limits = DecisionLimits {
-            per_caller: PER_CALLER,
+            open_decisions_per_caller: PER_CALLER,
             idempotent_retention: SECOND,
             non_idempotent_retention: RETENTION,
         };
@@ -328,7 +328,7 @@
         }
         assert!(self.service.is_empty(), "{} requests are still open", self.service.len());
         assert_eq!(
-            (self.engine.active_leases(), self.engine.open_requests()),
+            (self.engine.active_lease_count(), self.engine.open_request_count()),
             (0, 0),
             "active leases and open requests"
         );
--- a/crates/http-proxy/src/clients.rs
+++ b/crates/http-proxy/src/clients.rs
@@ -10,7 +10,7 @@
 mod read_request;
 mod serve;
 
-pub use accept::BacklogDrain;
+pub use accept::AcceptQueueResult;
 
 use crate::body::MemoryBudget;
 use crate::class_registry::ClassRegistry;
@@ -18,7 +18,7 @@
 use crate::log::FailureLog;
 use crate::name_index::NameIndex;
 use crate::stall_detector::StallDetector;
-use crate::transport::Handle;
+use crate::transport::EngineHandle;
 use hyper::header::HeaderValue;
 use request_engine::driver::clock::Clock;
 use request_engine::idempotency;
@@ -47,7 +47,7 @@
 /// The parameters of [`ClientConnections`].
 pub struct ClientConnectionsOptions<'a> {
     /// The engine that receives the requests.
-    pub handle: Handle,
+    pub handle: EngineHandle,
     /// The clock of the engine.
     pub clock: Clock,
     /// The request classes that clients may name.
@@ -62,7 +62,7 @@
     pub max_connections: usize,
     /// The maximum total size of buffered request bodies that exceed
     /// [`MAX_BUFFERED_BODY_BYTES`](crate::size_limits::MAX_BUFFERED_BODY_BYTES), in bytes.
-    pub large_body_bytes: usize,
+    pub large_body_budget_bytes: usize,
     /// The idempotency registry that is shared with the gRPC front end; `None` without such a front end.
     pub idempotency_registry: Option<idempotency::SharedRegistry>,
     /// Bounds how long ago the bytes that are read now may have arrived.
@@ -71,7 +71,7 @@
 
 /// The state that all client connections share.
 pub struct ClientConnections {
-    handle: Handle,
+    handle: EngineHandle,
     clock: Clock,
     classes: RefCell<ClassRegistry>,
     /// Indices in the settings by name; empty if the tenant of a request is not checked.
@@ -107,11 +107,11 @@
             open_connections: Cell::new(0),
             connection_closed: Notify::new(),
             connections: RefCell::default(),
-            large_body_budget: MemoryBudget::new(options.large_body_bytes),
-            max_large_body_bytes: options.large_body_bytes / LARGE_BODY_BUDGET_DIVISOR,
+            large_body_budget: MemoryBudget::new(options.large_body_budget_bytes),
+            max_large_body_bytes: options.large_body_budget_bytes / LARGE_BODY_BUDGET_DIVISOR,
             last_accept_at: Cell::new(Instant::now()),
             stall_detector: options.stall_detector,
-            accept_failures: FailureLog::of("accept"),
+            accept_failures: FailureLog::new("accept"),
             open_request_ids: RefCell::default(),
             idempotency_registry: options.idempotency_registry,
         })
@@ -119,7 +119,7 @@
 
     /// The number of open connections.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
--- a/crates/proxy-server/src/server.rs
+++ b/crates/proxy-server/src/server.rs
@@ -26,7 +26,7 @@
 use http_proxy::config::Config;
 use http_proxy::discovery::DiscoveryWatcher;
 use http_proxy::log::log;
-use http_proxy::transport::Handle;
+use http_proxy::transport::EngineHandle;
 use listener::ClientListener;
 use request_engine::driver::clock::Clock;
 use request_engine::idempotency::{IdempotencyRegistry, SharedRegistry};
@@ -79,7 +79,7 @@
     front_ends: impl Into<FrontEnds>,
     stop: impl Future<Output = ()>,
     reload: Option<Signal>,
-    on_started: impl FnOnce(&Handle, BoundAddresses),
+    on_started: impl FnOnce(&EngineHandle, BoundAddresses),
 ) -> Result<(), ProxyServerError> {
     let clock = Clock::start();
     let front_ends = front_ends.into();
@@ -102,7 +102,7 @@
 
 /// The parts of a started proxy that are needed until it has drained.
 struct Server {
-    handle: Handle,
+    handle: EngineHandle,
     addresses: BoundAddresses,
     listener: ClientListener,
     client_front_end: ClientFrontEnd,
@@ -132,7 +132,7 @@
         let EngineParts { handle, poll_requests } =
             EngineParts::create(&config, external_processor.as_ref(), clock)?;
         // Both front ends use one registry, so that an idempotency key applies to the requests of both.
-        let registry = external_processor.as_ref().map(|settings| shared_registry(settings.bounds.retained));
+        let registry = external_processor.as_ref().map(|settings| shared_registry(settings.limits.retained));
         let grpc_front_end =
             start_grpc_front_end(external_processor.as_ref(), registry.as_ref(), &config, &handle)?;
         let DiscoveryParts { watcher, backend_list, has_backend_list, address_sender } =
@@ -154,7 +154,10 @@
                 handle: handle.clone(),
                 listener: Rc::clone(&listener.socket),
                 clients: Rc::clone(&client_front_end.connections),
-                limits: ConnectionLimits { clients: config.client_sockets, backends: config.backend_sockets },
+                limits: ConnectionLimits {
+                    clients: config.max_client_connections,
+                    backends: config.max_backend_connections,
+                },
             })
         });
         let console = console::open(&config, admin_handler.as_ref()).await?;
@@ -212,7 +215,7 @@
             listener: &self.listener.socket,
             phase: &self.client_front_end.phase,
             // If this process was stalled, the signal may have arrived at any moment of the stall.
-            stop_requested_at: self.listener.stall_detector.earliest(Instant::now()),
+            stop_requested_at: self.listener.stall_detector.earliest_event_time(Instant::now()),
             longest_deadline,
         };
         match &self.grpc_front_end {
@@ -245,7 +248,7 @@
     settings: Option<&ExternalProcessorSettings>,
     registry: Option<&SharedRegistry>,
     config: &Config,
-    handle: &Handle,
+    handle: &EngineHandle,
 ) -> Result<Option<GrpcFrontEnd>, ServerError> {
     let (Some(settings), Some(registry)) = (settings, registry) else {
         return Ok(None);
--- a/crates/proxy-server/src/server/engine.rs
+++ b/crates/proxy-server/src/server/engine.rs
@@ -4,7 +4,7 @@
 use external_processor::settings::Settings as ExternalProcessorSettings;
 use http_proxy::backend_pool::BackendPool;
 use http_proxy::config::Config;
-use http_proxy::transport::{Handle, ProxyTransport};
+use http_proxy::transport::{EngineHandle, ProxyTransport};
 use request_engine::driver::clock::Clock;
 use request_engine::engine::{Engine, EngineLimits};
 use request_engine::lease_events::LeaseEventQueue;
@@ -17,7 +17,7 @@
 
 /// The engine's handle, and the channel of its requests to poll discovery.
 pub(super) struct EngineParts {
-    pub(super) handle: Handle,
+    pub(super) handle: EngineHandle,
     pub(super) poll_requests: mpsc::UnboundedReceiver<()>,
 }
 
@@ -32,23 +32,23 @@
         clock: Clock,
     ) -> Result<Self, ProxyServerError> {
         let settings = &config.settings;
-        let leases = external_processor.map_or(0, |settings| settings.bounds.leases);
-        let requests = config.client_sockets * REQUESTS_PER_CONNECTION + leases;
+        let leases = external_processor.map_or(0, |settings| settings.limits.leases);
+        let requests = config.max_client_connections * REQUESTS_PER_CONNECTION + leases;
         let limits = EngineLimits { requests, leases };
         let incarnation = config.seed ^ clock.now();
         let engine = Engine::new(settings.clone(), limits, config.seed, incarnation, clock.now())?;
         let (subscribe, poll_requests) = mpsc::unbounded_channel();
         let transport = ProxyTransport {
             backend_pool: BackendPool::new(
-                config.backend_sockets,
+                config.max_backend_connections,
                 config.connect_timeout,
                 settings.permissions.idle_connection_timeout,
-                config.names.report.clone(),
+                config.names.report_fields.clone(),
             ),
             subscribe,
             report_by_health_check: settings.load_report_by_health_check,
             lease_events: Rc::new(LeaseEventQueue::default()),
         };
-        Ok(Self { handle: Handle::new(engine, clock, transport), poll_requests })
+        Ok(Self { handle: EngineHandle::new(engine, clock, transport), poll_requests })
     }
 }
--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! The asynchronous layer: front ends call the engine through a [`Handle`], a [`Transport`] executes its
+//! The asynchronous layer: front ends call the engine through a [`EngineHandle`], a [`Transport`] executes its
 //! commands, and one task sleeps until the next timer.
 //!
 //! Everything runs on one thread, in a `LocalSet`. A front end's call runs the engine synchronously, so that
@@ -8,8 +8,8 @@
 pub mod clock;
 
 use crate::engine::{
-    AttemptEnd, Command, Counts, Engine, FinalOutcome, IncomingRequest, LeaseGrant, MessageTypes, Overload,
-    Schedule,
+    AdmissionError, AttemptCompletion, AttemptSchedule, Command, Counts, Engine, FinalOutcome,
+    IncomingRequest, LeaseGrant, MessageTypes,
 };
 use crate::lease::{LeaseError, LeaseId};
 use balancer::api::{BackendId, LearnedState, MembershipUpdate, Micros, RequestId, Settings, SettingsError};
@@ -28,7 +28,7 @@
     /// The attempt must not start at or after this instant; `None`: no limit.
     pub start_by: Option<Instant>,
     /// The time limit, at which an unfinished attempt is aborted.
-    pub give_up_at: Instant,
+    pub timeout_at: Instant,
 }
 
 /// Executes the engine's commands. No method may call the engine before it returns.
@@ -43,13 +43,13 @@
         outbound_request: <Self::Messages as MessageTypes>::OutboundRequest,
         times: AttemptTimes,
         cancellation: Rc<CancellationSignal>,
-    ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
+    ) -> impl Future<Output = AttemptCompletion<<Self::Messages as MessageTypes>::Response>> + 'static;
 
     /// Makes a health check of a backend and returns its end.
     fn check_health(
         &self,
         backend: BackendId,
-    ) -> impl Future<Output = AttemptEnd<<Self::Messages as MessageTypes>::Response>> + 'static;
+    ) -> impl Future<Output = AttemptCompletion<<Self::Messages as MessageTypes>::Response>> + 'static;
 
     /// Delivers a final outcome to the front end of its request.
     fn respond(
@@ -112,15 +112,15 @@
 }
 
 /// A reference-counted handle to the engine, its clock and its transport.
-pub struct Handle<T: Transport>(Rc<Inner<T>>);
+pub struct EngineHandle<T: Transport>(Rc<Inner<T>>);
 
-impl<T: Transport> Clone for Handle<T> {
+impl<T: Transport> Clone for EngineHandle<T> {
     fn clone(&self) -> Self {
         Self(Rc::clone(&self.0))
     }
 }
 
-impl<T: Transport> Handle<T> {
+impl<T: Transport> EngineHandle<T> {
     /// Takes ownership of an engine. The transport executes its commands.
     #[must_use]
     pub fn new(engine: Engine<T::Messages>, clock: Clock, transport: T) -> Self {
@@ -159,7 +159,7 @@
         &self,
         incoming: IncomingRequest<OutboundRequest<T>>,
         responder: Responder<T>,
-    ) -> Result<RequestId, Overload<Responder<T>>> {
+    ) -> Result<RequestId, AdmissionError<Responder<T>>> {
         self.with_engine(|engine, now| engine.admit(now, incoming, responder))
     }
 
@@ -172,7 +172,11 @@
     ///
     /// # Errors
     /// The lease is not active.
-    pub fn report_result(&self, lease: LeaseId, end: AttemptEnd<Response<T>>) -> Result<(), LeaseError> {
+    pub fn report_result(
+        &self,
+        lease: LeaseId,
+        end: AttemptCompletion<Response<T>>,
+    ) -> Result<(), LeaseError> {
         self.with_engine(|engine, now| engine.report_result(now, lease, end))
     }
 
@@ -224,8 +228,8 @@
 
     /// Restores the learned state of another process's balancer; see [`Engine::restore`].
     #[must_use]
-    pub fn restore(&self, state: &LearnedState) -> bool {
-        self.with_engine(|engine, now| engine.restore(now, state))
+    pub fn restore_learned_state(&self, state: &LearnedState) -> bool {
+        self.with_engine(|engine, now| engine.restore_learned_state(now, state))
     }
 
     /// The transport that executes the engine's commands.
@@ -248,8 +252,8 @@
 
     /// The concurrency limit and the requests in flight of each ready backend.
     #[must_use]
-    pub fn limits(&self) -> Vec<(f64, u32)> {
-        self.0.engine.borrow().limits()
+    pub fn backend_limits(&self) -> Vec<(f64, u32)> {
+        self.0.engine.borrow().backend_limits()
     }
 
     /// Calls the engine, handles its expired timers, and executes the resulting commands.
@@ -309,14 +313,14 @@
         &self,
         attempt: AttemptId,
         backend: BackendId,
-        schedule: Schedule,
+        schedule: AttemptSchedule,
         outbound_request: OutboundRequest<T>,
     ) {
         let signal = Rc::<CancellationSignal>::default();
         self.0.cancellations.borrow_mut().insert(attempt, Rc::clone(&signal));
         let clock = self.0.clock;
         let start_by = (schedule.start_by < Micros::MAX).then(|| clock.instant(schedule.start_by));
-        let times = AttemptTimes { start_by, give_up_at: clock.instant(schedule.give_up_at) };
+        let times = AttemptTimes { start_by, timeout_at: clock.instant(schedule.timeout_at) };
         let running_attempt = self.0.transport.start_attempt(backend, outbound_request, times, signal);
         let handle = self.clone();
         tokio::task::spawn_local(async move {
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -15,8 +15,8 @@
 mod lease_events;
 
 pub use crate::messages::{
-    AttemptEnd, Command, Counts, Dispatch, EngineLimits, FinalOutcome, IncomingRequest, LeaseGrant,
-    MessageTypes, Overload, Schedule,
+    AdmissionError, AttemptCompletion, AttemptSchedule, Command, Counts, Dispatch, EngineLimits,
+    FinalOutcome, IncomingRequest, LeaseGrant, MessageTypes,
 };
 
 use crate::lease::{LeaseCounts, Leases};
@@ -114,26 +114,26 @@
 
     /// Number of requests that have no final outcome yet or an unfinished attempt.
     #[must_use]
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.open_requests.len()
     }
 
     /// Number of granted leases that are not settled.
     #[must_use]
-    pub fn active_leases(&self) -> usize {
+    pub fn active_lease_count(&self) -> usize {
         self.leases.len()
     }
 
     /// Number of stored timers, including those whose request or lease has ended.
     #[must_use]
-    pub fn pending_timers(&self) -> usize {
+    pub fn pending_timer_count(&self) -> usize {
         self.timers.len()
     }
 
     /// The concurrency limit and the requests in flight of each ready backend.
     #[must_use]
-    pub fn limits(&self) -> Vec<(f64, u32)> {
-        self.balancer.limits().collect()
+    pub fn backend_limits(&self) -> Vec<(f64, u32)> {
+        self.balancer.backend_limits().collect()
     }
 
     /// The balancer's learned state, for the process that replaces this one.
--- a/crates/testbed/src/sockets/threads.rs
+++ b/crates/testbed/src/sockets/threads.rs
@@ -57,12 +57,12 @@
         let config = Config::parse(config.to_string().as_bytes(), |_| None).map_err(|e| e.to_string())?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        let started = move |handle: &http_proxy::transport::Handle, bound: BoundAddresses| {
+        let started = move |handle: &http_proxy::transport::EngineHandle, bound: BoundAddresses| {
             let _ = address_sender.send(bound.clients);
             let handle = handle.clone();
             tokio::task::spawn_local(async move {
                 loop {
-                    let current_status = (handle.limits(), handle.counts());
+                    let current_status = (handle.backend_limits(), handle.counts());
                     if let Ok(mut published) = published.lock() {
                         *published = current_status;
                     }
--- a/crates/testbed/src/virtual_time/requests.rs
+++ b/crates/testbed/src/virtual_time/requests.rs
@@ -3,7 +3,7 @@
 use super::{Event, START, Simulation};
 use crate::invariant_checker::{Observation, ResponseKind};
 use balancer::api::Outcome;
-use request_engine::engine::{Dispatch, IncomingRequest, Overload};
+use request_engine::engine::{AdmissionError, Dispatch, IncomingRequest};
 
 impl Simulation<'_> {
     pub(super) fn schedule_request(&mut self, index: usize) {
@@ -19,8 +19,10 @@
             return self.log.add(self.now, Observation::RequestUndelivered { class });
         };
         let timeout = self.script.classes[class].deadline_ms * 1_000;
-        self.log
-            .add(self.now, Observation::RequestSent { id: client, class, end: self.now + timeout, proxy });
+        self.log.add(
+            self.now,
+            Observation::RequestSent { id: client, class, deadline: self.now + timeout, proxy },
+        );
         self.proxy_receives(proxy, index);
     }
 
@@ -30,7 +32,7 @@
             return;
         }
         let arrival = self.plan.arrivals[index];
-        let is_leased = self.rng.f64() < self.script.traffic.leased;
+        let is_leased = self.rng.f64() < self.script.traffic.leased_fraction;
         let client = index as u64;
         let arrival = IncomingRequest {
             class: arrival.class,
@@ -42,7 +44,7 @@
             is_retry: false,
             dispatch: if is_leased { Dispatch::Leased } else { Dispatch::Proxied(client) },
         };
-        if let Err(Overload::Requests(client) | Overload::Leases(client)) =
+        if let Err(AdmissionError::Requests(client) | AdmissionError::Leases(client)) =
             self.proxies[proxy].admit(self.now, arrival, client)
         {
             self.log
@@ -56,8 +58,8 @@
         if attempt.revoked || self.now > attempt.send_by {
             return self.finish_attempt(index, Outcome::NotSent);
         }
-        let (latency, give_up_at) = (self.latency(index), attempt.give_up_at);
+        let (latency, timeout_at) = (self.latency(index), attempt.timeout_at);
         self.after(latency, Event::BackendReceives(index));
-        self.at(give_up_at, Event::AttemptTimeout(index));
+        self.at(timeout_at, Event::AttemptTimeout(index));
     }
 }
