--- a/crates/request-engine/src/driver/mod.rs
+++ b/crates/request-engine/src/driver/mod.rs
@@ -226,7 +226,7 @@
         self.0.engine.borrow().learned_state()
     }
 
-    /// Restores the learned state of another process's balancer; see [`Engine::restore`].
+    /// Restores the learned state of another process's balancer; see [`Engine::restore_learned_state`].
     #[must_use]
     pub fn restore_learned_state(&self, state: &LearnedState) -> bool {
         self.with_engine(|engine, now| engine.restore_learned_state(now, state))
