--- a/crates/control-plane/src/config/mod.rs
+++ b/crates/control-plane/src/config/mod.rs
@@ -23,7 +23,7 @@
     Malformed(PathBuf, Box<toml::de::Error>),
     /// A key is missing or unknown, or its value has the wrong type.
     #[error("{file}: `{key}`: {problem}")]
-    RecordKey {
+    Key {
         /// The configuration file.
         file: PathBuf,
         /// Path of the key, from the root of the document.
@@ -65,11 +65,7 @@
         let document = toml::Deserializer::parse(text).map_err(malformed)?;
         let config: Self = serde_path_to_error::deserialize(document).map_err(|error| {
             let key = error.path().to_string();
-            ConfigError::RecordKey {
-                file: path.into(),
-                key,
-                problem: error.into_inner().message().to_owned(),
-            }
+            ConfigError::Key { file: path.into(), key, problem: error.into_inner().message().to_owned() }
         })?;
         match validation::validate(&config) {
             Ok(()) => Ok(config),
--- a/crates/testbed/src/scale/fleet/checker.rs
+++ b/crates/testbed/src/scale/fleet/checker.rs
@@ -21,7 +21,7 @@
     /// The record's version differs from the acknowledged one.
     Version,
     /// The versions are equal, the states differ.
-    RecordState,
+    State,
     /// Versions and states are equal, the bodies differ.
     Body,
 }
@@ -100,7 +100,7 @@
                 None => Mismatch::Unexpected,
                 Some(_) if record.source != source => Mismatch::Unexpected,
                 Some((_, current)) if current.version != record.version => Mismatch::Version,
-                Some((_, current)) if current.state != record.state => Mismatch::RecordState,
+                Some((_, current)) if current.state != record.state => Mismatch::State,
                 Some((_, current)) if current.body != record.body => Mismatch::Body,
                 Some(_) => continue,
             };
--- a/crates/testbed/src/scale/fleet/tests.rs
+++ b/crates/testbed/src/scale/fleet/tests.rs
@@ -242,7 +242,7 @@
     let old = replica_record(0, 2, change(0, "b", RecordState::Active, "b"));
     assert_eq!(mismatches(&with_replaced(1, old)), [Mismatch::Version]);
     let reverted = replica_record(0, 4, change(0, "b", RecordState::Active, "b"));
-    assert_eq!(mismatches(&with_replaced(1, reverted)), [Mismatch::RecordState]);
+    assert_eq!(mismatches(&with_replaced(1, reverted)), [Mismatch::State]);
     let corrupted = replica_record(0, 1, change(0, "a", RecordState::Active, "A"));
     assert_eq!(mismatches(&with_replaced(0, corrupted)), [Mismatch::Body]);
     let foreign = replica_record(1, 1, change(0, "a", RecordState::Active, "a"));
