--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -17,12 +17,12 @@
 
 /// Distribution of control state: a source of truth for each region, relays, and an agent beside each proxy.
 ///
-/// Each reads its own section of the configuration (deploy/control.toml shows all keys). SIGTERM ends them
-/// with code 0; a source keeps its records first.
+/// Each process reads its own section of the configuration (deploy/control.toml shows all keys). On
+/// SIGTERM it exits with code 0; a source persists its records first.
 #[derive(Parser)]
 #[command(name = "control-plane", version)]
 struct Arguments {
-    /// What the log says, on standard error: `warn`, `info`, `debug`, or by module as in
+    /// Filter of the log on standard error: `warn`, `info`, `debug`, or by module as in
     /// `info,control_plane::runtime=debug`.
     #[arg(
         long,
@@ -44,27 +44,27 @@
     Relay(ConfigFile),
     /// Run the agent of a proxy.
     Agent(ConfigFile),
-    /// Read a configuration, say what it comes to or what is wrong with it, and end.
+    /// Validate a configuration, print its summary or its error, and exit.
     Check {
-        /// The configuration, TOML.
+        /// The configuration file, TOML.
         config: PathBuf,
     },
-    /// Make changes at a source, all or none, and say the version of the last one.
+    /// Apply changes at a source atomically, and print the version of the last one.
     Write {
-        /// Where the source listens.
+        /// The address on which the source listens.
         #[arg(long, value_name = "IP:PORT")]
         source: SocketAddr,
-        /// Make them in parts that fit into a message each, each part whole or not at all.
+        /// Split the changes into parts that each fit into one message; each part is applied atomically.
         #[arg(long)]
         parts: bool,
-        /// The changes, JSON; docs/operators/control.md says how.
+        /// The file of changes, JSON; docs/operators/control.md describes the format.
         changes: PathBuf,
     },
 }
 
 #[derive(clap::Args)]
 struct ConfigFile {
-    /// The configuration, TOML.
+    /// The configuration file, TOML.
     #[arg(long, value_name = "FILE", env = "HAVENTRACK_CONTROL_CONFIG")]
     config: PathBuf,
 }
@@ -81,7 +81,7 @@
     /// The async runtime or a signal handler could not be created.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The file of changes can't be read.
+    /// The file of changes cannot be read.
     #[error("cannot read {path}: {error}", path = path.display())]
     UnreadableChanges { path: PathBuf, error: io::Error },
     /// The file of changes is invalid.
--- a/crates/http-proxy/src/poll_schedule.rs
+++ b/crates/http-proxy/src/poll_schedule.rs
@@ -33,8 +33,8 @@
 /// The range over which the wait times of the fleet are spread, in microseconds. Watches that become
 /// unresponsive at the same moment then do not time out at the same moment.
 const WATCH_WAIT_SPREAD: Micros = 10_000_000;
-/// The maximum time that the service spends on a call, in microseconds. Measured in a fleet of a hundred
-/// proxies: 60 to 100 ms for the first call of a watch, 160 ms for a snapshot.
+/// The maximum time that the service spends on a call, in microseconds. In a fleet of a hundred proxies the
+/// first call of a watch takes 60 to 100 ms, and a snapshot 160 ms.
 const MAX_CALL_COST: Micros = 160_000;
 /// The largest fleet that needs no slots: the service answers all of its calls within the one second that a
 /// round leaves for the response.
--- a/crates/proxy-server/src/main.rs
+++ b/crates/proxy-server/src/main.rs
@@ -16,15 +16,15 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// A load-balancing HTTP/1.1 proxy round one decision module.
+/// A load-balancing HTTP/1.1 proxy built around one decision module.
 ///
-/// Without a command it serves. Its configuration is the JSON file that `EDGE_CONFIG` names; `EDGE_NAME`,
-/// `EDGE_LISTEN` and `EDGE_DISCOVERY` fill in what the file leaves out. SIGHUP reads the file again, SIGTERM
-/// finishes what was taken and ends with code 0.
+/// Without a command it serves requests. Its configuration is the JSON file that `EDGE_CONFIG` names;
+/// `EDGE_NAME`, `EDGE_LISTEN` and `EDGE_DISCOVERY` supply values that the file omits. SIGHUP reloads the
+/// file. SIGTERM completes the accepted requests and exits with code 0.
 #[derive(Parser)]
 #[command(name = "load-balancing-proxy", version)]
 struct Arguments {
-    /// Switch the external processor on, with these settings, TOML.
+    /// Enable the external processor with this settings file, TOML.
     #[arg(long, value_name = "FILE", env = "EDGE_EXTPROC")]
     extproc: Option<PathBuf>,
     #[command(subcommand)]
@@ -33,11 +33,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Read a configuration, say what it comes to or what is wrong with it, and end.
+    /// Validate a configuration, print its summary or its error, and exit.
     Check {
-        /// The configuration, JSON.
+        /// The configuration file, JSON.
         config: PathBuf,
-        /// The external processor's settings, TOML.
+        /// The settings file of the external processor, TOML.
         #[arg(long, value_name = "FILE")]
         extproc: Option<PathBuf>,
     },
@@ -46,13 +46,13 @@
 /// Why the executable failed.
 #[derive(Debug, Error)]
 enum ProgramError {
-    /// The runtime could not be built, or the signal handlers not be installed.
+    /// The runtime could not be built, or the signal handlers could not be installed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The configuration is unreadable or not valid.
+    /// The configuration is unreadable or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The external processor's settings are unreadable or not valid.
+    /// The external processor's settings are unreadable or invalid.
     #[error(transparent)]
     ExternalProcessor(#[from] SettingsError),
     /// The proxy could not start, or ended without a stop signal.
@@ -67,7 +67,8 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Until then each of these signals ends the process, so this runs first.
+    /// Installs the handlers. Until then each of these signals terminates the process, so this runs
+    /// first.
     fn install() -> io::Result<Self> {
         Ok(Self { stop: signal(SignalKind::terminate())?, reload: signal(SignalKind::hangup())? })
     }
@@ -78,10 +79,10 @@
 /// The stack size of such a thread in bytes. It only writes one file.
 const DISK_THREAD_STACK_BYTES: usize = 128 << 10;
 
-/// How long the process waits at its end until the log has been written.
+/// How long the process waits before its exit for the log to be written.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How long calls at the start are retried after transient errors.
+/// How long calls at startup are retried after transient errors.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(3);
 const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(20);
 
--- a/crates/testbed/src/callers.rs
+++ b/crates/testbed/src/callers.rs
@@ -70,37 +70,38 @@
     OutOfRange,
 }
 
-/// A campaign.
+/// The size, load, faults and seed of a campaign.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Campaign {
-    /// Requests of all callers.
+    /// Number of requests of all callers.
     #[arg(long, default_value_t = 200_000)]
     pub requests: usize,
-    /// Callers, each with a connection and a stream.
+    /// Number of callers, each with a connection and a stream.
     #[arg(long, default_value_t = 4)]
     pub callers: usize,
-    /// Requests that each has open.
+    /// Number of open requests of each caller.
     #[arg(long, default_value_t = 64)]
     pub open: usize,
-    /// Boxes.
+    /// Number of backends.
     #[arg(long = "boxes", value_name = "BOXES", default_value_t = 100)]
     pub backends: usize,
-    /// Requests a second of all callers; 0: as many as there is room for.
+    /// Requests per second of all callers; 0: limited only by the open requests.
     #[arg(long, default_value_t = 0.0)]
     pub rate: f64,
-    /// A caller is killed after so many answers in the mean; 0: never.
+    /// Mean number of answers after which a caller is killed; 0: never.
     #[arg(long, default_value_t = 2_000)]
     pub kill_every: usize,
-    /// One attempt in so many meets trouble, and a tenth of these crash their box; 0: none.
+    /// One in this number of attempts meets a fault, and a tenth of the faults crash their backend; 0: none.
     #[arg(long = "trouble-every", value_name = "TROUBLE_EVERY", default_value_t = 50)]
     pub fault_interval: usize,
-    /// Speak as Envoy's filter does, a stream for each request.
+    /// Use the protocol of Envoy's filter, with a stream for each request.
     #[arg(long)]
     pub envoy: bool,
-    /// For all random numbers.
+    /// Seed of all random numbers.
     #[arg(long, default_value_t = 20_261_201)]
     pub seed: u64,
-    /// The proxy's program; without it the processor is a thread, and nothing is said of its CPU and memory.
+    /// Path of the proxy's executable; without it the processor is a thread, and its CPU time and memory are
+    /// not reported.
     #[arg(long, default_value = "target/release/load-balancing-proxy")]
     pub program: Option<PathBuf>,
 }
@@ -144,8 +145,8 @@
     }
 
     /// Emulates an attempt at a backend; `None` where no backend has this address.
-    fn send(&self, to: &str, request: &CampaignRequest) -> Option<pb::Outcome> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner).send(to, request)
+    fn send(&self, address: &str, request: &CampaignRequest) -> Option<pb::Outcome> {
+        self.ledger.lock().unwrap_or_else(PoisonError::into_inner).send(address, request)
     }
 }
 
@@ -183,17 +184,17 @@
                 }
             })
             .collect();
-        let mut all = CampaignResult::empty();
+        let mut total = CampaignResult::empty();
         for caller in callers {
-            let one = caller.await.map_err(|e| CallersError::UnexpectedAnswer(0, e.to_string()))??;
-            all.add(&one);
+            let result = caller.await.map_err(|e| CallersError::UnexpectedAnswer(0, e.to_string()))??;
+            total.add(&result);
         }
-        all.duration = context.started_at.elapsed();
+        total.duration = context.started_at.elapsed();
         let (cpu_s, memory_mb) = processor.usage()?;
-        (all.cpu_s, all.memory_mb) = (cpu_s - cpu_before, memory_mb);
+        (total.cpu_s, total.memory_mb) = (cpu_s - cpu_before, memory_mb);
         let ledger = context.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        all.effects = (ledger.effects, ledger.duplicate_effects);
-        Ok(all)
+        total.effects = (ledger.effects, ledger.duplicate_effects);
+        Ok(total)
     })
 }
 
--- a/crates/testbed/src/callers/envoy.rs
+++ b/crates/testbed/src/callers/envoy.rs
@@ -41,7 +41,7 @@
 
 /// How an exchange ended.
 enum ExchangeOutcome {
-    /// The client has its final answer.
+    /// The client received its final response.
     Ended(pb::End),
     /// Envoy was killed, which ended all its open requests.
     Killed,
@@ -67,12 +67,12 @@
     let clients: Vec<_> = (0..open)
         .map(|_| tokio::spawn(run_client(Arc::clone(&envoy), fastrand::Rng::with_seed(rng.u64(..)))))
         .collect();
-    let mut all = CampaignResult::empty();
+    let mut total = CampaignResult::empty();
     for client in clients {
-        let one = client.await.map_err(|e| CallersError::UnexpectedAnswer(number, e.to_string()))??;
-        all.add(&one);
+        let result = client.await.map_err(|e| CallersError::UnexpectedAnswer(number, e.to_string()))??;
+        total.add(&result);
     }
-    Ok(all)
+    Ok(total)
 }
 
 /// Runs a client: it sends one request at a time, until none is queued.
@@ -112,7 +112,7 @@
     HeaderValue { key: key.into(), value: String::new(), raw_value: value.into() }
 }
 
-fn head(headers: Vec<HeaderValue>) -> HttpHeaders {
+fn http_headers(headers: Vec<HeaderValue>) -> HttpHeaders {
     HttpHeaders { headers: Some(HeaderMap { headers }), ..HttpHeaders::default() }
 }
 
@@ -127,7 +127,7 @@
         headers.push(header("idempotency-key", format!("{:x}", request.number)));
     }
     ProcessingRequest {
-        request: Some(Message::RequestHeaders(head(headers))),
+        request: Some(Message::RequestHeaders(http_headers(headers))),
         ..ProcessingRequest::default()
     }
 }
@@ -147,13 +147,13 @@
     let details = Value { kind: Some(value::Kind::StringValue(details.into())) };
     let attributes = Struct { fields: [("response.code_details".to_owned(), details)].into() };
     ProcessingRequest {
-        request: Some(Message::ResponseHeaders(head(headers))),
+        request: Some(Message::ResponseHeaders(http_headers(headers))),
         attributes: [("envoy.filters.http.ext_proc".to_owned(), attributes)].into(),
         ..ProcessingRequest::default()
     }
 }
 
-/// The final outcome that the status of an immediate response stands for.
+/// The final outcome that the status of an immediate response represents.
 fn outcome_of_status(code: i32) -> pb::End {
     match code {
         503 => pb::End::Refused,
@@ -171,8 +171,8 @@
 }
 
 impl Envoy {
-    fn unexpected(&self, what: impl Into<String>) -> CallersError {
-        CallersError::UnexpectedAnswer(self.number, what.into())
+    fn unexpected(&self, description: impl Into<String>) -> CallersError {
+        CallersError::UnexpectedAnswer(self.number, description.into())
     }
 
     async fn receive(
@@ -193,14 +193,14 @@
         result: &mut CampaignResult,
     ) -> Result<ExchangeOutcome, CallersError> {
         let (messages, outgoing) = mpsc::channel(2);
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let _ = messages.send(request_headers(request, retries)).await;
         let mut client = ExternalProcessorClient::new(channel);
         let mut answer = client.process(ReceiverStream::new(outgoing)).await?.into_inner();
         let first = self.receive(&mut answer).await?;
         result.decisions += 1;
-        result.latencies.saturating_record(u64::try_from(asked_at.elapsed().as_micros()).unwrap_or(u64::MAX));
-        let to = match first {
+        result.latencies.saturating_record(u64::try_from(sent_at.elapsed().as_micros()).unwrap_or(u64::MAX));
+        let address = match first {
             ProcessingAnswer::ImmediateResponse(answer) => {
                 return Ok(ExchangeOutcome::Ended(outcome_of_status(
                     answer.status.map_or(0, |status| status.code),
@@ -214,8 +214,8 @@
         result.attempts += 1;
         let outcome = self
             .context
-            .send(&to, request)
-            .ok_or_else(|| self.unexpected(format!("no backend has the address {to}")))?;
+            .send(&address, request)
+            .ok_or_else(|| self.unexpected(format!("no backend has the address {address}")))?;
         let kill_every = self.context.campaign.kill_every;
         if kill_every > 0 && rng.usize(..kill_every) == 0 {
             result.kills += 1;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -18,8 +18,8 @@
 use testbed::script::Script;
 use testbed::{connection_fault_matrix, demo, scale, virtual_time};
 
-/// Stand-ins, fault scripts, a judge of the four rules, and measurements. Ends with code 0 where no rule
-/// broke, 1 where one did, 2 where nothing could be played.
+/// Emulators, fault scripts, an invariant checker for the four rules, and measurements. Exits with code 0 if
+/// no rule was violated, 1 if one was, 2 if nothing could be run.
 #[derive(Parser)]
 #[command(name = "testbed", version)]
 struct Arguments {
@@ -29,98 +29,98 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Half a minute of one real proxy among boxes that crash, hang and drain, as a live table.
+    /// Run one real proxy for half a minute before backends that crash, hang and drain, with a live table.
     Demo,
-    /// Play a fault script on loopback sockets, with real proxies.
+    /// Run a fault script on loopback sockets, with real proxies.
     Sockets {
-        /// The script, TOML.
+        /// The script file, TOML.
         script: PathBuf,
-        /// Take this seed in place of the script's.
+        /// Seed that replaces the script's.
         #[arg(long)]
         seed: Option<u64>,
-        /// What this machine may be late by, milliseconds.
+        /// Timing tolerance of the checks for delays of this machine, milliseconds.
         #[arg(long, default_value_t = 100)]
         slack_ms: u64,
     },
-    /// Play a fault script in virtual time, in process; the same seed gives the same day.
+    /// Run a fault script in virtual time, in process; the same seed gives the same run.
     Virtual {
-        /// The script, TOML.
+        /// The script file, TOML.
         script: PathBuf,
-        /// Take this seed in place of the script's.
+        /// Seed that replaces the script's.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Play a day for every seed: over processes, or in virtual time, beside what plain choices make of the
-    /// same arrivals.
+    /// Run a script once for each seed, with processes or in virtual time, and compare it with simple
+    /// reference policies on the same arrivals.
     Fleet {
         #[command(flatten)]
         arguments: FleetArguments,
     },
-    /// Print medians with their range over seeds, of rows that `fleet --json` has written.
+    /// Print the medians and ranges over seeds of the rows written by `fleet --json`.
     Compare {
-        /// Files of JSON lines.
+        /// Files with one JSON row per line.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Play every trouble of connections at several degrees before healthy boxes, and print what it costs.
+    /// Run every connection fault at several severities before healthy backends, and print its cost.
     Matrix {
-        /// How long clients ask in each case, seconds.
+        /// How long clients send requests in each case, seconds.
         #[arg(long, default_value_t = 4.0)]
         seconds: f64,
-        /// For all random numbers.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 20_261_201)]
         seed: u64,
-        /// Only troubles whose name holds this.
+        /// Run only faults whose name contains this.
         #[arg(long, default_value = "")]
         only: String,
     },
-    /// Measure what a request costs: direct, through a minimal pass-through, through the proxy, in turn.
+    /// Measure the cost of a request on three alternating paths: direct, minimal pass-through and proxy.
     Cost {
-        /// Boxes, each answering at once.
+        /// Number of backends, each of which responds immediately.
         #[arg(long = "boxes", value_name = "BOXES", default_value_t = 20)]
         backends: usize,
-        /// Connections of clients, one request at a time on each.
+        /// Number of client connections, each with one request at a time.
         #[arg(long, default_value_t = 16)]
         clients: usize,
-        /// Requests that count, for each way and turn.
+        /// Number of measured requests for each path and round.
         #[arg(long, default_value_t = 30_000)]
         requests: usize,
-        /// Turns of all three ways.
+        /// Number of rounds over all three paths.
         #[arg(long = "turns", value_name = "TURNS", default_value_t = 5)]
         rounds: usize,
-        /// The proxy's program.
+        /// Path of the proxy's executable.
         #[arg(long, default_value = "target/release/load-balancing-proxy")]
         proxy: PathBuf,
     },
-    /// Play callers of the external processor that are killed at random among boxes that crash, and measure a
-    /// decision.
+    /// Run callers of the external processor that are killed at random, with backends that crash, and measure
+    /// the cost of a decision.
     Callers {
         #[command(flatten)]
         campaign: Campaign,
-        /// Measure the memory of so many leases that are out in place of that.
+        /// Instead measure the memory of this number of open leases.
         #[arg(long = "hold", value_name = "HOLD")]
         open_leases: Option<usize>,
     },
-    /// Measure how costs grow: processes of the real program, at several sizes.
+    /// Measure how costs grow with size, with processes of the real executable.
     Scale {
         #[command(subcommand)]
         scale: Scale,
     },
-    /// Become a program that ends with whoever started it, under a limit on descriptors.
+    /// Execute a program that ends with its parent process, under a limit on descriptors.
     #[command(name = "keep", hide = true)]
     RunGuarded {
-        /// The id of the process that starts it.
+        /// Process id of the parent.
         parent: i32,
-        /// Descriptors that it may have.
+        /// Maximum number of its file descriptors.
         descriptors: u64,
         /// The program and its arguments.
         #[arg(required = true, trailing_var_arg = true, allow_hyphen_values = true)]
         command: Vec<OsString>,
     },
-    /// The minimal pass-through of `cost`, by itself.
+    /// Run the minimal pass-through of `cost` as a process.
     #[command(name = "pass", hide = true)]
     PassThrough {
-        /// The boxes.
+        /// Addresses of the backends.
         #[arg(value_name = "BOXES")]
         backends: Vec<SocketAddr>,
     },
@@ -129,47 +129,47 @@
 /// What `scale` measures.
 #[derive(Subcommand)]
 enum Scale {
-    /// Play a script of thousands of hollow proxies with real relays, sources, and some real proxies.
+    /// Run a script of thousands of simulated proxies with real relays, sources, and some real proxies.
     Fleet(ScaleFleetArguments),
-    /// Hollow proxies, by themselves.
+    /// Run simulated proxies as a process.
     #[command(name = "hollow", hide = true)]
     SimulatedProxies {
-        /// Where the rig listens.
+        /// The address on which the testbed listens.
         #[arg(value_name = "RIG")]
         testbed: SocketAddr,
     },
-    /// Memory, processor time, bytes and waits of one proxy by the size of what it is told and asked, with
-    /// straight lines through them, as JSON lines on standard output.
+    /// Measure memory, CPU time, bytes and waits of one proxy by the size of its configuration and load, with
+    /// linear fits, as JSON lines on standard output.
     Slopes {
         #[command(flatten)]
         arguments: SlopesArguments,
     },
 }
 
-/// What `scale fleet` plays.
+/// The arguments of `scale fleet`.
 #[derive(Args)]
 struct ScaleFleetArguments {
-    /// The script, TOML.
+    /// The script file, TOML.
     script: PathBuf,
-    /// Take this seed in place of the script's.
+    /// Seed that replaces the script's.
     #[arg(long)]
     seed: Option<u64>,
-    /// The part of the script's proxies, services, backends and changes.
+    /// Fraction of the script's proxies, services, backends and changes that is run.
     #[arg(long, default_value_t = 1.0)]
     part: f64,
-    /// Only the first so many steps.
+    /// Run only this number of steps from the start of the script.
     #[arg(long)]
     steps: Option<usize>,
-    /// Control's program.
+    /// Path of the control plane's executable.
     #[arg(long, default_value = "target/release/control-plane")]
     control: PathBuf,
-    /// The proxy's program.
+    /// Path of the proxy's executable.
     #[arg(long, default_value = "target/release/load-balancing-proxy")]
     proxy: PathBuf,
-    /// Measure today's whole lists of so many backends as well; several with commas.
+    /// Also measure today's complete lists with this number of backends; several numbers with commas.
     #[arg(long, value_delimiter = ',')]
     lists: Vec<usize>,
-    /// Append each figure to this file as a JSON line.
+    /// Append each measurement to this file as a JSON line.
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -183,10 +183,10 @@
     let mut script = ScaleScript::read(&arguments.script)?.scaled_by(arguments.part);
     script.seed = arguments.seed.unwrap_or(script.seed);
     script.steps.truncate(arguments.steps.unwrap_or(usize::MAX));
-    let guard = std::env::current_exe()?;
+    let testbed_binary = std::env::current_exe()?;
     let machine = RunEnvironment {
         proxy: arguments.proxy,
-        testbed_binary: guard,
+        testbed_binary,
         memory_mb: 32,
         descriptors: 256,
         threads: 1,
@@ -209,64 +209,64 @@
     Ok(report.is_clean())
 }
 
-/// What `scale slopes` measures.
+/// The arguments of `scale slopes`.
 #[derive(Args)]
 struct SlopesArguments {
-    /// The proxy's program.
+    /// Path of the proxy's executable.
     #[arg(long, default_value = "target/release/load-balancing-proxy")]
     proxy: PathBuf,
-    /// Runs of every size, of which the medians count.
+    /// Number of runs for each size; their medians are reported.
     #[arg(long, default_value_t = 5)]
     runs: usize,
-    /// For the random numbers of the stand-ins.
+    /// Seed of the emulators' random numbers.
     #[arg(long, default_value_t = 20_261_202)]
     seed: u64,
-    /// Only this family (backends, tenants, config, classes, `idle_clients`, `open_requests`, rate, fleet,
-    /// clients, `over_share`), or quantities whose name holds this.
+    /// Measure only this family (backends, tenants, config, classes, `idle_clients`, `open_requests`, rate,
+    /// fleet, clients, `over_share`), or quantities whose name contains this.
     #[arg(long, default_value = "")]
     only: String,
-    /// Sizes in place of the usual ones, with commas; for one family.
+    /// Sizes that replace the defaults, with commas; for one family.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
-    /// How long a steady figure is measured, seconds; 99th percentiles want a second or more.
+    /// How long a steady-state value is measured, seconds; 99th percentiles need at least one second.
     #[arg(long, default_value_t = 1.5)]
     seconds: f64,
 }
 
-/// What `fleet` plays.
+/// The arguments of `fleet`.
 #[derive(Args)]
 struct FleetArguments {
-    /// The script, TOML.
+    /// The script file, TOML.
     script: PathBuf,
-    /// In virtual time in place of processes.
+    /// Run in virtual time instead of with processes.
     #[arg(long = "virtual")]
     in_virtual_time: bool,
-    /// The first seed in place of the script's.
+    /// First seed, which replaces the script's.
     #[arg(long)]
     seed: Option<u64>,
-    /// How many seeds, one after another.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Requests a second as a part of what keeps all boxes busy, in place of the script's; several with
+    /// Request rate as a fraction of the capacity of all backends, which replaces the script's; several with
     /// commas.
     #[arg(long, value_delimiter = ',')]
     load: Vec<f64>,
-    /// The program.
+    /// Path of the proxy's executable.
     #[arg(long, default_value = "target/release/load-balancing-proxy")]
     proxy: PathBuf,
-    /// Memory that each process is told, MB.
+    /// Memory that each process is configured to use, MB.
     #[arg(long, default_value_t = 32)]
     memory_mb: usize,
-    /// Descriptors that each process may have.
+    /// Maximum number of file descriptors of each process.
     #[arg(long, default_value_t = 256)]
     descriptors: u64,
-    /// Threads for the stand-ins; none given: a third of the cores.
+    /// Number of threads for the emulators; default: a third of the cores.
     #[arg(long)]
     threads: Option<usize>,
-    /// What this machine may be late by, milliseconds.
+    /// Timing tolerance of the checks for delays of this machine, milliseconds.
     #[arg(long, default_value_t = 150)]
     slack_ms: u64,
-    /// Leave out the references.
+    /// Do not run the reference policies.
     #[arg(long)]
     no_references: bool,
     /// Append each row to this file as a JSON line.
@@ -325,8 +325,8 @@
 fn measure_slopes(arguments: SlopesArguments) -> Result<bool, Box<dyn Error>> {
     let SlopesArguments { proxy, runs, seed, only, sizes, seconds } = arguments;
     let guard = std::env::current_exe()?;
-    let order = slopes::Options { proxy, guard, runs, seed, only, sizes, seconds };
-    for row in slopes::run(&order, |step| eprintln!("{step}"))? {
+    let options = slopes::Options { proxy, guard, runs, seed, only, sizes, seconds };
+    for row in slopes::run(&options, |step| eprintln!("{step}"))? {
         println!("{}", serde_json::to_string(&row)?);
     }
     Ok(true)
--- a/crates/testbed/src/sockets/shared_state.rs
+++ b/crates/testbed/src/sockets/shared_state.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Start of the scenario's clock, microseconds; greater than 0, because 0 stands for no time in
+/// Start of the scenario's clock, microseconds; greater than 0, because 0 means no time in
 /// [`BackendStatus::started_at`].
 const START: Micros = 1_000_000;
 
@@ -89,7 +89,7 @@
         self.open.store(open, Ordering::Release);
     }
 
-    /// How often the front end has started to route requests to it.
+    /// How many times the front end has started to route requests to it.
     pub(crate) fn open_count(&self) -> u32 {
         self.open_count.load(Ordering::Acquire)
     }
@@ -99,7 +99,7 @@
         self.kill_count.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// How often its process was killed.
+    /// How many times its process was killed.
     pub(crate) fn kill_count(&self) -> u32 {
         self.kill_count.load(Ordering::Acquire)
     }
@@ -119,7 +119,7 @@
     backend_relay_ports: OnceLock<Vec<u16>>,
     /// The port of the relay, where clients connect to proxies through one.
     client_relay_port: OnceLock<u16>,
-    /// How often each fault was drawn for a request.
+    /// How many times each fault was drawn for a request.
     fault_draws: Mutex<HashMap<(BackendFaultKind, u64), u64>>,
 }
 
@@ -177,8 +177,9 @@
 
     /// The number of backends whose process runs, and of those that are draining.
     pub(crate) fn count_up_and_draining(&self) -> (usize, usize) {
-        let count =
-            |of: fn(&BackendStatus) -> bool| self.backends.iter().filter(|backend| of(backend)).count();
+        let count = |predicate: fn(&BackendStatus) -> bool| {
+            self.backends.iter().filter(|backend| predicate(backend)).count()
+        };
         (count(BackendStatus::is_up), count(BackendStatus::is_draining))
     }
 
