--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -154,7 +154,7 @@
     })
 }
 
-/// The header of the text table, with the column names of [`line()`].
+/// The header of the text table, with the column names of [`format_row()`].
 #[must_use]
 pub fn header() -> String {
     format!(
